--- a/eslint.config.js
+++ b/eslint.config.js
@@ -3,7 +3,7 @@
 /**
  * Packages that pass the whole of the rules. The list only grows: a package that is cleaned is added, none is taken out.
  */
-const cleanPackages = ['operator', 'pooler', 'pool', 'proxy', 'quorum', 'sheet', 'verdict'];
+const cleanPackages = ['cli', 'pooler', 'pool', 'proxy', 'quorum', 'placement', 'routing'];
 const cleanFiles = cleanPackages.map((name) => `packages/${name}/src/**/*.ts`);
 
 const noClasses = {
--- a/packages/stories/src/administration.ts
+++ b/packages/acceptance/src/administration.ts
@@ -5,7 +5,7 @@
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { type HttpReply } from '@stallstall/kernel';
-import { openapi } from '@stallstall/operator';
+import { openapi } from '@stallstall/cli';
 import { watcher, type Register } from '@stallstall/register';
 import { checks, world as worlds } from '@stallstall/simulator';
 import { bringUp, edgeOf, primary, Story, within } from './story.js';
--- a/packages/stories/src/candidacies.ts
+++ b/packages/acceptance/src/candidacies.ts
@@ -3,12 +3,12 @@
 import { Given, Then, When } from '@cucumber/cucumber';
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
-import { election, livenessService, type Election, type Liveness, type MemberState } from '@stallstall/elect';
-import { fence, fenceService } from '@stallstall/fence';
+import { election, livenessService, type Election, type Liveness, type MemberState } from '@stallstall/election';
+import { fence, fenceService } from '@stallstall/quorum-lease';
 import { identifiers } from '@stallstall/kernel';
 import { ballotZero, type Entry, type Seat, type Settled } from '@stallstall/message';
 import { notesService, registerService, type Notes, type NumberedRegister } from '@stallstall/register';
-import type { Sheet } from '@stallstall/sheet';
+import type { Sheet } from '@stallstall/placement';
 import { world as worlds, type World } from '@stallstall/simulator';
 
 /** One chosen write of the stub register, in the order in which they were chosen. */
--- a/packages/stories/src/capacity.ts
+++ b/packages/acceptance/src/capacity.ts
@@ -3,7 +3,7 @@
 import { Given, Then, When, type DataTable } from '@cucumber/cucumber';
 import * as Option from 'fp-ts/lib/Option.js';
 import { fit, hollowRun, plainDialect, type Fit } from '@stallstall/bench';
-import type { StatementReply } from '@stallstall/statement';
+import type { StatementReply } from '@stallstall/session-protocol';
 
 type Story = { fitted: Option.Option<Fit>; denial: string; reply: StatementReply };
 
--- a/packages/stories/src/connections.ts
+++ b/packages/acceptance/src/connections.ts
@@ -7,7 +7,7 @@
 import { connections, type PooledLine } from '@stallstall/pooler/connections';
 import { freshness } from '@stallstall/pooler/freshness';
 import { world as worlds } from '@stallstall/simulator';
-import { positions, type MemberPlace, type Position } from '@stallstall/statement';
+import { positions, type MemberPlace, type Position } from '@stallstall/session-protocol';
 
 import type { UnitStory } from './units.js';
 
--- a/packages/stories/src/cut-core.ts
+++ b/packages/acceptance/src/cut-core.ts
@@ -5,7 +5,7 @@
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Door } from '@stallstall/core';
 import { http, identifiers, type HttpReply } from '@stallstall/kernel';
-import { rosterService, type Registration } from '@stallstall/roster';
+import { rosterService, type Registration } from '@stallstall/member-registry';
 import { coreFleet, type CoreFleet, type CoreMachine } from '@stallstall/simulator';
 
 type Operation = 'beat' | 'draining' | 'leave' | 'configuration' | 'read';
--- a/packages/stories/src/data-folders.ts
+++ b/packages/acceptance/src/data-folders.ts
@@ -10,7 +10,7 @@
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { fault } from '@stallstall/kernel';
-import { disk, type OpenStore, type Store } from '@stallstall/machine/disk';
+import { disk, type OpenStore, type Store } from '@stallstall/runtime/disk';
 import { soon, type RuntimeStory } from './runtime.js';
 
 // -- The disk.
--- a/packages/stories/src/duties.ts
+++ b/packages/acceptance/src/duties.ts
@@ -3,12 +3,12 @@
 import { Given, Then, When } from '@cucumber/cucumber';
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
-import { duty, election, liveness, livenessService, type Holding, type MemberState, type VoteStore } from '@stallstall/elect';
-import { fence, fenceService } from '@stallstall/fence';
+import { duty, election, liveness, livenessService, type Holding, type MemberState, type VoteStore } from '@stallstall/election';
+import { fence, fenceService } from '@stallstall/quorum-lease';
 import { fault, identifiers, kernel as kernels, type Fault, type HttpReply, type Kernel } from '@stallstall/kernel';
 import { ballotZero, type Entry, type Membership, type Settled } from '@stallstall/message';
 import { notesService, registerService, type Notes, type NumberedRegister, type Register } from '@stallstall/register';
-import type { Sheet } from '@stallstall/sheet';
+import type { Sheet } from '@stallstall/placement';
 import { world as worlds, type Process, type World } from '@stallstall/simulator';
 
 type DutyStory = {
--- a/packages/stories/src/full-disk-process.ts
+++ b/packages/acceptance/src/full-disk-process.ts
@@ -3,7 +3,7 @@
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { fault, type Disk, type Fault } from '@stallstall/kernel';
-import { disk } from '@stallstall/machine/disk';
+import { disk } from '@stallstall/runtime/disk';
 
 const putCharacters = 20_000;
 
--- a/packages/stories/src/guarantees.ts
+++ b/packages/acceptance/src/guarantees.ts
@@ -7,7 +7,7 @@
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { fault, type HttpReply } from '@stallstall/kernel';
-import { disk } from '@stallstall/machine';
+import { disk } from '@stallstall/runtime';
 import { checks, fuzz } from '@stallstall/simulator';
 import { coreOf, edgeOf, errorOf, primary, statement, within, type Story } from './story.js';
 
--- a/packages/stories/src/marks.ts
+++ b/packages/acceptance/src/marks.ts
@@ -6,7 +6,7 @@
 import { lessor, type Lessor } from '@stallstall/lease';
 import type { Ask, Reply, Seat } from '@stallstall/message';
 import { peer, type Peer } from '@stallstall/peer';
-import type { Roster } from '@stallstall/roster';
+import type { Roster } from '@stallstall/member-registry';
 import { world as worlds, type World } from '@stallstall/simulator';
 import { leaseAsk } from './lease-ask.js';
 
--- a/packages/stories/src/outages.ts
+++ b/packages/acceptance/src/outages.ts
@@ -4,7 +4,7 @@
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { fault } from '@stallstall/kernel';
-import { sheets } from '@stallstall/sheet';
+import { sheets } from '@stallstall/placement';
 import {
   firstKey,
   pooledFleet,
@@ -14,8 +14,8 @@
   type PooledMember,
   type PooledSheet,
 } from '@stallstall/simulator';
-import type { SessionLine } from '@stallstall/stand-in';
-import type { StatementReply } from '@stallstall/statement';
+import type { SessionLine } from '@stallstall/fakes';
+import type { StatementReply } from '@stallstall/session-protocol';
 
 type OutageStory = {
   pooled: PooledFleet;
--- a/packages/stories/src/platform.ts
+++ b/packages/acceptance/src/platform.ts
@@ -7,8 +7,8 @@
 import { fault, http, identifiers, type Fault, type HttpReply, type Kernel } from '@stallstall/kernel';
 import { message, RosterEntrySchema } from '@stallstall/message';
 import { configuration, pages, platformCalls, type PlatformSettings } from '@stallstall/platform';
-import type { Registration } from '@stallstall/roster';
-import { sheets } from '@stallstall/sheet';
+import type { Registration } from '@stallstall/member-registry';
+import { sheets } from '@stallstall/placement';
 import { world as worlds, type World } from '@stallstall/simulator';
 
 type Fields = Record<string, unknown>;
--- a/packages/stories/src/pooled.ts
+++ b/packages/acceptance/src/pooled.ts
@@ -12,8 +12,8 @@
   type PooledMember,
   type PooledOptions,
 } from '@stallstall/simulator';
-import type { SessionLine } from '@stallstall/stand-in';
-import type { StatementReply } from '@stallstall/statement';
+import type { SessionLine } from '@stallstall/fakes';
+import type { StatementReply } from '@stallstall/session-protocol';
 
 type PooledStory = {
   pooled: PooledFleet;
--- a/packages/stories/src/product.ts
+++ b/packages/acceptance/src/product.ts
@@ -7,7 +7,7 @@
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { fault, http, identifiers, type HttpReply } from '@stallstall/kernel';
-import { agentSettings, settings } from '@stallstall/operator';
+import { agentSettings, settings } from '@stallstall/cli';
 import { world as worlds, type EdgeSlot } from '@stallstall/simulator';
 import { bringUp, coreOf, edgeOf, type Story } from './story.js';
 
--- a/packages/stories/src/replies.ts
+++ b/packages/acceptance/src/replies.ts
@@ -6,8 +6,8 @@
 import { identifiers, protocolsSpoken, type Link, type Stream } from '@stallstall/kernel';
 import { peer, repeatableCalls } from '@stallstall/peer';
 import { world as worlds, type World } from '@stallstall/simulator';
-import { plainDialect } from '@stallstall/stand-in';
-import { prober, repeatableCommands } from '@stallstall/statement';
+import { plainDialect } from '@stallstall/fakes';
+import { prober, repeatableCommands } from '@stallstall/session-protocol';
 
 type ReplyStory = { world: World; links: number; openLines: number };
 
--- a/packages/stories/src/runtime.ts
+++ b/packages/acceptance/src/runtime.ts
@@ -18,7 +18,7 @@
   type Listening,
   type Stream,
 } from '@stallstall/kernel';
-import { leanNetwork } from '@stallstall/machine/lean';
+import { leanNetwork } from '@stallstall/runtime/lean';
 import type { FaultyStore } from './data-folders.js';
 
 export type RuntimeStory = {
--- a/packages/stories/src/steps.ts
+++ b/packages/acceptance/src/steps.ts
@@ -5,11 +5,11 @@
 import * as Option from 'fp-ts/lib/Option.js';
 import { fault, identifiers, type HttpReply } from '@stallstall/kernel';
 import { peer } from '@stallstall/peer';
-import { coreSettings, settings } from '@stallstall/operator';
-import { sheets } from '@stallstall/sheet';
+import { coreSettings, settings } from '@stallstall/cli';
+import { sheets } from '@stallstall/placement';
 import { checks, fleet as fleets, fuzz, type CoreSlot, type EdgeSlot, world as worlds } from '@stallstall/simulator';
-import { liveness } from '@stallstall/elect';
-import { brightpath, redComun } from '@stallstall/stand-in';
+import { liveness } from '@stallstall/election';
+import { brightpath, redComun } from '@stallstall/fakes';
 import { bringUp, coreOf, edgeOf, errorOf, kindsOf, primary, statement, Story, within } from './story.js';
 
 setWorldConstructor(Story as never);
--- a/packages/stories/src/story.ts
+++ b/packages/acceptance/src/story.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import type * as Either from 'fp-ts/lib/Either.js';
 import type { Fault, HttpReply } from '@stallstall/kernel';
-import type { openapi } from '@stallstall/operator';
+import type { openapi } from '@stallstall/cli';
 import type { Watcher } from '@stallstall/register';
 import {
   fleet as fleets,
@@ -14,7 +14,7 @@
   type Process,
   type World,
 } from '@stallstall/simulator';
-import { brightpath, redComun } from '@stallstall/stand-in';
+import { brightpath, redComun } from '@stallstall/fakes';
 
 export type Story = {
   fleet: Fleet;
--- a/packages/stories/src/units.ts
+++ b/packages/acceptance/src/units.ts
@@ -2,13 +2,13 @@
 import assert from 'node:assert/strict';
 import { Given, Then, When } from '@cucumber/cucumber';
 import * as Option from 'fp-ts/lib/Option.js';
-import { liveness, livenessService } from '@stallstall/elect';
+import { liveness, livenessService } from '@stallstall/election';
 import { identifiers, type Instant, type Kernel, type Listening } from '@stallstall/kernel';
 import { lessee, lessor, type Lessee, type Lessor } from '@stallstall/lease';
 import type { Ask, Reply, RosterEntry, Seat } from '@stallstall/message';
 import { peer, type Caller } from '@stallstall/peer';
 import { type Connections, type PooledLine } from '@stallstall/pooler/connections';
-import { roster, type Registration, type Roster, type Spread } from '@stallstall/roster';
+import { roster, type Registration, type Roster, type Spread } from '@stallstall/member-registry';
 import { world as worlds, type Process, type World } from '@stallstall/simulator';
 import { leaseAsk } from './lease-ask.js';
 
--- a/packages/stories/src/wire.ts
+++ b/packages/acceptance/src/wire.ts
@@ -8,9 +8,9 @@
 import { peer } from '@stallstall/peer';
 import { wire } from '@stallstall/platform';
 import { pooler } from '@stallstall/pooler';
-import { sheets } from '@stallstall/sheet';
+import { sheets } from '@stallstall/placement';
 import { world as worlds, type World } from '@stallstall/simulator';
-import type { Condition, Incoming, Piece } from '@stallstall/statement';
+import type { Condition, Incoming, Piece } from '@stallstall/session-protocol';
 
 type WireStory = { world: World; sender: Kernel; heard: string[]; said: Array<readonly string[]> };
 
--- a/packages/agent/src/index.ts
+++ b/packages/agent/src/index.ts
@@ -17,9 +17,9 @@
 import { quorum } from '@stallstall/quorum';
 import type { Register } from '@stallstall/register';
 import { node as nodes, type Node, type NodeSettings } from '@stallstall/node';
-import { marginMilliseconds, termMilliseconds } from '@stallstall/fence';
-import { livenessService, type Vote, type VoteStore } from '@stallstall/elect';
-import { sheets, type SheetService } from '@stallstall/sheet';
+import { marginMilliseconds, termMilliseconds } from '@stallstall/quorum-lease';
+import { livenessService, type Vote, type VoteStore } from '@stallstall/election';
+import { sheets, type SheetService } from '@stallstall/placement';
 import { Type } from '@sinclair/typebox';
 
 export type AgentSettings = NodeSettings & Readonly<{ feed: string }>;
--- a/packages/agent/src/lessee-agent.ts
+++ b/packages/agent/src/lessee-agent.ts
@@ -5,7 +5,7 @@
 import type { Ask, LogPosition, Marks, Placement, Reply } from '@stallstall/message';
 import { peer, type Caller } from '@stallstall/peer';
 import { lessee as lessees } from '@stallstall/lease';
-import { termMilliseconds } from '@stallstall/fence';
+import { termMilliseconds } from '@stallstall/quorum-lease';
 
 export type LesseeAgentSettings = Readonly<{ node: string; area: string; feed: string; seeds: () => readonly string[] }>;
 export type LesseeAgent = Readonly<{ drain: () => Promise<void>; stop: () => Promise<void> }>;
--- a/packages/bench/src/hollow.ts
+++ b/packages/bench/src/hollow.ts
@@ -1,7 +1,7 @@
 // Slopes of the pooled mode from real processes: `hollow.js FIELD SIZE SIZE SIZE [--repeat=2] [--weigh] [FIELD=SIZE ...]`, or `--smoke` (docs/CAPACITY.md).
 import os from 'node:os';
 import * as Option from 'fp-ts/lib/Option.js';
-import { machine } from '@stallstall/machine';
+import { machine } from '@stallstall/runtime';
 import { fit, type Point } from './hollow/fit.js';
 import { hollowRun, type HollowOutcome, type HollowSize } from './hollow/run.js';
 
--- a/packages/bench/src/hollow/child.ts
+++ b/packages/bench/src/hollow/child.ts
@@ -5,10 +5,10 @@
 import { core } from '@stallstall/core';
 import type { HttpMapping, Kernel } from '@stallstall/kernel';
 import type { Door } from '@stallstall/core';
-import { leanMachine } from '@stallstall/machine/lean';
+import { leanMachine } from '@stallstall/runtime/lean';
 import { pooler } from '@stallstall/pooler';
-import type { Registration } from '@stallstall/roster';
-import { prober } from '@stallstall/statement';
+import type { Registration } from '@stallstall/member-registry';
+import { prober } from '@stallstall/session-protocol';
 import { counts, type Frames } from './counts.js';
 import { plainDialect } from './dialect.js';
 import { hollowEdges } from './edges.js';
@@ -42,7 +42,7 @@
 }
 
 async function playCore(kernel: (disk: Kernel['disk']) => Kernel, role: Extract<HollowRole, { role: 'core' }>): Promise<Playing> {
-  const { disk } = await import('@stallstall/machine/disk');
+  const { disk } = await import('@stallstall/runtime/disk');
   const opened = await disk.open(role.data);
   if (Either.isLeft(opened)) throw opened.left;
   const own = kernel(Option.some(opened.right));
--- a/packages/bench/src/real-fleet.ts
+++ b/packages/bench/src/real-fleet.ts
@@ -3,7 +3,7 @@
 import fs from 'node:fs';
 import path from 'node:path';
 import { fileURLToPath } from 'node:url';
-import { areas, deployments, type Deployment, type MemberPlace } from '@stallstall/stand-in';
+import { areas, deployments, type Deployment, type MemberPlace } from '@stallstall/fakes';
 
 export type Running = Readonly<{ name: string; child: ChildProcess; start: () => Running }>;
 
--- a/packages/bench/src/rehearse.ts
+++ b/packages/bench/src/rehearse.ts
@@ -6,9 +6,9 @@
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { http, identifiers, type HttpReply, type Kernel } from '@stallstall/kernel';
-import { machine } from '@stallstall/machine';
+import { machine } from '@stallstall/runtime';
 import { checks, type Violation } from '@stallstall/simulator';
-import { brightpath, redComun, sender, type Deployment, type Ledger } from '@stallstall/stand-in';
+import { brightpath, redComun, sender, type Deployment, type Ledger } from '@stallstall/fakes';
 import { realFleet, type RealFleet } from './real-fleet.js';
 
 const [name = 'red-comun', mode = 'load', secondsText = '20', baseText = '17000'] = process.argv.slice(2);
--- a/packages/bench/src/stand-in-main.ts
+++ b/packages/bench/src/stand-in-main.ts
@@ -1,7 +1,7 @@
 // One stand-in as a process of its own: `stand-in-main.js member|platform '<settings as JSON>'` (design 10.1).
 import * as Option from 'fp-ts/lib/Option.js';
-import { machine } from '@stallstall/machine';
-import { member, platform, type MemberSettings, type PlatformSettings } from '@stallstall/stand-in';
+import { machine } from '@stallstall/runtime';
+import { member, platform, type MemberSettings, type PlatformSettings } from '@stallstall/fakes';
 
 const [kind, text] = process.argv.slice(2);
 const kernel = await machine.create(`stand-in-${kind}`, Option.none);
--- a/packages/bench/src/up.ts
+++ b/packages/bench/src/up.ts
@@ -1,6 +1,6 @@
 // Brings a whole fleet up on this machine and keeps it until interrupted (README, quick start).
 import path from 'node:path';
-import { brightpath, redComun } from '@stallstall/stand-in';
+import { brightpath, redComun } from '@stallstall/fakes';
 import { realFleet } from './real-fleet.js';
 
 const [name = 'red-comun', folder = 'data/fleet'] = process.argv.slice(2);
--- a/packages/bench/src/weigh.ts
+++ b/packages/bench/src/weigh.ts
@@ -5,8 +5,8 @@
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { http, identifiers } from '@stallstall/kernel';
-import { machine } from '@stallstall/machine';
-import { redComun } from '@stallstall/stand-in';
+import { machine } from '@stallstall/runtime';
+import { redComun } from '@stallstall/fakes';
 import { realFleet } from './real-fleet.js';
 
 const countMilliseconds = 10_000;
--- a/packages/operator/src/core-client.ts
+++ b/packages/cli/src/core-client.ts
@@ -2,7 +2,7 @@
 import { Flags, type Command } from '@oclif/core';
 import * as Either from 'fp-ts/lib/Either.js';
 import { fault, identifiers, type Fault, type HttpAsk, type HttpReply } from '@stallstall/kernel';
-import { network } from '@stallstall/machine';
+import { network } from '@stallstall/runtime';
 
 /** How long one core is waited for. */
 const exchangeMilliseconds = 8_000;
--- a/packages/operator/src/daemons.ts
+++ b/packages/cli/src/daemons.ts
@@ -4,7 +4,7 @@
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Fault, Kernel } from '@stallstall/kernel';
-import { disk, machine } from '@stallstall/machine';
+import { disk, machine } from '@stallstall/runtime';
 import { core } from '@stallstall/core';
 import { agent } from '@stallstall/agent';
 import { proxy } from '@stallstall/proxy';
--- a/packages/operator/src/mappings.ts
+++ b/packages/cli/src/mappings.ts
@@ -3,7 +3,7 @@
 import { dereference } from '@readme/openapi-parser';
 import { Args, Command, Flags } from '@oclif/core';
 import * as Either from 'fp-ts/lib/Either.js';
-import { sheets, type SheetMapping } from '@stallstall/sheet';
+import { sheets, type SheetMapping } from '@stallstall/placement';
 
 type Operation = Readonly<Record<string, unknown>>;
 type Imported = Readonly<{ mappings: readonly SheetMapping[]; leftOut: readonly string[] }>;
--- a/packages/core/src/core-handlers.ts
+++ b/packages/core/src/core-handlers.ts
@@ -6,7 +6,7 @@
 import type { Caller, Handlers } from '@stallstall/peer';
 import { quorum } from '@stallstall/quorum';
 import type { Acceptor, Keeper, Standing } from '@stallstall/register';
-import type { Vote } from '@stallstall/elect';
+import type { Vote } from '@stallstall/election';
 import type { Cores } from './cores.js';
 import { setOf, type FleetRecord } from './fleet-record.js';
 import type { Formation } from './formation.js';
--- a/packages/core/src/door.ts
+++ b/packages/core/src/door.ts
@@ -2,8 +2,8 @@
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { fault, type Fault } from '@stallstall/kernel';
-import type { Registration } from '@stallstall/roster';
-import { sheets } from '@stallstall/sheet';
+import type { Registration } from '@stallstall/member-registry';
+import { sheets } from '@stallstall/placement';
 import type { Administration } from './administration.js';
 import type { Contact } from './contact.js';
 import type { ExternalVersion } from './orders.js';
--- a/packages/core/src/index.ts
+++ b/packages/core/src/index.ts
@@ -3,7 +3,7 @@
 import * as Option from 'fp-ts/lib/Option.js';
 import { fault, http, identifiers, type Disk, type Fault, type HttpMapping, type Kernel, type Listening } from '@stallstall/kernel';
 import type { CoreSet } from '@stallstall/message';
-import type { MemberProbe, PlatformCalls } from '@stallstall/elect';
+import type { MemberProbe, PlatformCalls } from '@stallstall/election';
 import { node as nodes, type Node, type NodeParts, type NodeSettings } from '@stallstall/node';
 import { peer, type Handlers } from '@stallstall/peer';
 import { acceptor, keeper, registerService, watcher, type RegisterTarget } from '@stallstall/register';
--- a/packages/core/src/operators.ts
+++ b/packages/core/src/operators.ts
@@ -6,7 +6,7 @@
 import { fault, type Fault, type HttpRequest, type Kernel } from '@stallstall/kernel';
 import { message, type Entry } from '@stallstall/message';
 import { registerService } from '@stallstall/register';
-import type { Sheet } from '@stallstall/sheet';
+import type { Sheet } from '@stallstall/placement';
 
 export const ScopeSchema = Type.Object({
   /** The services whose members, rows and keys it may change; '*' stands for all. */
--- a/packages/core/src/orders.ts
+++ b/packages/core/src/orders.ts
@@ -5,7 +5,7 @@
 import type { Entry } from '@stallstall/message';
 import type { Configuration } from '@stallstall/node';
 import type { Changed, Register } from '@stallstall/register';
-import type { Sheet } from '@stallstall/sheet';
+import type { Sheet } from '@stallstall/placement';
 import { digest } from './digest.js';
 import { ledger as ledgers, type SendClaim } from './ledger.js';
 import { operators, type Caller } from './operators.js';
--- a/packages/core/src/registration.ts
+++ b/packages/core/src/registration.ts
@@ -3,12 +3,12 @@
 import * as Option from 'fp-ts/lib/Option.js';
 import { Type } from '@sinclair/typebox';
 import { kernel as kernels, type Disk, type Kernel } from '@stallstall/kernel';
-import { livenessService } from '@stallstall/elect';
+import { livenessService } from '@stallstall/election';
 import { lessor as lessors, lessorService, type Lessor, type LessorView } from '@stallstall/lease';
 import { message, RosterEntrySchema } from '@stallstall/message';
 import type { Node } from '@stallstall/node';
-import { roster as rosters, rosterService, type Registration, type Roster, type Spread } from '@stallstall/roster';
-import type { SheetMember } from '@stallstall/sheet';
+import { roster as rosters, rosterService, type Registration, type Roster, type Spread } from '@stallstall/member-registry';
+import type { SheetMember } from '@stallstall/placement';
 import { rosterKey } from './data-folder.js';
 import { spreader as spreaders } from './spreader.js';
 
--- a/packages/core/src/spreader.ts
+++ b/packages/core/src/spreader.ts
@@ -5,7 +5,7 @@
 import type { Node } from '@stallstall/node';
 import type { Peer } from '@stallstall/peer';
 import { quorum } from '@stallstall/quorum';
-import type { Roster, Spread } from '@stallstall/roster';
+import type { Roster, Spread } from '@stallstall/member-registry';
 
 export type Spreader = Readonly<{
   /** Sends what is new to all others, and everything to whoever has missed some of it. */
--- a/packages/core/src/usage.ts
+++ b/packages/core/src/usage.ts
@@ -4,7 +4,7 @@
 import { Type, type Static } from '@sinclair/typebox';
 import { identifiers, type Fault, type Kernel } from '@stallstall/kernel';
 import { message, type Entry, type Reply } from '@stallstall/message';
-import { duty, type Holding, type PlatformCall, type PlatformCalls } from '@stallstall/elect';
+import { duty, type Holding, type PlatformCall, type PlatformCalls } from '@stallstall/election';
 import { quorum } from '@stallstall/quorum';
 import { keeper, keptWindows, registerService, usageWindowMilliseconds, type Keeper } from '@stallstall/register';
 import type { Node } from '@stallstall/node';
--- a/packages/core/src/votes.ts
+++ b/packages/core/src/votes.ts
@@ -3,7 +3,7 @@
 import { Type } from '@sinclair/typebox';
 import * as Option from 'fp-ts/lib/Option.js';
 import { owner, type Disk } from '@stallstall/kernel';
-import type { Vote, VoteStore } from '@stallstall/elect';
+import type { Vote, VoteStore } from '@stallstall/election';
 
 /** Where votes lie in the data folder. */
 export const votesPrefix = 'vote/';
--- a/packages/elect/src/duty.ts
+++ b/packages/election/src/duty.ts
@@ -15,7 +15,7 @@
 } from '@stallstall/kernel';
 import { message, type Entry } from '@stallstall/message';
 import { registerService } from '@stallstall/register';
-import { marginMilliseconds, termMilliseconds } from '@stallstall/fence';
+import { marginMilliseconds, termMilliseconds } from '@stallstall/quorum-lease';
 
 const DutySchema = Type.Object({
   holder: Type.String(),
--- a/packages/elect/src/election.ts
+++ b/packages/election/src/election.ts
@@ -14,8 +14,8 @@
 import { FloorSchema, message, type Ask, type Entry, type Floor, type Membership, type Reply, type Settled } from '@stallstall/message';
 import { quorum } from '@stallstall/quorum';
 import { notesService, registerService } from '@stallstall/register';
-import { fenceService, marginMilliseconds, termMilliseconds } from '@stallstall/fence';
-import { sheets, type Sheet, type SheetMember, type SheetService } from '@stallstall/sheet';
+import { fenceService, marginMilliseconds, termMilliseconds } from '@stallstall/quorum-lease';
+import { sheets, type Sheet, type SheetMember, type SheetService } from '@stallstall/placement';
 import { duty, type Duty, type Holding } from './duty.js';
 import { downAfterMilliseconds, livenessService, type MemberState } from './liveness.js';
 
--- a/packages/stand-in/src/deployment.ts
+++ b/packages/fakes/src/deployment.ts
@@ -1,5 +1,5 @@
 // The two deployments of the brief, as sheets and loads (design 10.2).
-import type { StatementKind } from '@stallstall/sheet';
+import type { StatementKind } from '@stallstall/placement';
 
 export type Deployment = Readonly<{
   name: string;
--- a/packages/stand-in/src/member-log.ts
+++ b/packages/fakes/src/member-log.ts
@@ -1,6 +1,6 @@
 /** The log of a stand-in member and the rows that follow from it: commits, late application, and cutting back after a change of leader. */
 import type { Kernel } from '@stallstall/kernel';
-import type { Position } from '@stallstall/statement';
+import type { Position } from '@stallstall/session-protocol';
 import type { SessionCommit, SessionMemberStore, SessionWrite } from './session-member-types.js';
 
 /** By term: the last number of it in a log. */
--- a/packages/stand-in/src/member-parts.ts
+++ b/packages/fakes/src/member-parts.ts
@@ -1,7 +1,7 @@
 /** What the modules of a stand-in member share. */
 import type * as Option from 'fp-ts/lib/Option.js';
 import type { Kernel } from '@stallstall/kernel';
-import type { Condition } from '@stallstall/statement';
+import type { Condition } from '@stallstall/session-protocol';
 import type { MemberLog } from './member-log.js';
 import type { MemberSlots } from './member-slots.js';
 import type {
--- a/packages/stand-in/src/session-connections.ts
+++ b/packages/fakes/src/session-connections.ts
@@ -1,7 +1,7 @@
 /** The connections of a stand-in member: one task for each, which opens it and runs its statements one after another. */
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Stream } from '@stallstall/kernel';
-import type { Condition, Stance } from '@stallstall/statement';
+import type { Condition, Stance } from '@stallstall/session-protocol';
 import { nextNumber, type MemberConnection, type MemberParts, type Outcome } from './member-parts.js';
 import { plainDialect, plainWords } from './session-dialect.js';
 import { sessionStatements } from './session-statements.js';
--- a/packages/stand-in/src/session-dialect.ts
+++ b/packages/fakes/src/session-dialect.ts
@@ -11,7 +11,7 @@
   Position,
   Stance,
   StatementReply,
-} from '@stallstall/statement';
+} from '@stallstall/session-protocol';
 
 const conditions: ReadonlySet<string> = new Set<Condition>([
   'saturated',
--- a/packages/stand-in/src/session-ledger.ts
+++ b/packages/fakes/src/session-ledger.ts
@@ -1,6 +1,6 @@
 /** The ledger of all that clients of the session wire asked and were told; the checkers read it (design 10.3). */
 import type * as Option from 'fp-ts/lib/Option.js';
-import type { Condition, Ending } from '@stallstall/statement';
+import type { Condition, Ending } from '@stallstall/session-protocol';
 
 /** A statement as it was asked, and what came of it. */
 export type SessionAsk = {
--- a/packages/stand-in/src/session-line.ts
+++ b/packages/fakes/src/session-line.ts
@@ -2,7 +2,7 @@
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { identifiers, type Kernel, type Stream } from '@stallstall/kernel';
-import type { Condition, Ending, StatementReply } from '@stallstall/statement';
+import type { Condition, Ending, StatementReply } from '@stallstall/session-protocol';
 import { plainDialect } from './session-dialect.js';
 
 export type SessionLine = Readonly<{
--- a/packages/stand-in/src/session-member-types.ts
+++ b/packages/fakes/src/session-member-types.ts
@@ -1,6 +1,6 @@
 /** The types of the stand-in for a database member that speaks the session wire (design 10.1). */
 import type * as Option from 'fp-ts/lib/Option.js';
-import type { Position } from '@stallstall/statement';
+import type { Position } from '@stallstall/session-protocol';
 
 /** A write of one statement: what its checker looks for is `identifier`. */
 export type SessionWrite = Readonly<{ identifier: string; thing: string; data: string }>;
--- a/packages/stand-in/src/session-statements.ts
+++ b/packages/fakes/src/session-statements.ts
@@ -1,6 +1,6 @@
 /** Runs the statements of a stand-in member's connections: reads, writes, transactions, prepared names and session values. */
 import * as Option from 'fp-ts/lib/Option.js';
-import { positions } from '@stallstall/statement';
+import { positions } from '@stallstall/session-protocol';
 import { nextNumber, type Committed, type MemberConnection, type MemberParts, type Outcome } from './member-parts.js';
 import { plainWords } from './session-dialect.js';
 import type { SessionCommit, SessionRun, SessionWrite } from './session-member-types.js';
--- a/packages/stand-in/src/session-workload.ts
+++ b/packages/fakes/src/session-workload.ts
@@ -1,7 +1,7 @@
 /** What a client of the session wire does in an open session: single statements, transactions, values and prepared names, at random. */
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Kernel } from '@stallstall/kernel';
-import type { Ending, Stance, StatementReply } from '@stallstall/statement';
+import type { Ending, Stance, StatementReply } from '@stallstall/session-protocol';
 import type { SessionAsk, SessionLedger, SessionTry } from './session-ledger.js';
 import type { SessionLine } from './session-line.js';
 
--- a/packages/lease/src/lessee.ts
+++ b/packages/lease/src/lessee.ts
@@ -16,7 +16,7 @@
 import { peer, type Peer } from '@stallstall/peer';
 import { quorum } from '@stallstall/quorum';
 import { contents, notes, proposer, watcher, type CoreSets, type Notes, type NoteTarget, type RegisterTarget } from '@stallstall/register';
-import { fence, leastSpan } from '@stallstall/fence';
+import { fence, leastSpan } from '@stallstall/quorum-lease';
 import type { Configuration, Obeyed } from '@stallstall/node';
 
 export type LesseeSettings = Readonly<{
--- a/packages/lease/src/lessor.ts
+++ b/packages/lease/src/lessor.ts
@@ -2,8 +2,8 @@
 import * as Option from 'fp-ts/lib/Option.js';
 import { identifiers, kernel as kernels, waiters, type Instant, type Kernel } from '@stallstall/kernel';
 import type { Ask, Reply } from '@stallstall/message';
-import { marginMilliseconds, termMilliseconds } from '@stallstall/fence';
-import type { Roster } from '@stallstall/roster';
+import { marginMilliseconds, termMilliseconds } from '@stallstall/quorum-lease';
+import type { Roster } from '@stallstall/member-registry';
 import { later, marks as markTables } from './marks.js';
 
 export type LessorView = Readonly<{
--- a/packages/lease/src/marks.ts
+++ b/packages/lease/src/marks.ts
@@ -1,7 +1,7 @@
 // How far each service's commits reach, as all edges together have seen it (design 8.11).
 import { identifiers, type Instant, type Kernel } from '@stallstall/kernel';
 import type { LogPosition, Marks } from '@stallstall/message';
-import { marginMilliseconds, termMilliseconds } from '@stallstall/fence';
+import { marginMilliseconds, termMilliseconds } from '@stallstall/quorum-lease';
 
 export type MarkTable = Readonly<{
   /** What an edge has seen of leaders, and how far the commits reach that its senders were told of so long ago. */
--- a/packages/roster/src/index.ts
+++ b/packages/member-registry/src/index.ts
@@ -2,8 +2,8 @@
 import * as Option from 'fp-ts/lib/Option.js';
 import { identifiers, kernel as kernels, type Instant, type Kernel } from '@stallstall/kernel';
 import type { RosterEntry } from '@stallstall/message';
-import type { SheetMember } from '@stallstall/sheet';
-import { livenessService } from '@stallstall/elect';
+import type { SheetMember } from '@stallstall/placement';
+import { livenessService } from '@stallstall/election';
 
 /** What a member tells of itself with each beat. */
 export type Registration = Omit<RosterEntry, 'gone' | 'down'>;
--- a/packages/node/src/index.ts
+++ b/packages/node/src/index.ts
@@ -41,7 +41,7 @@
   type Register,
   type RegisterTarget,
 } from '@stallstall/register';
-import { fence, fenceService, termMilliseconds, type Fence } from '@stallstall/fence';
+import { fence, fenceService, termMilliseconds, type Fence } from '@stallstall/quorum-lease';
 import {
   election,
   electionService,
@@ -51,8 +51,8 @@
   type MemberProbe,
   type PlatformCalls,
   type VoteStore,
-} from '@stallstall/elect';
-import { sheets, type Sheet, type SheetMember } from '@stallstall/sheet';
+} from '@stallstall/election';
+import { sheets, type Sheet, type SheetMember } from '@stallstall/placement';
 
 export const beatMilliseconds = 200;
 const callMilliseconds = 800;
--- a/packages/pooler/src/admission.ts
+++ b/packages/pooler/src/admission.ts
@@ -1,5 +1,5 @@
 /** Whether a client's key gives access to a database. */
-import type { SheetDatabase } from '@stallstall/sheet';
+import type { SheetDatabase } from '@stallstall/placement';
 import type { View } from './view.js';
 
 export type Admission =
--- a/packages/pooler/src/client-connection.ts
+++ b/packages/pooler/src/client-connection.ts
@@ -1,7 +1,7 @@
 /** One task for each client's connection: opens its session, then replies to its queries one after another. */
 import * as Option from 'fp-ts/lib/Option.js';
 import { identifiers, type Stream } from '@stallstall/kernel';
-import type { Incoming } from '@stallstall/statement';
+import type { Incoming } from '@stallstall/session-protocol';
 import { admissions } from './admission.js';
 import type { Client, Clients } from './clients.js';
 import { sessionCommands, type CommandParts } from './session-commands.js';
--- a/packages/pooler/src/connection-share.ts
+++ b/packages/pooler/src/connection-share.ts
@@ -1,7 +1,7 @@
 /** This edge's part of the connections that a member admits, of all edges that hold leases (design 8.3). */
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Clock, Instant } from '@stallstall/kernel';
-import type { MemberPlace } from '@stallstall/statement';
+import type { MemberPlace } from '@stallstall/session-protocol';
 import type { Share } from './connections.js';
 import type { View } from './view.js';
 
--- a/packages/pooler/src/connections.ts
+++ b/packages/pooler/src/connections.ts
@@ -2,7 +2,7 @@
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { fault, type Fault, type Kernel } from '@stallstall/kernel';
-import { lines, type Dialect, type MemberPlace } from '@stallstall/statement';
+import { lines, type Dialect, type MemberPlace } from '@stallstall/session-protocol';
 import { memberConnections, saturationStepMilliseconds, type MemberConnections, type PooledLine } from './member-connections.js';
 
 export type { Image, PooledLine } from './member-connections.js';
--- a/packages/pooler/src/copies.ts
+++ b/packages/pooler/src/copies.ts
@@ -1,8 +1,8 @@
 /** Copies of reads that an edge holds through an announced outage of its site's uplink (design 8.13). */
 import * as Option from 'fp-ts/lib/Option.js';
 import { identifiers, type Kernel } from '@stallstall/kernel';
-import { sheets, type SheetOutage } from '@stallstall/sheet';
-import type { StatementReply } from '@stallstall/statement';
+import { sheets, type SheetOutage } from '@stallstall/placement';
+import type { StatementReply } from '@stallstall/session-protocol';
 import { outageCopies, outageGraceMilliseconds, type OutageCopies, type RememberedRead } from './outage-copies.js';
 import { sessions } from './sessions.js';
 import type { StatementRequest } from './statement-request.js';
--- a/packages/pooler/src/exchange.ts
+++ b/packages/pooler/src/exchange.ts
@@ -1,7 +1,7 @@
 /** Carries one statement over its connection and settles it by what came back, or by what did not (design 8.5, 8.11). */
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Instant } from '@stallstall/kernel';
-import type { Condition, StatementReply } from '@stallstall/statement';
+import type { Condition, StatementReply } from '@stallstall/session-protocol';
 import type { PooledLine } from './connections.js';
 import { passes } from './passes.js';
 import type { Rejection } from './rejection.js';
--- a/packages/pooler/src/member-connections.ts
+++ b/packages/pooler/src/member-connections.ts
@@ -1,7 +1,7 @@
 /** The connections of this edge to one member: those that are idle, those in use, and how openings have fared (design 8.3, 8.12). */
 import * as Option from 'fp-ts/lib/Option.js';
 import { identifiers, type Instant } from '@stallstall/kernel';
-import type { MemberLine, MemberPlace } from '@stallstall/statement';
+import type { MemberLine, MemberPlace } from '@stallstall/session-protocol';
 
 /** What stands on a connection: session values, and prepared statements under names of the connection's own (`p1`, `p2`, ...). */
 export type Image = { readonly values: Map<string, string>; readonly prepared: Map<string, string>; names: number };
--- a/packages/pooler/src/outage-copies.ts
+++ b/packages/pooler/src/outage-copies.ts
@@ -2,8 +2,8 @@
 import * as Option from 'fp-ts/lib/Option.js';
 import { LRUCache } from 'lru-cache';
 import type { WallTime } from '@stallstall/kernel';
-import type { OutageWindow, SheetOutage } from '@stallstall/sheet';
-import { positions, type Ending, type Position, type StatementReply } from '@stallstall/statement';
+import type { OutageWindow, SheetOutage } from '@stallstall/placement';
+import { positions, type Ending, type Position, type StatementReply } from '@stallstall/session-protocol';
 import { sessions } from './sessions.js';
 import type { StatementRequest } from './statement-request.js';
 
--- a/packages/pooler/src/placement-feed.ts
+++ b/packages/pooler/src/placement-feed.ts
@@ -1,6 +1,6 @@
 /** Keeps the view of the placement up to date by asking the agent of this machine; leases count from this process's send time (design 7.3). */
 import * as Option from 'fp-ts/lib/Option.js';
-import { leastSpan } from '@stallstall/fence';
+import { leastSpan } from '@stallstall/quorum-lease';
 import { identifiers, type Instant, type Kernel } from '@stallstall/kernel';
 import type { Reply } from '@stallstall/message';
 import type { Peer } from '@stallstall/peer';
--- a/packages/pooler/src/placement.ts
+++ b/packages/pooler/src/placement.ts
@@ -2,7 +2,7 @@
 import * as Option from 'fp-ts/lib/Option.js';
 import { identifiers, type Instant } from '@stallstall/kernel';
 import type { RosterEntry } from '@stallstall/message';
-import { positions, type MemberPlace, type Position } from '@stallstall/statement';
+import { positions, type MemberPlace, type Position } from '@stallstall/session-protocol';
 import type { RequestParts } from './request-parts.js';
 import type { RequestRecord, StatementRequest, Target } from './statement-request.js';
 import type { View } from './view.js';
--- a/packages/pooler/src/pooler.ts
+++ b/packages/pooler/src/pooler.ts
@@ -2,7 +2,7 @@
 import * as Option from 'fp-ts/lib/Option.js';
 import { identifiers, kernel as kernels, type HttpMapping, type Instant, type Kernel, type Listening } from '@stallstall/kernel';
 import { peer, type Peer } from '@stallstall/peer';
-import type { Dialect } from '@stallstall/statement';
+import type { Dialect } from '@stallstall/session-protocol';
 import { admissions } from './admission.js';
 import { clientConnections, type ClientConnections } from './client-connection.js';
 import { clientTables, type Clients } from './clients.js';
--- a/packages/pooler/src/rejection.ts
+++ b/packages/pooler/src/rejection.ts
@@ -1,6 +1,6 @@
 /** Replies to statements that were not run, or whose outcome is told by the pooler. */
 import * as Option from 'fp-ts/lib/Option.js';
-import type { Condition } from '@stallstall/statement';
+import type { Condition } from '@stallstall/session-protocol';
 import { replies } from './replies.js';
 import type { RequestParts } from './request-parts.js';
 import type { RequestTable } from './request-table.js';
--- a/packages/pooler/src/replies.ts
+++ b/packages/pooler/src/replies.ts
@@ -1,6 +1,6 @@
 /** Replies that the pooler gives itself, without a member. */
 import * as Option from 'fp-ts/lib/Option.js';
-import type { Condition, StatementReply } from '@stallstall/statement';
+import type { Condition, StatementReply } from '@stallstall/session-protocol';
 
 /** The statement was carried out by the pooler alone, such as a session setting. */
 function done(): StatementReply {
--- a/packages/pooler/src/request-parts.ts
+++ b/packages/pooler/src/request-parts.ts
@@ -1,6 +1,6 @@
 /** What the modules that handle a statement share. */
 import type { Kernel } from '@stallstall/kernel';
-import type { Dialect } from '@stallstall/statement';
+import type { Dialect } from '@stallstall/session-protocol';
 import type { Connections } from './connections.js';
 import type { Copies } from './copies.js';
 import type { Freshness } from './freshness.js';
--- a/packages/pooler/src/request-table.ts
+++ b/packages/pooler/src/request-table.ts
@@ -1,6 +1,6 @@
 /** The statements that have not been replied to, who waits for their replies, and counters of what became of them. */
 import * as Option from 'fp-ts/lib/Option.js';
-import type { StatementReply } from '@stallstall/statement';
+import type { StatementReply } from '@stallstall/session-protocol';
 import type { RequestRecord } from './statement-request.js';
 
 export type RequestTable = Readonly<{
--- a/packages/pooler/src/requests.ts
+++ b/packages/pooler/src/requests.ts
@@ -1,7 +1,7 @@
 /** Statements wait in a table until the passes find a member and a connection for them; then they are sent (design 8.5, 8.10). */
 import * as Option from 'fp-ts/lib/Option.js';
 import { identifiers, type Kernel } from '@stallstall/kernel';
-import type { StatementReply } from '@stallstall/statement';
+import type { StatementReply } from '@stallstall/session-protocol';
 import { exchanges, type ExchangeParts } from './exchange.js';
 import { passes } from './passes.js';
 import { placements } from './placement.js';
--- a/packages/pooler/src/response-times.ts
+++ b/packages/pooler/src/response-times.ts
@@ -1,5 +1,5 @@
 /** How long members take to reply, by service and kind of read, so that a lost reply is noticed early. */
-import type { SheetDatabase } from '@stallstall/sheet';
+import type { SheetDatabase } from '@stallstall/placement';
 
 /** Both in milliseconds, smoothed as TCP smooths round-trip times (RFC 6298). */
 type Estimate = Readonly<{ mean: number; deviation: number }>;
--- a/packages/pooler/src/session-commands.ts
+++ b/packages/pooler/src/session-commands.ts
@@ -1,7 +1,7 @@
 /** Carries out what a client asks of its session: transaction control, session values and prepared names here, statements on a member. */
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Clock } from '@stallstall/kernel';
-import type { Command, Dialect, Incoming, StatementReply } from '@stallstall/statement';
+import type { Command, Dialect, Incoming, StatementReply } from '@stallstall/session-protocol';
 import { admissions } from './admission.js';
 import type { Connections } from './connections.js';
 import type { Copies } from './copies.js';
--- a/packages/pooler/src/sessions.ts
+++ b/packages/pooler/src/sessions.ts
@@ -1,8 +1,8 @@
 /** A client's session: its values and prepared names are its own until it ends (design 8.2, 8.10). */
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Instant } from '@stallstall/kernel';
-import type { SheetDatabase } from '@stallstall/sheet';
-import { positions, type Dialect, type Position, type Stance } from '@stallstall/statement';
+import type { SheetDatabase } from '@stallstall/placement';
+import { positions, type Dialect, type Position, type Stance } from '@stallstall/session-protocol';
 import type { Image, PooledLine } from './connections.js';
 
 /** A statement that a session prepared under a name of its own. */
--- a/packages/pooler/src/statement-request.ts
+++ b/packages/pooler/src/statement-request.ts
@@ -4,8 +4,8 @@
  */
 import type * as Option from 'fp-ts/lib/Option.js';
 import type { Instant } from '@stallstall/kernel';
-import type { SheetDatabase } from '@stallstall/sheet';
-import type { MemberPlace, Position } from '@stallstall/statement';
+import type { SheetDatabase } from '@stallstall/placement';
+import type { MemberPlace, Position } from '@stallstall/session-protocol';
 import type { PooledLine } from './connections.js';
 import type { PreparedStatement, Session, Transaction } from './sessions.js';
 
--- a/packages/pooler/src/transactions.ts
+++ b/packages/pooler/src/transactions.ts
@@ -1,6 +1,6 @@
 /** How open transactions end on their members, other than by a commit. */
 import * as Option from 'fp-ts/lib/Option.js';
-import type { Dialect } from '@stallstall/statement';
+import type { Dialect } from '@stallstall/session-protocol';
 import type { Connections } from './connections.js';
 import type { Transaction } from './sessions.js';
 
--- a/packages/pooler/src/view.ts
+++ b/packages/pooler/src/view.ts
@@ -2,7 +2,7 @@
 import * as Option from 'fp-ts/lib/Option.js';
 import { identifiers, type Instant } from '@stallstall/kernel';
 import type { Reply, RosterEntry } from '@stallstall/message';
-import type { Sheet, SheetDatabase, SheetTenant } from '@stallstall/sheet';
+import type { Sheet, SheetDatabase, SheetTenant } from '@stallstall/placement';
 
 export const never: Instant = identifiers.instant(Number.NEGATIVE_INFINITY);
 
--- a/packages/pooler/src/warm-up.ts
+++ b/packages/pooler/src/warm-up.ts
@@ -1,5 +1,5 @@
 /** Opens connections ahead of need: a session that opens will want its leader, or a member nearby, before long. */
-import type { SheetDatabase } from '@stallstall/sheet';
+import type { SheetDatabase } from '@stallstall/placement';
 import type { Connections } from './connections.js';
 import type { View } from './view.js';
 
--- a/packages/proxy/src/client-api.ts
+++ b/packages/proxy/src/client-api.ts
@@ -4,7 +4,7 @@
 import * as Option from 'fp-ts/lib/Option.js';
 import { http, type Clock, type Fault, type HttpMapping, type HttpReply, type HttpRequest } from '@stallstall/kernel';
 import { message } from '@stallstall/message';
-import { sheets, statementKinds } from '@stallstall/sheet';
+import { sheets, statementKinds } from '@stallstall/placement';
 import { requestFaults } from './request-faults.js';
 import type { Requests } from './requests.js';
 import type { Session, Sessions } from './sessions.js';
--- a/packages/proxy/src/passes.ts
+++ b/packages/proxy/src/passes.ts
@@ -4,8 +4,8 @@
  */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
-import { sheets } from '@stallstall/sheet';
-import { verdicts } from '@stallstall/verdict';
+import { sheets } from '@stallstall/placement';
+import { verdicts } from '@stallstall/routing';
 import { fenceChecks } from './fence-check.js';
 import { requestFaults } from './request-faults.js';
 import { requestParts, type RequestParts } from './request-parts.js';
--- a/packages/proxy/src/placement-feed.ts
+++ b/packages/proxy/src/placement-feed.ts
@@ -3,8 +3,8 @@
 import { identifiers, type Clock, type Instant } from '@stallstall/kernel';
 import type { Reply, ServiceFeed } from '@stallstall/message';
 import type { MemberWish } from '@stallstall/pool';
-import { sheets, type Sheet } from '@stallstall/sheet';
-import { verdicts, type KnownService } from '@stallstall/verdict';
+import { sheets, type Sheet } from '@stallstall/placement';
+import { verdicts, type KnownService } from '@stallstall/routing';
 import { handoverMilliseconds, lameDuckMilliseconds, openTransactionMilliseconds } from './settings.js';
 import type { Known } from './statement-request.js';
 
--- a/packages/proxy/src/session.ts
+++ b/packages/proxy/src/session.ts
@@ -2,7 +2,7 @@
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Clock, Instant } from '@stallstall/kernel';
 import type { MemberConnection } from '@stallstall/pool';
-import type { Choice } from '@stallstall/verdict';
+import type { Choice } from '@stallstall/routing';
 
 /** Where the open transaction runs. */
 export type Pinned = Readonly<{ connection: MemberConnection; choice: Choice }>;
--- a/packages/proxy/src/statement-request.ts
+++ b/packages/proxy/src/statement-request.ts
@@ -3,8 +3,8 @@
 import type * as Option from 'fp-ts/lib/Option.js';
 import type { Fault, HttpReply, Instant } from '@stallstall/kernel';
 import type { MemberConnection } from '@stallstall/pool';
-import type { Sheet, StatementKind } from '@stallstall/sheet';
-import type { Choice, VerdictTable } from '@stallstall/verdict';
+import type { Sheet, StatementKind } from '@stallstall/placement';
+import type { Choice, VerdictTable } from '@stallstall/routing';
 
 export type Statement = Readonly<{ text: string; parameters: readonly unknown[] }>;
 
--- a/packages/verdict/src/index.ts
+++ b/packages/routing/src/index.ts
@@ -9,7 +9,7 @@
   type SheetRow,
   type SheetService,
   type StatementKind,
-} from '@stallstall/sheet';
+} from '@stallstall/placement';
 
 /** What the proxy knows of a member; moments are of its own clock. */
 export type KnownTarget = Readonly<{ member: string; alive: boolean; freshAt: Instant; applied: number; follows: number }>;
--- a/packages/simulator/exploring-mutations.mjs
+++ b/packages/simulator/exploring-mutations.mjs
@@ -98,7 +98,7 @@
   const command =
     mutation.story === undefined
       ? [path.join(copy, 'packages/simulator/build/exploring.js'), '1', `--seconds=${seconds}`]
-      : [path.join(copy, 'packages/stories/run.mjs'), mutation.story];
+      : [path.join(copy, 'packages/acceptance/run.mjs'), mutation.story];
   const run = spawnSync(process.execPath, command, { encoding: 'utf8' });
   putBack();
   const told = /^(seed|schedule|scenario) .{0,150}|AssertionError.{0,110}/m.exec(run.stdout)?.[0];
--- a/packages/simulator/pooled-mutations.mjs
+++ b/packages/simulator/pooled-mutations.mjs
@@ -125,14 +125,14 @@
   {
     name: 'promotes-over-a-later-epoch',
     story: 'held up finds',
-    file: 'elect/build/election.js',
+    file: 'election/build/election.js',
     from: 'return settled < epoch;',
     to: 'return true;',
   },
   {
     name: 'duty-released-before-settling',
     story: 'next holder of the duty',
-    file: 'elect/build/election.js',
+    file: 'election/build/election.js',
     from: 'const done = await settle(service.service, {',
     to: 'await holding.release(); const done = await settle(service.service, {',
   },
@@ -141,7 +141,7 @@
     story: 'waited out',
     expect: 'stale',
     only: ['primary-draining-edge-cut'],
-    file: 'elect/build/election.js',
+    file: 'election/build/election.js',
     from: 'view.released(service.service, epoch, majority.lessees.value)',
     to: 'true',
   },
@@ -205,35 +205,35 @@
   {
     name: 'rest-taken-for-a-reply',
     wires: 'was given the reply of',
-    file: 'statement/build/line.js',
+    file: 'session-protocol/build/line.js',
     from: "if ((waiting.kind === 'opening') !== (ending === undefined))",
     to: 'if (false)',
   },
   {
     name: 'stray-reply-kept',
     story: 'A reply that nobody waits for ends',
-    file: 'machine/build/lean.js',
+    file: 'runtime/build/lean.js',
     from: 'if (under === undefined)\n                close();',
     to: '',
   },
   {
     name: 'duty-call-not-taken-back',
     story: 'A call that is under way',
-    file: 'elect/build/duty.js',
+    file: 'election/build/duty.js',
     from: 'for (const connection of calling)',
     to: 'for (const connection of [])',
   },
   {
     name: 'late-departure',
     story: 'A call whose connection opens',
-    file: 'elect/build/duty.js',
+    file: 'election/build/duty.js',
     from: 'leaveBefore: until',
     to: '',
   },
   {
     name: 'overtaken-candidacy-promotes',
     story: 'A candidacy that was overtaken',
-    file: 'elect/build/election.js',
+    file: 'election/build/election.js',
     from: 'return settled < epoch;',
     to: 'return true;',
   },
@@ -289,18 +289,24 @@
   {
     name: 'leave-of-an-unmet-member-forgotten',
     story: 'has not met is not lost',
-    file: 'roster/build/index.js',
+    file: 'member-registry/build/index.js',
     from: 'if (known?.left === true)',
     to: 'if (known === undefined || known.left)',
   },
   {
     name: 'late-beats-taken',
     story: 'late beat',
-    file: 'roster/build/index.js',
+    file: 'member-registry/build/index.js',
     from: 'entry.sequence < known.entry.sequence',
     to: 'false',
   },
-  { name: 'whoever-left-comes-back', story: 'late beat', file: 'roster/build/index.js', from: '(known.left && !entry.gone)', to: 'false' },
+  {
+    name: 'whoever-left-comes-back',
+    story: 'late beat',
+    file: 'member-registry/build/index.js',
+    from: '(known.left && !entry.gone)',
+    to: 'false',
+  },
   {
     name: 'copy-before-its-window',
     story: 'Before its window',
@@ -401,7 +407,7 @@
   {
     name: 'overlapping-windows-taken',
     story: 'outages are checked whole',
-    file: 'sheet/build/outage-checks.js',
+    file: 'placement/build/outage-checks.js',
     from: 'shared.length > 0 && outageWindows.overlap(outage, other)',
     to: 'false',
   },
@@ -459,7 +465,7 @@
   {
     name: 'promotion-believed-on-its-reply',
     story: 'before its promotion has taken effect',
-    file: 'elect/build/election.js',
+    file: 'election/build/election.js',
     from: 'Option.isNone(view.calls) || (await takesEffect(',
     to: 'true || (await takesEffect(',
   },
@@ -516,7 +522,7 @@
     name: 'turn-taken-at-once',
     expect: 'one-holder',
     only: ['core-cut', 'core-killed', 'primary-crashed', 'platform-slow'],
-    file: 'elect/build/duty.js',
+    file: 'election/build/duty.js',
     from: 'if (state.released)',
     to: 'if (true)',
   },
@@ -537,14 +543,14 @@
   {
     name: 'disk-not-looked-at',
     story: 'A process that starts on a full disk',
-    file: 'machine/build/disk.js',
+    file: 'runtime/build/disk.js',
     from: 'const proven = await room.prove(0);',
     to: 'const proven = Either.right(null);',
   },
   {
     name: 'commit-error-left-alone',
     story: 'opened anew',
-    file: 'machine/build/commits.js',
+    file: 'runtime/build/commits.js',
     from: 'if (commitError === undefined)',
     to: 'if (true)',
   },
@@ -558,7 +564,7 @@
   {
     name: 'count-not-looked-for',
     story: 'What a loss of power leaves',
-    file: 'machine/build/disk.js',
+    file: 'runtime/build/disk.js',
     from: "typeof store.get(putsKey) === 'number'",
     to: 'true',
   },
@@ -614,7 +620,7 @@
   {
     name: 'promoted-with-too-few-replies',
     story: 'Where commits wait for a replica',
-    file: 'elect/build/election.js',
+    file: 'election/build/election.js',
     from: 'found.length >= service.members.length - service.synchronousReplicas',
     to: 'true',
   },
@@ -674,7 +680,7 @@
     name: 'shared-keys-taken',
     expect: 'order-invalid',
     only: ['order-invalid-shared-key'],
-    file: 'sheet/build/cross-checks.js',
+    file: 'placement/build/cross-checks.js',
     from: 'sheet.tenants.flatMap((tenant) => [...new Set(tenant.keys)])',
     to: '[]',
   },
@@ -711,7 +717,7 @@
 
 /** The stories of the copy: true when one of them ran and failed. A run without its count says nothing of the guard. */
 function storyFails(story) {
-  const run = spawnSync(process.execPath, ['packages/stories/run.mjs', story], { cwd: copy, encoding: 'utf8', timeout: 120_000 });
+  const run = spawnSync(process.execPath, ['packages/acceptance/run.mjs', story], { cwd: copy, encoding: 'utf8', timeout: 120_000 });
   const counted = /^(\d+) passed, (\d+) failed$/m.exec(run.stdout ?? '');
   if (counted === null && run.error?.code !== 'ETIMEDOUT') throw new Error(`"${story}" did not run: ${run.stderr}`);
   return counted === null || Number(counted[2]) > 0;
--- a/packages/simulator/src/checks.ts
+++ b/packages/simulator/src/checks.ts
@@ -1,8 +1,8 @@
 // The checkers of what must never happen. They judge by what senders, members, platform and operators saw; where one reads a
 // process's own state, another beside it does not (design 10.3).
 import type { HttpReply } from '@stallstall/kernel';
-import { sheets, type Sheet, type StatementKind } from '@stallstall/sheet';
-import type { Ledger, PlatformStore, ReadRecord, WriteRecord } from '@stallstall/stand-in';
+import { sheets, type Sheet, type StatementKind } from '@stallstall/placement';
+import type { Ledger, PlatformStore, ReadRecord, WriteRecord } from '@stallstall/fakes';
 import type { CoreSlot, Fleet } from './fleet.js';
 import { wallStart } from './world.js';
 
--- a/packages/simulator/src/core-fleet.ts
+++ b/packages/simulator/src/core-fleet.ts
@@ -3,10 +3,10 @@
 import * as Option from 'fp-ts/lib/Option.js';
 import { core, type Core, type Door } from '@stallstall/core';
 import { fault, type Kernel } from '@stallstall/kernel';
-import type { PlatformCall } from '@stallstall/elect';
+import type { PlatformCall } from '@stallstall/election';
 import { lessee as lessees, type Lessee } from '@stallstall/lease';
 import { registerService } from '@stallstall/register';
-import { areas, deployments, redComun } from '@stallstall/stand-in';
+import { areas, deployments, redComun } from '@stallstall/fakes';
 import { world as worlds, type Process, type SimulatedDisk, type World } from './world.js';
 
 export type CoreMachine = {
--- a/packages/simulator/src/faults.ts
+++ b/packages/simulator/src/faults.ts
@@ -1,7 +1,7 @@
 // The brief's failures, each as something that happens to an in-memory fleet (design 10.4).
 import * as Either from 'fp-ts/lib/Either.js';
-import { sheets, statementKinds, type Sheet, type StatementKind } from '@stallstall/sheet';
-import type { MemberKnobs } from '@stallstall/stand-in';
+import { sheets, statementKinds, type Sheet, type StatementKind } from '@stallstall/placement';
+import type { MemberKnobs } from '@stallstall/fakes';
 import type { EdgeDrain, PlannedEnd, Sent } from './checks.js';
 import type { CoreSlot, EdgeSlot, Fleet, MemberSlot } from './fleet.js';
 import type { Process } from './world.js';
--- a/packages/simulator/src/fleet.ts
+++ b/packages/simulator/src/fleet.ts
@@ -17,7 +17,7 @@
   type MemberStore,
   type Platform,
   type PlatformStore,
-} from '@stallstall/stand-in';
+} from '@stallstall/fakes';
 import { world as worlds, type Process, type SimulatedDisk, type World } from './world.js';
 
 type Slot<Running> = { process: Process | undefined; running: Running | undefined };
--- a/packages/simulator/src/load.ts
+++ b/packages/simulator/src/load.ts
@@ -1,5 +1,5 @@
 // Load beyond normal: `load.js`, counts in virtual time of what is served, denied, and how soon (design 8.8).
-import { brightpath, redComun, type Deployment } from '@stallstall/stand-in';
+import { brightpath, redComun, type Deployment } from '@stallstall/fakes';
 import { fleet as fleets, type SenderWishes } from './fleet.js';
 
 const warmMilliseconds = 6_000;
--- a/packages/simulator/src/pooled-adapter.ts
+++ b/packages/simulator/src/pooled-adapter.ts
@@ -1,11 +1,11 @@
 // What an adapter of the users' platform is to the pooled mode, in plain words: pages of a core, calls to the platform, STATE of members.
 import * as Either from 'fp-ts/lib/Either.js';
 import type { Door } from '@stallstall/core';
-import type { MemberProbe, PlatformCalls } from '@stallstall/elect';
+import type { MemberProbe, PlatformCalls } from '@stallstall/election';
 import { http, type HttpMapping, type HttpReply, type Kernel } from '@stallstall/kernel';
-import type { Registration } from '@stallstall/roster';
-import { plainDialect } from '@stallstall/stand-in';
-import { prober } from '@stallstall/statement';
+import type { Registration } from '@stallstall/member-registry';
+import { plainDialect } from '@stallstall/fakes';
+import { prober } from '@stallstall/session-protocol';
 import { ownTenant } from './pooled-model.js';
 
 /** A member must be heard by whoever takes its beats before it counts; a door that cannot be of use turns it away. */
--- a/packages/simulator/src/pooled-fleet.ts
+++ b/packages/simulator/src/pooled-fleet.ts
@@ -5,7 +5,7 @@
 import { core, type CoreParts } from '@stallstall/core';
 import { http, identifiers, kernel as kernels } from '@stallstall/kernel';
 import { pooler } from '@stallstall/pooler';
-import type { Condition, StatementReply } from '@stallstall/statement';
+import type { Condition, StatementReply } from '@stallstall/session-protocol';
 import {
   areas,
   plainDialect,
@@ -16,7 +16,7 @@
   type SessionLine,
   type SessionPlatform,
   type SessionRun,
-} from '@stallstall/stand-in';
+} from '@stallstall/fakes';
 import type { OrderCall } from './order-checks.js';
 import { pooledAdapter } from './pooled-adapter.js';
 import {
--- a/packages/simulator/src/pooled-model.ts
+++ b/packages/simulator/src/pooled-model.ts
@@ -4,7 +4,7 @@
 import type { Core } from '@stallstall/core';
 import type { HttpReply } from '@stallstall/kernel';
 import type { Pooler } from '@stallstall/pooler';
-import type { Condition, StatementReply } from '@stallstall/statement';
+import type { Condition, StatementReply } from '@stallstall/session-protocol';
 import type {
   SessionLedger,
   SessionLine,
@@ -13,7 +13,7 @@
   SessionPlatform,
   SessionPlatformStore,
   SessionRun,
-} from '@stallstall/stand-in';
+} from '@stallstall/fakes';
 import type { OrderCall } from './order-checks.js';
 import type { Process, SimulatedDisk, World } from './world.js';
 
--- a/packages/simulator/src/storm.ts
+++ b/packages/simulator/src/storm.ts
@@ -1,8 +1,8 @@
 // One seeded run: the brief's loads, its failures mixed from the seed, and every checker at the end (design 10.4).
 import { http, identifiers } from '@stallstall/kernel';
 import * as Either from 'fp-ts/lib/Either.js';
-import { statementKinds } from '@stallstall/sheet';
-import { brightpath, redComun } from '@stallstall/stand-in';
+import { statementKinds } from '@stallstall/placement';
+import { brightpath, redComun } from '@stallstall/fakes';
 import { checks, windowMilliseconds, type Probe, type Violation } from './checks.js';
 import { faults, followHunt, notePeaks, pick, secondKey, send, type Storm } from './faults.js';
 import { fleet as fleets, type EdgeSlot, type Fleet } from './fleet.js';
--- a/packages/simulator/src/wires.ts
+++ b/packages/simulator/src/wires.ts
@@ -4,8 +4,8 @@
 import * as Option from 'fp-ts/lib/Option.js';
 import { identifiers, type Kernel, type Link, type Network, type Stream } from '@stallstall/kernel';
 import { peer } from '@stallstall/peer';
-import { lines, type MemberLine } from '@stallstall/statement';
-import { plainDialect } from '@stallstall/stand-in';
+import { lines, type MemberLine } from '@stallstall/session-protocol';
+import { plainDialect } from '@stallstall/fakes';
 import { world as worlds, type World } from './world.js';
 
 /** How often each trouble comes, for each message or piece that is sent. */
