--- a/packages/acceptance/src/administration.ts
+++ b/packages/acceptance/src/administration.ts
@@ -151,7 +151,7 @@
 });
 
 function handOver(story: Story, core: string, version: number): void {
-  story.watcher.changed(core, {
+  story.watcher.receive(core, {
     number: version,
     key: 'configuration',
     entry: { ballot: { counter: version * 10, node: 'x' }, version, value: `sheet ${version}` },
@@ -192,7 +192,7 @@
 });
 
 Then('it obeys version {int}', function then(this: Story, version: number) {
-  const obeyed = this.watcher.obeyed('configuration');
+  const obeyed = this.watcher.applied('configuration');
   assert.equal(Option.isSome(obeyed) ? obeyed.value.version : 0, version);
 });
 
--- a/packages/acceptance/src/ballots.ts
+++ b/packages/acceptance/src/ballots.ts
@@ -7,7 +7,7 @@
 import { versionBytesMost, versionStore, type VersionStore } from '@stallstall/core';
 import { http, identifiers, type Disk } from '@stallstall/kernel';
 import { ballotZero, type ValueDifference, type EarlierVersion } from '@stallstall/message';
-import { difference } from '@stallstall/register';
+import { compressedDifference } from '@stallstall/register';
 import { pooledFleet, world as worlds, type PooledFleet, type PooledSheet, type World } from '@stallstall/simulator';
 
 type BallotStory = {
@@ -69,10 +69,10 @@
       const base = valueOf(routes);
       routes = successor(routes, next);
       const wanted = valueOf(routes);
-      const differs = difference.between(base, wanted);
+      const differs = compressedDifference.between(base, wanted);
       assert.ok(differs !== undefined);
-      assert.deepEqual(difference.join(base, differs), Either.right(wanted));
-      assert.ok(Either.isLeft(difference.join(before, differs)));
+      assert.deepEqual(compressedDifference.join(base, differs), Either.right(wanted));
+      assert.ok(Either.isLeft(compressedDifference.join(before, differs)));
       before = base;
     }
   },
@@ -86,7 +86,7 @@
     const base = valueOf(routes);
     for (const at of [0, Math.floor(count / 2), count - 1]) {
       const wanted = valueOf(routes.map((route, index) => (index === at ? { ...route, deadline: 1 } : route)));
-      const differs = difference.between(base, wanted);
+      const differs = compressedDifference.between(base, wanted);
       assert.ok(differs !== undefined && JSON.stringify(differs).length < JSON.stringify(wanted).length / 20);
     }
   },
@@ -96,7 +96,7 @@
   const next = drawn(13);
   const routes = routesOf(60, next);
   const base = valueOf(routes);
-  const differs = difference.between(base, valueOf(successor(routes, next))) as ValueDifference;
+  const differs = compressedDifference.between(base, valueOf(successor(routes, next))) as ValueDifference;
   const spoilt: ValueDifference[] = differs.pieces.flatMap((piece, index) =>
     Array.from({ length: Math.min(40, piece.length) }, (_, at) => ({
       ...differs,
@@ -107,9 +107,9 @@
   );
   spoilt.push({ ...differs, digest: 'x' }, { ...differs, pieces: [] }, { ...differs, pieces: differs.pieces.slice(1) });
   for (const one of spoilt) {
-    const joined = difference.join(base, one);
+    const joined = compressedDifference.join(base, one);
     // A spoilt bit of the padding may change nothing.
-    if (Either.isRight(joined)) assert.deepEqual(joined, difference.join(base, differs));
+    if (Either.isRight(joined)) assert.deepEqual(joined, compressedDifference.join(base, differs));
   }
 });
 
@@ -232,7 +232,7 @@
         story.asked += 1;
         return [];
       },
-      callPeer: () => Option.none,
+      peerOf: () => Option.none,
     },
   });
   const started = store.start();
--- a/packages/acceptance/src/candidacies.ts
+++ b/packages/acceptance/src/candidacies.ts
@@ -4,10 +4,10 @@
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { election, livenessService, type Election, type Liveness, type MemberState } from '@stallstall/election';
-import { fence, fenceService } from '@stallstall/quorum-lease';
+import { quorumLease, quorumLeaseService } from '@stallstall/quorum-lease';
 import { identifiers } from '@stallstall/kernel';
-import { ballotZero, type Entry, type Seat, type Settled } from '@stallstall/message';
-import { notesService, registerService, type Notes, type NumberedRegister } from '@stallstall/register';
+import { ballotZero, type Entry, type Seat, type ElectedPrimary } from '@stallstall/message';
+import { durableReportsService, registerService, type DurableReports, type NumberedRegister } from '@stallstall/register';
 import type { Sheet } from '@stallstall/placement';
 import { world as worlds, type World } from '@stallstall/simulator';
 
@@ -30,7 +30,7 @@
 const service = 'ferries';
 const platformAddress = '10.4.0.1:9000';
 const stepMilliseconds = 200;
-const settledAtFirst: Settled = { epoch: 4, primary: 'ferries-1', wonBy: 'core-1', position: 10, settledAt: 0 };
+const settledAtFirst: ElectedPrimary = { epoch: 4, primary: 'ferries-1', wonBy: 'core-1', position: 10, settledAt: 0 };
 const seat: Seat = { node: 'core-1', role: 'core', area: 'north', address: '10.1.0.1:7000', outward: '10.1.0.1:7001', draining: false };
 
 function members(count: number): Sheet['services'][number]['members'] {
@@ -63,7 +63,7 @@
       story.onWrite(key);
       return Promise.resolve(Either.right({ wrote: true, entry: Option.some(entry) }));
     },
-    under: () => register,
+    inSet: () => register,
   };
   return register;
 }
@@ -93,7 +93,7 @@
   const { kernel } = world.spawn('core-1', 'core-machine-1');
   const platform = world.spawn('platform', 'platform-machine');
   await platform.kernel.network.serve(identifiers.address(platformAddress), {
-    mappings: [
+    routes: [
       {
         method: 'POST',
         path: '/promotion',
@@ -105,29 +105,29 @@
     ],
   });
   kernel.services.offer(registerService, stubRegister(story));
-  kernel.services.offer(notesService, {
-    note: () => Promise.resolve(Either.right({})),
-    floors: () => Promise.resolve(Either.right({})),
-  } as Notes);
+  kernel.services.offer(durableReportsService, {
+    report: () => Promise.resolve(Either.right({})),
+    watermarks: () => Promise.resolve(Either.right({})),
+  } as DurableReports);
   kernel.services.offer(livenessService, stubLiveness(story));
-  kernel.services.offer(fenceService, fence.create());
+  kernel.services.offer(quorumLeaseService, quorumLease.create());
   story.election = election.create(
     kernel,
     {
       calls: Option.some({
         promotion: ({ member }) => ({ method: 'POST', path: '/promotion', body: { member }, repeatable: 'unchanged' }),
         usage: () => ({ method: 'POST', path: '/usage', body: {}, repeatable: 'unchanged' }),
-        restMilliseconds: 0,
+        handoverDelayMilliseconds: 0,
       }),
-      lessees: () => Option.some([]),
-      released: () => true,
-      onStance: () => undefined,
+      leaseHolders: () => Option.some([]),
+      hasReleased: () => true,
+      onEpochRaised: () => undefined,
       self: 'core-1',
       membership: () => ({ seats: [seat], epochs: {} }),
       membershipVersion: () => 1,
-      sheet: () => Option.some(sheetOfStory(story)),
+      placement: () => Option.some(sheetOfStory(story)),
       // What this node was pushed is the epoch before, whatever the register holds.
-      settled: () => Option.some(settledAtFirst),
+      electedPrimary: () => Option.some(settledAtFirst),
       platform: () => platformAddress,
       propose: () => Promise.resolve(Option.none),
     },
@@ -155,7 +155,7 @@
   function when(this: CandidacyStory, epoch: number) {
     this.onWrite = (key) => {
       if (!key.startsWith('duty/') || this.values.has(`epoch/${service}`)) return;
-      const value: Settled = { ...settledAtFirst, epoch, primary: 'ferries-3', wonBy: 'core-2' };
+      const value: ElectedPrimary = { ...settledAtFirst, epoch, primary: 'ferries-3', wonBy: 'core-2' };
       this.values.set(`epoch/${service}`, { ballot: ballotZero, version: 1, value });
     };
   },
--- a/packages/acceptance/src/contents.ts
+++ b/packages/acceptance/src/contents.ts
@@ -5,7 +5,7 @@
 import { identifiers, type Clock, type Kernel } from '@stallstall/kernel';
 import { ballotZero, differences, type Ballot, type Change } from '@stallstall/message';
 import { peer } from '@stallstall/peer';
-import { contents, type ContentLink } from '@stallstall/register';
+import { contentFetcher, type ContentLink } from '@stallstall/register';
 import { fuzz, world as worlds, type PooledFleet } from '@stallstall/simulator';
 
 type Told = Readonly<{ changes: Change[]; close: () => void }>;
@@ -161,16 +161,16 @@
       );
     },
   };
-  const held = contents.create({ clock } as Kernel, {
+  const held = contentFetcher.create({ clock } as Kernel, {
     set: () => 0,
-    take: (core, change) => void taken.push({ core, value: change.entry.value, at: simulated.now() }),
+    deliver: (core, change) => void taken.push({ core, value: change.entry.value, at: simulated.now() }),
     stopped: () => false,
   });
-  held.changed('core-1', Option.some(link), changeOf(1, before));
+  held.receive('core-1', Option.some(link), changeOf(1, before));
   const steps = comings[coming] ?? [];
   for (const [core, change] of steps) {
     await simulated.run(100);
-    held.changed(core, Option.some(link), change);
+    held.receive(core, Option.some(link), change);
   }
   const toldAt = 100 * (1 + steps.findIndex(([core]) => core === 'core-1'));
   await simulated.run(2 * waitMilliseconds);
--- a/packages/acceptance/src/cores.ts
+++ b/packages/acceptance/src/cores.ts
@@ -245,7 +245,7 @@
 
 Then('the edge follows {int} cores and its lease never ran out', async function then(this: CoreStory, count: number) {
   await this.cores.world.run(1_000);
-  assert.equal(this.cores.edge.cores(), count);
+  assert.equal(this.cores.edge.coreCount(), count);
   assert.equal(this.cores.leaseGaps(), 0);
 });
 
--- a/packages/acceptance/src/cut-core.ts
+++ b/packages/acceptance/src/cut-core.ts
@@ -5,7 +5,7 @@
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Door } from '@stallstall/core';
 import { http, identifiers, type HttpReply } from '@stallstall/kernel';
-import { rosterService, type Registration } from '@stallstall/member-registry';
+import { memberRegistryService, type Registration } from '@stallstall/member-registry';
 import { coreFleet, type CoreFleet, type CoreMachine } from '@stallstall/simulator';
 
 type Operation = 'beat' | 'draining' | 'leave' | 'configuration' | 'read';
@@ -194,7 +194,7 @@
 );
 
 function hasLeft(machine: CoreMachine, member: string): boolean {
-  const entry = machine.process?.kernel.services.find(rosterService).entryOf(member);
+  const entry = machine.process?.kernel.services.find(memberRegistryService).recordOf(member);
   return entry !== undefined && Option.isSome(entry) && entry.value.gone;
 }
 
@@ -338,7 +338,7 @@
 
 Then('a majority of cores knows that it has left', function then(this: CutCoreStory) {
   const knowing = this.cores.machines.filter(function knows(machine) {
-    const entry = machine.process?.kernel.services.find(rosterService).entryOf(leaver);
+    const entry = machine.process?.kernel.services.find(memberRegistryService).recordOf(leaver);
     return entry !== undefined && Option.isSome(entry) && entry.value.gone;
   });
   assert.ok(knowing.length > this.cores.machines.length / 2, `${knowing.length} cores know it`);
--- a/packages/acceptance/src/disks.ts
+++ b/packages/acceptance/src/disks.ts
@@ -3,7 +3,7 @@
 import { Then, When, type DataTable } from '@cucumber/cucumber';
 import * as Option from 'fp-ts/lib/Option.js';
 import { fault, identifiers } from '@stallstall/kernel';
-import type { Ask } from '@stallstall/message';
+import type { Request } from '@stallstall/message';
 import { peer } from '@stallstall/peer';
 import { coreOf, type Story } from './story.js';
 
@@ -58,9 +58,9 @@
   const ballot = { counter: 1_000_000, node: 'asker' };
   const prepared = await answered(this, link.call('prepare', { key: 'configuration', ballot }, patienceMilliseconds));
   assert.equal(prepared.ready, false);
-  const entry: Ask<'accept'>['entry'] = { ballot, version: 99, value: null };
+  const entry: Request<'accept'>['entry'] = { ballot, version: 99, value: null };
   assert.equal((await answered(this, link.call('accept', { key: 'configuration', entry }, patienceMilliseconds))).ready, false);
-  const note: Ask<'note'> = { floors: {}, reports: [], through: { 'edge-1': 1 } };
+  const note: Request<'note'> = { floors: {}, reports: [], through: { 'edge-1': 1 } };
   assert.equal((await answered(this, link.call('note', note, patienceMilliseconds))).ready, false);
   link.close();
 });
--- a/packages/acceptance/src/duties.ts
+++ b/packages/acceptance/src/duties.ts
@@ -3,18 +3,18 @@
 import { Given, Then, When } from '@cucumber/cucumber';
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
-import { duty, election, liveness, livenessService, type Holding, type MemberState, type VoteStore } from '@stallstall/election';
-import { fence, fenceService } from '@stallstall/quorum-lease';
+import { singletonRole, election, liveness, livenessService, type RoleLease, type MemberState, type VoteStore } from '@stallstall/election';
+import { quorumLease, quorumLeaseService } from '@stallstall/quorum-lease';
 import { fault, identifiers, kernel as kernels, type Fault, type HttpReply, type Kernel } from '@stallstall/kernel';
-import { ballotZero, type Entry, type Membership, type Settled } from '@stallstall/message';
-import { notesService, registerService, type Notes, type NumberedRegister, type Register } from '@stallstall/register';
+import { ballotZero, type Entry, type Membership, type ElectedPrimary } from '@stallstall/message';
+import { durableReportsService, registerService, type DurableReports, type NumberedRegister, type Register } from '@stallstall/register';
 import type { Sheet } from '@stallstall/placement';
 import { world as worlds, type Process, type World } from '@stallstall/simulator';
 
 type DutyStory = {
   world: World;
   holder: Process;
-  holding: Holding;
+  holding: RoleLease;
   told: string[];
   ended: Option.Option<Readonly<{ at: number; result: Either.Either<Fault, HttpReply> }>>;
   releasedAt: number;
@@ -43,13 +43,13 @@
       return Either.right({ wrote: true, entry: Option.some(entry) });
     },
   };
-  return { ...register, under: () => register };
+  return { ...register, inSet: () => register };
 }
 
 async function startPlatform(story: DutyStory, speaks: boolean): Promise<void> {
   const { kernel } = story.world.spawn('platform', 'platform-machine');
   await kernel.network.serve(platformAddress, {
-    mappings: [
+    routes: [
       {
         method: 'POST',
         path: '/promotion',
@@ -71,7 +71,7 @@
   story.holder = story.world.spawn('core-1', 'core-machine-1');
   const { kernel } = story.holder;
   kernel.services.offer(registerService, tableRegister(kernel, new Map()));
-  const sought = duty.create(kernel, 'promotion/ferries', 'core-1').seek();
+  const sought = singletonRole.create(kernel, 'promotion/ferries', 'core-1').tryAcquire();
   await story.world.run(10);
   const holding = await sought;
   assert.ok(Option.isSome(holding));
@@ -79,7 +79,7 @@
 }
 
 function call(story: DutyStory): void {
-  const calling = story.holding.act(platformAddress, { method: 'POST', path: '/promotion', body: {} }, callMilliseconds);
+  const calling = story.holding.call(platformAddress, { method: 'POST', path: '/promotion', body: {} }, callMilliseconds);
   void calling.then((result) => {
     story.ended = Option.some({ at: story.world.now(), result });
   });
@@ -151,7 +151,7 @@
   ],
 } as unknown as Sheet;
 
-function settledAt(epoch: number): Settled {
+function settledAt(epoch: number): ElectedPrimary {
   return { epoch, primary, wonBy: 'core-2', position: 0, settledAt: 0 };
 }
 
@@ -175,21 +175,21 @@
     const { kernel } = this.world.spawn('core-1', 'core-machine-1');
     const table = new Map<string, Entry>([['epoch/ferries', { ballot: ballotZero, version: 1, value: settledAt(settled) }]]);
     kernel.services.offer(registerService, tableRegister(kernel, table));
-    kernel.services.offer(notesService, { floors: () => Promise.resolve(Either.right({})) } as unknown as Notes);
+    kernel.services.offer(durableReportsService, { floors: () => Promise.resolve(Either.right({})) } as unknown as DurableReports);
     kernel.services.offer(
       livenessService,
       liveness.create(
         kernel,
         Option.some({
-          ask: (_service, member) => Promise.resolve(stateOf(member, this.told.length > 0)),
-          hold: () => Promise.resolve(Either.right(null)),
+          readState: (_service, member) => Promise.resolve(stateOf(member, this.told.length > 0)),
+          keepConnection: () => Promise.resolve(Either.right(null)),
         }),
       ),
     );
-    kernel.services.offer(fenceService, { ...fence.create(), reachable: () => seats.length });
+    kernel.services.offer(quorumLeaseService, { ...quorumLease.create(), reachable: () => seats.length });
     /** What was settled by others has not been told here; what this core settles itself is. */
-    function settledHere(): Settled {
-      const own = table.get('epoch/ferries')?.value as Settled;
+    function settledHere(): ElectedPrimary {
+      const own = table.get('epoch/ferries')?.value as ElectedPrimary;
       return own.wonBy === 'core-1' ? own : settledAt(known);
     }
     const elections = election.create(
@@ -199,15 +199,15 @@
         calls: Option.some({
           promotion: () => ({ repeatable: 'unchanged', method: 'POST', path: '/promotion', body: {} }),
           usage: () => ({ repeatable: 'unchanged', method: 'POST', path: '/usage', body: {} }),
-          restMilliseconds: 0,
+          handoverDelayMilliseconds: 0,
         }),
-        lessees: () => Option.some([]),
-        released: () => true,
-        onStance: () => undefined,
+        leaseHolders: () => Option.some([]),
+        hasReleased: () => true,
+        onEpochRaised: () => undefined,
         membership: () => membership,
         membershipVersion: () => 1,
-        sheet: () => Option.some(sheet),
-        settled: () => Option.some(settledHere()),
+        placement: () => Option.some(sheet),
+        electedPrimary: () => Option.some(settledHere()),
         platform: () => platformAddress,
         propose: (_node, ask) => Promise.resolve(Option.some({ accepted: true, reason: '', epoch: ask.epoch, lessees: [] })),
       },
--- a/packages/acceptance/src/lease-ask.ts
+++ b/packages/acceptance/src/lease-ask.ts
@@ -1,8 +1,8 @@
 // What an edge asks a core's half of the leases with, for stories that stand in for edges (design 7.12).
-import type { Ask } from '@stallstall/message';
+import type { Request } from '@stallstall/message';
 
 /** The ask of an edge that knows nothing of the core, has released nothing and has nothing to tell of commits. */
-export function leaseAsk(node: string, change: Partial<Ask<'lease'>> = {}): Ask<'lease'> {
+export function leaseAsk(node: string, change: Partial<Request<'lease'>> = {}): Request<'lease'> {
   return {
     node,
     area: 'north',
--- a/packages/acceptance/src/marks.ts
+++ b/packages/acceptance/src/marks.ts
@@ -1,19 +1,19 @@
 // Steps of marks.feature: one core's half of the leases, and edges that tell it what they have seen (design 8.11).
 import assert from 'node:assert/strict';
 import { Given, Then, When } from '@cucumber/cucumber';
-import { lesseeAgent } from '@stallstall/agent';
+import { leaseAgent } from '@stallstall/agent';
 import { identifiers, type Instant, type Kernel } from '@stallstall/kernel';
-import { lessor, type Lessor } from '@stallstall/lease';
-import type { Ask, Reply, Seat } from '@stallstall/message';
+import { leaseGrantor, type LeaseGrantor } from '@stallstall/lease';
+import type { Request, Reply, Seat } from '@stallstall/message';
 import { peer, type Peer } from '@stallstall/peer';
-import type { Roster } from '@stallstall/member-registry';
+import type { MemberRegistry } from '@stallstall/member-registry';
 import { world as worlds, type World } from '@stallstall/simulator';
 import { leaseAsk } from './lease-ask.js';
 
 type MarkStory = {
   world: World;
   kernel: Kernel;
-  lessor: Lessor;
+  lessor: LeaseGrantor;
   openedAt: Instant;
   /** The token of the core that each edge knows; none for one that has not asked yet. */
   tokens: Map<string, string>;
@@ -28,13 +28,13 @@
 /** An edge that has not been asked for its commits says this much. */
 const untoldMilliseconds = 600_000;
 
-function emptyRoster(): Roster {
-  return { number: () => 0, since: () => [] } as unknown as Roster;
+function emptyRoster(): MemberRegistry {
+  return { number: () => 0, since: () => [] } as unknown as MemberRegistry;
 }
 
-async function ask(story: MarkStory, node: string, change: Partial<Ask<'lease'>>): Promise<void> {
+async function ask(story: MarkStory, node: string, change: Partial<Request<'lease'>>): Promise<void> {
   const known = { token: story.tokens.get(node) ?? '', positionsAgo: untoldMilliseconds };
-  story.last = await story.lessor.lease(leaseAsk(node, { ...known, ...change }));
+  story.last = await story.lessor.grant(leaseAsk(node, { ...known, ...change }));
   story.tokens.set(node, story.last.token);
 }
 
@@ -45,16 +45,16 @@
     this.kernel = this.world.spawn('core', 'core-machine').kernel;
     this.openedAt = this.kernel.clock.now();
     this.tokens = new Map();
-    this.lessor = lessor.create(this.kernel, {
+    this.lessor = leaseGrantor.create(this.kernel, {
       ready: () => true,
       openedAt: () => this.openedAt,
-      stances: () => ({ [service]: term }),
+      epochs: () => ({ [service]: term }),
       configuration: () => 1,
       membership: () => 1,
       puts: () => 1,
-      roster: emptyRoster(),
-      troubled: () => true,
-      onNotListening: () => undefined,
+      registry: emptyRoster(),
+      isLeaderMissing: () => true,
+      onConnectionRefused: () => undefined,
     });
     await this.world.run(seconds * 1_000);
   },
@@ -193,7 +193,7 @@
   this.asked = seats.map(() => []);
   for (const index of seats.keys()) await startAskedCore(this, index, seats);
   const { kernel } = this.world.spawn('agent', 'edge-machine');
-  await lesseeAgent.start(kernel, { node: 'edge-1', area: 'north', feed: feedAddress, seeds: () => seats.map((seat) => seat.address) });
+  await leaseAgent.start(kernel, { node: 'edge-1', area: 'north', feed: feedAddress, seeds: () => seats.map((seat) => seat.address) });
   await this.world.run(1_000);
   await askAsProxy(this, 'proxy');
 });
--- a/packages/acceptance/src/outages.ts
+++ b/packages/acceptance/src/outages.ts
@@ -4,7 +4,7 @@
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { fault } from '@stallstall/kernel';
-import { sheets } from '@stallstall/placement';
+import { placements } from '@stallstall/placement';
 import {
   firstKey,
   pooledFleet,
@@ -406,7 +406,7 @@
       .replaceAll('} {"', '}\n{"')
       .split('\n')
       .map((text) => ({ site: 'yard', nodes: ['edge-1'], databases: ['bookings-late'], ...(JSON.parse(text) as object) }));
-    const checked = sheets.check({ ...sheet, outages: given });
+    const checked = placements.check({ ...sheet, outages: given });
     const faults = Either.isLeft(checked)
       ? (fault.details(checked.left).details as ReadonlyArray<Readonly<{ message: string; remedy: string }>>)
       : [];
--- a/packages/acceptance/src/platform.ts
+++ b/packages/acceptance/src/platform.ts
@@ -5,10 +5,10 @@
 import * as Option from 'fp-ts/lib/Option.js';
 import { core, type Door } from '@stallstall/core';
 import { fault, http, identifiers, type Fault, type HttpReply, type Kernel } from '@stallstall/kernel';
-import { message, RosterEntrySchema } from '@stallstall/message';
+import { message, MemberRecordSchema } from '@stallstall/message';
 import { configuration, pages, platformCalls, type PlatformSettings } from '@stallstall/platform';
 import type { Registration } from '@stallstall/member-registry';
-import { sheets } from '@stallstall/placement';
+import { placements } from '@stallstall/placement';
 import { world as worlds, type World } from '@stallstall/simulator';
 
 type Fields = Record<string, unknown>;
@@ -129,16 +129,16 @@
 /** As a core takes it: the adapter's shape first, and then the sheet's own checks. */
 function taken(body: unknown): Either.Either<Fault, unknown> {
   const translated = configuration.translate(body);
-  return Either.isLeft(translated) ? translated : sheets.check(translated.right.sheet);
+  return Either.isLeft(translated) ? translated : placements.check(translated.right.sheet);
 }
 
-function sound(body: unknown): ReturnType<typeof sheets.check> {
+function sound(body: unknown): ReturnType<typeof placements.check> {
   const checked = taken(body);
   assert.ok(
     Either.isRight(checked),
     Either.isLeft(checked) ? `${checked.left.message} ${JSON.stringify(fault.details(checked.left).details)}` : '',
   );
-  return checked as ReturnType<typeof sheets.check>;
+  return checked as ReturnType<typeof placements.check>;
 }
 
 Given('the configuration of the stories', function given() {
@@ -283,8 +283,8 @@
     Option.some({
       calls: platformCalls.calls(3_300),
       probe: platformCalls.memberProbe(spawned.kernel),
-      pages: pages.control,
-      door: `${host}:7003`,
+      routes: pages.control,
+      platformApiAddress: `${host}:7003`,
       founds: !alone,
       founders,
     }),
@@ -466,12 +466,12 @@
 }
 
 function ask(story: PlatformStory, method: string, path: string, body: unknown = undefined): Promise<HttpReply> {
-  return http.mapped(story.mappings, { method, path, query: {}, headers: {}, body, connection: 'c' });
+  return http.dispatch(story.mappings, { method, path, query: {}, headers: {}, body, connection: 'c' });
 }
 
 Then('readiness is 200 when ready, and 503 when not', async function then() {
   for (const ready of [true, false]) {
-    const reply = await http.mapped(
+    const reply = await http.dispatch(
       pages.readiness(() => ready),
       { method: 'GET', path: '/api/readiness', query: {}, headers: {}, body: undefined, connection: 'c' },
     );
@@ -485,7 +485,7 @@
   const door: Door = {
     ready: () => true,
     configure: (external, sheet) => {
-      const checked = sheets.check(sheet);
+      const checked = placements.check(sheet);
       return Promise.resolve(Either.isLeft(checked) ? checked : Either.right({ version: external.version }));
     },
     source: () => Promise.resolve(Either.right('{}')),
@@ -633,5 +633,6 @@
 
 Then('the door has heard only what can be told on between cores', function then(this: PlatformStory) {
   assert.ok(this.beats.length > 0);
-  for (const told of this.beats) assert.ok(message.fits(RosterEntrySchema, { ...told, gone: false, down: false }), JSON.stringify(told));
+  for (const told of this.beats)
+    assert.ok(message.matches(MemberRecordSchema, { ...told, gone: false, down: false }), JSON.stringify(told));
 });
--- a/packages/acceptance/src/replies.ts
+++ b/packages/acceptance/src/replies.ts
@@ -28,7 +28,7 @@
       const { call, body } = frame.value as Readonly<{ call: number; body: Readonly<{ window: number }> }>;
       const reply = { reply: call, body: { ready: true, reports: [], through: { owner: body.window } } };
       link.send(reply);
-      kernel.clock.alarm(callMilliseconds / 4, () => link.send(reply));
+      kernel.clock.startTimer(callMilliseconds / 4, () => link.send(reply));
     }
   }
 
--- a/packages/acceptance/src/runtime.ts
+++ b/packages/acceptance/src/runtime.ts
@@ -13,12 +13,12 @@
   type Address,
   type Disk,
   type Fault,
-  type HttpAsk,
+  type OutgoingHttpRequest,
   type HttpReply,
   type Listening,
   type Stream,
 } from '@stallstall/kernel';
-import { leanNetwork } from '@stallstall/runtime/lean';
+import { leanNetwork } from '@stallstall/runtime/minimal-runtime';
 import type { FaultyStore } from './data-folders.js';
 
 export type RuntimeStory = {
@@ -63,7 +63,7 @@
   if (this.dataFolder !== undefined) fs.rmSync(this.dataFolder, { recursive: true });
 });
 
-async function ask(address: Address, asked: HttpAsk, milliseconds = patience): Promise<Either.Either<Fault, HttpReply>> {
+async function ask(address: Address, asked: OutgoingHttpRequest, milliseconds = patience): Promise<Either.Either<Fault, HttpReply>> {
   const connection = leanNetwork.connect(address);
   const reply = await connection.exchange(asked, milliseconds);
   connection.close();
@@ -76,7 +76,7 @@
   this.closed = [];
   this.listening = [
     await leanNetwork.serve(this.address, {
-      mappings: [
+      routes: [
         {
           method: 'POST',
           path: '/echo/:word',
@@ -335,7 +335,7 @@
   this.connections = [];
   this.listening = [
     await leanNetwork.serve(this.address, {
-      mappings: [
+      routes: [
         {
           method: 'POST',
           path: '/word/:word',
--- a/packages/acceptance/src/steps.ts
+++ b/packages/acceptance/src/steps.ts
@@ -6,7 +6,7 @@
 import { fault, identifiers, type HttpReply } from '@stallstall/kernel';
 import { peer } from '@stallstall/peer';
 import { coreSettings, settings } from '@stallstall/cli';
-import { sheets } from '@stallstall/placement';
+import { placements } from '@stallstall/placement';
 import { checks, fleet as fleets, fuzz, type CoreSlot, type EdgeSlot, world as worlds } from '@stallstall/simulator';
 import { liveness } from '@stallstall/election';
 import { brightpath, redComun } from '@stallstall/fakes';
@@ -216,7 +216,7 @@
       return story.fleet.edges
         .filter((slot) => slot.agent.running !== undefined)
         .every((slot) => {
-          const current = slot.agent.running?.node.settled(service) ?? Option.none;
+          const current = slot.agent.running?.node.electedPrimary(service) ?? Option.none;
           return Option.isSome(current) && current.value.epoch > story.before.epoch && current.value.primary !== story.before.member;
         });
     }
@@ -362,7 +362,7 @@
   this.world = worlds.create(3);
   const served = this.world.spawn('member', 'member-machine');
   await served.kernel.network.serve(identifiers.address('10.3.0.1:5000'), {
-    mappings: [
+    routes: [
       {
         method: 'GET',
         path: '/state',
@@ -518,7 +518,7 @@
       };
     }
     await nonsense.network.serve(identifiers.address(slot.place.address), {
-      mappings: [
+      routes: [
         { method: 'GET', path: '/state', handle },
         { method: 'POST', path: '/run', handle },
         { method: 'POST', path: '/open', handle },
@@ -591,7 +591,7 @@
   };
   this.checked = Array.from({ length: count }, (_, index) =>
     index % 2 === 0
-      ? sheets.check(fuzz.spoil(fleet.sheet(), this.world.fraction))
+      ? placements.check(fuzz.spoil(fleet.sheet(), this.world.fraction))
       : settings.read(coreSettings, undefined, (fuzz.spoil(example, this.world.fraction) ?? {}) as Record<string, unknown>),
   );
 });
@@ -670,7 +670,7 @@
       await this.fleet.until(
         () =>
           this.fleet.edges.every((slot) => {
-            const settled = slot.agent.running?.node.settled(service) ?? Option.none;
+            const settled = slot.agent.running?.node.electedPrimary(service) ?? Option.none;
             return Option.isSome(settled) && settled.value.epoch > epoch;
           }),
         seconds * 1_000,
--- a/packages/acceptance/src/units.ts
+++ b/packages/acceptance/src/units.ts
@@ -4,11 +4,11 @@
 import * as Option from 'fp-ts/lib/Option.js';
 import { liveness, livenessService } from '@stallstall/election';
 import { identifiers, type Instant, type Kernel, type Listening } from '@stallstall/kernel';
-import { lessee, lessor, type Lessee, type Lessor } from '@stallstall/lease';
-import type { Ask, Reply, RosterEntry, Seat } from '@stallstall/message';
+import { leaseHolder, leaseGrantor, type LeaseHolder, type LeaseGrantor } from '@stallstall/lease';
+import type { Request, Reply, MemberRecord, Seat } from '@stallstall/message';
 import { peer, type Caller } from '@stallstall/peer';
 import { type Connections, type PooledLine } from '@stallstall/pooler/connections';
-import { roster, type Registration, type Roster, type Spread } from '@stallstall/member-registry';
+import { memberRegistry, type Registration, type MemberRegistry, type ReceivedBeat } from '@stallstall/member-registry';
 import { world as worlds, type Process, type World } from '@stallstall/simulator';
 import { leaseAsk } from './lease-ask.js';
 
@@ -21,20 +21,20 @@
   delay: number;
   held: number;
   lessees: Set<Caller>;
-  reply: ((ask: Ask<'lease'>) => Promise<Partial<Reply<'lease'>>>) | undefined;
+  reply: ((ask: Request<'lease'>) => Promise<Partial<Reply<'lease'>>>) | undefined;
 };
 
 export type UnitStory = {
   world: World;
   kernel: Kernel;
-  roster: Roster;
-  other: Roster;
+  roster: MemberRegistry;
+  other: MemberRegistry;
   taken: Map<number, boolean>;
   changesSeen: number;
   cores: StubCore[];
-  lessee: Lessee;
+  lessee: LeaseHolder;
   freed: () => void;
-  lessor: Lessor;
+  lessor: LeaseGrantor;
   stance: number;
   openedAt: Instant;
   ready: boolean;
@@ -55,14 +55,14 @@
   return { member, service: 'ferries', address: '10.3.0.1:5000', area: 'north', draining, role: 'replica', slots: 4, sequence };
 }
 
-function rosterOn(world: World, name: string): Roster {
+function rosterOn(world: World, name: string): MemberRegistry {
   const { kernel } = world.spawn(name, `${name}-machine`);
   kernel.services.offer(livenessService, liveness.create(kernel));
-  return roster.create(kernel, () => undefined);
+  return memberRegistry.create(kernel, () => undefined);
 }
 
-function known(of: Roster, member: string): RosterEntry {
-  const entry = of.entryOf(member);
+function known(of: MemberRegistry, member: string): MemberRecord {
+  const entry = of.recordOf(member);
   assert.ok(Option.isSome(entry), `${member} is not known`);
   return entry.value;
 }
@@ -78,13 +78,13 @@
 });
 
 When('{string} beats with number {int} as draining', function when(this: UnitStory, member: string, sequence: number) {
-  this.changesSeen = this.roster.number();
-  this.taken.set(sequence, this.roster.beat(registration(member, sequence, true)));
+  this.changesSeen = this.roster.version();
+  this.taken.set(sequence, this.roster.heartbeat(registration(member, sequence, true)));
 });
 
 When('{string} beats with number {int} as in service', function when(this: UnitStory, member: string, sequence: number) {
-  this.changesSeen = this.roster.number();
-  this.taken.set(sequence, this.roster.beat(registration(member, sequence, false)));
+  this.changesSeen = this.roster.version();
+  this.taken.set(sequence, this.roster.heartbeat(registration(member, sequence, false)));
 });
 
 When('{string} leaves', function when(this: UnitStory, member: string) {
@@ -92,17 +92,17 @@
 });
 
 When('another core tells of a beat of {string} with number {int}', function when(this: UnitStory, member: string, sequence: number) {
-  this.roster.take([{ entry: { ...registration(member, sequence, false), gone: false, down: false }, ago: 0 }]);
+  this.roster.merge([{ entry: { ...registration(member, sequence, false), gone: false, down: false }, ago: 0 }]);
 });
 
 When('another core tells that {string} has left', function when(this: UnitStory, member: string) {
-  this.roster.take([{ entry: { ...registration(member, 7, false), gone: true, down: false }, ago: 0 }]);
+  this.roster.merge([{ entry: { ...registration(member, 7, false), gone: true, down: false }, ago: 0 }]);
 });
 
 When('{float} s pass and the roster looks', async function when(this: UnitStory, seconds: number) {
   await this.world.run(seconds * 1_000);
-  this.changesSeen = this.roster.number();
-  this.roster.step();
+  this.changesSeen = this.roster.version();
+  this.roster.sweep();
 });
 
 Then(
@@ -119,18 +119,18 @@
 
 Then('only the beat with number {int} is spread', function then(this: UnitStory, sequence: number) {
   assert.deepEqual(
-    this.roster.spread().map((one) => one.entry.sequence),
+    this.roster.takeRecent().map((one) => one.entry.sequence),
     [sequence],
   );
-  this.roster.beat(registration('member-1', sequence - 2, false));
-  assert.deepEqual(this.roster.spread(), []);
+  this.roster.heartbeat(registration('member-1', sequence - 2, false));
+  assert.deepEqual(this.roster.takeRecent(), []);
 });
 
 Then('{string} is gone, of no service, and spread as gone', function then(this: UnitStory, member: string) {
   assert.equal(known(this.roster, member).gone, true);
   assert.deepEqual(this.roster.membersOf('ferries'), []);
   assert.deepEqual(
-    this.roster.spread().map((one) => [one.entry.member, one.entry.gone]),
+    this.roster.takeRecent().map((one) => [one.entry.member, one.entry.gone]),
     [[member, true]],
   );
 });
@@ -154,39 +154,39 @@
 
 Then(/^"(.+)" is (up|down), and its readers are told of one more change$/, function then(this: UnitStory, member: string, stands: string) {
   assert.equal(known(this.roster, member).down, stands === 'down');
-  assert.equal(this.roster.number(), this.changesSeen + 1);
+  assert.equal(this.roster.version(), this.changesSeen + 1);
   assert.deepEqual(
-    this.roster.since(this.changesSeen).map((entry) => entry.member),
+    this.roster.changedSince(this.changesSeen).map((entry) => entry.member),
     [member],
   );
 });
 
 Then('its readers are told of no change', function then(this: UnitStory) {
-  assert.equal(this.roster.number(), this.changesSeen);
-  assert.deepEqual(this.roster.since(this.changesSeen), []);
+  assert.equal(this.roster.version(), this.changesSeen);
+  assert.deepEqual(this.roster.changedSince(this.changesSeen), []);
 });
 
 Then(
   'what is spread to the other core is {string} of {int} s ago, and nothing the next time',
   function then(this: UnitStory, member: string, seconds: number) {
-    const told: readonly Spread[] = this.roster.spread();
+    const told: readonly ReceivedBeat[] = this.roster.takeRecent();
     assert.deepEqual(
       told.map((one) => one.entry.member),
       [member],
     );
     // Each process has a clock of its own, and they do not go at one rate.
     assert.ok(Math.abs((told[0]?.ago ?? 0) - seconds * 1_000) < seconds * 20, JSON.stringify(told));
-    assert.deepEqual(this.roster.spread(), []);
-    this.other.take(told);
+    assert.deepEqual(this.roster.takeRecent(), []);
+    this.other.merge(told);
   },
 );
 
 Then('the other core spreads nothing of it, and has it down {int} s later', async function then(this: UnitStory, seconds: number) {
-  assert.deepEqual(this.other.spread(), []);
-  this.other.step();
+  assert.deepEqual(this.other.takeRecent(), []);
+  this.other.sweep();
   assert.equal(known(this.other, 'member-1').down, false);
   await this.world.run(seconds * 1_000 + 150);
-  this.other.step();
+  this.other.sweep();
   assert.equal(known(this.other, 'member-1').down, true);
 });
 
@@ -287,17 +287,17 @@
   for (const index of stubs.keys()) await startStub(story, index, seats);
   const { kernel } = story.world.spawn('edge-1', 'edge-machine');
   story.kernel = kernel;
-  story.lessee = lessee.create(
+  story.lessee = leaseHolder.create(
     kernel,
     { node: 'edge-1', area: 'north', seeds: () => seats.map((seat) => seat.address) },
     {
       released: () => ({}),
       positions: () => ({}),
-      marks: () => ({}),
+      commitWatermarks: () => ({}),
       positionsAgo: () => 0,
-      troubled: () => false,
+      isLeaderMissing: () => false,
       demand: () => 0,
-      notListening: () => [],
+      refusedMembers: () => [],
       onChange: () => undefined,
     },
   );
@@ -376,17 +376,17 @@
     }
     const { kernel } = this.world.spawn('edge-1', 'edge-machine');
     this.kernel = kernel;
-    this.lessee = lessee.create(
+    this.lessee = leaseHolder.create(
       kernel,
       { node: 'edge-1', area: 'north', seeds: () => seats.map((seat) => seat.address) },
       {
         released: () => ({}),
         positions: () => ({}),
-        marks: () => ({}),
+        commitWatermarks: () => ({}),
         positionsAgo: () => 0,
-        troubled: () => false,
+        isLeaderMissing: () => false,
         demand: () => 0,
-        notListening: () => [],
+        refusedMembers: () => [],
         onChange: () => undefined,
       },
     );
@@ -411,7 +411,7 @@
 Given(/^an edge and cores that stand at ([-\d, ]+), and epoch 5 settled$/, async function given(this: UnitStory, stances: string) {
   await startEdge(this, stubsOf(stances));
   await this.world.run(3_000);
-  const settled = this.lessee.settled('ferries');
+  const settled = this.lessee.electedPrimary('ferries');
   assert.ok(Option.isSome(settled) && settled.value.epoch === 5);
 });
 
@@ -468,15 +468,15 @@
 
 Then('the edge has no lease, and lets go of what is below {int}', function then(this: UnitStory, epoch: number) {
   assert.equal(hasLease(this), false);
-  assert.equal(this.lessee.release('ferries'), epoch);
+  assert.equal(this.lessee.releaseEpoch('ferries'), epoch);
 });
 
 Then('the edge has a lease, and lets go of nothing', function then(this: UnitStory) {
   assert.equal(hasLease(this), true);
-  assert.ok(this.lessee.release('ferries') <= 5);
+  assert.ok(this.lessee.releaseEpoch('ferries') <= 5);
 });
 
-function rosterEntry(draining: boolean): RosterEntry {
+function rosterEntry(draining: boolean): MemberRecord {
   return { ...registration('member-1', 4, draining), gone: false, down: false };
 }
 
@@ -500,14 +500,14 @@
     }
     await this.world.run(400);
     assert.deepEqual(
-      this.lessee.roster().map((entry) => [entry.member, entry.draining]),
+      this.lessee.members().map((entry) => [entry.member, entry.draining]),
       [[member, false]],
     );
     assert.equal(held.length, 3);
-    this.lessee.tell();
+    this.lessee.reportNow();
     await this.world.run(100);
     assert.deepEqual(
-      this.lessee.roster().map((entry) => entry.draining),
+      this.lessee.members().map((entry) => entry.draining),
       [true],
     );
   },
@@ -520,7 +520,7 @@
 
 Then('the edge knows {string} as draining', function then(this: UnitStory, member: string) {
   assert.deepEqual(
-    this.lessee.roster().map((entry) => [entry.member, entry.draining]),
+    this.lessee.members().map((entry) => [entry.member, entry.draining]),
     [[member, true]],
   );
 });
@@ -528,7 +528,7 @@
 // -- The core's half.
 
 function lesseesOf(story: UnitStory): readonly string[] {
-  const known = story.lessor.lessees();
+  const known = story.lessor.leaseHolders();
   assert.ok(Option.isSome(known), 'it does not say');
   return known.value;
 }
@@ -540,20 +540,20 @@
   story.stance = 5;
   story.openedAt = story.kernel.clock.now();
   story.replied = [];
-  story.lessor = lessor.create(story.kernel, {
+  story.lessor = leaseGrantor.create(story.kernel, {
     ready: () => ready,
     openedAt: () => story.openedAt,
-    stances: () => ({ ferries: story.stance }),
+    epochs: () => ({ ferries: story.stance }),
     configuration: () => 1,
     membership: () => 1,
     puts: () => 1,
-    roster: story.roster,
-    troubled: () => false,
-    onNotListening: () => undefined,
+    registry: story.roster,
+    isLeaderMissing: () => false,
+    onConnectionRefused: () => undefined,
   });
   await story.world.run(10);
   // A process before it may have granted some: it names none until these have ended.
-  assert.ok(Option.isNone(story.lessor.lessees()));
+  assert.ok(Option.isNone(story.lessor.leaseHolders()));
   await story.world.run(2_600);
 }
 
@@ -565,33 +565,33 @@
   await startLessor(this, false);
 });
 
-function askOf(node: string, released: number, change: Partial<Ask<'lease'>> = {}): Ask<'lease'> {
+function askOf(node: string, released: number, change: Partial<Request<'lease'>> = {}): Request<'lease'> {
   return leaseAsk(node, { released: released === 0 ? {} : { ferries: released }, ...change });
 }
 
 When(
   '{string} asks, and 1 s later {string} asks, having released what is below {int}',
   async function when(this: UnitStory, first: string, second: string, epoch: number) {
-    await this.lessor.lease(askOf(first, 0));
+    await this.lessor.grant(askOf(first, 0));
     await this.world.run(1_000);
-    await this.lessor.lease(askOf(second, epoch));
+    await this.lessor.grant(askOf(second, epoch));
   },
 );
 
 When('{string} asks, having released what is below {int}', async function when(this: UnitStory, node: string, epoch: number) {
-  await this.lessor.lease(askOf(node, epoch));
+  await this.lessor.grant(askOf(node, epoch));
 });
 
 Then('both count, and the epoch {int} is not released by both', function then(this: UnitStory, epoch: number) {
   assert.deepEqual([...lesseesOf(this)].sort(), ['edge-1', 'edge-2']);
-  assert.equal(this.lessor.released('ferries', epoch, ['edge-1', 'edge-2']), false);
-  assert.equal(this.lessor.released('ferries', epoch, ['edge-2']), true);
-  assert.equal(this.lessor.released('ferries', epoch, ['edge-3']), false);
+  assert.equal(this.lessor.hasReleased('ferries', epoch, ['edge-1', 'edge-2']), false);
+  assert.equal(this.lessor.hasReleased('ferries', epoch, ['edge-2']), true);
+  assert.equal(this.lessor.hasReleased('ferries', epoch, ['edge-3']), false);
 });
 
 Then('the epoch {int} is released by both, and {int} is not', function then(this: UnitStory, epoch: number, next: number) {
-  assert.equal(this.lessor.released('ferries', epoch, ['edge-1', 'edge-2']), true);
-  assert.equal(this.lessor.released('ferries', next, ['edge-1', 'edge-2']), false);
+  assert.equal(this.lessor.hasReleased('ferries', epoch, ['edge-1', 'edge-2']), true);
+  assert.equal(this.lessor.hasReleased('ferries', next, ['edge-1', 'edge-2']), false);
 });
 
 When('{float} s pass since the asks', async function when(this: UnitStory, seconds: number) {
@@ -608,7 +608,7 @@
   "it can't say for {float} s whom leases were granted to, and names none after that",
   async function then(this: UnitStory, seconds: number) {
     await this.world.run(seconds * 1_000 - 20);
-    assert.ok(Option.isNone(this.lessor.lessees()), 'it names edges though another occupant of its seat may have granted leases');
+    assert.ok(Option.isNone(this.lessor.leaseHolders()), 'it names edges though another occupant of its seat may have granted leases');
     await this.world.run(40);
     assert.deepEqual(lesseesOf(this), []);
   },
@@ -619,20 +619,20 @@
 });
 
 Then('a reply to {string} names no stance', async function then(this: UnitStory, node: string) {
-  const reply = await this.lessor.lease(askOf(node, 0));
+  const reply = await this.lessor.grant(askOf(node, 0));
   assert.deepEqual([reply.ready, reply.stances], [false, {}]);
 });
 
 When("{string} asks twice, and the core's stance changes 100 ms later", async function when(this: UnitStory, node: string) {
-  const first = await this.lessor.lease(askOf(node, 0, { hold: 450 }));
+  const first = await this.lessor.grant(askOf(node, 0, { hold: 450 }));
   void this.lessor
-    .lease(askOf(node, 0, { token: first.token, seen: first.number, hold: 450 }))
+    .grant(askOf(node, 0, { token: first.token, seen: first.number, hold: 450 }))
     .then((reply) => this.replied.push({ at: this.world.now(), reply }));
   await this.world.run(100);
   assert.deepEqual(this.replied, []);
   this.stance = 6;
   this.changedAt = this.world.now();
-  this.lessor.changed();
+  this.lessor.notify();
   await this.world.run(500);
 });
 
--- a/packages/acceptance/src/wire.ts
+++ b/packages/acceptance/src/wire.ts
@@ -4,11 +4,11 @@
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { identifiers, type Kernel, type Stream } from '@stallstall/kernel';
-import type { RosterEntry } from '@stallstall/message';
+import type { MemberRecord } from '@stallstall/message';
 import { peer } from '@stallstall/peer';
 import { wire } from '@stallstall/platform';
 import { pooler } from '@stallstall/pooler';
-import { sheets } from '@stallstall/placement';
+import { placements } from '@stallstall/placement';
 import { world as worlds, type World } from '@stallstall/simulator';
 import type { Condition, Incoming, Piece } from '@stallstall/session-protocol';
 
@@ -314,7 +314,7 @@
 const senderAddress = '10.2.0.1:8000';
 const feedAddress = '10.2.0.1:7002';
 
-const entry: RosterEntry = {
+const entry: MemberRecord = {
   member: 'member-1',
   service: 'ferries',
   address: memberAddress,
@@ -352,7 +352,7 @@
   this.world = worlds.create(21);
   this.heard = [];
   this.sender = this.world.spawn('sender', 'sender-machine').kernel;
-  const checked = sheets.check({
+  const checked = placements.check({
     services: [{ service: 'ferries', connectionLimit: 56, registered: true }],
     rows: [],
     keys: [],
--- a/packages/agent/src/index.ts
+++ b/packages/agent/src/index.ts
@@ -7,19 +7,19 @@
   kernel as kernels,
   type Fault,
   type HttpReply,
-  type HttpMapping,
+  type HttpRoute,
   type Instant,
   type Kernel,
   type Listening,
 } from '@stallstall/kernel';
-import { message, type Ask, type Reply, type ServiceFeed, type Target } from '@stallstall/message';
+import { message, type Request, type Reply, type ServiceFeed, type Target } from '@stallstall/message';
 import { peer, type Handlers } from '@stallstall/peer';
 import { quorum } from '@stallstall/quorum';
 import type { Register } from '@stallstall/register';
 import { node as nodes, type Node, type NodeSettings } from '@stallstall/node';
 import { marginMilliseconds, termMilliseconds } from '@stallstall/quorum-lease';
 import { livenessService, type Vote, type VoteStore } from '@stallstall/election';
-import { sheets, type SheetService } from '@stallstall/placement';
+import { placements, type SheetService } from '@stallstall/placement';
 import { Type } from '@sinclair/typebox';
 
 export type AgentSettings = NodeSettings & Readonly<{ feed: string }>;
@@ -44,14 +44,14 @@
       if (Either.isLeft(read)) return read;
       const entry = read.right;
       return Either.right(
-        Option.isSome(entry) && message.fits(VoteSchema, entry.value.value) ? Option.some(entry.value.value as Vote) : Option.none,
+        Option.isSome(entry) && message.matches(VoteSchema, entry.value.value) ? Option.some(entry.value.value as Vote) : Option.none,
       );
     },
     record: async function record(service, vote) {
       const written = await register.change(
         keyOf(service),
         function next(current) {
-          const standing = Option.isSome(current) && message.fits(VoteSchema, current.value.value) ? current.value.value.epoch : 0;
+          const standing = Option.isSome(current) && message.matches(VoteSchema, current.value.value) ? current.value.value.epoch : 0;
           return standing >= vote.epoch ? Option.none : Option.some(vote);
         },
         2_000,
@@ -81,7 +81,7 @@
     votes: (register) => edgeVotes(register, settings.node),
     own: Option.none,
     caps: toldCaps,
-    onObeyed: function obeyed(key) {
+    onApplied: function obeyed(key) {
       if (key === 'membership' || key === 'configuration') {
         layoutSince = kernel.clock.now();
         settleCaps();
@@ -108,16 +108,16 @@
     const edges = quorum.withRole(table, 'edge').length;
     const listed = quorum.seat(table, settings.node) !== undefined;
     const now = kernel.clock.now();
-    const mayGrow = now - layoutSince >= termMilliseconds + marginMilliseconds && node.controlUntil() > now;
+    const mayGrow = now - layoutSince >= termMilliseconds + marginMilliseconds && node.configurationLeaseUntil() > now;
     for (const service of configuration.value.value.sheet.services) {
-      const share = listed ? sheets.share(service.connectionLimit, table.seats.length, edges) : 0;
+      const share = listed ? placements.share(service.connectionLimit, table.seats.length, edges) : 0;
       // What a proxy holds already, its agent's predecessor had told the others: a restarted agent takes it over.
       const current = Math.max(caps.get(service.service) ?? 0, Math.min(share, proxyOpen[service.service] ?? 0));
       if (share <= current) caps.set(service.service, share);
       else caps.set(service.service, current);
       if (share > current && mayGrow) {
         const others = node
-          .capsOfOthers()
+          .connectionCapsOfOthers()
           .reduce((sum, told) => sum + (Option.isSome(told) ? (told.value[service.service] ?? 0) : share), 0);
         caps.set(service.service, Math.max(current, Math.min(share, service.connectionLimit - table.seats.length - others)));
       }
@@ -129,7 +129,7 @@
   const samples = new Map<string, readonly Sample[]>();
 
   async function probeMember(service: SheetService, member: SheetService['members'][number]): Promise<void> {
-    const settled = node.settled(service.service);
+    const settled = node.electedPrimary(service.service);
     const state = await members.probe(member.member, member.address, probeMilliseconds);
     if (
       Either.isLeft(state) ||
@@ -163,7 +163,7 @@
     const fresh = freshAt(service, epoch, applied);
     return {
       member,
-      alive: !members.down(member),
+      alive: !members.isDown(member),
       freshAgo: Option.isSome(fresh) ? kernel.clock.now() - fresh.value : -1,
       applied,
       follows: Option.isSome(state) ? state.value.epoch : 0,
@@ -176,9 +176,9 @@
   }
 
   function serviceFeed(service: SheetService): ServiceFeed {
-    const settled = node.settled(service.service);
+    const settled = node.electedPrimary(service.service);
     const epoch = Option.isSome(settled) ? settled.value.epoch : 0;
-    const left = node.fenceUntil(service.service) - kernel.clock.now();
+    const left = node.serviceLeaseUntil(service.service) - kernel.clock.now();
     return {
       service: service.service,
       epoch,
@@ -188,7 +188,7 @@
     };
   }
 
-  function feed(ask: Ask<'feed'>): Reply<'feed'> {
+  function feed(ask: Request<'feed'>): Reply<'feed'> {
     proxyOpen = ask.open;
     proxyMetrics = ask.metrics;
     proxyAskedAt = Option.some(kernel.clock.now());
@@ -200,7 +200,7 @@
       configuration:
         Option.isSome(configuration) && version !== ask.configuration ? { version, sheet: configuration.value.value.sheet } : null,
       configurationVersion: version,
-      term: within(node.controlUntil() - kernel.clock.now()),
+      term: within(node.configurationLeaseUntil() - kernel.clock.now()),
       services: Option.isSome(configuration) ? configuration.value.value.sheet.services.map(serviceFeed) : [],
       shares: Object.fromEntries(caps),
       draining: seat?.draining ?? false,
@@ -213,10 +213,10 @@
 
   let telling = 0;
 
-  async function tell(ask: Ask<'tell'>): Promise<Reply<'tell'>> {
+  async function tell(ask: Request<'tell'>): Promise<Reply<'tell'>> {
     proxyToldAt = Option.some(kernel.clock.now());
     telling += 1;
-    const noted = await node.notes.note({
+    const noted = await node.durableReports.report({
       floors: ask.floors,
       through: { [settings.node]: ask.through },
       reports: ask.usage.map((told) => ({
@@ -235,7 +235,7 @@
   function tellQuiet(): void {
     const quiet = Option.isNone(proxyToldAt) || kernel.clock.now() - proxyToldAt.value > quietMilliseconds;
     if (quiet && node.cores().length > 0)
-      void node.notes.note({ floors: {}, reports: [], through: { [settings.node]: kernel.clock.wall() - quietMilliseconds } });
+      void node.durableReports.report({ floors: {}, reports: [], through: { [settings.node]: kernel.clock.wall() - quietMilliseconds } });
   }
 
   // -- Pages in the shape of the cores' own (design 9.5).
@@ -243,14 +243,14 @@
   function fenced(): readonly string[] {
     const configuration = node.configuration();
     const services = Option.isSome(configuration) ? configuration.value.value.sheet.services.map((one) => one.service) : [];
-    return services.filter((service) => node.fenceUntil(service) <= kernel.clock.now());
+    return services.filter((service) => node.serviceLeaseUntil(service) <= kernel.clock.now());
   }
 
   function heard(): number {
     return (
       1 +
       node.membership().value.seats.filter((seat) => {
-        const at = node.heardAt(seat.node);
+        const at = node.lastHeartbeatAt(seat.node);
         return Option.isSome(at) && kernel.clock.now() - at.value < termMilliseconds;
       }).length
     );
@@ -266,7 +266,7 @@
         heard: heard(),
         configuration: Option.isSome(configuration) ? configuration.value.version : 0,
         membership: node.membership().version,
-        controlTermMilliseconds: Math.round(within(node.controlUntil() - now)),
+        controlTermMilliseconds: Math.round(within(node.configurationLeaseUntil() - now)),
         fencedServices: fenced().length,
         ...Object.fromEntries(Object.entries(proxyMetrics).map(([name, count]) => [`proxy.${name}`, count])),
       },
@@ -277,7 +277,7 @@
     const now = kernel.clock.now();
     const table = node.membership().value;
     const shut = fenced();
-    const controlled = node.controlUntil() > now;
+    const controlled = node.configurationLeaseUntil() > now;
     const fed = Option.isSome(proxyAskedAt) && now - proxyAskedAt.value < quietMilliseconds;
     const checks = [
       {
@@ -308,7 +308,7 @@
     return { status: checks.every((one) => one.sound) ? 200 : 503, body: { node: settings.node, checks } };
   }
 
-  const pages: readonly HttpMapping[] = [
+  const pages: readonly HttpRoute[] = [
     { method: 'GET', path: '/v1/metrics', handle: metrics },
     { method: 'GET', path: '/v1/liveness', handle: soundness },
   ];
@@ -317,7 +317,7 @@
   const listening: readonly Listening[] = [
     await peer.listen(kernel, identifiers.address(settings.address), handlers),
     await peer.listen(kernel, identifiers.address(settings.feed), { feed, tell }),
-    await kernel.network.serve(identifiers.address(settings.outward), { mappings: [...node.mappings, ...pages] }),
+    await kernel.network.serve(identifiers.address(settings.outward), { routes: [...node.routes, ...pages] }),
   ];
   node.start();
   void kernels.every(kernel.clock, probeEveryMilliseconds, probeAll, () => !stopped);
@@ -340,4 +340,4 @@
 }
 
 export const agent = { start } as const;
-export * from './lessee-agent.js';
+export * from './lease-agent.js';
--- a/packages/agent/src/lessee-agent.ts
+++ b/packages/agent/src/lease-agent.ts
@@ -2,13 +2,13 @@
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { identifiers, waiters, type Instant, type Kernel, type Listening } from '@stallstall/kernel';
-import type { Ask, LogPosition, Marks, Placement, Reply } from '@stallstall/message';
+import type { Request, LogPosition, CommitWatermarks, Placement, Reply } from '@stallstall/message';
 import { peer, type Caller } from '@stallstall/peer';
-import { lessee as lessees } from '@stallstall/lease';
+import { leaseHolder as lessees } from '@stallstall/lease';
 import { termMilliseconds } from '@stallstall/quorum-lease';
 
-export type LesseeAgentSettings = Readonly<{ node: string; area: string; feed: string; seeds: () => readonly string[] }>;
-export type LesseeAgent = Readonly<{ drain: () => Promise<void>; stop: () => Promise<void> }>;
+export type LeaseAgentSettings = Readonly<{ node: string; area: string; feed: string; seeds: () => readonly string[] }>;
+export type LeaseAgent = Readonly<{ drain: () => Promise<void>; stop: () => Promise<void> }>;
 
 const graceMilliseconds = 5_600;
 /** A proxy that asks this often misses a leader somewhere. */
@@ -20,7 +20,7 @@
 const drainLookMilliseconds = 10;
 const drainLeastMilliseconds = 300;
 
-async function start(kernel: Kernel, settings: LesseeAgentSettings): Promise<LesseeAgent> {
+async function start(kernel: Kernel, settings: LeaseAgentSettings): Promise<LeaseAgent> {
   const token = kernel.randomness.token();
   const asking = waiters.create(kernel.clock);
   let number = 1;
@@ -28,7 +28,7 @@
   let released: Readonly<Record<string, number>> = {};
   let positions: Readonly<Record<string, LogPosition>> = {};
   /** As the proxy told them, with the moment it asked. */
-  let seenMarks: Marks = {};
+  let seenMarks: CommitWatermarks = {};
   /** What the proxy told last was all there was at this moment or later. */
   let positionsAt: Instant | undefined;
   let troubled = false;
@@ -54,17 +54,17 @@
     {
       released: () => released,
       positions: () => positions,
-      marks: aged,
+      commitWatermarks: aged,
       positionsAgo: () => (positionsAt === undefined ? noPositionsMilliseconds : Math.max(0, kernel.clock.now() - positionsAt)),
-      troubled: () => troubled,
-      notListening: () => notListening,
+      isLeaderMissing: () => troubled,
+      refusedMembers: () => notListening,
       demand: () => demand,
       onChange: changed,
     },
   );
 
   /** What the proxy saw so long before it asked was seen that much longer ago by now. */
-  function aged(): Marks {
+  function aged(): CommitWatermarks {
     const since = Math.max(0, kernel.clock.now() - askedAt);
     return Object.fromEntries(Object.entries(seenMarks).map(([service, mark]) => [service, { ...mark, ago: mark.ago + since }]));
   }
@@ -72,13 +72,13 @@
   function placements(): readonly Placement[] {
     const now = kernel.clock.now();
     return lessee.services().map((service): Placement => {
-      const settled = lessee.settled(service);
+      const settled = lessee.electedPrimary(service);
       return {
         service,
         epoch: Option.isSome(settled) ? settled.value.epoch : 0,
         primary: Option.isSome(settled) ? settled.value.primary : '',
         left: Math.max(0, Math.min(lessee.leaseUntil(service) - now, termMilliseconds)),
-        release: lessee.release(service),
+        release: lessee.releaseEpoch(service),
       };
     });
   }
@@ -94,25 +94,25 @@
     const configuration = lessee.configuration();
     const seen = [
       Option.isSome(configuration) ? configuration.value.version : 0,
-      lessee.rosterNumber(),
+      lessee.membersVersion(),
       JSON.stringify(lessee.edges()),
       ...placements().map((one) => `${one.epoch}/${one.release}/${one.left > 0 ? 1 : 0}`),
     ].join(' ');
     if (seen === seenBefore) return;
     seenBefore = seen;
-    if (rosterAt !== lessee.rosterNumber()) {
-      rosterAt = lessee.rosterNumber();
+    if (rosterAt !== lessee.membersVersion()) {
+      rosterAt = lessee.membersVersion();
       rosterNumber = number + 1;
     }
     if (gathering) return;
     gathering = true;
-    kernel.clock.alarm(1, wake);
+    kernel.clock.startTimer(1, wake);
   }
 
   /** What a proxy lets go of, or is refused by, the cores hear at once. */
-  function take(ask: Ask<'placement'>): void {
+  function take(ask: Request<'placement'>): void {
     // The process before it may have acknowledged commits that it did not live to tell.
-    if (ask.token === '' && wasAsked) lessee.beginAnew();
+    if (ask.token === '' && wasAsked) lessee.proxyRestarted();
     wasAsked = true;
     askedAt = kernel.clock.now();
     released = ask.released;
@@ -126,10 +126,10 @@
     const now = `${JSON.stringify(released)}${notListening.join(' ')}`;
     if (now === said) return;
     said = now;
-    lessee.tell();
+    lessee.reportNow();
   }
 
-  async function placement(ask: Ask<'placement'>, caller: Caller): Promise<Reply<'placement'>> {
+  async function placement(ask: Request<'placement'>, caller: Caller): Promise<Reply<'placement'>> {
     proxy = caller;
     const cameAt = kernel.clock.now();
     take(ask);
@@ -150,11 +150,14 @@
         Option.isSome(configuration) && version !== ask.configuration ? { version, sheet: configuration.value.value.sheet } : null,
       configurationVersion: version,
       services: [...placements()],
-      roster: known ? null : [...lessee.roster()],
+      roster: known ? null : [...lessee.members()],
       edges: { ...lessee.edges() },
       demand: { ...lessee.demand() },
       marks: Object.fromEntries(
-        [...lessee.marks()].map(([service, mark]) => [service, { ...mark.position, ago: Math.max(0, kernel.clock.now() - mark.at) }]),
+        [...lessee.commitWatermarks()].map(([service, mark]) => [
+          service,
+          { ...mark.position, ago: Math.max(0, kernel.clock.now() - mark.at) },
+        ]),
       ),
       area: settings.area,
       node: settings.node,
@@ -162,9 +165,9 @@
   }
 
   /** Counts of usage, on a majority of core disks before the proxy hears that they are kept (design 8.6). */
-  async function tell(ask: Ask<'tell'>): Promise<Reply<'tell'>> {
+  async function tell(ask: Request<'tell'>): Promise<Reply<'tell'>> {
     telling += 1;
-    const noted = await lessee.notes.note({
+    const noted = await lessee.durableReports.report({
       floors: ask.floors,
       through: { [settings.node]: ask.through },
       reports: ask.usage.map((one) => ({
@@ -200,4 +203,4 @@
   return { drain, stop };
 }
 
-export const lesseeAgent = { start } as const;
+export const leaseAgent = { start } as const;
--- a/packages/bench/src/hollow.ts
+++ b/packages/bench/src/hollow.ts
@@ -1,7 +1,7 @@
 // Slopes of the pooled mode from real processes: `hollow.js FIELD SIZE SIZE SIZE [--repeat=2] [--weigh] [FIELD=SIZE ...]`, or `--smoke` (docs/CAPACITY.md).
 import os from 'node:os';
 import * as Option from 'fp-ts/lib/Option.js';
-import { machine } from '@stallstall/runtime';
+import { nodeRuntime } from '@stallstall/runtime';
 import { fit, type Point } from './hollow/fit.js';
 import { hollowRun, type HollowOutcome, type HollowSize } from './hollow/run.js';
 
@@ -90,7 +90,7 @@
 
 /** Ended from outside, a run takes its children and its folder with it. */
 for (const signal of ['SIGINT', 'SIGTERM'] as const) process.on(signal, () => process.exit(1));
-const kernel = await machine.create('hollow', Option.none);
+const kernel = await nodeRuntime.create('hollow', Option.none);
 const outcomes: HollowOutcome[] = [];
 let failed = 0;
 for (let count = 0; count < repeat; count += 1) {
--- a/packages/bench/src/hollow/child.ts
+++ b/packages/bench/src/hollow/child.ts
@@ -1,11 +1,11 @@
 // One process of a hollow run: plays the role it is given, and ends with the run that started it.
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
-import { lesseeAgent } from '@stallstall/agent';
+import { leaseAgent } from '@stallstall/agent';
 import { core } from '@stallstall/core';
-import type { HttpMapping, Kernel } from '@stallstall/kernel';
+import type { HttpRoute, Kernel } from '@stallstall/kernel';
 import type { Door } from '@stallstall/core';
-import { leanMachine } from '@stallstall/runtime/lean';
+import { minimalRuntime } from '@stallstall/runtime/minimal-runtime';
 import { pooler } from '@stallstall/pooler';
 import type { Registration } from '@stallstall/member-registry';
 import { prober } from '@stallstall/session-protocol';
@@ -22,7 +22,7 @@
 const restMilliseconds = 3_300;
 const graceMilliseconds = 6_000;
 
-function pages(door: Door): readonly HttpMapping[] {
+function pages(door: Door): readonly HttpRoute[] {
   return [
     {
       method: 'POST',
@@ -60,13 +60,13 @@
     },
     Option.some({
       calls: {
-        restMilliseconds,
+        handoverDelayMilliseconds: restMilliseconds,
         promotion: ({ service, member }) => ({ repeatable: 'unchanged', method: 'POST', path: '/promotions', body: { service, member } }),
         usage: ({ window, counts: told }) => ({ repeatable: 'unchanged', method: 'POST', path: '/usage', body: { window, told } }),
       },
       probe: {
-        hold: probes.hold,
-        ask: async function ask(service, member, address, milliseconds) {
+        keepConnection: probes.hold,
+        readState: async function ask(service, member, address, milliseconds) {
           const standing = await probes.ask(service, member, address, milliseconds);
           if (Either.isLeft(standing)) return standing;
           const { role: memberRole, term, received } = standing.right;
@@ -80,8 +80,8 @@
           });
         },
       },
-      pages,
-      door: role.door,
+      routes: pages,
+      platformApiAddress: role.door,
       founds: true,
       founders: role.founders,
     }),
@@ -95,7 +95,7 @@
     case 'core':
       return playCore(kernel, role);
     case 'agent':
-      await lesseeAgent.start(kernel(Option.none), { node: role.node, area: role.area, feed: role.feed, seeds: () => role.seeds });
+      await leaseAgent.start(kernel(Option.none), { node: role.node, area: role.area, feed: role.feed, seeds: () => role.seeds });
       return { reply: () => ({}) };
     case 'proxy': {
       const started = await pooler.start(
@@ -117,7 +117,7 @@
 const frames: Frames = { sent: 0, received: 0, exchanges: 0 };
 process.on('disconnect', () => process.exit(0));
 const playing = await play(JSON.parse(process.argv[2] ?? '') as HollowRole, (disk) =>
-  counts.counted(leanMachine.create('hollow', disk), frames),
+  counts.counted(minimalRuntime.create('hollow', disk), frames),
 );
 
 function reply(number: number, ask: HollowAsk): HollowReply {
--- a/packages/bench/src/hollow/counts.ts
+++ b/packages/bench/src/hollow/counts.ts
@@ -50,7 +50,7 @@
       serve: (address, server) =>
         network.serve(address, {
           ...server,
-          mappings: server.mappings.map((mapping) => ({
+          routes: server.routes.map((mapping) => ({
             ...mapping,
             handle: function handle(request) {
               frames.exchanges += 1;
--- a/packages/bench/src/hollow/edges.ts
+++ b/packages/bench/src/hollow/edges.ts
@@ -1,11 +1,11 @@
 // Hollow edges: many in one process, each with the real lessee over links of its own, and counts of usage told each second.
 import * as Option from 'fp-ts/lib/Option.js';
 import { kernel as kernels, type Kernel } from '@stallstall/kernel';
-import { lessee as lessees, type Lessee } from '@stallstall/lease';
+import { leaseHolder as lessees, type LeaseHolder } from '@stallstall/lease';
 import type { HollowAsk, HollowRole } from './roles.js';
 
 type EdgesRole = Extract<HollowRole, { role: 'edges' }>;
-type Edge = Readonly<{ lessee: Lessee; obeyedAt: Map<number, number>; leasedAt: Map<string, number> }>;
+type Edge = Readonly<{ lessee: LeaseHolder; obeyedAt: Map<number, number>; leasedAt: Map<string, number> }>;
 
 export type Edges = Readonly<{ reply: (ask: HollowAsk) => Readonly<Record<string, number>> }>;
 
@@ -26,10 +26,10 @@
     {
       released: () => released,
       positions: () => ({}),
-      notListening: () => [],
-      marks: () => ({}),
+      refusedMembers: () => [],
+      commitWatermarks: () => ({}),
       positionsAgo: () => 0,
-      troubled: () => false,
+      isLeaderMissing: () => false,
       demand: () => 1,
       onChange: function changed() {
         const configuration = lessee.configuration();
@@ -40,17 +40,17 @@
         const now = kernel.clock.now();
         let lets = false;
         for (const service of lessee.services()) {
-          const settled = lessee.settled(service);
+          const settled = lessee.electedPrimary(service);
           // Nothing is under way in a hollow edge: it lets go at once.
-          if (lessee.release(service) > (released[service] ?? 0)) {
-            released = { ...released, [service]: lessee.release(service) };
+          if (lessee.releaseEpoch(service) > (released[service] ?? 0)) {
+            released = { ...released, [service]: lessee.releaseEpoch(service) };
             lets = true;
           }
           if (Option.isNone(settled)) continue;
           const name = `${service}/${settled.value.epoch}`;
           if (!leasedAt.has(name) && lessee.leaseUntil(service) > now) leasedAt.set(name, Date.now());
         }
-        if (lets) lessee.tell();
+        if (lets) lessee.reportNow();
       },
     },
   );
@@ -60,12 +60,12 @@
     kernel.clock,
     tellMilliseconds,
     async function tell() {
-      if (lessee.cores() === 0) return;
+      if (lessee.coreCount() === 0) return;
       number += 1;
       const wall = kernel.clock.wall();
       const window = Math.floor(wall / windowMilliseconds);
       const counts = Object.fromEntries(Array.from({ length: settings.tenants }, (_, tenant) => [`tenant-${tenant + 1}`, served * number]));
-      await lessee.notes.note({
+      await lessee.durableReports.report({
         floors: {},
         through: { [node]: wall },
         reports: [window - 1, window].map((one) => ({ node, incarnation, number, window: one, counts })),
@@ -104,12 +104,12 @@
             edge.lessee.services().length === ask.services &&
             edge.lessee.services().every((service) => edge.lessee.leaseUntil(service) > now),
         );
-        return { all: edges.length, leased: leased.length, roster: edges[0]?.lessee.roster().length ?? 0 };
+        return { all: edges.length, leased: leased.length, roster: edges[0]?.lessee.members().length ?? 0 };
       }
       if (ask.kind === 'obeyedAt') return moments(edges.map((edge) => edge.obeyedAt.get(ask.version)));
       if (ask.kind === 'leasedAt') return moments(edges.map((edge) => edge.leasedAt.get(`${ask.service}/${ask.epoch}`)));
       if (ask.kind === 'epoch') {
-        const settled = edges[0]?.lessee.settled(ask.service) ?? Option.none;
+        const settled = edges[0]?.lessee.electedPrimary(ask.service) ?? Option.none;
         return { epoch: Option.isSome(settled) ? settled.value.epoch : 0 };
       }
       return {};
--- a/packages/bench/src/hollow/members.ts
+++ b/packages/bench/src/hollow/members.ts
@@ -150,7 +150,7 @@
 
   await kernel.network.listenStream(identifiers.address(settings.address), (stream) => void serve(stream));
   await kernel.network.serve(identifiers.address(settings.platform), {
-    mappings: [
+    routes: [
       {
         method: 'POST',
         path: '/promotions',
--- a/packages/bench/src/rehearse.ts
+++ b/packages/bench/src/rehearse.ts
@@ -6,7 +6,7 @@
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { http, identifiers, type HttpReply, type Kernel } from '@stallstall/kernel';
-import { machine } from '@stallstall/runtime';
+import { nodeRuntime } from '@stallstall/runtime';
 import { checks, type Violation } from '@stallstall/simulator';
 import { brightpath, redComun, sender, type Deployment, type Ledger } from '@stallstall/fakes';
 import { realFleet, type RealFleet } from './real-fleet.js';
@@ -331,7 +331,7 @@
 
 async function main(): Promise<void> {
   const folder = fs.mkdtempSync(path.join(os.tmpdir(), 'stallstall-'));
-  const kernel = await machine.create('rehearsal', Option.none);
+  const kernel = await nodeRuntime.create('rehearsal', Option.none);
   const fleet = realFleet.create(deployment, folder, Number(baseText));
   try {
     await waitFor(
--- a/packages/bench/src/stand-in-main.ts
+++ b/packages/bench/src/stand-in-main.ts
@@ -1,10 +1,10 @@
 // One stand-in as a process of its own: `stand-in-main.js member|platform '<settings as JSON>'` (design 10.1).
 import * as Option from 'fp-ts/lib/Option.js';
-import { machine } from '@stallstall/runtime';
+import { nodeRuntime } from '@stallstall/runtime';
 import { member, platform, type MemberSettings, type PlatformSettings } from '@stallstall/fakes';
 
 const [kind, text] = process.argv.slice(2);
-const kernel = await machine.create(`stand-in-${kind}`, Option.none);
+const kernel = await nodeRuntime.create(`stand-in-${kind}`, Option.none);
 if (kind === 'member') await member.start(kernel, JSON.parse(text ?? '{}') as MemberSettings, member.emptyStore(false));
 else if (kind === 'platform') await platform.start(kernel, JSON.parse(text ?? '{}') as PlatformSettings, platform.emptyStore());
 else throw new Error('name a stand-in: member or platform');
--- a/packages/bench/src/weigh.ts
+++ b/packages/bench/src/weigh.ts
@@ -5,13 +5,13 @@
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { http, identifiers } from '@stallstall/kernel';
-import { machine } from '@stallstall/runtime';
+import { nodeRuntime } from '@stallstall/runtime';
 import { redComun } from '@stallstall/fakes';
 import { realFleet } from './real-fleet.js';
 
 const countMilliseconds = 10_000;
 const ticksPerSecond = 100;
-const kernel = await machine.create('weigh', Option.none);
+const kernel = await nodeRuntime.create('weigh', Option.none);
 
 type Weight = Readonly<{ ticks: number; kilobytes: number }>;
 
--- a/packages/cli/src/core-client.ts
+++ b/packages/cli/src/core-client.ts
@@ -1,7 +1,7 @@
 /** How a command reaches the administration API of the fleet (design 9.2). */
 import { Flags, type Command } from '@oclif/core';
 import * as Either from 'fp-ts/lib/Either.js';
-import { fault, identifiers, type Fault, type HttpAsk, type HttpReply } from '@stallstall/kernel';
+import { fault, identifiers, type Fault, type OutgoingHttpRequest, type HttpReply } from '@stallstall/kernel';
 import { network } from '@stallstall/runtime';
 
 /** How long one core is waited for. */
@@ -29,7 +29,7 @@
 export const exits = { rejected: 1, wrong: 2, unreachable: 3 } as const;
 
 /** Asks one core after another until one of them may have received the request. `cores`: outward addresses with commas between. */
-async function askAny(cores: string, ask: HttpAsk): Promise<Either.Either<Fault, HttpReply>> {
+async function askAny(cores: string, ask: OutgoingHttpRequest): Promise<Either.Either<Fault, HttpReply>> {
   let last: Either.Either<Fault, HttpReply> = Either.left(
     fault.create({ kind: 'unreachable', message: 'no core is named', remedy: 'name one with --core' }),
   );
@@ -54,7 +54,7 @@
 }
 
 /** The body of a successful response; any other ends the command with a message and an exit code. */
-async function replyOf(command: Command, flags: CoreFlags, ask: HttpAsk): Promise<unknown> {
+async function replyOf(command: Command, flags: CoreFlags, ask: OutgoingHttpRequest): Promise<unknown> {
   const reply = await askAny(flags.core, {
     ...ask,
     headers: { ...ask.headers, ...(flags.key === undefined ? {} : { 'x-stallstall-operator': flags.key }) },
--- a/packages/cli/src/daemons.ts
+++ b/packages/cli/src/daemons.ts
@@ -4,7 +4,7 @@
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Fault, Kernel } from '@stallstall/kernel';
-import { disk, machine } from '@stallstall/runtime';
+import { disk, nodeRuntime } from '@stallstall/runtime';
 import { core } from '@stallstall/core';
 import { agent } from '@stallstall/agent';
 import { proxy } from '@stallstall/proxy';
@@ -66,7 +66,7 @@
   async run(): Promise<void> {
     const { flags } = await this.parse(RunCore);
     const first = orFail(this, settings.read(coreSettings, flags.settings, given(flags)));
-    const kernel = await machine.create(
+    const kernel = await nodeRuntime.create(
       'core',
       Option.some(orFail(this, await disk.openWhenWorking(first.data, (reason) => this.warn(reason.message)))),
     );
@@ -84,7 +84,7 @@
   async run(): Promise<void> {
     const { flags } = await this.parse(RunAgent);
     const first = orFail(this, settings.read(agentSettings, flags.settings, given(flags)));
-    const kernel = await machine.create('agent', Option.none);
+    const kernel = await nodeRuntime.create('agent', Option.none);
     const current = settings.follow(kernel, changes, { schema: agentSettings, file: flags.settings, flags: given(flags) }, first);
     const started = orFail(this, await agent.start(kernel, { ...first, seeds: () => current().seeds, platform: () => current().platform }));
     endWith(kernel, started.drain);
@@ -103,7 +103,7 @@
   async run(): Promise<void> {
     const { flags } = await this.parse(RunProxy);
     const first = orFail(this, settings.read(proxySettings, flags.settings, given(flags)));
-    const kernel = await machine.create('proxy', Option.none);
+    const kernel = await nodeRuntime.create('proxy', Option.none);
     settings.follow(kernel, changes, { schema: proxySettings, file: flags.settings, flags: given(flags) }, first);
     const started = await proxy.start(kernel, first);
     endWith(kernel, started.drain);
--- a/packages/cli/src/mappings.ts
+++ b/packages/cli/src/mappings.ts
@@ -3,7 +3,7 @@
 import { dereference } from '@readme/openapi-parser';
 import { Args, Command, Flags } from '@oclif/core';
 import * as Either from 'fp-ts/lib/Either.js';
-import { sheets, type SheetMapping } from '@stallstall/placement';
+import { placements, type SheetMapping } from '@stallstall/placement';
 
 type Operation = Readonly<Record<string, unknown>>;
 type Imported = Readonly<{ mappings: readonly SheetMapping[]; leftOut: readonly string[] }>;
@@ -59,7 +59,7 @@
       return this.error(`nothing was imported: ${(error as Error).message}; mend the file`, { exit: 2 });
     }
     const next = { ...sheet, mappings: imported.mappings };
-    const checked = sheets.check(next);
+    const checked = placements.check(next);
     if (Either.isLeft(checked)) return this.error(`nothing was imported: ${checked.left.message}`, { exit: 1 });
     fs.writeFileSync(flags.sheet, `${JSON.stringify(next, null, 2)}\n`);
     this.log(
--- a/packages/core/src/administration.ts
+++ b/packages/core/src/administration.ts
@@ -2,19 +2,19 @@
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { Type } from '@sinclair/typebox';
-import { fault, http, type Fault, type HttpReply, type HttpRequest, type HttpMapping, type Kernel } from '@stallstall/kernel';
+import { fault, http, type Fault, type HttpReply, type HttpRequest, type HttpRoute, type Kernel } from '@stallstall/kernel';
 import { message, type Entry, type Membership } from '@stallstall/message';
 import type { Peer } from '@stallstall/peer';
 import { quorum } from '@stallstall/quorum';
-import { notesService, registerService, usageWindowMilliseconds } from '@stallstall/register';
-import { electionService, livenessService, waivedKey } from '@stallstall/election';
+import { durableReportsService, registerService, usageWindowMilliseconds } from '@stallstall/register';
+import { electionService, livenessService, acceptedLossKey } from '@stallstall/election';
 import type { Node } from '@stallstall/node';
-import { sheets } from '@stallstall/placement';
-import { orders as ordersOf, type Orders } from './orders.js';
+import { placements } from '@stallstall/placement';
+import { configurationUpdates as ordersOf, type ConfigurationUpdates } from './configuration-updates.js';
 import { operators, ScopeSchema, type Caller, type Scope } from './operators.js';
-import type { Usage } from './usage.js';
+import type { UsageReporting } from './usage-reporting.js';
 import type { VersionStore } from './version-store.js';
-import { versions as versionsOf } from './versions.js';
+import { configurationVersions as versionsOf } from './configuration-versions.js';
 
 /** The health page speaks up before a core's disk is full of sheets. */
 const diskBytesMost = 128 * 1024 * 1024;
@@ -30,7 +30,7 @@
 
 export type AdministrationParts = Readonly<{
   node: Node;
-  usage: Usage;
+  usage: UsageReporting;
   rootKey: string | undefined;
   ready: () => boolean;
   diskBytes: () => number;
@@ -47,8 +47,8 @@
 }>;
 
 export type Administration = Readonly<{
-  mappings: readonly HttpMapping[];
-  configure: Orders['configure'];
+  routes: readonly HttpRoute[];
+  replaceExternal: ConfigurationUpdates['replaceExternal'];
   source: () => Promise<Either.Either<Fault, string>>;
 }>;
 
@@ -65,7 +65,7 @@
 function create(kernel: Kernel, parts: AdministrationParts): Administration {
   const { node, usage } = parts;
   const register = kernel.services.find(registerService);
-  const notes = kernel.services.find(notesService);
+  const notes = kernel.services.find(durableReportsService);
   const members = kernel.services.find(livenessService);
   const elections = kernel.services.find(electionService);
   const table = operators.create(kernel, parts.rootKey);
@@ -77,11 +77,11 @@
   }
 
   /** A page that only who may is let in to; what a sheet changes is checked where it is taken. */
-  function guarded(need: Need, handle: (request: HttpRequest, caller: Caller) => Promise<HttpReply>): HttpMapping['handle'] {
+  function guarded(need: Need, handle: (request: HttpRequest, caller: Caller) => Promise<HttpReply>): HttpRoute['handle'] {
     return async function guardedPage(request) {
       const caller = await table.caller(request);
-      if (Either.isLeft(caller)) return http.denied(caller.left);
-      if (!has(caller.right.scope, need)) return http.denied(operators.denied(`${caller.right.operator} may not do this`));
+      if (Either.isLeft(caller)) return http.rejected(caller.left);
+      if (!has(caller.right.scope, need)) return http.rejected(operators.denied(`${caller.right.operator} may not do this`));
       return handle(request, caller.right);
     };
   }
@@ -90,8 +90,8 @@
 
   async function sendSheet(request: HttpRequest, caller: Caller): Promise<HttpReply> {
     const body = request.body;
-    if (!message.fits(SendSchema, body)) {
-      return http.denied(
+    if (!message.matches(SendSchema, body)) {
+      return http.rejected(
         fault.create({
           kind: 'bad-request',
           message: 'a sheet is sent as {"sheet": {...}, "sentBy": "..."}',
@@ -99,16 +99,16 @@
         }),
       );
     }
-    const checked = sheets.check(body.sheet);
-    if (Either.isLeft(checked)) return http.denied(checked.left);
+    const checked = placements.check(body.sheet);
+    if (Either.isLeft(checked)) return http.rejected(checked.left);
     const expected = request.headers['if-match'];
     if (expected !== undefined && !/^"?\d+"?$/.test(expected)) {
-      return http.denied(
+      return http.rejected(
         fault.create({ kind: 'bad-request', message: 'If-Match names no version', remedy: 'give a version number, as in If-Match: 7' }),
       );
     }
     const sentBy = caller.operator === 'anyone' ? (body.sentBy ?? 'unnamed') : caller.operator;
-    const taken = await orders.send({
+    const taken = await orders.replace({
       caller,
       sheet: checked.right,
       document: body.sheet,
@@ -117,7 +117,7 @@
       sentBy,
       expected: Option.map((given: string) => Number(given.replaceAll('"', '')))(Option.fromNullable(expected)),
     });
-    if (Either.isLeft(taken)) return http.denied(taken.left);
+    if (Either.isLeft(taken)) return http.rejected(taken.left);
     const { version } = taken.right;
     await table.note(sentBy, 'sheet', `version ${version}`);
     return { status: 200, headers: { etag: `"${version}"` }, body: { version } };
@@ -134,18 +134,18 @@
 
   async function getSheet(request: HttpRequest): Promise<HttpReply> {
     const read = await versions.current();
-    if (Either.isLeft(read)) return http.denied(read.left);
+    if (Either.isLeft(read)) return http.rejected(read.left);
     if (Option.isNone(read.right)) {
-      return http.denied(
+      return http.rejected(
         fault.create({ kind: 'not-found', message: 'no sheet has been sent yet', remedy: 'send one with stallstall sheet send' }),
       );
     }
     const { version, value } = read.right.value;
     const wanted = request.query['version'] === undefined ? version : Number(request.query['version']);
     const found = await versions.at(wanted, { version, value });
-    if (Either.isLeft(found)) return http.denied(found.left);
+    if (Either.isLeft(found)) return http.rejected(found.left);
     if (Option.isNone(found.right)) {
-      return http.denied(
+      return http.rejected(
         fault.create({
           kind: wanted > version || !Number.isInteger(wanted) || wanted < 1 ? 'not-found' : 'version-forgotten',
           message: `version ${request.query['version']} is not kept`,
@@ -167,7 +167,7 @@
       .membership()
       .value.seats.map((seat) => seat.node)
       .filter((named) => {
-        const heard = node.heardAt(named);
+        const heard = node.lastHeartbeatAt(named);
         return named === node.settings.node || (Option.isSome(heard) && kernel.clock.now() - heard.value < 2_000);
       });
   }
@@ -188,7 +188,7 @@
       heard: reachable().length,
       spare: reachable().length - quorum.majority(membership.value.seats.length),
       nodes: membership.value.seats.map(function describe(seat) {
-        const heard = node.heardAt(seat.node);
+        const heard = node.lastHeartbeatAt(seat.node);
         const acknowledged = obeying.get(seat.node);
         return {
           node: seat.node,
@@ -201,7 +201,7 @@
           protocol:
             seat.node === node.settings.node
               ? kernel.protocols.to
-              : Option.getOrElse(() => 0)(Option.map((held: Peer) => held.protocol())(node.callPeer(seat.node))),
+              : Option.getOrElse(() => 0)(Option.map((held: Peer) => held.protocol())(node.peerOf(seat.node))),
           obeys: seat.node === node.settings.node ? (Option.isSome(configuration) ? configuration.value.version : 0) : (acknowledged ?? -1),
         };
       }),
@@ -213,16 +213,16 @@
     if (Option.isNone(configuration)) return [];
     return configuration.value.value.sheet.services.flatMap((service) =>
       service.members.map(function describe(member) {
-        const settled = node.settled(service.service);
+        const settled = node.electedPrimary(service.service);
         const state = members.state(member.member);
-        const heard = members.lastHeard(member.member);
+        const heard = members.lastHeartbeatAt(member.member);
         return {
           service: service.service,
           member: member.member,
           area: member.area,
           address: member.address,
           state: member.state,
-          alive: members.alive(member.member),
+          alive: members.isAlive(member.member),
           heardMilliseconds: Option.isSome(heard) ? Math.round(kernel.clock.now() - heard.value) : -1,
           leads: Option.isSome(settled) && settled.value.primary === member.member,
           epoch: Option.isSome(state) ? state.value.epoch : 0,
@@ -235,7 +235,7 @@
 
   /** Each service with its floor: what any candidate must hold (design 7.5). */
   async function electionRows(): Promise<Either.Either<Fault, readonly unknown[]>> {
-    const floors = await notes.floors();
+    const floors = await notes.watermarks();
     if (Either.isLeft(floors)) return floors;
     return Either.right(
       elections.describe().map((one) => {
@@ -249,15 +249,15 @@
   async function acceptLoss(request: HttpRequest, caller: Caller): Promise<HttpReply> {
     const named = request.query['service'] ?? '';
     const configuration = node.configuration();
-    if (Option.isNone(configuration) || sheets.service(configuration.value.value.sheet, named) === undefined) {
-      return http.denied(
+    if (Option.isNone(configuration) || placements.service(configuration.value.value.sheet, named) === undefined) {
+      return http.rejected(
         fault.create({ kind: 'not-found', message: `no sheet names a service ${named}`, remedy: 'see stallstall elections' }),
       );
     }
-    if (!operators.covers(caller.scope, named)) return http.denied(operators.denied(`${caller.operator} may not change ${named}`));
-    const settled = node.settled(named);
-    if (Option.isSome(settled) && members.alive(settled.value.primary)) {
-      return http.denied(
+    if (!operators.covers(caller.scope, named)) return http.rejected(operators.denied(`${caller.operator} may not change ${named}`));
+    const settled = node.electedPrimary(named);
+    if (Option.isSome(settled) && members.isAlive(settled.value.primary)) {
+      return http.rejected(
         fault.create({
           kind: 'unsafe-step',
           message: `${settled.value.primary} leads ${named} and is alive: nothing needs to be lost`,
@@ -265,11 +265,11 @@
         }),
       );
     }
-    const floors = await notes.floors();
-    if (Either.isLeft(floors)) return http.denied(floors.left);
+    const floors = await notes.watermarks();
+    if (Either.isLeft(floors)) return http.rejected(floors.left);
     const floor = floors.right[named] ?? { epoch: 0, position: 0 };
-    const written = await register.change(waivedKey(named), () => Option.some(floor));
-    if (Either.isLeft(written)) return http.denied(written.left);
+    const written = await register.change(acceptedLossKey(named), () => Option.some(floor));
+    if (Either.isLeft(written)) return http.rejected(written.left);
     await table.note(caller.operator, 'accept-loss', `${named} up to ${floor.epoch}/${floor.position}`);
     return { status: 200, body: { service: named, floor } };
   }
@@ -278,7 +278,7 @@
     const named = request.query['node'] ?? '';
     const seat = quorum.seat(node.membership().value, named);
     if (seat === undefined || seat.role !== 'edge') {
-      return http.denied(
+      return http.rejected(
         fault.create({
           kind: 'not-found',
           message: `the membership table names no edge ${named}`,
@@ -291,14 +291,14 @@
       return current === undefined ? before : quorum.put(before, { ...current, draining });
     });
     if (Either.isRight(done)) await table.note(caller.operator, draining ? 'drain' : 'undrain', named);
-    return http.replied(Either.isLeft(done) ? done : Either.right({ node: named, draining }));
+    return http.toReply(Either.isLeft(done) ? done : Either.right({ node: named, draining }));
   }
 
   async function remove(request: HttpRequest, caller: Caller): Promise<HttpReply> {
     const named = request.query['node'] ?? '';
     const seat = quorum.seat(node.membership().value, named);
     if (seat === undefined || seat.role !== 'edge') {
-      return http.denied(
+      return http.rejected(
         fault.create({
           kind: 'not-found',
           message: `the membership table names no edge ${named}`,
@@ -306,9 +306,9 @@
         }),
       );
     }
-    const heard = node.heardAt(named);
+    const heard = node.lastHeartbeatAt(named);
     if (!seat.draining && Option.isSome(heard) && kernel.clock.now() - heard.value < 5_000) {
-      return http.denied(
+      return http.rejected(
         fault.create({
           kind: 'unsafe-step',
           message: `${named} still runs and is not drained`,
@@ -319,7 +319,7 @@
     const { seats } = node.membership().value;
     const heardNodes = reachable().filter((one) => one !== named).length;
     if (request.query['force'] !== 'true' && heardNodes < quorum.majority(seats.length - 1)) {
-      return http.denied(
+      return http.rejected(
         fault.create({
           kind: 'unsafe-step',
           message: `only ${heardNodes} other nodes are heard, and ${seats.length - 1} nodes need ${quorum.majority(seats.length - 1)}`,
@@ -329,15 +329,15 @@
     }
     const done = await parts.changeMembership((current) => quorum.remove(current, named));
     if (Either.isRight(done)) await table.note(caller.operator, 'remove', named);
-    return http.replied(Either.isLeft(done) ? done : Either.right({ node: named, removed: true }));
+    return http.toReply(Either.isLeft(done) ? done : Either.right({ node: named, removed: true }));
   }
 
   // -- Operators, the trail, health and metrics.
 
   async function putOperator(request: HttpRequest, caller: Caller): Promise<HttpReply> {
     const named = request.query['operator'] ?? '';
-    if (!message.fits(ScopeSchema, request.body) || !/^[a-z0-9][a-z0-9._-]{0,62}$/i.test(named) || named === 'root') {
-      return http.denied(
+    if (!message.matches(ScopeSchema, request.body) || !/^[a-z0-9][a-z0-9._-]{0,62}$/i.test(named) || named === 'root') {
+      return http.rejected(
         fault.create({
           kind: 'bad-request',
           message: 'an operator has a name and {services: [...], nodes: truth, operators: truth}',
@@ -352,26 +352,28 @@
         'operator-put',
         `${named} services=${request.body.services.join('+')} nodes=${request.body.nodes} operators=${request.body.operators}`,
       );
-    return http.replied(Either.map((made: string) => ({ operator: named, key: made }))(key));
+    return http.toReply(Either.map((made: string) => ({ operator: named, key: made }))(key));
   }
 
   async function removeOperator(request: HttpRequest, caller: Caller): Promise<HttpReply> {
     const named = request.query['operator'] ?? '';
     const removed = await table.remove(named);
-    if (Either.isLeft(removed)) return http.denied(removed.left);
+    if (Either.isLeft(removed)) return http.rejected(removed.left);
     if (!removed.right)
-      return http.denied(fault.create({ kind: 'not-found', message: `there is no operator ${named}`, remedy: 'see stallstall operators' }));
+      return http.rejected(
+        fault.create({ kind: 'not-found', message: `there is no operator ${named}`, remedy: 'see stallstall operators' }),
+      );
     await table.note(caller.operator, 'operator-removed', named);
     return { status: 200, body: { operator: named, removed: true } };
   }
 
   async function listed(rows: Either.Either<Fault, readonly unknown[]>, request: HttpRequest): Promise<HttpReply> {
-    return http.replied(Either.map((all: readonly unknown[]) => page(all, request))(rows));
+    return http.toReply(Either.map((all: readonly unknown[]) => page(all, request))(rows));
   }
 
   async function listVersions(request: HttpRequest): Promise<HttpReply> {
     const read = await versions.current();
-    if (Either.isLeft(read)) return http.denied(read.left);
+    if (Either.isLeft(read)) return http.rejected(read.left);
     if (Option.isNone(read.right)) return { status: 200, body: page([], request) };
     const current = read.right.value;
     const shown = page(versions.numbers(current.version), request);
@@ -393,8 +395,8 @@
     const services = Option.isSome(configuration) ? configuration.value.value.sheet.services : [];
     const leaderless = services
       .filter((service) => {
-        const settled = node.settled(service.service);
-        return Option.isNone(settled) || !members.alive(settled.value.primary);
+        const settled = node.electedPrimary(service.service);
+        return Option.isNone(settled) || !members.isAlive(settled.value.primary);
       })
       .map((service) => service.service);
     const windows = await usage.windows();
@@ -455,7 +457,7 @@
   }
 
   async function beaten(): Promise<HttpReply> {
-    const stances = node.stances();
+    const stances = node.reportedEpochs();
     return {
       status: 200,
       body: {
@@ -468,10 +470,10 @@
   }
 
   async function checkSheet(request: HttpRequest): Promise<HttpReply> {
-    return http.replied(Either.map(() => ({ sound: true }))(sheets.check((request.body as { sheet?: unknown } | null)?.sheet)));
+    return http.toReply(Either.map(() => ({ sound: true }))(placements.check((request.body as { sheet?: unknown } | null)?.sheet)));
   }
 
-  const mappings: readonly HttpMapping[] = [
+  const mappings: readonly HttpRoute[] = [
     {
       method: 'GET',
       path: '/ready',
@@ -507,7 +509,7 @@
     { method: 'DELETE', path: '/v1/nodes/:node', handle: guarded('nodes', remove) },
   ];
 
-  return { mappings, configure: orders.configure, source };
+  return { routes: mappings, replaceExternal: orders.replaceExternal, source };
 }
 
 export const administration = { create } as const;
--- a/packages/core/src/subscribers.ts
+++ b/packages/core/src/change-subscribers.ts
@@ -24,20 +24,20 @@
   holds?: Ballot | undefined;
 }>;
 
-export type Subscribers = Readonly<{
+export type ChangeSubscribers = Readonly<{
   /** Hands an accepted entry to every open subscriber. */
   push: (key: string, entry: Entry) => void;
   /** Hands all that is watched to every open subscriber anew, as the cells hold it. */
   pushAll: (cells: Acceptor) => void;
   /** Subscribes whoever asks, once the cells are open, and keeps its acknowledgement. */
-  enlist: (cells: Acceptor, from: Acknowledgement, caller: Caller) => Subscriber | undefined;
+  subscribe: (cells: Acceptor, from: Acknowledgement, caller: Caller) => Subscriber | undefined;
   /** The version that each connected node has acknowledged to obey. */
-  obeyed: () => ReadonlyMap<string, number>;
+  appliedVersions: () => ReadonlyMap<string, number>;
   metrics: () => Readonly<{ watching: number; pushed: number; unacknowledged: number }>;
 }>;
 
 /** What is pushed of the configuration leaves the ids of earlier sends behind. */
-export function forPush(key: string, entry: Entry): Entry {
+export function withoutHistory(key: string, entry: Entry): Entry {
   if (key !== 'configuration') return entry;
   const { external: _external, ...pushed } = entry.value as Configuration;
   return { ...entry, value: { ...pushed, recent: [] } };
@@ -85,8 +85,8 @@
 }
 
 /** `stoodAt` tells the number of the set of cores under which a change is handed over (design 4.8). */
-function create(stoodAt: () => Readonly<{ set?: number }>): Subscribers {
-  const subscribers = new Map<Caller, Subscriber>();
+function create(stoodAt: () => Readonly<{ set?: number }>): ChangeSubscribers {
+  const changeSubscribers = new Map<Caller, Subscriber>();
   const recent = recentContents();
 
   /** A configuration goes over to whoever asked for that here, as what differs from the one it holds if it can; the others learn that there is one. */
@@ -94,7 +94,7 @@
     const slim = { ...entry, value: null };
     if (key !== 'configuration') return { entry };
     if (!to.content) return { entry: slim };
-    const pushed = forPush(key, entry);
+    const pushed = withoutHistory(key, entry);
     recent.add(pushed);
     const differs = to.holds === undefined ? undefined : recent.differsFrom(to.holds);
     if (to.holds !== undefined) to.holds = entry.ballot;
@@ -107,43 +107,43 @@
   }
 
   function open(): readonly Subscriber[] {
-    return [...subscribers.values()].filter((subscriber) => subscriber.caller.open());
+    return [...changeSubscribers.values()].filter((subscriber) => subscriber.caller.open());
   }
 
   function handOverAll(cells: Acceptor, to: readonly Subscriber[]): void {
     for (const key of cells.keys()) {
       const accepted = cells.accepted(key);
-      if (!watcher.watched(key) || Option.isNone(accepted)) continue;
+      if (!watcher.isWatched(key) || Option.isNone(accepted)) continue;
       for (const subscriber of to) handOver(subscriber, key, accepted.value);
     }
   }
 
   function enlist(cells: Acceptor, from: Acknowledgement, caller: Caller): Subscriber | undefined {
     const content = from.content ?? true;
-    let subscriber = subscribers.get(caller);
+    let subscriber = changeSubscribers.get(caller);
     if (cells.ready() && subscriber === undefined) {
       subscriber = { node: from.node, number: 0, acknowledged: 0, obeyed: 0, caller, content, holds: from.holds };
-      subscribers.set(caller, subscriber);
+      changeSubscribers.set(caller, subscriber);
       handOverAll(cells, [subscriber]);
     }
-    for (const known of subscribers.keys()) if (!known.open()) subscribers.delete(known);
+    for (const known of changeSubscribers.keys()) if (!known.open()) changeSubscribers.delete(known);
     if (subscriber !== undefined) Object.assign(subscriber, { content, acknowledged: from.acknowledged, obeyed: from.obeyed });
     return subscriber;
   }
 
   return {
-    enlist,
+    subscribe: enlist,
     push: function push(key, entry) {
       for (const subscriber of open()) handOver(subscriber, key, entry);
     },
     pushAll: (cells) => handOverAll(cells, open()),
-    obeyed: () => new Map(open().map((subscriber) => [subscriber.node, subscriber.obeyed])),
+    appliedVersions: () => new Map(open().map((subscriber) => [subscriber.node, subscriber.obeyed])),
     metrics: () => ({
       watching: open().length,
-      pushed: [...subscribers.values()].reduce((sum, subscriber) => sum + subscriber.number, 0),
+      pushed: [...changeSubscribers.values()].reduce((sum, subscriber) => sum + subscriber.number, 0),
       unacknowledged: open().reduce((sum, subscriber) => sum + Math.max(0, subscriber.number - subscriber.acknowledged), 0),
     }),
   };
 }
 
-export const subscribers = { create } as const;
+export const changeSubscribers = { create } as const;
--- a/packages/core/src/ledger.ts
+++ b/packages/core/src/claim-table.ts
@@ -35,13 +35,13 @@
 /** Whose document a number stands for; `forgotten`: too old to be told. */
 export type NumberClaim = 'own' | 'other' | 'forgotten';
 
-export type Ledger = Readonly<{
+export type ClaimTable = Readonly<{
   /** Claims a number for a document, unless it stands for one already. */
   claimNumber: (number: number, digest: string, milliseconds: number) => Promise<Either.Either<Fault, NumberClaim>>;
   /** Claims a send id, unless it is claimed already; gives the claim that stands. */
   claimSend: (claim: SendClaim) => Promise<Either.Either<Fault, SendClaim>>;
   /** Keeps the version that a send was taken as. */
-  settleSend: (sendId: string, version: number) => Promise<void>;
+  recordVersion: (sendId: string, version: number) => Promise<void>;
 }>;
 
 /** Claims lie in so many cells, so that a change carries only a small part of them. */
@@ -58,11 +58,11 @@
 }
 
 function numbersOf(entry: Option.Option<Entry>): Numbers {
-  return Option.isSome(entry) && message.fits(NumbersSchema, entry.value.value) ? entry.value.value : noNumbers;
+  return Option.isSome(entry) && message.matches(NumbersSchema, entry.value.value) ? entry.value.value : noNumbers;
 }
 
 function sendsOf(entry: Option.Option<Entry>): Sends {
-  return Option.isSome(entry) && message.fits(SendsSchema, entry.value.value) ? entry.value.value : noSends;
+  return Option.isSome(entry) && message.matches(SendsSchema, entry.value.value) ? entry.value.value : noSends;
 }
 
 /** Adds a claim; the lowest numbers are forgotten first, for a late copy of an order is likeliest a recent one. */
@@ -78,7 +78,7 @@
   return found.digest === digest ? 'own' : 'other';
 }
 
-function create(register: Register): Ledger {
+function create(register: Register): ClaimTable {
   async function claimNumber(number: number, digest: string, milliseconds: number): Promise<Either.Either<Fault, NumberClaim>> {
     const changed = await register.change(
       `ledger/numbers/${slotOf(String(number))}`,
@@ -112,7 +112,7 @@
     });
   }
 
-  return { claimNumber, claimSend, settleSend };
+  return { claimNumber, claimSend, recordVersion: settleSend };
 }
 
-export const ledger = { create } as const;
+export const claimTable = { create } as const;
--- a/packages/core/src/orders.ts
+++ b/packages/core/src/configuration-updates.ts
@@ -4,18 +4,18 @@
 import { fault, type Fault, type Kernel } from '@stallstall/kernel';
 import type { Entry } from '@stallstall/message';
 import type { Configuration } from '@stallstall/node';
-import type { Changed, Register } from '@stallstall/register';
+import type { ChangeOutcome, Register } from '@stallstall/register';
 import type { Sheet } from '@stallstall/placement';
-import { digest } from './digest.js';
-import { ledger as ledgers, type SendClaim } from './ledger.js';
+import { documentDigest } from './document-digest.js';
+import { claimTable as ledgers, type SendClaim } from './claim-table.js';
 import { operators, type Caller } from './operators.js';
-import type { Versions } from './versions.js';
+import type { ConfigurationVersions } from './configuration-versions.js';
 
 /** A version that the sender counts itself, with the text as sent: it is read back unchanged (design 6.5). */
 export type ExternalVersion = Readonly<{ version: number; source: string }>;
 
 /** A sheet that an operator of this product sends. */
-export type SheetOrder = Readonly<{
+export type PlacementUpdate = Readonly<{
   caller: Caller;
   sheet: Sheet;
   /** The sheet as sent, before anything was filled in: what a send id stands for. */
@@ -28,15 +28,15 @@
   expected: Option.Option<number>;
 }>;
 
-export type Orders = Readonly<{
-  send: (order: SheetOrder) => Promise<Either.Either<Fault, Readonly<{ version: number }>>>;
+export type ConfigurationUpdates = Readonly<{
+  replace: (order: PlacementUpdate) => Promise<Either.Either<Fault, Readonly<{ version: number }>>>;
   /** Of two external versions the higher stands; a lower one, or the same again, changes nothing and is right all the same. */
-  configure: (external: ExternalVersion, sheet: Sheet) => Promise<Either.Either<Fault, Readonly<{ version: number }>>>;
+  replaceExternal: (external: ExternalVersion, sheet: Sheet) => Promise<Either.Either<Fault, Readonly<{ version: number }>>>;
 }>;
 
-export type OrderParts = Readonly<{
+export type ConfigurationUpdateParts = Readonly<{
   register: Register;
-  versions: Versions;
+  versions: ConfigurationVersions;
   /** The configuration on this core's own disk, chosen or not. */
   accepted: () => Option.Option<Entry>;
 }>;
@@ -113,15 +113,15 @@
   return version - claim.since < recentKept - recentSlack;
 }
 
-function create(kernel: Kernel, parts: OrderParts): Orders {
+function create(kernel: Kernel, parts: ConfigurationUpdateParts): ConfigurationUpdates {
   const { register, versions } = parts;
   const ledger = ledgers.create(register);
 
   // -- Sheets under a send id (design 6.2).
 
   /** A send id that its sender chose stands for one sheet, for good. */
-  async function claimSend(order: SheetOrder): Promise<Either.Either<Fault, SendClaim>> {
-    const wanted = { sendId: order.sendId, digest: digest.ofDocument(order.document) };
+  async function claimSend(order: PlacementUpdate): Promise<Either.Either<Fault, SendClaim>> {
+    const wanted = { sendId: order.sendId, digest: documentDigest.ofDocument(order.document) };
     if (!order.named) return Either.right({ ...wanted, since: Number.MAX_SAFE_INTEGER });
     const read = await versions.current();
     if (Either.isLeft(read)) return read;
@@ -131,9 +131,9 @@
     return claimed.right.digest === wanted.digest ? claimed : Either.left(otherSheet(order.sendId));
   }
 
-  type Sent = Readonly<{ changed: Changed; refused: Option.Option<Fault> }>;
+  type Sent = Readonly<{ changed: ChangeOutcome; refused: Option.Option<Fault> }>;
 
-  async function propose(order: SheetOrder, claim: SendClaim): Promise<Either.Either<Fault, Sent>> {
+  async function propose(order: PlacementUpdate, claim: SendClaim): Promise<Either.Either<Fault, Sent>> {
     const { caller, sheet, sendId, sentBy, expected } = order;
     const sentAt = kernel.clock.wall();
     let refused: Option.Option<Fault> = Option.none;
@@ -156,7 +156,7 @@
         recent: [...(before === undefined ? [] : recentOf(before)), { version: version + 1, sendId }].slice(-recentKept),
       });
     });
-    return Either.map((done: Changed) => ({ changed: done, refused }))(changed);
+    return Either.map((done: ChangeOutcome) => ({ changed: done, refused }))(changed);
   }
 
   function versionConflict(version: number): Fault {
@@ -168,7 +168,7 @@
     });
   }
 
-  async function send(order: SheetOrder): Promise<Either.Either<Fault, Readonly<{ version: number }>>> {
+  async function send(order: PlacementUpdate): Promise<Either.Either<Fault, Readonly<{ version: number }>>> {
     const claimed = await claimSend(order);
     if (Either.isLeft(claimed)) {
       const refused = fault.kind(claimed.left) === 'version-conflict';
@@ -180,7 +180,7 @@
     if (Option.isSome(sent.right.refused)) return Either.left(sent.right.refused.value);
     const entry = (sent.right.changed.entry as Option.Some<Entry>).value;
     const version = recentOf(entry.value as Configuration).find((old) => old.sendId === order.sendId)?.version ?? entry.version;
-    if (order.named) await ledger.settleSend(order.sendId, version);
+    if (order.named) await ledger.recordVersion(order.sendId, version);
     return Either.right({ version });
   }
 
@@ -194,7 +194,7 @@
     if (Either.isLeft(read) || Option.isNone(read.right)) return read;
     const { external } = read.right.value.value;
     if (external === undefined || external.digest !== undefined) return Either.right(undefined);
-    return ledger.claimNumber(external.version, digest.ofText(external.source), milliseconds);
+    return ledger.claimNumber(external.version, documentDigest.ofText(external.source), milliseconds);
   }
 
   async function claimNumber(external: ExternalVersion, textDigest: string, horizon: number): Promise<Either.Either<Fault, unknown>> {
@@ -209,7 +209,7 @@
 
   async function configure(external: ExternalVersion, sheet: Sheet): Promise<Either.Either<Fault, Readonly<{ version: number }>>> {
     const horizon = kernel.clock.now() + configureMilliseconds;
-    const textDigest = digest.ofText(external.source);
+    const textDigest = documentDigest.ofText(external.source);
     const claimed = await claimNumber(external, textDigest, horizon);
     if (Either.isLeft(claimed)) {
       kernel.log('configuration.not-taken', { external: external.version, reason: fault.kind(claimed.left) });
@@ -237,7 +237,7 @@
     return Either.right({ version: standing });
   }
 
-  return { send, configure };
+  return { replace: send, replaceExternal: configure };
 }
 
-export const orders = { create } as const;
+export const configurationUpdates = { create } as const;
--- a/packages/core/src/versions.ts
+++ b/packages/core/src/configuration-versions.ts
@@ -9,7 +9,7 @@
 
 export type Current = Readonly<{ version: number; value: Configuration }>;
 
-export type Versions = Readonly<{
+export type ConfigurationVersions = Readonly<{
   current: () => Promise<Either.Either<Fault, Option.Option<Current>>>;
   /** A version by its number: the current one, or an earlier one from any core that keeps it. */
   at: (wanted: number, current: Current) => Promise<Either.Either<Fault, Option.Option<SentVersion>>>;
@@ -21,7 +21,7 @@
   numbers: (latest: number) => readonly number[];
 }>;
 
-function create(register: Register, store: VersionStore): Versions {
+function create(register: Register, store: VersionStore): ConfigurationVersions {
   async function current(): Promise<Either.Either<Fault, Option.Option<Current>>> {
     const read = await register.read('configuration');
     if (Either.isLeft(read)) return read;
@@ -62,4 +62,4 @@
   return { current, at, row, oldest: store.oldest, numbers };
 }
 
-export const versions = { create } as const;
+export const configurationVersions = { create } as const;
--- a/packages/core/src/core-calls.ts
+++ b/packages/core/src/core-calls.ts
@@ -1,14 +1,14 @@
 // Calls to other cores at their own addresses, over links that are held only while they are used (design 4.8).
 import * as Option from 'fp-ts/lib/Option.js';
 import { identifiers, type Instant, type Kernel } from '@stallstall/kernel';
-import type { Ask, MessageKind, Reply } from '@stallstall/message';
+import type { Request, MessageKind, Reply } from '@stallstall/message';
 import { peer, type Peer } from '@stallstall/peer';
 
 /** Asks whoever listens at an address; none when it is out of reach or does not answer in time. */
 export type CoreCall = <Kind extends MessageKind>(
   address: string,
   kind: Kind,
-  body: Ask<Kind>,
+  body: Request<Kind>,
   milliseconds: number,
 ) => Promise<Option.Option<Reply<Kind>>>;
 
@@ -42,7 +42,7 @@
   async function call<Kind extends MessageKind>(
     address: string,
     kind: Kind,
-    body: Ask<Kind>,
+    body: Request<Kind>,
     milliseconds: number,
   ): Promise<Option.Option<Reply<Kind>>> {
     const held = linkTo(address);
@@ -51,7 +51,7 @@
     const reply = await held.peer.call(kind, body, milliseconds);
     held.open -= 1;
     held.usedAt = kernel.clock.now();
-    kernel.clock.alarm(idleMilliseconds, closeIdle);
+    kernel.clock.startTimer(idleMilliseconds, closeIdle);
     return reply;
   }
 
--- a/packages/core/src/cores.ts
+++ b/packages/core/src/core-set-manager.ts
@@ -2,41 +2,49 @@
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { identifiers, kernel as kernels, owner, type Instant, type Kernel } from '@stallstall/kernel';
-import type { Ask, CoreSet, Reply, Seat } from '@stallstall/message';
+import type { Request, CoreSet, Reply, Seat } from '@stallstall/message';
 import { quorum } from '@stallstall/quorum';
-import { sameOccupant, stepKey, stepper, type Acceptor, type Confirmed, type NumberedRegister, type Stepper } from '@stallstall/register';
+import {
+  sameOccupant,
+  coreSetKey,
+  coreSetChanges,
+  type Acceptor,
+  type Confirmed,
+  type NumberedRegister,
+  type CoreSetChanges,
+} from '@stallstall/register';
 import type { Node } from '@stallstall/node';
 import type { CoreCall } from './core-calls.js';
-import type { Copying } from './copying.js';
+import type { StateTransfer } from './state-transfer.js';
 import { setOf, type Fleet } from './fleet-record.js';
 import { learner } from './learner.js';
 
-export type CoresParts = Readonly<{
-  node: Pick<Node, 'settings' | 'seat' | 'heardAt' | 'setFleet'>;
-  register: Pick<NumberedRegister, 'under'>;
-  call: CoreCall;
+export type CoreSetManagerParts = Readonly<{
+  node: Pick<Node, 'settings' | 'seat' | 'lastHeartbeatAt' | 'setFleet'>;
+  register: Pick<NumberedRegister, 'inSet'>;
+  callCore: CoreCall;
   cells: Acceptor;
-  copying: Copying;
+  copying: StateTransfer;
   fleet: () => Option.Option<Fleet>;
   keepFleet: (next: Fleet) => Promise<boolean>;
   /** Begins to answer as the fleet record says. */
   open: (known: Fleet) => void;
   /** Stands at another set than before. */
-  moved: (known: Fleet) => void;
+  changeSet: (known: Fleet) => void;
   /** Answers nothing any more: its seat was given to another. */
   close: (set: CoreSet) => void;
 }>;
 
-export type Cores = Readonly<{
-  adopt: (ask: Ask<'adopt'>) => Promise<Reply<'adopt'>>;
-  join: (ask: Ask<'join'>) => Promise<Reply<'join'>>;
-  learn: (set: CoreSet) => void;
+export type CoreSetManager = Readonly<{
+  adopt: (ask: Request<'adopt'>) => Promise<Reply<'adopt'>>;
+  join: (ask: Request<'join'>) => Promise<Reply<'join'>>;
+  observe: (set: CoreSet) => void;
   /** A formed fleet was met that this core is not, or not any more, a core of. */
-  met: (fleet: string, set: CoreSet) => void;
+  fleetFound: (fleet: string, set: CoreSet) => void;
   /** This disk cannot be trusted to hold what it promised: the core goes on as one that lost its disk. */
-  distrust: () => Promise<boolean>;
+  abandonDisk: () => Promise<boolean>;
   /** Offers this core's own seat, until a learner that waits for one has it, or until the horizon. */
-  leave: (horizon: Instant) => Promise<void>;
+  handOverSeat: (horizon: Instant) => Promise<void>;
   start: () => void;
   stop: () => void;
 }>;
@@ -49,7 +57,7 @@
 const learnerMilliseconds = 1_500;
 const leaveLookMilliseconds = 20;
 
-function create(kernel: Kernel, parts: CoresParts, between: (now: boolean) => void): Cores {
+function create(kernel: Kernel, parts: CoreSetManagerParts, between: (now: boolean) => void): CoreSetManager {
   const { node, cells } = parts;
   const commands = owner.create('core set', null);
   let standsSince = kernel.clock.now();
@@ -79,13 +87,13 @@
   }
 
   const learning = learner.create(kernel, {
-    call: parts.call,
+    call: parts.callCore,
     cells,
     copying: parts.copying,
     seat: ownSeat,
     seeds: node.settings.seeds,
     wanted: () => !stopped && !leaving && !cells.ready(),
-    open: (set) => commands.ask(() => openAt(set)),
+    open: (set) => commands.run(() => openAt(set)),
   });
 
   // -- Standing at a set: on the disk before anything is answered under it.
@@ -126,12 +134,12 @@
     if (!listed) {
       kernel.log('core.departed', { set: set.number });
       parts.close(set);
-      learning.learn(set);
+      learning.observe(set);
       return false;
     }
     kernel.log('core.set', { number: set.number, cores: set.seats.length });
     const record = parts.fleet();
-    if (cells.ready() && Option.isSome(record)) parts.moved(record.value);
+    if (cells.ready() && Option.isSome(record)) parts.changeSet(record.value);
     return true;
   }
 
@@ -141,7 +149,7 @@
     if (stopped || Option.isNone(known) || known.value.fleet !== fleet) return false;
     if (known.value.stage === 'founding') return openAt(set);
     if (known.value.stage !== 'formed') {
-      learning.learn(set);
+      learning.observe(set);
       return false;
     }
     if (set.number <= own().number) return set.number === own().number;
@@ -151,7 +159,7 @@
   function learn(set: CoreSet): void {
     const known = parts.fleet();
     if (Option.isSome(known) && (known.value.stage !== 'formed' || set.number > own().number))
-      void commands.ask(() => take(known.value.fleet, set));
+      void commands.run(() => take(known.value.fleet, set));
   }
 
   /** Cores that were not heard for long; whoever has just begun to listen tells of none. */
@@ -162,14 +170,14 @@
       .filter(
         (core) =>
           core !== node.settings.node &&
-          now - Math.max(standsSince, Option.getOrElse(() => standsSince)(node.heardAt(core))) > silentMilliseconds,
+          now - Math.max(standsSince, Option.getOrElse(() => standsSince)(node.lastHeartbeatAt(core))) > silentMilliseconds,
       );
   }
 
-  async function adopt(ask: Ask<'adopt'>): Promise<Reply<'adopt'>> {
+  async function adopt(ask: Request<'adopt'>): Promise<Reply<'adopt'>> {
     // A blank core may know no seed that still runs, while the cores of the fleet go on calling it where it was seated.
-    if (Option.isNone(parts.fleet()) && !stopped && !leaving) void commands.ask(() => meet(ask.fleet, ask.set));
-    const adopted = await commands.ask(() => take(ask.fleet, ask.set));
+    if (Option.isNone(parts.fleet()) && !stopped && !leaving) void commands.run(() => meet(ask.fleet, ask.set));
+    const adopted = await commands.run(() => take(ask.fleet, ask.set));
     const known = parts.fleet();
     const formed = Option.isSome(known) && known.value.fleet === ask.fleet && isFormed();
     return { adopted, silent: [...silent()], ...(formed && own().number > ask.set.number ? { newer: own() } : {}) };
@@ -180,14 +188,14 @@
   async function askAdopt(seat: Seat, set: CoreSet): Promise<Option.Option<Reply<'adopt'>>> {
     const known = parts.fleet();
     if (Option.isNone(known)) return Option.none;
-    const ask: Ask<'adopt'> = { fleet: known.value.fleet, set };
+    const ask: Request<'adopt'> = { fleet: known.value.fleet, set };
     if (seat.address === node.seat().address) return Option.some(await adopt(ask));
     // Whoever was silent for long would only be waited for; it hears of the set from whoever it reaches first.
     if (silent().includes(seat.node)) return Option.none;
-    return parts.call(seat.address, 'adopt', ask, callMilliseconds);
+    return parts.callCore(seat.address, 'adopt', ask, callMilliseconds);
   }
 
-  const steps: Stepper = stepper.create({ set: own, under: parts.register.under, adopt: askAdopt, learn });
+  const steps: CoreSetChanges = coreSetChanges.create({ set: own, under: parts.register.inSet, adopt: askAdopt, observe: learn });
 
   /** A node that is listed with another disk, or elsewhere, has its own seat only; else whoever is gone goes first. */
   function vacancies(occupant: Seat, set: CoreSet, confirmed: Confirmed): readonly string[] {
@@ -201,7 +209,7 @@
     return leaving || silent().length > 0 || quorum.seat(own(), occupant.node) !== undefined;
   }
 
-  async function join(ask: Ask<'join'>): Promise<Reply<'join'>> {
+  async function join(ask: Request<'join'>): Promise<Reply<'join'>> {
     if (!cells.ready()) return { joined: false, reason: 'this core is not open yet' };
     const { seat } = ask;
     const listed = own().seats.find((one) => sameOccupant(one, seat));
@@ -209,7 +217,7 @@
     if (listed === undefined) learnerAskedAt = kernel.clock.now();
     if (!mayBeVacant(seat)) return { joined: false, reason: 'no seat is vacant', set: own() };
     kernel.log('core.proposes', { node: seat.node, set: own().number + 1 });
-    const done = await steps.step(seat, (set, confirmed) => vacancies(seat, set, confirmed));
+    const done = await steps.replaceOccupant(seat, (set, confirmed) => vacancies(seat, set, confirmed));
     if (Either.isLeft(done)) return { joined: false, reason: done.left.message.slice(0, 300), set: own() };
     kernel.log('core.seated', { node: seat.node, set: done.right.number });
     return { joined: true, reason: '', set: done.right };
@@ -222,7 +230,7 @@
   }
 
   async function round(): Promise<void> {
-    if (cells.ready() && Option.isSome(cells.accepted(stepKey(own().number)))) await steps.finish();
+    if (cells.ready() && Option.isSome(cells.accepted(coreSetKey(own().number)))) await steps.completeInterrupted();
   }
 
   // -- Cores without a seat.
@@ -233,7 +241,7 @@
     if (isFormed() || cells.ready()) return;
     if (!isLearner && !(await parts.keepFleet(learnerRecord(fleet, set)))) return;
     node.setFleet(fleet);
-    learning.learn(set);
+    learning.observe(set);
   }
 
   async function distrust(): Promise<boolean> {
@@ -251,11 +259,11 @@
   return {
     adopt,
     join,
-    learn,
-    leave,
-    distrust: () => commands.ask(distrust),
-    met: function met(fleet, set) {
-      if (!stopped && !leaving) void commands.ask(() => meet(fleet, set));
+    observe: learn,
+    handOverSeat: leave,
+    abandonDisk: () => commands.run(distrust),
+    fleetFound: function met(fleet, set) {
+      if (!stopped && !leaving) void commands.run(() => meet(fleet, set));
     },
     start: function start() {
       void kernels.every(
@@ -274,4 +282,4 @@
   };
 }
 
-export const cores = { create } as const;
+export const coreSetManager = { create } as const;
--- a/packages/core/src/data-folder.ts
+++ b/packages/core/src/data-folder.ts
@@ -5,7 +5,7 @@
 import { fault, type Disk, type Fault, type Kernel } from '@stallstall/kernel';
 import { message, messages, SeatSchema } from '@stallstall/message';
 import { acceptor, coldPrefix, notesPrefix, registerPrefix } from '@stallstall/register';
-import { VoteSchema, votesPrefix } from './votes.js';
+import { VoteSchema, votesPrefix } from './vote-store.js';
 
 /** Of what lies in a data folder. 1: the sheet's history inside its cell, no notes; 2: an archive and notes (design 4.6). */
 export const diskFormat = 2;
@@ -49,8 +49,8 @@
 /** Whether an entry that a core leans on can be read; others are of no matter. */
 function isReadable(key: string, value: unknown): boolean {
   if (key.startsWith(registerPrefix)) return acceptor.isCellState(value);
-  if (key.startsWith(votesPrefix)) return message.fits(VoteSchema, value);
-  if (key.startsWith(notesPrefix)) return message.fits(messages.note.ask, value);
+  if (key.startsWith(votesPrefix)) return message.matches(VoteSchema, value);
+  if (key.startsWith(notesPrefix)) return message.matches(messages.note.ask, value);
   return true;
 }
 
@@ -67,7 +67,7 @@
   if (typeof told?.node === 'string' && told.node !== node) {
     return refused(`the data folder belongs to ${told.node}`, `point --data at the folder of ${node}, or start with an empty one`);
   }
-  if (!message.fits(FleetSchema, fleet)) return broken('its fleet cannot be read');
+  if (!message.matches(FleetSchema, fleet)) return broken('its fleet cannot be read');
   for (const [key, value] of stored) if (!isReadable(key, value)) return broken(`its entry ${key} cannot be read`);
   return sound;
 }
--- a/packages/core/src/digest.ts
+++ b/packages/core/src/document-digest.ts
@@ -19,4 +19,4 @@
   }
 }
 
-export const digest = { ofDocument, ofText } as const;
+export const documentDigest = { ofDocument, ofText } as const;
--- a/packages/core/src/formation.ts
+++ b/packages/core/src/fleet-bootstrap.ts
@@ -1,54 +1,54 @@
 // Forms the fleet once, or brings a core back to the fleet that its disk names (design 4.3, 4.8).
 import * as Option from 'fp-ts/lib/Option.js';
 import { fault, identifiers, type Disk, type Instant, type Kernel } from '@stallstall/kernel';
-import type { Ask, Reply, Seat } from '@stallstall/message';
-import { beatMilliseconds, type Node } from '@stallstall/node';
+import type { Request, Reply, Seat } from '@stallstall/message';
+import { heartbeatMilliseconds, type Node } from '@stallstall/node';
 import { peer } from '@stallstall/peer';
 import { quorum } from '@stallstall/quorum';
 import type { Acceptor } from '@stallstall/register';
-import type { Copying } from './copying.js';
-import type { Cores } from './cores.js';
+import type { StateTransfer } from './state-transfer.js';
+import type { CoreSetManager } from './core-set-manager.js';
 import { diskFormat } from './data-folder.js';
 import { setOf, type Fleet, type FleetRecord } from './fleet-record.js';
-import type { CoreVotes } from './votes.js';
+import type { CoreVoteStore } from './vote-store.js';
 
 /** Who may found a fleet where the set of cores changes by itself (design 4.8). */
-export type Founding = Readonly<{
+export type FoundingSettings = Readonly<{
   /** Whether this core may form a fleet: only at the very first start of all. */
   founds: boolean;
   /** Addresses of the seeds of the first start: the lowest of them proposes the fleet, once all have been met. */
   founders: readonly string[];
 }>;
 
-export type FormationParts = Readonly<{
+export type FleetBootstrapParts = Readonly<{
   node: Pick<Node, 'seat' | 'setFleet'>;
   cells: Pick<Acceptor, 'ready'>;
   disk: Pick<Disk, 'puts' | 'lost'>;
   record: FleetRecord;
-  copying: Copying;
-  votes: Pick<CoreVotes, 'epochs'>;
+  copying: StateTransfer;
+  votes: Pick<CoreVoteStore, 'epochs'>;
   /** None where an operator runs the set of cores. */
-  coreSet: () => Option.Option<Cores>;
-  founding: Option.Option<Founding>;
+  coreSet: () => Option.Option<CoreSetManager>;
+  founding: Option.Option<FoundingSettings>;
   /** Begins to answer ballots as the record says. */
   open: (known: Fleet) => void;
   stopped: () => boolean;
 }>;
 
-export type FormationSettings = Readonly<{
+export type FleetBootstrapSettings = Readonly<{
   node: string;
   address: string;
   /** How many cores found a fleet where an operator runs the set of cores. */
   cores: number;
 }>;
 
-export type Formation = Readonly<{
+export type FleetBootstrap = Readonly<{
   /** Another process said who it is and of which fleet. */
-  onHello: (reply: Reply<'hello'>, address: string) => void;
+  onHelloReply: (reply: Reply<'hello'>, address: string) => void;
   /** Another process greeted this core. */
-  greetedBy: (ask: Ask<'hello'>) => void;
+  onHelloReceived: (ask: Request<'hello'>) => void;
   /** Another core proposes a fleet, or says that it is formed. */
-  agree: (ask: Ask<'form'>) => Promise<Reply<'form'>>;
+  handleFormRequest: (ask: Request<'form'>) => Promise<Reply<'form'>>;
   /** Forms a fleet, comes back to one, or waits for one, as the disk says. */
   start: () => void;
 }>;
@@ -96,7 +96,7 @@
   return replies.every(Boolean);
 }
 
-function create(kernel: Kernel, settings: FormationSettings, parts: FormationParts): Formation {
+function create(kernel: Kernel, settings: FleetBootstrapSettings, parts: FleetBootstrapParts): FleetBootstrap {
   const { node, cells, disk, record, copying } = parts;
   const metCores = new Map<string, MetCore>();
   const isGathered = Option.isSome(parts.founding)
@@ -131,8 +131,8 @@
     const coreSet = parts.coreSet();
     if (Option.isSome(coreSet)) {
       if (reply.set === undefined) return;
-      if (record.stage() === 'formed') coreSet.value.learn(reply.set);
-      else if (record.stage() !== 'founding') coreSet.value.met(reply.fleet, reply.set);
+      if (record.stage() === 'formed') coreSet.value.observe(reply.set);
+      else if (record.stage() !== 'founding') coreSet.value.fleetFound(reply.fleet, reply.set);
       return;
     }
     if (record.stage() === 'blank' && reply.cores.some((core) => core.node === settings.node)) {
@@ -151,7 +151,7 @@
   }
 
   /** Blank cores that the seeds do not name are founders as well: the fleet has so many seats as there are cores at its first start. */
-  function greetedBy(ask: Ask<'hello'>): void {
+  function greetedBy(ask: Request<'hello'>): void {
     if (Option.isNone(parts.founding) || record.stage() !== 'blank' || ask.seat.role !== 'core' || ask.fleet !== '') return;
     metCores.set(ask.seat.node, { seat: ask.seat, fleet: '', at: kernel.clock.now() });
   }
@@ -160,17 +160,17 @@
   async function copy(known: Fleet): Promise<void> {
     if (copyingStarted) return;
     copyingStarted = true;
-    while (!(await record.keep(known))) await kernel.clock.sleep(beatMilliseconds);
+    while (!(await record.keep(known))) await kernel.clock.sleep(heartbeatMilliseconds);
     node.setFleet(known.fleet);
     kernel.log('core.copying', { fleet: known.fleet });
     const epochs: Record<string, number> = { ...(await parts.votes.epochs()) };
     for (const other of known.cores) {
-      if (other.node !== settings.node) await copying.pages(other, Option.none, epochs);
+      if (other.node !== settings.node) await copying.copyFrom(other, Option.none, epochs);
     }
     await copying.abstain(epochs);
     while (isStillOpening()) {
       await becomeFormed(known);
-      await kernel.clock.sleep(beatMilliseconds);
+      await kernel.clock.sleep(heartbeatMilliseconds);
     }
   }
 
@@ -182,8 +182,8 @@
       await copy({ ...known, stage: 'copying' });
       return true;
     }
-    if (!(await coreSet.value.distrust())) return false;
-    coreSet.value.met(known.fleet, setOf(known));
+    if (!(await coreSet.value.abandonDisk())) return false;
+    coreSet.value.fleetFound(known.fleet, setOf(known));
     return true;
   }
 
@@ -230,12 +230,12 @@
 
   async function form(): Promise<void> {
     while (!parts.stopped() && (record.stage() === 'blank' || record.stage() === 'founding')) {
-      await kernel.clock.sleep(beatMilliseconds);
+      await kernel.clock.sleep(heartbeatMilliseconds);
       await propose();
     }
   }
 
-  async function agree(told: Ask<'form'>): Promise<Reply<'form'>> {
+  async function agree(told: Request<'form'>): Promise<Reply<'form'>> {
     const known: Fleet = { fleet: told.fleet, node: settings.node, cores: told.cores, stage: 'founding' };
     const isBlank = record.stage() === 'blank';
     if (isBlank && Option.isSome(disk.lost())) return { agreed: false };
@@ -254,7 +254,7 @@
     else if (Option.isNone(disk.lost()) && (Option.isNone(parts.founding) || parts.founding.value.founds)) void form();
   }
 
-  return { onHello, greetedBy, agree, start };
+  return { onHelloReply: onHello, onHelloReceived: greetedBy, handleFormRequest: agree, start };
 }
 
-export const formation = { create } as const;
+export const fleetBootstrap = { create } as const;
--- a/packages/core/src/fleet-record.ts
+++ b/packages/core/src/fleet-record.ts
@@ -3,7 +3,7 @@
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Disk } from '@stallstall/kernel';
 import type { CoreSet, Seat } from '@stallstall/message';
-import type { Standing } from '@stallstall/register';
+import type { CoreSetView } from '@stallstall/register';
 import { diskFormat } from './data-folder.js';
 
 /**
@@ -58,14 +58,14 @@
 }
 
 /** Where this disk stands; at no set while it is between two, or of none. */
-export function standingOf(fleet: () => Option.Option<Fleet>, between: () => boolean): Standing {
+export function coreSetViewOf(fleet: () => Option.Option<Fleet>, between: () => boolean): CoreSetView {
   function number(): number {
     const known = fleet();
     return between() || Option.isNone(known) || known.value.stage !== 'formed' ? -1 : setOf(known.value).number;
   }
   return {
     number,
-    newer: function newer(told) {
+    newerThan: function newer(told) {
       const known = fleet();
       return number() > told && Option.isSome(known) ? setOf(known.value) : undefined;
     },
--- a/packages/core/src/index.ts
+++ b/packages/core/src/index.ts
@@ -1,41 +1,41 @@
 // The core: a disk of the register, pushes, the operators' administration API (design 5, 6, 9).
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
-import { fault, http, identifiers, type Disk, type Fault, type HttpMapping, type Kernel, type Listening } from '@stallstall/kernel';
+import { fault, http, identifiers, type Disk, type Fault, type HttpRoute, type Kernel, type Listening } from '@stallstall/kernel';
 import type { CoreSet } from '@stallstall/message';
 import type { MemberProbe, PlatformCalls } from '@stallstall/election';
 import { node as nodes, type Node, type NodeParts, type NodeSettings } from '@stallstall/node';
 import { peer, type Handlers } from '@stallstall/peer';
-import { acceptor, keeper, registerService, watcher, type RegisterTarget } from '@stallstall/register';
+import { acceptor, reportStore, registerService, watcher, type RegisterReplica } from '@stallstall/register';
 import { administration as administrations } from './administration.js';
-import { contact as contacts } from './contact.js';
+import { quorumContact as contacts } from './quorum-contact.js';
 import { coreCalls } from './core-calls.js';
-import { coreHandlers, keepNote, stoodAt } from './core-handlers.js';
-import { copying as copyings } from './copying.js';
-import { cores as coreSets, type Cores } from './cores.js';
+import { peerHandlers, storeReport, currentSet } from './peer-handlers.js';
+import { stateTransfer as copyings } from './state-transfer.js';
+import { coreSetManager as coreSets, type CoreSetManager } from './core-set-manager.js';
 import { readFolder, rosterKey } from './data-folder.js';
-import { door as doors, type Door } from './door.js';
-import { fleetRecord, setOf, standingOf, type Fleet } from './fleet-record.js';
-import { formation as formations, type Founding } from './formation.js';
+import { platformApi as doors, type PlatformApi } from './platform-api.js';
+import { fleetRecord, setOf, coreSetViewOf, type Fleet } from './fleet-record.js';
+import { fleetBootstrap as formations, type FoundingSettings } from './fleet-bootstrap.js';
 import { membershipTable } from './membership-table.js';
-import { registeredMembers, type RegisteredMembers } from './registration.js';
-import { forPush, subscribers } from './subscribers.js';
-import { usage as usages } from './usage.js';
+import { memberRegistration, type MemberRegistration } from './member-registration.js';
+import { withoutHistory, changeSubscribers } from './change-subscribers.js';
+import { usageReporting as usages } from './usage-reporting.js';
 import { versionStore } from './version-store.js';
-import { coreVotes } from './votes.js';
+import { coreVoteStore } from './vote-store.js';
 
 export type CoreSettings = NodeSettings & Readonly<{ cores: number; operatorKey?: string | undefined }>;
 
-export type { Door } from './door.js';
+export type { PlatformApi as Door } from './platform-api.js';
 
 /** How a fleet runs where members register, edges hold leases, and the platform has words of its own (design 9.6). */
-export type CoreParts = Founding &
+export type CoreParts = FoundingSettings &
   Readonly<{
     calls: PlatformCalls;
     probe: MemberProbe;
-    pages: (door: Door) => readonly HttpMapping[];
+    routes: (platformApiAddress: PlatformApi) => readonly HttpRoute[];
     /** Where these pages are served. */
-    door: string;
+    platformApiAddress: string;
   }>;
 
 export type Core = Readonly<{ node: Node; open: () => boolean; drain: () => Promise<void>; stop: () => Promise<void> }>;
@@ -48,7 +48,7 @@
 /** An edge that held a lease so lately may still have counts to tell. */
 const edgeMemoryMilliseconds = 12_000;
 
-type CountedPages = ReturnType<typeof http.counted>;
+type CountedPages = ReturnType<typeof http.countInFlight>;
 
 function logDiskTrouble(kernel: Kernel, disk: Disk): void {
   disk.onTrouble(function onTrouble(trouble) {
@@ -62,17 +62,17 @@
   kernel: Kernel,
   settings: CoreSettings,
   pages: CountedPages,
-  own: Option.Option<Readonly<{ address: string; pages: readonly HttpMapping[] }>>,
+  own: Option.Option<Readonly<{ address: string; pages: readonly HttpRoute[] }>>,
 ): Promise<readonly Listening[]> {
   const names = new Set(Option.isNone(own) ? [] : own.value.pages.map((one) => `${one.method} ${one.path}`));
-  function isOwn(one: HttpMapping): boolean {
+  function isOwn(one: HttpRoute): boolean {
     return names.has(`${one.method} ${one.path}`);
   }
   const outward = await kernel.network.serve(identifiers.address(settings.outward), {
-    mappings: pages.mappings.filter((one) => !isOwn(one)),
+    routes: pages.mappings.filter((one) => !isOwn(one)),
   });
   if (Option.isNone(own)) return [outward];
-  return [outward, await kernel.network.serve(identifiers.address(own.value.address), { mappings: pages.mappings.filter(isOwn) })];
+  return [outward, await kernel.network.serve(identifiers.address(own.value.address), { routes: pages.mappings.filter(isOwn) })];
 }
 
 async function start(
@@ -102,22 +102,22 @@
   let ending = false;
   let openedAt = kernel.clock.now();
   let between = false;
-  const standing = Option.isNone(parts) ? undefined : standingOf(record.current, () => between);
-  const subscriptions = subscribers.create(() => stoodAt(standing));
-  let registered: Option.Option<RegisteredMembers> = Option.none;
-  let coreSet: Option.Option<Cores> = Option.none;
+  const standing = Option.isNone(parts) ? undefined : coreSetViewOf(record.current, () => between);
+  const subscriptions = changeSubscribers.create(() => currentSet(standing));
+  let registered: Option.Option<MemberRegistration> = Option.none;
+  let coreSet: Option.Option<CoreSetManager> = Option.none;
   logDiskTrouble(kernel, disk);
 
   /** Whoever waits for a lease is told of news. */
   function wakeLessees(): void {
-    if (Option.isSome(registered)) registered.value.lessor.changed();
+    if (Option.isSome(registered)) registered.value.lessor.notify();
   }
 
   const cells = acceptor.create(
     disk,
     stored,
     function push(key, entry) {
-      if (!watcher.watched(key)) return;
+      if (!watcher.isWatched(key)) return;
       wakeLessees();
       subscriptions.push(key, entry);
       feedOwn();
@@ -126,14 +126,14 @@
     standing,
     (entry) => versions.keep(entry),
   );
-  const notes = keeper.create(kernel, disk, stored);
-  const votes = coreVotes(disk, stored);
+  const notes = reportStore.create(kernel, disk, stored);
+  const votes = coreVoteStore(disk, stored);
   const calls = coreCalls.create(kernel);
   const copying = copyings.create(kernel, { call: calls.call, cells, notes, votes, stopped: () => stopped });
-  const ownTarget: RegisterTarget = {
+  const ownTarget: RegisterReplica = {
     core: settings.node,
     local: true,
-    ask: async function ask(kind, body) {
+    send: async function ask(kind, body) {
       const reply = await cells[kind](body as never);
       return Option.some(reply as never);
     },
@@ -145,10 +145,10 @@
       calls: platformCalls,
       probe,
       membersOf: (service) => (Option.isSome(registered) ? registered.value.membersOf(service) : []),
-      lessees: () => (Option.isSome(registered) ? registered.value.lessor.lessees() : Option.none),
-      released: (service, epoch, lessees) => Option.isSome(registered) && registered.value.lessor.released(service, epoch, lessees),
-      onStance: wakeLessees,
-      learn: (set) => (Option.isSome(coreSet) ? coreSet.value.learn(set) : undefined),
+      leaseHolders: () => (Option.isSome(registered) ? registered.value.lessor.leaseHolders() : Option.none),
+      hasReleased: (service, epoch, lessees) => Option.isSome(registered) && registered.value.lessor.hasReleased(service, epoch, lessees),
+      onEpochRaised: wakeLessees,
+      observeCoreSet: (set) => (Option.isSome(coreSet) ? coreSet.value.observe(set) : undefined),
     };
   }
 
@@ -163,15 +163,15 @@
     votes: () => votes,
     own: Option.some({
       target: ownTarget,
-      note: async (body) => Option.some(await keepNote(notes, standing, body)),
+      note: async (body) => Option.some(await storeReport(notes, standing, body)),
       accepted: cells.accepted,
     }),
     caps: () => ({}),
-    onObeyed: wakeLessees,
-    onHello: (reply, address) => formation.onHello(reply, address),
+    onApplied: wakeLessees,
+    onHello: (reply, address) => formation.onHelloReply(reply, address),
     ...(Option.isNone(parts) ? {} : { registered: registeredParts(parts.value) }),
   });
-  const contact = contacts.create(kernel, node.answeredAt);
+  const contact = contacts.create(kernel, node.majorityContactAt);
   const versions = versionStore.create(kernel, { disk, node, newest: () => versionOf('configuration') });
   const register = kernel.services.find(registerService);
 
@@ -190,16 +190,16 @@
   function feedOwn(): void {
     for (const key of cells.keys()) {
       const entry = cells.accepted(key);
-      if (!watcher.watched(key) || Option.isNone(entry)) continue;
+      if (!watcher.isWatched(key) || Option.isNone(entry)) continue;
       ownNumber += 1;
-      node.changed(settings.node, { number: ownNumber, key, entry: forPush(key, entry.value), ...stoodAt(standing) });
+      node.receiveOwnChange(settings.node, { number: ownNumber, key, entry: withoutHistory(key, entry.value), ...currentSet(standing) });
     }
   }
 
   function open(known: Fleet): void {
     node.setFleet(known.fleet);
     if (Option.isNone(parts)) node.setCores(known.cores);
-    else node.follow(setOf(known));
+    else node.followCoreSet(setOf(known));
     openedAt = kernel.clock.now();
     cells.open();
     notes.open();
@@ -211,7 +211,7 @@
 
   /** What is watched is handed over anew at every set (design 4.8). */
   function standAt(known: Fleet): void {
-    node.follow(setOf(known));
+    node.followCoreSet(setOf(known));
     subscriptions.pushAll(cells);
     feedOwn();
     wakeLessees();
@@ -221,7 +221,7 @@
   function close(set: CoreSet): void {
     cells.close();
     notes.close();
-    node.follow(set);
+    node.followCoreSet(set);
     wakeLessees();
   }
 
@@ -232,12 +232,12 @@
         {
           node,
           register,
-          call: calls.call,
+          callCore: calls.call,
           cells,
           fleet: record.current,
           keepFleet: record.keep,
           open,
-          moved: standAt,
+          changeSet: standAt,
           close,
           copying,
         },
@@ -247,18 +247,18 @@
       ),
     );
     registered = Option.some(
-      registeredMembers.create(kernel, {
+      memberRegistration.create(kernel, {
         node,
         disk,
         storedRoster: stored.get(rosterKey),
-        lessorView: {
+        grantorContext: {
           ready: isReady,
           openedAt: () => openedAt,
           configuration: () => versionOf('configuration'),
           membership: membershipVersion,
           puts: disk.puts,
         },
-        inTouch: contact.inTouch,
+        inTouch: contact.isInContact,
       }),
     );
   }
@@ -285,7 +285,7 @@
     notes,
     Option.map((given: CoreParts) => ({
       calls: given.calls,
-      edges: () => (Option.isSome(registered) ? registered.value.lessor.recent(edgeMemoryMilliseconds) : []),
+      edges: () => (Option.isSome(registered) ? registered.value.lessor.recentHolders(edgeMemoryMilliseconds) : []),
     }))(parts),
   );
   const table = membershipTable.create({ node, register, ready: cells.ready });
@@ -297,14 +297,14 @@
     versionOf,
     accepted: cells.accepted,
     changeMembership: table.change,
-    obeyed: subscriptions.obeyed,
+    obeyed: subscriptions.appliedVersions,
     diskBytes: disk.size,
     diskTrouble: disk.trouble,
     versions,
     metrics: () => ({ cells: cells.keys().length, puts: disk.puts(), diskBytes: disk.size(), ...subscriptions.metrics() }),
   });
   const door = doors.create({ isOpen: cells.ready, isEnding: () => ending, contact, administration, registered });
-  const handlers: Handlers = coreHandlers.create({
+  const handlers: Handlers = peerHandlers.create({
     node,
     cells,
     notes,
@@ -323,10 +323,10 @@
   });
 
   if (Option.isSome(registered)) registered.value.start();
-  const adapterPages = Option.map((given: CoreParts) => ({ address: given.door, pages: given.pages(door) }))(parts);
-  const pages = http.counted([
-    ...node.mappings,
-    ...administration.mappings.map(contact.guard),
+  const adapterPages = Option.map((given: CoreParts) => ({ address: given.platformApiAddress, pages: given.routes(door) }))(parts);
+  const pages = http.countInFlight([
+    ...node.routes,
+    ...administration.routes.map(contact.guard),
     ...(Option.isSome(adapterPages) ? adapterPages.value.pages : []),
   ]);
   const listening: readonly Listening[] = [
@@ -357,7 +357,7 @@
     const deadline = identifiers.after(kernel.clock.now(), graceMilliseconds);
     await Promise.all([
       Promise.race([usage.stop(), kernel.clock.sleep(releaseMilliseconds)]),
-      Option.isSome(coreSet) ? coreSet.value.leave(identifiers.after(kernel.clock.now(), leaveMilliseconds)) : undefined,
+      Option.isSome(coreSet) ? coreSet.value.handOverSeat(identifiers.after(kernel.clock.now(), leaveMilliseconds)) : undefined,
     ]);
     while (kernel.clock.now() < deadline && pages.inFlight() > 0) await kernel.clock.sleep(drainLookMilliseconds);
     await stop();
@@ -366,12 +366,12 @@
   return { node, open: cells.ready, stop, drain };
 }
 
-export { claimsKept, ledger, type Ledger } from './ledger.js';
+export { claimsKept, claimTable as ledger, type ClaimTable as Ledger } from './claim-table.js';
 export { versionBytesMost, versionStore, type VersionStore } from './version-store.js';
 export const core = { start } as const;
 
 // For the exploration of design 10.4, which runs these over a network and disks of its own.
-export { cores, type Cores } from './cores.js';
-export { copying } from './copying.js';
+export { coreSetManager as cores, type CoreSetManager as Cores } from './core-set-manager.js';
+export { stateTransfer as copying } from './state-transfer.js';
 export type { CoreCall } from './core-calls.js';
-export { setOf, standingOf, type Fleet } from './fleet-record.js';
+export { setOf, coreSetViewOf as standingOf, type Fleet } from './fleet-record.js';
--- a/packages/core/src/learner.ts
+++ b/packages/core/src/learner.ts
@@ -2,14 +2,14 @@
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Kernel } from '@stallstall/kernel';
 import type { CoreSet, Seat } from '@stallstall/message';
-import { levelling, proposer, sameOccupant, type Acceptor, type NumberedRegister, type RegisterTarget } from '@stallstall/register';
+import { catchUp, proposer, sameOccupant, type Acceptor, type NumberedRegister, type RegisterReplica } from '@stallstall/register';
 import type { CoreCall } from './core-calls.js';
-import type { Copying } from './copying.js';
+import type { StateTransfer } from './state-transfer.js';
 
 export type LearnerParts = Readonly<{
   call: CoreCall;
   cells: Acceptor;
-  copying: Copying;
+  copying: StateTransfer;
   /** This node with the disk that it has now. */
   seat: () => Seat;
   /** Where the fleet may be found besides the cores that are known. */
@@ -22,7 +22,7 @@
 
 export type Learner = Readonly<{
   /** Some core told of this set. */
-  learn: (set: CoreSet) => void;
+  observe: (set: CoreSet) => void;
 }>;
 
 const askMilliseconds = 1_200;
@@ -73,10 +73,10 @@
   /** Copies enough of the others that stand at no earlier set than `since`; abandoned once a newer set is known. */
   async function copy(set: CoreSet, epochs: Record<string, number>, since: number): Promise<boolean> {
     kernel.log('core.copying', { set: set.number, seated: isSeated(set) });
-    return levelling.copyEnough(
+    return catchUp.copyEnough(
       others(set),
-      levelling.sourcesNeeded(set.seats.length),
-      (source, given) => parts.copying.pages(source, Option.some(since), epochs, given),
+      catchUp.sourcesNeeded(set.seats.length),
+      (source, given) => parts.copying.copyFrom(source, Option.some(since), epochs, given),
       () => !parts.wanted() || !isNewest(set),
     );
   }
@@ -85,15 +85,15 @@
     const epochs: Record<string, number> = { ...set.epochs };
     if (!(await copy(set, epochs, set.number))) return;
     await parts.copying.abstain(epochs);
-    if (!(await levelling.settleDoubtful(parts.cells, registerOver(set).under(set.number)))) return;
+    if (!(await catchUp.completeUnresolved(parts.cells, registerOver(set).inSet(set.number)))) return;
     if (isNewest(set) && parts.wanted()) await parts.open(set);
   }
 
   /** The register as the others serve it: this core asks, and counts for nothing. */
   function registerOver(set: CoreSet): NumberedRegister {
-    const targets = others(set).map((seat): RegisterTarget => ({
+    const targets = others(set).map((seat): RegisterReplica => ({
       core: seat.node,
-      ask: (kind, body, milliseconds) => parts.call(seat.address, kind, body, milliseconds),
+      send: (kind, body, milliseconds) => parts.call(seat.address, kind, body, milliseconds),
     }));
     return proposer.create(
       kernel,
@@ -101,7 +101,7 @@
       () => targets,
       () => set.seats.length,
       // Once a newer set is known these rounds end: their majority may be none any more.
-      { number: () => (isNewest(set) ? set.number : 0), learn },
+      { number: () => (isNewest(set) ? set.number : 0), observe: learn },
     );
   }
 
@@ -121,7 +121,7 @@
     await Promise.race([asking, kernel.clock.sleep(patienceMilliseconds)]);
   }
 
-  return { learn };
+  return { observe: learn };
 }
 
 export const learner = { create } as const;
--- a/packages/core/src/registration.ts
+++ b/packages/core/src/member-registration.ts
@@ -4,33 +4,39 @@
 import { Type } from '@sinclair/typebox';
 import { kernel as kernels, type Disk, type Kernel } from '@stallstall/kernel';
 import { livenessService } from '@stallstall/election';
-import { lessor as lessors, lessorService, type Lessor, type LessorView } from '@stallstall/lease';
-import { message, RosterEntrySchema } from '@stallstall/message';
+import { leaseGrantor as lessors, leaseGrantorService, type LeaseGrantor, type LeaseGrantorContext } from '@stallstall/lease';
+import { message, MemberRecordSchema } from '@stallstall/message';
 import type { Node } from '@stallstall/node';
-import { roster as rosters, rosterService, type Registration, type Roster, type Spread } from '@stallstall/member-registry';
+import {
+  memberRegistry as rosters,
+  memberRegistryService,
+  type Registration,
+  type MemberRegistry,
+  type ReceivedBeat,
+} from '@stallstall/member-registry';
 import type { SheetMember } from '@stallstall/placement';
 import { rosterKey } from './data-folder.js';
-import { spreader as spreaders } from './spreader.js';
+import { registryBroadcaster as spreaders } from './registry-broadcaster.js';
 
-export type RegistrationParts = Readonly<{
+export type MemberRegistrationParts = Readonly<{
   node: Node;
   disk: Pick<Disk, 'put'>;
   /** What the disk held of the roster when the process started. */
   storedRoster: unknown;
-  lessorView: Omit<LessorView, 'stances' | 'roster' | 'troubled' | 'onNotListening'>;
+  grantorContext: Omit<LeaseGrantorContext, 'epochs' | 'registry' | 'isLeaderMissing' | 'onConnectionRefused'>;
   inTouch: () => boolean;
 }>;
 
-export type RegisteredMembers = Readonly<{
-  lessor: Lessor;
+export type MemberRegistration = Readonly<{
+  lessor: LeaseGrantor;
   /** The members of a service, its leader among them. */
   membersOf: (service: string) => readonly SheetMember[];
   /** Resolves to false when no majority of cores would know of the beat, so that the member turns to another core. */
-  beat: (registration: Registration) => Promise<boolean>;
+  heartbeat: (registration: Registration) => Promise<boolean>;
   /** Resolves to true once a majority of cores knows that the member has left. */
   leave: (member: string) => Promise<boolean>;
   /** Takes beats that another core was sent; resolves to true once those that say that a member drains or has left are synced. */
-  take: (beats: readonly Spread[]) => Promise<boolean>;
+  mergeBeats: (beats: readonly ReceivedBeat[]) => Promise<boolean>;
   start: () => void;
   stop: () => void;
 }>;
@@ -42,10 +48,10 @@
 /** So often this core sees that its own connection to whoever leads stands. */
 const lookMilliseconds = 300;
 const lookTimeoutMilliseconds = 800;
-const RosterSchema = Type.Array(RosterEntrySchema);
+const RosterSchema = Type.Array(MemberRecordSchema);
 
 /** Looks of this core's own at members and leaders, whose outcome liveness keeps. */
-function leaderWatch(kernel: Kernel, node: Node, roster: Roster) {
+function leaderWatch(kernel: Kernel, node: Node, roster: MemberRegistry) {
   function services(): readonly string[] {
     const current = node.configuration();
     if (Option.isNone(current)) return [];
@@ -53,15 +59,15 @@
   }
 
   function lookAt(member: string): void {
-    const entry = roster.entryOf(member);
+    const entry = roster.recordOf(member);
     if (Option.isSome(entry) && !entry.value.gone)
-      void kernel.services.find(livenessService).hold(entry.value.service, member, entry.value.address, lookTimeoutMilliseconds);
+      void kernel.services.find(livenessService).keepConnection(entry.value.service, member, entry.value.address, lookTimeoutMilliseconds);
   }
 
   function isTroubled(service: string, ownEpoch: number): boolean {
-    const settled = node.settled(service);
+    const settled = node.electedPrimary(service);
     if (Option.isNone(settled)) return false;
-    const entry = roster.entryOf(settled.value.primary);
+    const entry = roster.recordOf(settled.value.primary);
     return ownEpoch > settled.value.epoch || Option.isNone(entry) || entry.value.down || entry.value.gone;
   }
 
@@ -74,14 +80,14 @@
     },
     lookAtLeaders: function lookAtLeaders(): void {
       for (const service of services()) {
-        const settled = node.settled(service);
+        const settled = node.electedPrimary(service);
         if (Option.isSome(settled)) lookAt(settled.value.primary);
       }
     },
   };
 }
 
-function create(kernel: Kernel, parts: RegistrationParts): RegisteredMembers {
+function create(kernel: Kernel, parts: MemberRegistrationParts): MemberRegistration {
   const { node } = parts;
   let stopped = false;
   let spreading = false;
@@ -92,27 +98,27 @@
   const spreader = spreaders.create(kernel, node, roster);
   const leaders = leaderWatch(kernel, node, roster);
   const lessor = lessors.create(kernel, {
-    ...parts.lessorView,
-    stances: node.epochs,
-    roster,
-    troubled: leaders.isAnyTroubled,
-    onNotListening: leaders.lookAt,
+    ...parts.grantorContext,
+    epochs: node.epochs,
+    registry: roster,
+    isLeaderMissing: leaders.isAnyTroubled,
+    onConnectionRefused: leaders.lookAt,
   });
-  kernel.services.offer(rosterService, roster);
-  kernel.services.offer(lessorService, lessor);
+  kernel.services.offer(memberRegistryService, roster);
+  kernel.services.offer(leaseGrantorService, lessor);
   // Where members were, until their beats tell: after a stop of everything nobody waits for these (design 4.7).
-  if (message.fits(RosterSchema, parts.storedRoster)) roster.restore(parts.storedRoster);
+  if (message.matches(RosterSchema, parts.storedRoster)) roster.restore(parts.storedRoster);
 
   /** Beats taken here go to the other cores, several at a time; a change at once. */
   function spread(): void {
-    if (!stopped) spreader.spread();
+    if (!stopped) spreader.broadcast();
   }
 
   /** Resolves to true once the disk holds the roster as it stands. */
   async function write(): Promise<boolean> {
-    const number = roster.number();
+    const number = roster.version();
     if (number <= writtenNumber) return true;
-    const written = await parts.disk.put(rosterKey, roster.since(0));
+    const written = await parts.disk.put(rosterKey, roster.changedSince(0));
     if (Either.isRight(written)) writtenNumber = Math.max(writtenNumber, number);
     return Either.isRight(written);
   }
@@ -121,7 +127,7 @@
   function keep(): void {
     if (keeping || stopped) return;
     keeping = true;
-    kernel.clock.alarm(keepMilliseconds, function later() {
+    kernel.clock.startTimer(keepMilliseconds, function later() {
       keeping = false;
       if (!stopped) void write();
     });
@@ -134,11 +140,11 @@
   }
 
   function onRosterChanged(): void {
-    lessor.changed();
+    lessor.notify();
     keep();
     if (spreading) return;
     spreading = true;
-    kernel.clock.alarm(gatherMilliseconds, function now() {
+    kernel.clock.startTimer(gatherMilliseconds, function now() {
       spreading = false;
       spread();
     });
@@ -147,29 +153,29 @@
   /** A leader that no beat has named yet is not gone: liveness tells whether it is DOWN (design 7.1). */
   function membersOf(service: string): readonly SheetMember[] {
     const members = roster.membersOf(service);
-    const settled = node.settled(service);
-    if (Option.isNone(settled) || Option.isSome(roster.entryOf(settled.value.primary))) return members;
+    const settled = node.electedPrimary(service);
+    if (Option.isNone(settled) || Option.isSome(roster.recordOf(settled.value.primary))) return members;
     return [...members, { member: settled.value.primary, area: '-', address: '', state: 'serving' }];
   }
 
   return {
     lessor,
     membersOf,
-    beat: async function beat(registration) {
-      roster.beat(registration);
+    heartbeat: async function beat(registration) {
+      roster.heartbeat(registration);
       return parts.inTouch() && (!registration.draining || confirm(registration.member));
     },
     leave: async function leave(member) {
       roster.leave(member);
       return parts.inTouch() && confirm(member);
     },
-    take: async function take(beats) {
-      roster.take(beats);
+    mergeBeats: async function take(beats) {
+      roster.merge(beats);
       return !beats.some(({ entry }) => entry.gone || entry.draining) || write();
     },
     start: function start() {
       function round(): void {
-        roster.step();
+        roster.sweep();
         spread();
       }
       void kernels.every(kernel.clock, spreadMilliseconds, round, () => !stopped);
@@ -182,4 +188,4 @@
   };
 }
 
-export const registeredMembers = { create } as const;
+export const memberRegistration = { create } as const;
--- a/packages/core/src/membership-table.ts
+++ b/packages/core/src/membership-table.ts
@@ -2,13 +2,13 @@
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { fault, owner, type Fault } from '@stallstall/kernel';
-import { MembershipSchema, message, type Ask, type Membership, type Reply } from '@stallstall/message';
+import { MembershipSchema, message, type Request, type Membership, type Reply } from '@stallstall/message';
 import type { Node } from '@stallstall/node';
 import { quorum } from '@stallstall/quorum';
 import type { NumberedRegister } from '@stallstall/register';
 
 export type MembershipTableParts = Readonly<{
-  node: Pick<Node, 'stances'>;
+  node: Pick<Node, 'reportedEpochs'>;
   register: Pick<NumberedRegister, 'read' | 'change'>;
   ready: () => boolean;
 }>;
@@ -20,10 +20,10 @@
   /** Applies a change and returns the table that stands then. Errors: `no-majority`, `version-conflict`, and those of the register. */
   change: (next: MembershipChange) => Promise<Either.Either<Fault, Membership>>;
   /** A node asks to be listed. */
-  join: (ask: Ask<'join'>) => Promise<Reply<'join'>>;
+  join: (ask: Request<'join'>) => Promise<Reply<'join'>>;
 }>;
 
-type Stance = ReturnType<Node['stances']>[number];
+type Stance = ReturnType<Node['reportedEpochs']>[number];
 
 const reasonCharactersMost = 300;
 
@@ -60,7 +60,7 @@
 
   function obeyingNodes(table: Membership, version: number): readonly Stance[] {
     return node
-      .stances()
+      .reportedEpochs()
       .filter((stance) => stance.membership === version && (version === 0 || quorum.seat(table, stance.node) !== undefined));
   }
 
@@ -69,7 +69,7 @@
     if (Either.isLeft(read)) return read;
     const version = Option.isSome(read.right) ? read.right.value.version : 0;
     const table =
-      Option.isSome(read.right) && message.fits(MembershipSchema, read.right.value.value) ? read.right.value.value : quorum.empty;
+      Option.isSome(read.right) && message.matches(MembershipSchema, read.right.value.value) ? read.right.value.value : quorum.empty;
     const wanted = next(table);
     if (wanted === table) return Either.right(table);
     const obeying = obeyingNodes(table, version);
@@ -85,10 +85,10 @@
   }
 
   function change(next: MembershipChange): Promise<Either.Either<Fault, Membership>> {
-    return commands.ask(() => apply(next));
+    return commands.run(() => apply(next));
   }
 
-  async function join(ask: Ask<'join'>): Promise<Reply<'join'>> {
+  async function join(ask: Request<'join'>): Promise<Reply<'join'>> {
     if (!parts.ready()) return { joined: false, reason: 'this core is not open yet' };
     // A node that is listed as it is has only not read the table yet: no step, and what an operator drained stays drained.
     const done = await change(function list(table) {
--- a/packages/core/src/operators.ts
+++ b/packages/core/src/operators.ts
@@ -86,11 +86,11 @@
   const register = kernel.services.find(registerService);
 
   function operatorsOf(entry: Option.Option<Entry>): Operators {
-    return Option.isSome(entry) && message.fits(OperatorsSchema, entry.value.value) ? entry.value.value : { operators: [] };
+    return Option.isSome(entry) && message.matches(OperatorsSchema, entry.value.value) ? entry.value.value : { operators: [] };
   }
 
   function trailOf(entry: Option.Option<Entry>): Trail {
-    return Option.isSome(entry) && message.fits(TrailSchema, entry.value.value) ? entry.value.value : { entries: [] };
+    return Option.isSome(entry) && message.matches(TrailSchema, entry.value.value) ? entry.value.value : { entries: [] };
   }
 
   async function caller(request: HttpRequest): Promise<Either.Either<Fault, Caller>> {
--- a/packages/core/src/core-handlers.ts
+++ b/packages/core/src/peer-handlers.ts
@@ -1,35 +1,35 @@
 // What a core answers to other processes over their links (design 3.2, 4, 5).
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
-import type { Ask, Reply } from '@stallstall/message';
+import type { Request, Reply } from '@stallstall/message';
 import type { Node } from '@stallstall/node';
 import type { Caller, Handlers } from '@stallstall/peer';
 import { quorum } from '@stallstall/quorum';
-import type { Acceptor, Keeper, Standing } from '@stallstall/register';
+import type { Acceptor, ReportStore, CoreSetView } from '@stallstall/register';
 import type { Vote } from '@stallstall/election';
-import type { Cores } from './cores.js';
+import type { CoreSetManager } from './core-set-manager.js';
 import { setOf, type FleetRecord } from './fleet-record.js';
-import type { Formation } from './formation.js';
+import type { FleetBootstrap } from './fleet-bootstrap.js';
 import type { MembershipTable } from './membership-table.js';
-import type { RegisteredMembers } from './registration.js';
-import type { Subscribers } from './subscribers.js';
+import type { MemberRegistration } from './member-registration.js';
+import type { ChangeSubscribers } from './change-subscribers.js';
 import type { VersionStore } from './version-store.js';
-import type { CoreVotes } from './votes.js';
+import type { CoreVoteStore } from './vote-store.js';
 
 export type HandlerParts = Readonly<{
   node: Node;
   cells: Acceptor;
-  notes: Keeper;
-  votes: Pick<CoreVotes, 'epochs'>;
+  notes: ReportStore;
+  votes: Pick<CoreVoteStore, 'epochs'>;
   record: FleetRecord;
   /** Where this core stands, if the set of cores may change. */
-  standing: Standing | undefined;
-  subscriptions: Subscribers;
+  standing: CoreSetView | undefined;
+  subscriptions: ChangeSubscribers;
   versions: Pick<VersionStore, 'earlier'>;
-  formation: Formation;
+  formation: FleetBootstrap;
   table: MembershipTable;
-  coreSet: Option.Option<Cores>;
-  registered: Option.Option<RegisteredMembers>;
+  coreSet: Option.Option<CoreSetManager>;
+  registered: Option.Option<MemberRegistration>;
   puts: () => number;
   /** The version that this core's disk holds under a key; 0 when it holds none. */
   versionOf: (key: string) => number;
@@ -37,15 +37,15 @@
 }>;
 
 /** The number of the set that a core stands at, where it may change (design 4.8). */
-export function stoodAt(standing: Standing | undefined): Readonly<{ set?: number }> {
+export function currentSet(standing: CoreSetView | undefined): Readonly<{ set?: number }> {
   return standing === undefined || standing.number() < 0 ? {} : { set: standing.number() };
 }
 
 /** What is noted counts for the set under which it was told: by who stands there before and after the sync (design 4.8). */
-export async function keepNote(notes: Keeper, standing: Standing | undefined, ask: Ask<'note'>): Promise<Reply<'note'>> {
+export async function storeReport(notes: ReportStore, standing: CoreSetView | undefined, ask: Request<'note'>): Promise<Reply<'note'>> {
   if (standing === undefined) return notes.keep(ask);
   const { set, ...told } = ask;
-  const newer = standing.newer(set ?? 0);
+  const newer = standing.newerThan(set ?? 0);
   const elsewhere: Reply<'note'> = { ready: false, floors: {}, ...(newer === undefined ? {} : { newer }) };
   if (set !== standing.number()) return elsewhere;
   const reply = await notes.keep(told);
@@ -53,7 +53,7 @@
 }
 
 /** This core's own votes, and those of edges as far as its cells hold them. */
-async function votedEpochs(votes: Pick<CoreVotes, 'epochs'>, cells: Acceptor): Promise<Record<string, number>> {
+async function votedEpochs(votes: Pick<CoreVoteStore, 'epochs'>, cells: Acceptor): Promise<Record<string, number>> {
   const epochs: Record<string, number> = { ...(await votes.epochs()) };
   for (const cell of cells.cells()) {
     const [kind, service] = cell.key.split('/');
@@ -67,7 +67,7 @@
 function greeting({ node, record, coreSet, formation }: HandlerParts): NonNullable<Handlers['hello']> {
   return async function hello(ask, caller) {
     const reply = await (node.handlers.hello as NonNullable<Handlers['hello']>)(ask, caller);
-    formation.greetedBy(ask);
+    formation.onHelloReceived(ask);
     const known = record.current();
     if (Option.isNone(known)) return { ...reply, fleet: '', founding: '', cores: [] };
     if (known.value.stage !== 'formed') return { ...reply, fleet: '', founding: known.value.fleet, cores: [] };
@@ -83,7 +83,7 @@
 
 function copying({ cells, notes, votes, standing }: HandlerParts): NonNullable<Handlers['copy']> {
   return async function copy(ask) {
-    const at = stoodAt(standing);
+    const at = currentSet(standing);
     const page = await cells.page(ask.after);
     return {
       ready: Either.isRight(page) && cells.ready() && (standing === undefined || at.set !== undefined),
@@ -99,7 +99,7 @@
 function watching(parts: HandlerParts): NonNullable<Handlers['watch']> {
   const { node, cells, subscriptions } = parts;
   return function watch(ask, caller) {
-    const entry = subscriptions.enlist(cells, ask, caller);
+    const entry = subscriptions.subscribe(cells, ask, caller);
     return {
       ready: cells.ready(),
       number: entry?.number ?? 0,
@@ -112,14 +112,14 @@
 }
 
 function leasing({ cells, subscriptions, registered, standing }: HandlerParts) {
-  return async function lease(ask: Ask<'lease'>, caller: Caller): Promise<Reply<'lease'>> {
+  return async function lease(ask: Request<'lease'>, caller: Caller): Promise<Reply<'lease'>> {
     if (Option.isNone(registered)) throw new Error('this fleet holds no leases');
-    subscriptions.enlist(cells, ask, caller);
-    const reply = await registered.value.lessor.lease(ask);
+    subscriptions.subscribe(cells, ask, caller);
+    const reply = await registered.value.lessor.grant(ask);
     // It may have waited for this core to open: what is watched is handed over before the reply.
-    if (reply.ready) subscriptions.enlist(cells, ask, caller);
-    const newer = standing?.newer(ask.set ?? 0);
-    const at = stoodAt(standing);
+    if (reply.ready) subscriptions.subscribe(cells, ask, caller);
+    const newer = standing?.newerThan(ask.set ?? 0);
+    const at = currentSet(standing);
     return { ...reply, ready: reply.ready && at.set !== undefined, ...at, ...(newer === undefined ? {} : { newer }) };
   };
 }
@@ -129,7 +129,7 @@
   return {
     ...node.handlers,
     hello: greeting(parts),
-    form: formation.agree,
+    form: formation.handleFormRequest,
     copy: copying(parts),
     adopt: async (ask) => (Option.isSome(coreSet) ? coreSet.value.adopt(ask) : { adopted: false, silent: [] }),
     prepare: cells.prepare,
@@ -137,15 +137,15 @@
     look: cells.look,
     watch: watching(parts),
     join: async (ask) => (Option.isSome(coreSet) ? coreSet.value.join(ask) : table.join(ask)),
-    note: (ask) => keepNote(notes, standing, ask),
+    note: (ask) => storeReport(notes, standing, ask),
     earlier: versions.earlier,
     usageLook: (ask) => notes.look(ask.window),
     spread: async function spread(ask) {
-      const taken = Option.isSome(registered) && (await registered.value.take(ask.beats));
+      const taken = Option.isSome(registered) && (await registered.value.mergeBeats(ask.beats));
       return { taken: taken && cells.ready() };
     },
     lease: leasing(parts),
   };
 }
 
-export const coreHandlers = { create } as const;
+export const peerHandlers = { create } as const;
--- a/packages/core/src/door.ts
+++ b/packages/core/src/platform-api.ts
@@ -3,14 +3,14 @@
 import * as Option from 'fp-ts/lib/Option.js';
 import { fault, type Fault } from '@stallstall/kernel';
 import type { Registration } from '@stallstall/member-registry';
-import { sheets } from '@stallstall/placement';
+import { placements } from '@stallstall/placement';
 import type { Administration } from './administration.js';
-import type { Contact } from './contact.js';
-import type { ExternalVersion } from './orders.js';
-import type { RegisteredMembers } from './registration.js';
+import type { QuorumContact } from './quorum-contact.js';
+import type { ExternalVersion } from './configuration-updates.js';
+import type { MemberRegistration } from './member-registration.js';
 
 /** What another platform's pages are served from: decisions stay here, words there (design 9.6). */
-export type Door = Readonly<{
+export type PlatformApi = Readonly<{
   ready: () => boolean;
   /** Takes a whole sheet under its sender's own version; of two the higher stands, and a lower one changes nothing. */
   configure: (external: ExternalVersion, sheet: unknown) => Promise<Either.Either<Fault, Readonly<{ version: number }>>>;
@@ -22,13 +22,13 @@
   leave: (member: string) => Promise<boolean>;
 }>;
 
-export type DoorParts = Readonly<{
+export type PlatformApiParts = Readonly<{
   /** This core is open: it answers as an occupant of its seat. */
   isOpen: () => boolean;
   isEnding: () => boolean;
-  contact: Contact;
-  administration: Pick<Administration, 'configure' | 'source'>;
-  registered: Option.Option<Pick<RegisteredMembers, 'beat' | 'leave'>>;
+  contact: QuorumContact;
+  administration: Pick<Administration, 'replaceExternal' | 'source'>;
+  registered: Option.Option<Pick<MemberRegistration, 'heartbeat' | 'leave'>>;
 }>;
 
 function notOpen(): Fault {
@@ -40,19 +40,19 @@
   });
 }
 
-function create({ isOpen, isEnding, contact, administration, registered }: DoorParts): Door {
+function create({ isOpen, isEnding, contact, administration, registered }: PlatformApiParts): PlatformApi {
   return {
     ready: () => isOpen() && !isEnding(),
     configure: async function configure(external, sheet) {
       if (!isOpen()) return Either.left(notOpen());
-      const checked = sheets.check(sheet);
-      return Either.isLeft(checked) ? checked : contact.during(() => administration.configure(external, checked.right));
+      const checked = placements.check(sheet);
+      return Either.isLeft(checked) ? checked : contact.whileInContact(() => administration.replaceExternal(external, checked.right));
     },
-    source: async () => (isOpen() ? contact.during(administration.source) : Either.left(notOpen())),
+    source: async () => (isOpen() ? contact.whileInContact(administration.source) : Either.left(notOpen())),
     // One that is of no fleet could tell nobody, nor one that no majority answers: who calls turns to another.
-    beat: async (registration) => Option.isSome(registered) && isOpen() && registered.value.beat(registration),
+    beat: async (registration) => Option.isSome(registered) && isOpen() && registered.value.heartbeat(registration),
     leave: async (member) => Option.isSome(registered) && isOpen() && registered.value.leave(member),
   };
 }
 
-export const door = { create } as const;
+export const platformApi = { create } as const;
--- a/packages/core/src/contact.ts
+++ b/packages/core/src/quorum-contact.ts
@@ -1,16 +1,16 @@
 // A core confirms and hands out only what a majority could contradict: contact with one is part of every answer (design 7.14).
 import * as Either from 'fp-ts/lib/Either.js';
-import { fault, http, identifiers, type Fault, type HttpMapping, type HttpReply, type Instant, type Kernel } from '@stallstall/kernel';
+import { fault, http, identifiers, type Fault, type HttpRoute, type HttpReply, type Instant, type Kernel } from '@stallstall/kernel';
 
-export type Contact = Readonly<{
+export type QuorumContact = Readonly<{
   /** Called once this core answers ballots: it has met a majority on the way there. */
   opened: () => void;
   /** Whether a majority of cores, this one included, answered what it was sent within the last moment. */
-  inTouch: () => boolean;
+  isInContact: () => boolean;
   /** Does the work while contact lasts; without contact, or once it is lost, the caller is told so at once. */
-  during: <Result>(work: () => Promise<Either.Either<Fault, Result>>) => Promise<Either.Either<Fault, Result>>;
+  whileInContact: <Result>(work: () => Promise<Either.Either<Fault, Result>>) => Promise<Either.Either<Fault, Result>>;
   /** The same for a page: only those that need no majority are let through. */
-  guard: (mapping: HttpMapping) => HttpMapping;
+  guard: (mapping: HttpRoute) => HttpRoute;
 }>;
 
 /**
@@ -50,7 +50,7 @@
 }
 
 /** `answeredAt`: the latest moment after which a majority was asked and has answered. */
-function create(kernel: Kernel, answeredAt: () => Instant): Contact {
+function create(kernel: Kernel, answeredAt: () => Instant): QuorumContact {
   let openedAt = identifiers.instant(Number.NEGATIVE_INFINITY);
 
   function inTouch(): boolean {
@@ -67,21 +67,21 @@
       }
       function look(): void {
         if (settled) return;
-        if (inTouch()) kernel.clock.alarm(lookMilliseconds, look);
+        if (inTouch()) kernel.clock.startTimer(lookMilliseconds, look);
         else settle(Either.left(contactLost()));
       }
-      kernel.clock.alarm(lookMilliseconds, look);
+      kernel.clock.startTimer(lookMilliseconds, look);
       work().then(settle, reject);
     });
   }
 
-  function guard(mapping: HttpMapping): HttpMapping {
+  function guard(mapping: HttpRoute): HttpRoute {
     if (ownPages.has(`${mapping.method} ${mapping.path}`)) return mapping;
     return {
       ...mapping,
       handle: async function guardedPage(request): Promise<HttpReply> {
         const replied = await during(async () => Either.right(await mapping.handle(request)));
-        return Either.isLeft(replied) ? http.denied(replied.left) : replied.right;
+        return Either.isLeft(replied) ? http.rejected(replied.left) : replied.right;
       },
     };
   }
@@ -90,10 +90,10 @@
     opened: function opened() {
       openedAt = kernel.clock.now();
     },
-    inTouch,
-    during,
+    isInContact: inTouch,
+    whileInContact: during,
     guard,
   };
 }
 
-export const contact = { create } as const;
+export const quorumContact = { create } as const;
--- a/packages/core/src/spreader.ts
+++ b/packages/core/src/registry-broadcaster.ts
@@ -5,11 +5,11 @@
 import type { Node } from '@stallstall/node';
 import type { Peer } from '@stallstall/peer';
 import { quorum } from '@stallstall/quorum';
-import type { Roster, Spread } from '@stallstall/member-registry';
+import type { MemberRegistry, ReceivedBeat } from '@stallstall/member-registry';
 
-export type Spreader = Readonly<{
+export type RegistryBroadcaster = Readonly<{
   /** Sends what is new to all others, and everything to whoever has missed some of it. */
-  spread: () => void;
+  broadcast: () => void;
   /** Tells the others where a member stands; right once a majority of cores, this one included, knows it. */
   confirm: (member: string) => Promise<boolean>;
 }>;
@@ -20,7 +20,7 @@
 /** Everything is told again to who did not take it after so long. */
 const againMilliseconds = 1_000;
 
-function create(kernel: Kernel, node: Node, roster: Roster): Spreader {
+function create(kernel: Kernel, node: Node, roster: MemberRegistry): RegistryBroadcaster {
   /** Cores that have been told everything, over a link that has stood since. */
   const informed = new Set<string>();
   /** Cores to which everything is on its way. */
@@ -30,27 +30,27 @@
     return node.cores().filter((core) => core.node !== node.settings.node);
   }
 
-  async function tell(link: Peer, beats: readonly Spread[], milliseconds: number): Promise<boolean> {
+  async function tell(link: Peer, beats: readonly ReceivedBeat[], milliseconds: number): Promise<boolean> {
     const reply = await link.call('spread', { beats: [...beats] }, milliseconds);
     return Option.isSome(reply) && reply.value.taken;
   }
 
-  async function tellNews(core: string, link: Peer, beats: readonly Spread[]): Promise<void> {
+  async function tellNews(core: string, link: Peer, beats: readonly ReceivedBeat[]): Promise<void> {
     if (!(await tell(link, beats, spreadMilliseconds))) informed.delete(core);
   }
 
   async function tellEverything(core: string, link: Peer): Promise<void> {
     informing.add(core);
-    if (await tell(link, roster.everything(), spreadMilliseconds)) informed.add(core);
+    if (await tell(link, roster.all(), spreadMilliseconds)) informed.add(core);
     // One that is there and not open yet takes nothing: it is asked again in a while, not at every look.
     else await kernel.clock.sleep(againMilliseconds);
     informing.delete(core);
   }
 
   function spread(): void {
-    const beats = roster.spread();
+    const beats = roster.takeRecent();
     for (const { node: core } of others()) {
-      const link = node.callPeer(core);
+      const link = node.peerOf(core);
       if (Option.isNone(link) || !link.value.connected()) informed.delete(core);
       else if (!informed.has(core) && !informing.has(core)) void tellEverything(core, link.value);
       else if (beats.length > 0) void tellNews(core, link.value, beats);
@@ -58,7 +58,7 @@
   }
 
   function confirm(member: string): Promise<boolean> {
-    const beats = roster.everything().filter((one) => one.entry.member === member);
+    const beats = roster.all().filter((one) => one.entry.member === member);
     const asked = others();
     const isCore = asked.length < node.cores().length;
     const needed = quorum.majority(node.cores().length) - (isCore ? 1 : 0);
@@ -73,14 +73,14 @@
       }
       if (needed <= 0 || left === 0) resolve(needed <= 0);
       for (const { node: core } of asked) {
-        const link = node.callPeer(core);
+        const link = node.peerOf(core);
         if (Option.isNone(link)) count(false);
         else void tell(link.value, beats, confirmMilliseconds).then(count);
       }
     });
   }
 
-  return { spread, confirm };
+  return { broadcast: spread, confirm };
 }
 
-export const spreader = { create } as const;
+export const registryBroadcaster = { create } as const;
--- a/packages/core/src/copying.ts
+++ b/packages/core/src/state-transfer.ts
@@ -2,24 +2,24 @@
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Kernel } from '@stallstall/kernel';
 import type { Seat } from '@stallstall/message';
-import { acceptor, levelling, type Acceptor, type Keeper } from '@stallstall/register';
+import { acceptor, catchUp, type Acceptor, type ReportStore } from '@stallstall/register';
 import type { CoreCall } from './core-calls.js';
-import { abstained, type CoreVotes } from './votes.js';
+import { abstained, type CoreVoteStore } from './vote-store.js';
 
-export type CopyingParts = Readonly<{
+export type StateTransferParts = Readonly<{
   call: CoreCall;
   cells: Acceptor;
-  notes: Pick<Keeper, 'keep' | 'synced'>;
-  votes: Pick<CoreVotes, 'epochs' | 'record'>;
+  notes: Pick<ReportStore, 'keep' | 'synced'>;
+  votes: Pick<CoreVoteStore, 'epochs' | 'record'>;
   stopped: () => boolean;
 }>;
 
 /** Which cores may be copied: those that stand at no set, or at this one or a later one (design 4.8). */
 export type CopiedSet = Option.Option<number>;
 
-export type Copying = Readonly<{
+export type StateTransfer = Readonly<{
   /** All that another core holds, adding the highest epochs it voted for to `epochs`; false once `given` says that it is not needed any more. */
-  pages: (other: Seat, set: CopiedSet, epochs: Record<string, number>, given?: () => boolean) => Promise<boolean>;
+  copyFrom: (other: Seat, set: CopiedSet, epochs: Record<string, number>, given?: () => boolean) => Promise<boolean>;
   /** Votes for nobody in these epochs: what this core voted is lost, and an epoch it may have helped to win has other voters. */
   abstain: (epochs: Readonly<Record<string, number>>) => Promise<void>;
 }>;
@@ -28,11 +28,11 @@
 /** So long after a page that did not come, or did not sync, it is asked for again. */
 const againMilliseconds = 50;
 
-function create(kernel: Kernel, parts: CopyingParts): Copying {
+function create(kernel: Kernel, parts: StateTransferParts): StateTransfer {
   const { cells, notes, votes } = parts;
 
   function mayBeCopied(wanted: CopiedSet, told: number | undefined): boolean {
-    return Option.isNone(wanted) ? told === undefined : levelling.mayBeCopied(wanted.value, told);
+    return Option.isNone(wanted) ? told === undefined : catchUp.mayBeCopied(wanted.value, told);
   }
 
   async function pages(other: Seat, set: CopiedSet, epochs: Record<string, number>, given: () => boolean = () => false): Promise<boolean> {
@@ -66,11 +66,11 @@
   }
 
   return {
-    pages,
+    copyFrom: pages,
     abstain: async function abstain(epochs) {
       await Promise.all(Object.entries(epochs).map(([service, epoch]) => abstainIn(service, epoch)));
     },
   };
 }
 
-export const copying = { create } as const;
+export const stateTransfer = { create } as const;
--- a/packages/core/src/usage.ts
+++ b/packages/core/src/usage-reporting.ts
@@ -4,9 +4,9 @@
 import { Type, type Static } from '@sinclair/typebox';
 import { identifiers, type Fault, type Kernel } from '@stallstall/kernel';
 import { message, type Entry, type Reply } from '@stallstall/message';
-import { duty, type Holding, type PlatformCall, type PlatformCalls } from '@stallstall/election';
+import { singletonRole, type RoleLease, type PlatformCall, type PlatformCalls } from '@stallstall/election';
 import { quorum } from '@stallstall/quorum';
-import { keeper, keptWindows, registerService, usageWindowMilliseconds, type Keeper } from '@stallstall/register';
+import { reportStore, keptWindows, registerService, usageWindowMilliseconds, type ReportStore } from '@stallstall/register';
 import type { Node } from '@stallstall/node';
 
 /**
@@ -40,7 +40,7 @@
 
 type Told = Reply<'usageLook'>;
 
-export type Usage = Readonly<{
+export type UsageReporting = Readonly<{
   start: () => void;
   /** Ends when the duty is handed on. */
   stop: () => Promise<void>;
@@ -48,13 +48,13 @@
 }>;
 
 function fixedOf(entry: Option.Option<Entry>): Fixed {
-  return Option.isSome(entry) && message.fits(FixedSchema, entry.value.value) ? entry.value.value : { windows: [] };
+  return Option.isSome(entry) && message.matches(FixedSchema, entry.value.value) ? entry.value.value : { windows: [] };
 }
 
 /** Where edges hold leases, and the platform is told in words of its own (design 9.6). */
 export type UsageParts = Readonly<{ calls: PlatformCalls; edges: () => readonly string[] }>;
 
-function create(kernel: Kernel, node: Node, notes: Keeper, parts: Option.Option<UsageParts> = Option.none): Usage {
+function create(kernel: Kernel, node: Node, notes: ReportStore, parts: Option.Option<UsageParts> = Option.none): UsageReporting {
   const register = kernel.services.find(registerService);
   // Windows on their way to the platform: one that it is slow over holds up none of the others.
   const sending = new Set<number>();
@@ -68,7 +68,7 @@
       await Promise.all(
         node.cores().map(async function ask(core): Promise<readonly Told[]> {
           if (core.node === node.settings.node) return [notes.look(window)];
-          const held = node.callPeer(core.node);
+          const held = node.peerOf(core.node);
           const reply = Option.isNone(held) ? Option.none : await held.value.call('usageLook', { window }, 500);
           return Option.isSome(reply) ? [reply.value] : [];
         }),
@@ -81,7 +81,7 @@
     const edges = Option.isSome(parts) ? parts.value.edges() : quorum.withRole(node.membership().value, 'edge').map((edge) => edge.node);
     const whole = edges.every((edge) => Math.max(...replies.map((one) => one.through[edge] ?? 0)) >= end + skewMilliseconds);
     if (!whole && kernel.clock.wall() < end + grace) return Option.none;
-    return Option.some(keeper.add(replies.flatMap((one) => one.reports)));
+    return Option.some(reportStore.sumReports(replies.flatMap((one) => one.reports)));
   }
 
   /** Fixes the counts of a window once; whoever comes later finds them standing. */
@@ -101,11 +101,16 @@
     return Option.fromNullable(fixedOf(changed.right.entry).windows.find((known) => known.window === window));
   }
 
-  async function send(fixed: FixedWindow, holding: Holding): Promise<void> {
+  async function send(fixed: FixedWindow, holding: RoleLease): Promise<void> {
     if (sending.has(fixed.window)) return;
     sending.add(fixed.window);
     const ask: PlatformCall = Option.isSome(parts)
-      ? parts.value.calls.usage({ window: fixed.window, counts: fixed.counts, turn: holding.turn, holder: node.settings.node })
+      ? parts.value.calls.usage({
+          window: fixed.window,
+          counts: fixed.counts,
+          fencingToken: holding.fencingToken,
+          holder: node.settings.node,
+        })
       : {
           repeatable: 'unchanged',
           method: 'POST',
@@ -114,11 +119,11 @@
             window: fixed.window,
             endsAt: (fixed.window + 1) * usageWindowMilliseconds,
             counts: fixed.counts,
-            turn: holding.turn,
+            turn: holding.fencingToken,
             holder: node.settings.node,
           },
         };
-    const reply = await holding.act(identifiers.address(node.settings.platform()), ask, sendMilliseconds);
+    const reply = await holding.call(identifiers.address(node.settings.platform()), ask, sendMilliseconds);
     sending.delete(fixed.window);
     if (Either.isLeft(reply) || reply.right.status !== 200) return;
     await register.change(
@@ -135,7 +140,7 @@
   }
 
   /** One round of the holder: fix every window that has ended, also one that is too late to send, then send what can still arrive in time. */
-  async function round(holding: Holding): Promise<void> {
+  async function round(holding: RoleLease): Promise<void> {
     const last = Math.floor((kernel.clock.wall() - skewMilliseconds) / usageWindowMilliseconds) - 1;
     const read = await register.read('usage', 1_000);
     if (Either.isLeft(read)) return;
@@ -154,20 +159,25 @@
     }
   }
 
-  async function hold(holding: Holding): Promise<void> {
-    kernel.log('usage.holding', { turn: holding.turn });
+  async function hold(holding: RoleLease): Promise<void> {
+    kernel.log('usage.holding', { turn: holding.fencingToken });
     while (!stopped && (await holding.renew())) {
       await round(holding);
       await kernel.clock.sleep(400);
     }
-    kernel.log('usage.ended', { turn: holding.turn });
+    kernel.log('usage.ended', { turn: holding.fencingToken });
   }
 
   async function task(): Promise<void> {
-    const seeking = duty.create(kernel, 'usage', node.settings.node, Option.isSome(parts) ? parts.value.calls.restMilliseconds : 0);
+    const seeking = singletonRole.create(
+      kernel,
+      'usage',
+      node.settings.node,
+      Option.isSome(parts) ? parts.value.calls.handoverDelayMilliseconds : 0,
+    );
     while (!stopped) {
       if (node.incarnation() > 0) {
-        const holding = await seeking.seek();
+        const holding = await seeking.tryAcquire();
         if (Option.isSome(holding)) {
           await hold(holding.value);
           if (stopped) await holding.value.release();
@@ -192,4 +202,4 @@
   };
 }
 
-export const usage = { create } as const;
+export const usageReporting = { create } as const;
--- a/packages/core/src/version-store.ts
+++ b/packages/core/src/version-store.ts
@@ -4,7 +4,7 @@
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { kernel as kernels, owner, type Disk, type Kernel } from '@stallstall/kernel';
-import { ballotZero, EarlierVersionSchema, message, type Ask, type EarlierVersion, type Entry, type Reply } from '@stallstall/message';
+import { ballotZero, EarlierVersionSchema, message, type Request, type EarlierVersion, type Entry, type Reply } from '@stallstall/message';
 import type { Configuration, Node } from '@stallstall/node';
 import { acceptor, archivePrefix, coldPrefix, type CellState } from '@stallstall/register';
 
@@ -17,7 +17,7 @@
   /** The version of the configuration on this core's own disk. */
   newest: () => number;
   /** The other cores, and the links to them as far as they are held. */
-  node: Pick<Node, 'cores' | 'callPeer'>;
+  node: Pick<Node, 'cores' | 'peerOf'>;
 }>;
 
 export type VersionStore = Readonly<{
@@ -28,7 +28,7 @@
   row: (version: number) => VersionRow | undefined;
   /** The oldest version that may be asked for. */
   oldest: (latest: number) => number;
-  earlier: (ask: Ask<'earlier'>) => Promise<Reply<'earlier'>>;
+  earlier: (ask: Request<'earlier'>) => Promise<Reply<'earlier'>>;
   start: () => Promise<void>;
   stop: () => void;
 }>;
@@ -57,7 +57,7 @@
 
 function heldIn(stored: unknown): EarlierVersion | undefined {
   const value = acceptor.isCellState(stored) ? stored.accepted?.value : undefined;
-  return message.fits(EarlierVersionSchema, value) ? value : undefined;
+  return message.matches(EarlierVersionSchema, value) ? value : undefined;
 }
 
 function packed(version: number, kept: SentVersion): EarlierVersion {
@@ -112,10 +112,10 @@
     const { recent: _recent, history, ...kept } = entry.value as Configuration;
     for (const { version, ...old } of history ?? []) {
       const earlier = packed(version, old);
-      if (!(await commands.ask(() => put(earlier)))) return false;
+      if (!(await commands.run(() => put(earlier)))) return false;
     }
     const earlier = packed(entry.version, kept);
-    return commands.ask(() => put(earlier));
+    return commands.run(() => put(earlier));
   }
 
   async function stored(version: number): Promise<Option.Option<EarlierVersion>> {
@@ -126,7 +126,7 @@
   }
 
   /** A page of what is kept here of the versions asked for. */
-  async function earlier(ask: Ask<'earlier'>): Promise<Reply<'earlier'>> {
+  async function earlier(ask: Request<'earlier'>): Promise<Reply<'earlier'>> {
     const found: EarlierVersion[] = [];
     let left = pageBytes;
     for (const version of ask.versions) {
@@ -140,8 +140,8 @@
   }
 
   /** What every other core keeps of the versions asked for, as far as it replies. */
-  async function askOthers(ask: Ask<'earlier'>): Promise<ReadonlyArray<Reply<'earlier'>>> {
-    const links = parts.node.cores().map((core) => parts.node.callPeer(core.node));
+  async function askOthers(ask: Request<'earlier'>): Promise<ReadonlyArray<Reply<'earlier'>>> {
+    const links = parts.node.cores().map((core) => parts.node.peerOf(core.node));
     const replies = await Promise.all(
       links.map((link) => (Option.isSome(link) ? link.value.call('earlier', ask, askMilliseconds) : Promise.resolve(Option.none))),
     );
@@ -180,7 +180,7 @@
       const replies = await askOthers({ versions: [...versions] });
       if (replies.length === 0) return;
       const before = table.rows.size;
-      for (const found of replies.flatMap((reply) => reply.found)) if (!(await commands.ask(() => put(found)))) return;
+      for (const found of replies.flatMap((reply) => reply.found)) if (!(await commands.run(() => put(found)))) return;
       if (table.rows.size === before) for (const version of versions) unknown.set(version, kernel.clock.now() + unknownMilliseconds);
     }
   }
