--- a/packages/core/src/votes.ts
+++ b/packages/core/src/vote-store.ts
@@ -13,20 +13,20 @@
 export const abstained = { candidate: '', proposer: '' } as const;
 
 /** A vote store that tells the highest epoch voted for in each service. */
-export type CoreVotes = VoteStore & Readonly<{ epochs: () => Promise<Readonly<Record<string, number>>> }>;
+export type CoreVoteStore = VoteStore & Readonly<{ epochs: () => Promise<Readonly<Record<string, number>>> }>;
 
 /** Restores the votes that `stored` holds under `vote/`. */
-export function coreVotes(disk: Disk, stored: ReadonlyMap<string, unknown>): CoreVotes {
+export function coreVoteStore(disk: Disk, stored: ReadonlyMap<string, unknown>): CoreVoteStore {
   const votes = owner.create('votes', new Map<string, Vote>());
   for (const [key, value] of stored)
-    if (key.startsWith(votesPrefix)) void votes.ask((table) => void table.set(key.slice(votesPrefix.length), value as Vote));
+    if (key.startsWith(votesPrefix)) void votes.run((table) => void table.set(key.slice(votesPrefix.length), value as Vote));
   return {
-    epochs: () => votes.ask((table) => Object.fromEntries([...table].map(([service, vote]) => [service, vote.epoch]))),
-    load: (service) => votes.ask((table) => Either.right(Option.fromNullable(table.get(service)))),
+    epochs: () => votes.run((table) => Object.fromEntries([...table].map(([service, vote]) => [service, vote.epoch]))),
+    load: (service) => votes.run((table) => Either.right(Option.fromNullable(table.get(service)))),
     record: async function record(service, vote) {
       // A vote that cannot be synced now is none, and those who ask meanwhile do not queue up behind a disk that hangs.
       if (Option.isSome(disk.trouble())) return false;
-      return votes.ask(async function sync(table) {
+      return votes.run(async function sync(table) {
         if ((table.get(service)?.epoch ?? 0) >= vote.epoch) return false;
         const kept = await disk.put(`${votesPrefix}${service}`, vote);
         if (Either.isLeft(kept)) return false;
--- a/packages/election/src/election.ts
+++ b/packages/election/src/election.ts
@@ -6,17 +6,26 @@
   identifiers,
   kernel as kernels,
   type Fault,
-  type HttpAsk,
+  type OutgoingHttpRequest,
   type Instant,
   type Kernel,
   type Repeatable,
 } from '@stallstall/kernel';
-import { FloorSchema, message, type Ask, type Entry, type Floor, type Membership, type Reply, type Settled } from '@stallstall/message';
+import {
+  DurableWatermarkSchema,
+  message,
+  type Request,
+  type Entry,
+  type DurableWatermark,
+  type Membership,
+  type Reply,
+  type ElectedPrimary,
+} from '@stallstall/message';
 import { quorum } from '@stallstall/quorum';
-import { notesService, registerService } from '@stallstall/register';
-import { fenceService, marginMilliseconds, termMilliseconds } from '@stallstall/quorum-lease';
-import { sheets, type Sheet, type SheetMember, type SheetService } from '@stallstall/placement';
-import { duty, type Duty, type Holding } from './duty.js';
+import { durableReportsService, registerService } from '@stallstall/register';
+import { quorumLeaseService, marginMilliseconds, termMilliseconds } from '@stallstall/quorum-lease';
+import { placements, type Sheet, type SheetMember, type SheetService } from '@stallstall/placement';
+import { singletonRole, type SingletonRole, type RoleLease } from './singleton-role.js';
 import { downAfterMilliseconds, livenessService, type MemberState } from './liveness.js';
 
 /** The paper's election timeout. */
@@ -35,37 +44,39 @@
  * A call that is made again, unchanged, until its outcome is known: whoever puts it into a platform's words states that the platform takes
  * it once (design 8.14).
  */
-export type PlatformCall = HttpAsk & Readonly<{ repeatable: Extract<Repeatable, 'unchanged'> }>;
+export type PlatformCall = OutgoingHttpRequest & Readonly<{ repeatable: Extract<Repeatable, 'unchanged'> }>;
 
 /** How the platform is called and what members understand, where it is not this product's own HTTP (design 7.13). */
 export type PlatformCalls = Readonly<{
-  promotion: (call: Readonly<{ service: string; member: string; epoch: number; turn: number; holder: string }>) => PlatformCall;
-  usage: (call: Readonly<{ window: number; counts: Readonly<Record<string, number>>; turn: number; holder: string }>) => PlatformCall;
+  promotion: (call: Readonly<{ service: string; member: string; epoch: number; fencingToken: number; holder: string }>) => PlatformCall;
+  usage: (
+    call: Readonly<{ window: number; counts: Readonly<Record<string, number>>; fencingToken: number; holder: string }>,
+  ) => PlatformCall;
   /** Milliseconds that a holder which has acted leaves before it acts again, should another have acted in between. */
-  restMilliseconds: number;
+  handoverDelayMilliseconds: number;
 }>;
 
-export type ElectionView = Readonly<{
+export type ElectionContext = Readonly<{
   /** None: members are told epochs over this product's own HTTP. */
   calls: Option.Option<PlatformCalls>;
   /** Edges that were granted a lease by this node within a term and its margin; none while a process before this one may have granted some. */
-  lessees: () => Option.Option<readonly string[]>;
+  leaseHolders: () => Option.Option<readonly string[]>;
   /** Whether these edges have told that nothing of theirs is under way below an epoch (design 7.12). */
-  released: (service: string, epoch: number, lessees: readonly string[]) => boolean;
+  hasReleased: (service: string, epoch: number, leaseHolders: readonly string[]) => boolean;
   /** Told once this node stands at another epoch. */
-  onStance: () => void;
+  onEpochRaised: () => void;
   self: string;
   membership: () => Membership;
   membershipVersion: () => number;
-  sheet: () => Option.Option<Sheet>;
-  settled: (service: string) => Option.Option<Settled>;
+  placement: () => Option.Option<Sheet>;
+  electedPrimary: (service: string) => Option.Option<ElectedPrimary>;
   /** Where the platform is, asked at each call. */
   platform: () => string;
-  propose: (node: string, ask: Ask<'propose'>) => Promise<Option.Option<Reply<'propose'>>>;
+  propose: (node: string, ask: Request<'propose'>) => Promise<Option.Option<Reply<'propose'>>>;
 }>;
 
 export type Election = Readonly<{
-  consider: (ask: Ask<'propose'>) => Promise<Reply<'propose'>>;
+  handleProposal: (ask: Request<'propose'>) => Promise<Reply<'propose'>>;
   /** The epoch this node stands at for a service; none while its own vote is not yet known. */
   epochOf: (service: string) => Option.Option<number>;
   step: () => void;
@@ -117,23 +128,23 @@
   return left.member.member < right.member.member ? -1 : 1;
 }
 
-const nothing: Floor = { epoch: 0, position: 0 };
+const nothing: DurableWatermark = { epoch: 0, position: 0 };
 
 /** Where an operator's word stands that a loss is accepted. */
-export function waivedKey(service: string): string {
+export function acceptedLossKey(service: string): string {
   return `waived/${service}`;
 }
 
 /** Whether a member holds all that was acknowledged: a later epoch began with all of it (design 7.5). */
-function reaches(state: MemberState, floor: Floor): boolean {
+function reaches(state: MemberState, floor: DurableWatermark): boolean {
   return state.epoch > floor.epoch || (state.epoch === floor.epoch && state.received >= floor.position);
 }
 
-function create(kernel: Kernel, view: ElectionView, votes: VoteStore): Election {
+function create(kernel: Kernel, view: ElectionContext, votes: VoteStore): Election {
   const register = kernel.services.find(registerService);
-  const notes = kernel.services.find(notesService);
+  const notes = kernel.services.find(durableReportsService);
   const liveness = kernel.services.find(livenessService);
-  const terms = kernel.services.find(fenceService);
+  const terms = kernel.services.find(quorumLeaseService);
   const standings = new Map<string, Standing>();
 
   function standingOf(service: string): Standing {
@@ -156,7 +167,7 @@
   }
 
   function settledEpoch(service: string): number {
-    const settled = view.settled(service);
+    const settled = view.electedPrimary(service);
     return Option.isSome(settled) ? settled.value.epoch : 0;
   }
 
@@ -182,22 +193,22 @@
   }
 
   function serviceOf(service: string): SheetService | undefined {
-    const sheet = view.sheet();
-    return Option.isSome(sheet) ? sheets.service(sheet.value, service) : undefined;
+    const sheet = view.placement();
+    return Option.isSome(sheet) ? placements.service(sheet.value, service) : undefined;
   }
 
   function primaryOf(service: SheetService): SheetMember | undefined {
-    const settled = view.settled(service.service);
+    const settled = view.electedPrimary(service.service);
     return Option.isSome(settled) ? service.members.find((member) => member.member === settled.value.primary) : undefined;
   }
 
   /** The primary, when this node sees it alive and no sheet asks it to go. */
   function livePrimary(service: SheetService): SheetMember | undefined {
     const primary = primaryOf(service);
-    return primary !== undefined && primary.state === 'serving' && liveness.alive(primary.member) ? primary : undefined;
+    return primary !== undefined && primary.state === 'serving' && liveness.isAlive(primary.member) ? primary : undefined;
   }
 
-  function denial(ask: Ask<'propose'>, standing: Standing): Option.Option<string> {
+  function denial(ask: Request<'propose'>, standing: Standing): Option.Option<string> {
     const service = serviceOf(ask.service);
     if (service === undefined) return Option.some('no such service in the sheet obeyed here');
     if (!standing.loaded) return Option.some('own vote not yet read back');
@@ -211,7 +222,7 @@
     return Option.none;
   }
 
-  async function consider(ask: Ask<'propose'>): Promise<Reply<'propose'>> {
+  async function consider(ask: Request<'propose'>): Promise<Reply<'propose'>> {
     const standing = standingOf(ask.service);
     await load(ask.service, standing);
     const denied = denial(ask, standing);
@@ -222,9 +233,9 @@
     const vote: Vote = { epoch: ask.epoch, candidate: ask.candidate, proposer: ask.node };
     standing.voted = Option.some(vote);
     standing.votedAt = kernel.clock.now();
-    view.onStance();
+    view.onEpochRaised();
     const recorded = await votes.record(ask.service, vote);
-    const known = view.lessees();
+    const known = view.leaseHolders();
     // A vote that became durable as the set of cores changed is of no set: the barrier was asked for without it (design 4.8).
     const durable = recorded && (Option.isNone(view.calls) || ask.membership === view.membershipVersion());
     return {
@@ -246,17 +257,18 @@
   }
 
   /** What was acknowledged up to now, read from a majority of core disks; none while no majority replies. */
-  async function floorOf(service: string): Promise<Option.Option<Floor>> {
-    const [floors, waived] = await Promise.all([notes.floors(), register.read(waivedKey(service), 1_500)]);
+  async function floorOf(service: string): Promise<Option.Option<DurableWatermark>> {
+    const [floors, waived] = await Promise.all([notes.watermarks(), register.read(acceptedLossKey(service), 1_500)]);
     if (Either.isLeft(floors) || Either.isLeft(waived)) return Option.none;
     const floor = floors.right[service] ?? nothing;
     // An operator has given up all that was acknowledged up to here (design 7.11).
-    const given = Option.isSome(waived.right) && message.fits(FloorSchema, waived.right.value.value) ? waived.right.value.value : nothing;
-    return Option.some(message.compareFloors(floor, given) <= 0 ? nothing : floor);
+    const given =
+      Option.isSome(waived.right) && message.matches(DurableWatermarkSchema, waived.right.value.value) ? waived.right.value.value : nothing;
+    return Option.some(message.compareWatermarks(floor, given) <= 0 ? nothing : floor);
   }
 
   /** Highest received position among the eligible, lowest id on ties; never below the floor (design 7.5). */
-  function choose(service: SheetService, found: readonly Found[], floor: Floor): Option.Option<Found> {
+  function choose(service: SheetService, found: readonly Found[], floor: DurableWatermark): Option.Option<Found> {
     const primary = livePrimary(service);
     const eligible = found.filter(
       (one) =>
@@ -278,7 +290,7 @@
     );
   }
 
-  function collectAccepts(ask: Ask<'propose'>): Promise<Either.Either<string, Majority>> {
+  function collectAccepts(ask: Request<'propose'>): Promise<Either.Either<string, Majority>> {
     const nodes = view.membership().seats.map((seat) => seat.node);
     const needed = quorum.majority(nodes.length);
     return new Promise(function count(resolve) {
@@ -287,7 +299,7 @@
       let lastReason = 'no answer';
       const lessees = new Set<string>();
       let blind = false;
-      kernel.clock.alarm(electionTimeoutMilliseconds, function late() {
+      kernel.clock.startTimer(electionTimeoutMilliseconds, function late() {
         resolve(Either.left(`${accepts} of ${needed} ACCEPTs in time; ${lastReason}`));
       });
       async function askNode(node: string): Promise<void> {
@@ -315,7 +327,7 @@
     // Where every edge that any of these voters granted a lease has let go of it, nobody is left to be waited out (design 7.12).
     while (
       kernel.clock.now() < opensAt &&
-      !(Option.isSome(view.calls) && Option.isSome(majority.lessees) && view.released(service.service, epoch, majority.lessees.value))
+      !(Option.isSome(view.calls) && Option.isSome(majority.lessees) && view.hasReleased(service.service, epoch, majority.lessees.value))
     ) {
       await kernel.clock.sleep(
         Option.isSome(view.calls) ? Math.min(releaseLookMilliseconds, opensAt - kernel.clock.now()) : opensAt - kernel.clock.now(),
@@ -351,21 +363,26 @@
   }
 
   /** One for each service and process: it remembers when it acted last. */
-  const duties = new Map<string, Duty>();
+  const duties = new Map<string, SingletonRole>();
 
-  function dutyOf(service: string): Duty {
+  function dutyOf(service: string): SingletonRole {
     const known =
       duties.get(service) ??
-      duty.create(kernel, `promotion/${service}`, view.self, Option.isSome(view.calls) ? view.calls.value.restMilliseconds : 0);
+      singletonRole.create(
+        kernel,
+        `promotion/${service}`,
+        view.self,
+        Option.isSome(view.calls) ? view.calls.value.handoverDelayMilliseconds : 0,
+      );
     duties.set(service, known);
     return known;
   }
 
-  async function seekDuty(service: string, epoch: number): Promise<Option.Option<Holding>> {
+  async function seekDuty(service: string, epoch: number): Promise<Option.Option<RoleLease>> {
     const promotion = dutyOf(service);
     const horizon = identifiers.after(kernel.clock.now(), 2 * (termMilliseconds + marginMilliseconds));
     while (kernel.clock.now() < horizon && !outvoted(service, epoch)) {
-      const holding = await promotion.seek();
+      const holding = await promotion.tryAcquire();
       if (Option.isSome(holding)) {
         if (await isUnsettled(service, epoch)) return holding;
         await holding.value.release();
@@ -386,16 +403,22 @@
     return chosen.state.role === 'primary' || (state.right.state.term ?? 0) > (chosen.state.term ?? 0);
   }
 
-  async function call(service: SheetService, member: SheetMember, epoch: number, holding: Holding): Promise<Either.Either<Fault, null>> {
+  async function call(service: SheetService, member: SheetMember, epoch: number, holding: RoleLease): Promise<Either.Either<Fault, null>> {
     const ask: PlatformCall = Option.isSome(view.calls)
-      ? view.calls.value.promotion({ service: service.service, member: member.member, epoch, turn: holding.turn, holder: view.self })
+      ? view.calls.value.promotion({
+          service: service.service,
+          member: member.member,
+          epoch,
+          fencingToken: holding.fencingToken,
+          holder: view.self,
+        })
       : {
           repeatable: 'unchanged',
           method: 'POST',
           path: '/v1/promotions',
-          body: { service: service.service, member: member.member, epoch, turn: holding.turn },
+          body: { service: service.service, member: member.member, epoch, turn: holding.fencingToken },
         };
-    const reply = await holding.act(
+    const reply = await holding.call(
       identifiers.address(view.platform()),
       ask,
       Option.isSome(view.calls) ? promoteAgainMilliseconds : promoteMilliseconds,
@@ -416,7 +439,7 @@
    * Waits until the candidate leads by its own STATE. Its log may lack what was acknowledged until then, so no lease may be granted for
    * it on the platform's reply alone (design 7.13).
    */
-  async function takesEffect(service: string, chosen: Found, epoch: number, holding: Holding): Promise<boolean> {
+  async function takesEffect(service: string, chosen: Found, epoch: number, holding: RoleLease): Promise<boolean> {
     const horizon = identifiers.after(kernel.clock.now(), effectMilliseconds);
     let renewsAt = identifiers.after(kernel.clock.now(), effectRenewMilliseconds);
     while (kernel.clock.now() < horizon && !outvoted(service, epoch)) {
@@ -430,7 +453,7 @@
     return false;
   }
 
-  async function order(service: SheetService, chosen: Found, epoch: number, holding: Holding): Promise<Either.Either<string, null>> {
+  async function order(service: SheetService, chosen: Found, epoch: number, holding: RoleLease): Promise<Either.Either<string, null>> {
     const horizon = identifiers.after(kernel.clock.now(), orderMilliseconds);
     let last = 'no call was made';
     while (kernel.clock.now() < horizon) {
@@ -466,17 +489,19 @@
   async function isUnsettled(service: string, epoch: number): Promise<boolean> {
     const read = await register.read(`epoch/${service}`, 1_000);
     if (Either.isLeft(read)) return false;
-    const settled = Option.isSome(read.right) ? (read.right.value.value as Settled).epoch : 0;
+    const settled = Option.isSome(read.right) ? (read.right.value.value as ElectedPrimary).epoch : 0;
     return settled < epoch;
   }
 
-  async function settle(service: string, settled: Settled): Promise<boolean> {
+  async function settle(service: string, settled: ElectedPrimary): Promise<boolean> {
     const written = await register.change(`epoch/${service}`, function next(current: Option.Option<Entry>) {
-      const standing = Option.isSome(current) ? (current.value.value as Settled) : undefined;
+      const standing = Option.isSome(current) ? (current.value.value as ElectedPrimary) : undefined;
       return standing !== undefined && standing.epoch >= settled.epoch ? Option.none : Option.some(settled);
     });
     return (
-      Either.isRight(written) && Option.isSome(written.right.entry) && (written.right.entry.value.value as Settled).epoch === settled.epoch
+      Either.isRight(written) &&
+      Option.isSome(written.right.entry) &&
+      (written.right.entry.value.value as ElectedPrimary).epoch === settled.epoch
     );
   }
 
@@ -531,10 +556,10 @@
 
   function wanted(service: SheetService, standing: Standing): boolean {
     const now = kernel.clock.now();
-    if (Option.isNone(view.settled(service.service))) return now - standing.knownSince >= downAfterMilliseconds;
+    if (Option.isNone(view.electedPrimary(service.service))) return now - standing.knownSince >= downAfterMilliseconds;
     const primary = primaryOf(service);
     if (primary === undefined || primary.state === 'draining') return true;
-    return !liveness.alive(primary.member) && now - standing.knownSince >= downAfterMilliseconds;
+    return !liveness.isAlive(primary.member) && now - standing.knownSince >= downAfterMilliseconds;
   }
 
   function rank(): number {
@@ -582,13 +607,13 @@
   }
 
   function step(): void {
-    const sheet = view.sheet();
+    const sheet = view.placement();
     if (Option.isSome(sheet)) for (const service of sheet.value.services) stepService(service);
   }
 
   function describe(): ReadonlyArray<Readonly<Record<string, string | number>>> {
     return [...standings].map(([service, standing]) => {
-      const settled = view.settled(service);
+      const settled = view.electedPrimary(service);
       return {
         service,
         epoch: settledEpoch(service),
@@ -599,7 +624,7 @@
     });
   }
 
-  return { consider, epochOf, step, describe };
+  return { handleProposal: consider, epochOf, step, describe };
 }
 
 export const electionService = kernels.serviceName<Election>('election');
--- a/packages/election/src/index.ts
+++ b/packages/election/src/index.ts
@@ -1,3 +1,3 @@
 export * from './liveness.js';
-export * from './duty.js';
+export * from './singleton-role.js';
 export * from './election.js';
--- a/packages/election/src/liveness.ts
+++ b/packages/election/src/liveness.ts
@@ -24,26 +24,26 @@
 
 /** How a member is asked for its STATE, where it is not this product's own HTTP. */
 export type MemberProbe = Readonly<{
-  ask: (service: string, member: string, address: string, milliseconds: number) => Promise<Either.Either<Fault, MemberState>>;
+  readState: (service: string, member: string, address: string, milliseconds: number) => Promise<Either.Either<Fault, MemberState>>;
   /** Keeps the connection open and asks nothing: a probe has its price, a held connection none. */
-  hold: (service: string, member: string, address: string, milliseconds: number) => Promise<Either.Either<Fault, null>>;
+  keepConnection: (service: string, member: string, address: string, milliseconds: number) => Promise<Either.Either<Fault, null>>;
 }>;
 
 export type Liveness = Readonly<{
-  beat: (state: MemberState) => void;
+  heartbeat: (state: MemberState) => void;
   /** A beat without a state, taken here or by another node so long ago. */
-  heard: (member: string, agoMilliseconds: number) => void;
+  observeHeartbeat: (member: string, agoMilliseconds: number) => void;
   /** Its machine says that nothing listens there: more than silence tells, until the member is heard again. */
-  notListening: (member: string) => void;
-  alive: (member: string) => boolean;
+  connectionRefused: (member: string) => void;
+  isAlive: (member: string) => boolean;
   /** Silent for so long as to be DOWN; a process that has only begun to listen flags nobody yet. */
-  down: (member: string) => boolean;
-  lastHeard: (member: string) => Option.Option<Instant>;
+  isDown: (member: string) => boolean;
+  lastHeartbeatAt: (member: string) => Option.Option<Instant>;
   state: (member: string) => Option.Option<MemberState>;
   /** Asks a member for its STATE over the one probe connection this node keeps to it. */
   probe: (member: string, address: string, milliseconds: number, service?: string) => Promise<Either.Either<Fault, Probed>>;
   /** Sees that the connection to a member stands; a refusal counts as evidence. */
-  hold: (service: string, member: string, address: string, milliseconds: number) => Promise<void>;
+  keepConnection: (service: string, member: string, address: string, milliseconds: number) => Promise<void>;
   /** Closes probes to members that no configuration names any more. */
   keepOnly: (members: ReadonlySet<string>) => void;
 }>;
@@ -109,7 +109,7 @@
     milliseconds: number,
   ): Promise<Either.Either<Fault, Probed>> {
     const sentAt = kernel.clock.now();
-    const state = await way.ask(service, member, address, milliseconds);
+    const state = await way.readState(service, member, address, milliseconds);
     asking.delete(member);
     if (Either.isLeft(state)) {
       if (fault.kind(state.left) === 'not-listening') notListening(member);
@@ -125,7 +125,7 @@
     const reply = await connectionTo(member, address).exchange({ method: 'GET', path: '/state' }, milliseconds);
     asking.delete(member);
     if (Either.isLeft(reply)) return reply;
-    if (!message.fits(MemberStateSchema, reply.right.body) || reply.right.body.member !== member) {
+    if (!message.matches(MemberStateSchema, reply.right.body) || reply.right.body.member !== member) {
       return Either.left(
         fault.create({
           kind: 'unreachable',
@@ -153,7 +153,7 @@
   async function hold(service: string, member: string, address: string, milliseconds: number): Promise<void> {
     if (Option.isNone(memberProbe) || holding.has(member)) return;
     holding.add(member);
-    const held = await memberProbe.value.hold(service, member, address, milliseconds);
+    const held = await memberProbe.value.keepConnection(service, member, address, milliseconds);
     holding.delete(member);
     if (Either.isRight(held)) closedPorts.delete(member);
     else if (fault.kind(held.left) === 'not-listening') notListening(member);
@@ -168,15 +168,15 @@
   }
 
   return {
-    beat,
-    heard: heardAgo,
-    notListening,
-    alive,
-    down,
+    heartbeat: beat,
+    observeHeartbeat: heardAgo,
+    connectionRefused: notListening,
+    isAlive: alive,
+    isDown: down,
     probe,
-    hold,
+    keepConnection: hold,
     keepOnly,
-    lastHeard: function lastHeard(member) {
+    lastHeartbeatAt: function lastHeard(member) {
       return Option.fromNullable(heardAt.get(member));
     },
     state: function state(member) {
--- a/packages/election/src/duty.ts
+++ b/packages/election/src/singleton-role.ts
@@ -7,7 +7,7 @@
   identifiers,
   type Address,
   type Fault,
-  type HttpAsk,
+  type OutgoingHttpRequest,
   type HttpConnection,
   type HttpReply,
   type Instant,
@@ -23,45 +23,45 @@
   renewals: Type.Integer({ minimum: 0 }),
   released: Type.Boolean(),
 });
-export type DutyState = Readonly<Static<typeof DutySchema>>;
+export type RoleRecord = Readonly<Static<typeof DutySchema>>;
 
-export type Holding = Readonly<{
-  turn: number;
+export type RoleLease = Readonly<{
+  fencingToken: number;
   /**
    * One call under this turn. It leaves only while the term has room for its way; the duty is renewed beside it, and should the
    * term run out all the same, the call is taken back.
    */
-  act: (address: Address, ask: HttpAsk, milliseconds: number) => Promise<Either.Either<Fault, HttpReply>>;
+  call: (address: Address, ask: OutgoingHttpRequest, milliseconds: number) => Promise<Either.Either<Fault, HttpReply>>;
   renew: () => Promise<boolean>;
   release: () => Promise<void>;
 }>;
 
-export type Duty = Readonly<{
+export type SingletonRole = Readonly<{
   /** One step towards holding: none while another's term may still run. */
-  seek: () => Promise<Option.Option<Holding>>;
+  tryAcquire: () => Promise<Option.Option<RoleLease>>;
 }>;
 
 const renewMilliseconds = 500;
 /** What a call may take to reach whom it is for. */
 const wayMilliseconds = 400;
 
-function stateOf(entry: Option.Option<Entry>): Option.Option<DutyState> {
-  return Option.isSome(entry) && message.fits(DutySchema, entry.value.value) ? Option.some(entry.value.value) : Option.none;
+function stateOf(entry: Option.Option<Entry>): Option.Option<RoleRecord> {
+  return Option.isSome(entry) && message.matches(DutySchema, entry.value.value) ? Option.some(entry.value.value) : Option.none;
 }
 
 /**
  * `restMilliseconds`: should another have held the duty since this holder acted last, it does not take it back before so
  * long after that act, so that no platform sees the same two holders in turns (design 7.6).
  */
-function create(kernel: Kernel, name: string, self: string, restMilliseconds = 0): Duty {
+function create(kernel: Kernel, name: string, self: string, restMilliseconds = 0): SingletonRole {
   const register = kernel.services.find(registerService);
   const key = `duty/${name}`;
   // A restarted process is another holder: what its predecessor began is not its own.
   const holder = `${self}#${kernel.randomness.token()}`;
   let acted: Option.Option<Readonly<{ turn: number; at: Instant }>> = Option.none;
-  let seen: Option.Option<Readonly<{ state: DutyState; since: Instant }>> = Option.none;
+  let seen: Option.Option<Readonly<{ state: RoleRecord; since: Instant }>> = Option.none;
 
-  function hold(turn: number, from: Instant): Holding {
+  function hold(turn: number, from: Instant): RoleLease {
     let until = identifiers.after(from, termMilliseconds);
     let renewing: Promise<boolean> | undefined;
     let released = false;
@@ -97,7 +97,7 @@
       return until - kernel.clock.now();
     }
 
-    async function act(address: Address, ask: HttpAsk, milliseconds: number): Promise<Either.Either<Fault, HttpReply>> {
+    async function act(address: Address, ask: OutgoingHttpRequest, milliseconds: number): Promise<Either.Either<Fault, HttpReply>> {
       if (left() < termMilliseconds / 2) await renew();
       if (left() < wayMilliseconds) {
         return Either.left(
@@ -114,7 +114,7 @@
       function guard(): void {
         if (!under) return;
         if (left() <= 0) connection.close();
-        else kernel.clock.alarm(left(), guard);
+        else kernel.clock.startTimer(left(), guard);
       }
       async function renewBeside(): Promise<void> {
         for (await kernel.clock.sleep(renewMilliseconds); under; await kernel.clock.sleep(renewMilliseconds)) await renew();
@@ -131,8 +131,8 @@
     }
 
     return {
-      turn,
-      act,
+      fencingToken: turn,
+      call: act,
       renew,
       release: async function release() {
         released = true;
@@ -144,7 +144,7 @@
     };
   }
 
-  function mayTake(state: DutyState): boolean {
+  function mayTake(state: RoleRecord): boolean {
     if (Option.isSome(acted) && state.turn !== acted.value.turn && kernel.clock.now() - acted.value.at < restMilliseconds) return false;
     if (state.released) return true;
     if (Option.isNone(seen)) return false;
@@ -153,7 +153,7 @@
     return kernel.clock.now() - known.since >= termMilliseconds + marginMilliseconds;
   }
 
-  async function seek(): Promise<Option.Option<Holding>> {
+  async function seek(): Promise<Option.Option<RoleLease>> {
     const read = await register.read(key, 1_000);
     if (Either.isLeft(read)) return Option.none;
     const current = stateOf(read.right);
@@ -180,7 +180,7 @@
     return Option.isSome(state) && state.value.holder === holder ? Option.some(hold(state.value.turn, sentAt)) : Option.none;
   }
 
-  return { seek };
+  return { tryAcquire: seek };
 }
 
-export const duty = { create, stateOf } as const;
+export const singletonRole = { create, stateOf } as const;
--- a/packages/fakes/src/member-log.ts
+++ b/packages/fakes/src/member-log.ts
@@ -73,7 +73,7 @@
 
   function receive(commit: SessionCommit, applyMilliseconds: number): void {
     store.log.push(commit);
-    kernel.clock.alarm(applyMilliseconds, function due() {
+    kernel.clock.startTimer(applyMilliseconds, function due() {
       while (store.role === 'replica' && applied < store.log.length && (store.log[applied] as SessionCommit).number <= commit.number) {
         apply(store.log[applied] as SessionCommit);
         applied += 1;
--- a/packages/fakes/src/member-replication.ts
+++ b/packages/fakes/src/member-replication.ts
@@ -43,7 +43,7 @@
     wait: () =>
       new Promise((resolve) => {
         waiting.add(resolve);
-        kernel.clock.alarm(holdMilliseconds, function late() {
+        kernel.clock.startTimer(holdMilliseconds, function late() {
           waiting.delete(resolve);
           resolve();
         });
--- a/packages/fakes/src/member-slots.ts
+++ b/packages/fakes/src/member-slots.ts
@@ -38,7 +38,7 @@
     run,
     occupy: function occupy(milliseconds) {
       busy += 1;
-      clock.alarm(milliseconds, release);
+      clock.startTimer(milliseconds, release);
     },
     full: () => busy >= slots,
   };
--- a/packages/fakes/src/member.ts
+++ b/packages/fakes/src/member.ts
@@ -318,7 +318,7 @@
 
   const listening: readonly Listening[] = [
     await kernel.network.serve(identifiers.address(settings.address), {
-      mappings: [
+      routes: [
         {
           method: 'POST',
           path: '/open',
@@ -331,7 +331,7 @@
       connectionClosed: (connection) => void connections.delete(connection),
     }),
     await kernel.network.serve(identifiers.address(settings.control), {
-      mappings: [
+      routes: [
         { method: 'POST', path: '/replicate', handle: replicate },
         { method: 'POST', path: '/promote', handle: promote },
         { method: 'POST', path: '/follow', handle: follow },
--- a/packages/fakes/src/platform.ts
+++ b/packages/fakes/src/platform.ts
@@ -121,7 +121,7 @@
   }
 
   const listening: Listening = await kernel.network.serve(identifiers.address(settings.address), {
-    mappings: [
+    routes: [
       { method: 'POST', path: '/v1/promotions', handle: promote },
       { method: 'POST', path: '/v1/usage', handle: usage },
       {
--- a/packages/fakes/src/session-line.ts
+++ b/packages/fakes/src/session-line.ts
@@ -78,7 +78,7 @@
     if (replies.isEmpty() && !over) {
       await new Promise<void>((resolve) => {
         waiting = resolve;
-        kernel.clock.alarm(milliseconds, resolve);
+        kernel.clock.startTimer(milliseconds, resolve);
       });
       waiting = undefined;
     }
--- a/packages/fakes/src/session-member.ts
+++ b/packages/fakes/src/session-member.ts
@@ -66,7 +66,7 @@
   return [
     await kernel.network.listenStream(identifiers.address(settings.address), (stream) => void connections.serve(stream)),
     await kernel.network.serve(identifiers.address(settings.control), {
-      mappings: [{ method: 'POST', path: '/log', handle: replication.serveLog }],
+      routes: [{ method: 'POST', path: '/log', handle: replication.serveLog }],
     }),
   ];
 }
--- a/packages/fakes/src/session-platform.ts
+++ b/packages/fakes/src/session-platform.ts
@@ -72,7 +72,7 @@
   async function promote(service: string, member: string): Promise<HttpReply> {
     if (store.leaders.get(service)?.member === member) return { status: 200, body: {} };
     if (knobs.effectAfterReplyMilliseconds > 0) {
-      kernel.clock.alarm(knobs.effectAfterReplyMilliseconds, () => void lead(service, member));
+      kernel.clock.startTimer(knobs.effectAfterReplyMilliseconds, () => void lead(service, member));
       return { status: 200, body: {} };
     }
     await kernel.clock.sleep(settings.promoteMilliseconds);
@@ -104,7 +104,7 @@
   }
 
   const listening: Listening = await kernel.network.serve(identifiers.address(settings.address), {
-    mappings: [
+    routes: [
       {
         method: 'POST',
         path: '/duties/promotion',
--- a/packages/kernel/src/http.ts
+++ b/packages/kernel/src/http.ts
@@ -2,7 +2,7 @@
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { fault, type Fault } from './fault.js';
-import type { HttpAsk, HttpReply, HttpRequest, HttpMapping, Kernel } from './kernel.js';
+import type { OutgoingHttpRequest, HttpReply, HttpRequest, HttpRoute, Kernel } from './kernel.js';
 import type { Address } from './identifiers.js';
 
 /** What no URI may hold matches nothing. */
@@ -30,16 +30,16 @@
   return Option.some(parameters);
 }
 
-function denied(error: Fault): HttpReply {
+function rejected(error: Fault): HttpReply {
   return { status: fault.status(error), headers: fault.headers(error), body: fault.body(error) };
 }
 
-function replied(result: Either.Either<Fault, unknown>, status = 200): HttpReply {
-  return Either.isLeft(result) ? denied(result.left) : { status, body: result.right };
+function toReply(result: Either.Either<Fault, unknown>, status = 200): HttpReply {
+  return Either.isLeft(result) ? rejected(result.left) : { status, body: result.right };
 }
 
 /** Finds the mapping and runs it; a thrown error becomes an honest 500, never the end of the process. */
-async function mapped(mappings: readonly HttpMapping[], request: HttpRequest): Promise<HttpReply> {
+async function dispatch(mappings: readonly HttpRoute[], request: HttpRequest): Promise<HttpReply> {
   for (const candidate of mappings) {
     if (candidate.method !== request.method) continue;
     const parameters = matchPath(candidate.path, request.path);
@@ -47,7 +47,7 @@
     try {
       return await candidate.handle({ ...request, query: { ...request.query, ...parameters.value } });
     } catch (error) {
-      return denied(
+      return rejected(
         fault.create({
           kind: 'internal',
           message: `${request.method} ${request.path} failed: ${(error as Error).message}`,
@@ -56,7 +56,7 @@
       );
     }
   }
-  return denied(
+  return rejected(
     fault.create({
       kind: 'not-found',
       message: `there is no ${request.method} ${request.path}`,
@@ -66,7 +66,7 @@
 }
 
 /** The same mappings, and how many of their requests are without an answer. */
-function counted(mappings: readonly HttpMapping[]): Readonly<{ mappings: readonly HttpMapping[]; inFlight: () => number }> {
+function countInFlight(mappings: readonly HttpRoute[]): Readonly<{ mappings: readonly HttpRoute[]; inFlight: () => number }> {
   let count = 0;
   return {
     inFlight: () => count,
@@ -85,11 +85,16 @@
 }
 
 /** One exchange on a connection of its own. */
-async function once(kernel: Kernel, address: Address, ask: HttpAsk, milliseconds: number): Promise<Either.Either<Fault, HttpReply>> {
+async function once(
+  kernel: Kernel,
+  address: Address,
+  ask: OutgoingHttpRequest,
+  milliseconds: number,
+): Promise<Either.Either<Fault, HttpReply>> {
   const connection = kernel.network.connect(address);
   const reply = await connection.exchange(ask, milliseconds);
   connection.close();
   return reply;
 }
 
-export const http = { matchPath, denied, replied, mapped, counted, once } as const;
+export const http = { matchPath, rejected, toReply, dispatch, countInFlight, once } as const;
--- a/packages/kernel/src/kernel.ts
+++ b/packages/kernel/src/kernel.ts
@@ -4,12 +4,12 @@
 import type { Address, Instant, WallTime } from './identifiers.js';
 import type { Fault } from './fault.js';
 
-export type Alarm = Readonly<{ cancel: () => void }>;
+export type Timer = Readonly<{ cancel: () => void }>;
 
 export type Clock = Readonly<{
   now: () => Instant;
   wall: () => WallTime;
-  alarm: (milliseconds: number, action: () => void) => Alarm;
+  startTimer: (milliseconds: number, action: () => void) => Timer;
   sleep: (milliseconds: number) => Promise<void>;
 }>;
 
@@ -57,7 +57,7 @@
   body: unknown;
 }>;
 
-export type HttpMapping = Readonly<{
+export type HttpRoute = Readonly<{
   method: 'GET' | 'POST' | 'PUT' | 'DELETE';
   /** Segments that begin with a colon are parameters, handed over in the query. */
   path: string;
@@ -65,11 +65,11 @@
 }>;
 
 export type HttpServer = Readonly<{
-  mappings: readonly HttpMapping[];
+  routes: readonly HttpRoute[];
   connectionClosed?: (connection: string) => void;
 }>;
 
-export type HttpAsk = Readonly<{
+export type OutgoingHttpRequest = Readonly<{
   method: string;
   path: string;
   headers?: Readonly<Record<string, string>>;
@@ -83,13 +83,13 @@
  * request left; `reply-lost` promises nothing.
  */
 export type HttpConnection = Readonly<{
-  exchange: (ask: HttpAsk, milliseconds: number) => Promise<Either.Either<Fault, HttpReply>>;
+  exchange: (ask: OutgoingHttpRequest, milliseconds: number) => Promise<Either.Either<Fault, HttpReply>>;
   close: () => void;
   closed: () => boolean;
 }>;
 
 /** `deafen`: nobody new is let in, what is open stays; `stop` ends that as well. */
-export type Listening = Readonly<{ deafen: () => void; stop: () => Promise<void> }>;
+export type Listening = Readonly<{ stopAccepting: () => void; stop: () => Promise<void> }>;
 
 export type Network = Readonly<{
   listen: (address: Address, greet: (link: Link) => void) => Promise<Listening>;
--- a/packages/kernel/src/owner.ts
+++ b/packages/kernel/src/owner.ts
@@ -4,7 +4,7 @@
 export type Owner<Table> = Readonly<{
   name: string;
   /** Queues a command; commands run one at a time, in the order they came. */
-  ask: <Reply>(command: (table: Table) => Reply | Promise<Reply>) => Promise<Reply>;
+  run: <Reply>(command: (table: Table) => Reply | Promise<Reply>) => Promise<Reply>;
 }>;
 
 type Pending = () => Promise<void>;
@@ -33,7 +33,7 @@
     });
   }
 
-  return { name, ask };
+  return { name, run: ask };
 }
 
 export const owner = { create } as const;
--- a/packages/kernel/src/waiters.ts
+++ b/packages/kernel/src/waiters.ts
@@ -12,7 +12,7 @@
 
   function hold(milliseconds: number): Promise<void> {
     return new Promise((resolve) => {
-      const alarm = clock.alarm(milliseconds, over);
+      const alarm = clock.startTimer(milliseconds, over);
       function over(): void {
         alarm.cancel();
         waiting.delete(over);
--- a/packages/lease/src/marks.ts
+++ b/packages/lease/src/commit-watermarks.ts
@@ -1,24 +1,24 @@
 // How far each service's commits reach, as all edges together have seen it (design 8.11).
 import { identifiers, type Instant, type Kernel } from '@stallstall/kernel';
-import type { LogPosition, Marks } from '@stallstall/message';
+import type { LogPosition, CommitWatermarks } from '@stallstall/message';
 import { marginMilliseconds, termMilliseconds } from '@stallstall/quorum-lease';
 
-export type MarkTable = Readonly<{
+export type CommitWatermarkTable = Readonly<{
   /** What an edge has seen of leaders, and how far the commits reach that its senders were told of so long ago. */
-  told: (node: string, seen: Marks, commits: Readonly<Record<string, LogPosition>>, agoMilliseconds: number) => void;
+  report: (node: string, seen: CommitWatermarks, commits: Readonly<Record<string, LogPosition>>, agoMilliseconds: number) => void;
   /** Another process runs as this edge: what the one before acknowledged last it may have told nobody. `as`: the name its telling goes on under. */
-  beganAnew: (node: string, as: string) => void;
-  all: (lessees: KnownLessees) => Record<string, { term: number; number: number; ago: number }>;
+  processRestarted: (node: string, as: string) => void;
+  all: (lessees: KnownLeaseHolders) => Record<string, { term: number; number: number; ago: number }>;
 }>;
 
 /** Who may have acknowledged commits, as far as this core can tell. */
-export type KnownLessees = Readonly<{
+export type KnownLeaseHolders = Readonly<{
   /** All that held leases lately. */
   edges: readonly string[];
   /** When each of them asked for leases last. */
   askedAt: ReadonlyMap<string, Instant>;
   /** Until then others may have held leases that an earlier process or occupant of this core's seat granted. */
-  strangersUntil: Instant;
+  unknownHoldersUntil: Instant;
 }>;
 
 type Mark = Readonly<{ position: LogPosition; at: Instant }>;
@@ -35,12 +35,12 @@
   return right === undefined || left > right ? left : right;
 }
 
-function create(kernel: Kernel): MarkTable {
+function create(kernel: Kernel): CommitWatermarkTable {
   const toldAt = new Map<string, Instant>();
-  const marks = new Map<string, Mark>();
+  const commitWatermarkTable = new Map<string, Mark>();
   const commits = new Map<string, LogPosition>();
 
-  function told(node: string, seen: Marks, committed: Readonly<Record<string, LogPosition>>, agoMilliseconds: number): void {
+  function told(node: string, seen: CommitWatermarks, committed: Readonly<Record<string, LogPosition>>, agoMilliseconds: number): void {
     const now = kernel.clock.now();
     toldAt.set(node, later(identifiers.after(now, -agoMilliseconds), toldAt.get(node)));
     for (const [service, position] of Object.entries(committed)) {
@@ -49,8 +49,9 @@
     }
     for (const [service, mark] of Object.entries(seen)) {
       const at = identifiers.after(now, -mark.ago);
-      const known = marks.get(service);
-      if (known === undefined || at > known.at) marks.set(service, { at, position: { term: mark.term, number: mark.number } });
+      const known = commitWatermarkTable.get(service);
+      if (known === undefined || at > known.at)
+        commitWatermarkTable.set(service, { at, position: { term: mark.term, number: mark.number } });
     }
   }
 
@@ -58,7 +59,7 @@
    * While no leader replies, what edges were told still grows: a commit is known to some edge before its sender hears of it. Once every
    * edge that may have acknowledged anything since the last mark has told again, the highest commit covers all up to the earliest telling.
    */
-  function composed(mark: Mark, commit: LogPosition, { edges, askedAt, strangersUntil }: KnownLessees): Mark {
+  function composed(mark: Mark, commit: LogPosition, { edges, askedAt, unknownHoldersUntil: strangersUntil }: KnownLeaseHolders): Mark {
     // An edge that this core never met may have acknowledged something since the mark, and tells it nothing.
     if (mark.at < strangersUntil) return mark;
     let earliest = kernel.clock.now();
@@ -79,12 +80,12 @@
   }
 
   return {
-    told,
-    beganAnew,
+    report: told,
+    processRestarted: beganAnew,
     all: function all(lessees) {
       const now = kernel.clock.now();
       return Object.fromEntries(
-        [...marks].map(([service, mark]) => {
+        [...commitWatermarkTable].map(([service, mark]) => {
           const { at, position } = composed(mark, commits.get(service) ?? mark.position, lessees);
           return [service, { term: position.term, number: position.number, ago: Math.max(0, now - at) }];
         }),
@@ -93,4 +94,4 @@
   };
 }
 
-export const marks = { create } as const;
+export const commitWatermarkTable = { create } as const;
--- a/packages/lease/src/index.ts
+++ b/packages/lease/src/index.ts
@@ -1,2 +1,2 @@
-export * from './lessor.js';
-export * from './lessee.js';
+export * from './lease-grantor.js';
+export * from './lease-holder.js';
--- a/packages/lease/src/lessor.ts
+++ b/packages/lease/src/lease-grantor.ts
@@ -1,35 +1,35 @@
 // The core's half of the leases: tells edges where it stands, at once when that changes (design 7.12).
 import * as Option from 'fp-ts/lib/Option.js';
 import { identifiers, kernel as kernels, waiters, type Instant, type Kernel } from '@stallstall/kernel';
-import type { Ask, Reply } from '@stallstall/message';
+import type { Request, Reply } from '@stallstall/message';
 import { marginMilliseconds, termMilliseconds } from '@stallstall/quorum-lease';
-import type { Roster } from '@stallstall/member-registry';
-import { later, marks as markTables } from './marks.js';
+import type { MemberRegistry } from '@stallstall/member-registry';
+import { later, commitWatermarkTable as markTables } from './commit-watermarks.js';
 
-export type LessorView = Readonly<{
+export type LeaseGrantorContext = Readonly<{
   ready: () => boolean;
   /** When this core began to answer as an occupant of its seat. */
   openedAt: () => Instant;
-  stances: () => Readonly<Record<string, number>>;
+  epochs: () => Readonly<Record<string, number>>;
   configuration: () => number;
   membership: () => number;
   puts: () => number;
-  roster: Roster;
+  registry: MemberRegistry;
   /** A leader is missing, or about to change: edges are to tell what they have seen. */
-  troubled: () => boolean;
+  isLeaderMissing: () => boolean;
   /** Members that edges were refused by: worth a look of this core's own. */
-  onNotListening: (member: string) => void;
+  onConnectionRefused: (member: string) => void;
 }>;
 
-export type Lessor = Readonly<{
-  lease: (ask: Ask<'lease'>) => Promise<Reply<'lease'>>;
+export type LeaseGrantor = Readonly<{
+  grant: (ask: Request<'lease'>) => Promise<Reply<'lease'>>;
   /** There is news: whoever waits is told. */
-  changed: () => void;
+  notify: () => void;
   /** Edges that were granted a lease here within a term and its margin, so that theirs may still run; none while one that an earlier process or occupant of this seat granted may. */
-  lessees: () => Option.Option<readonly string[]>;
+  leaseHolders: () => Option.Option<readonly string[]>;
   /** Edges that asked within so many milliseconds. */
-  recent: (milliseconds: number) => readonly string[];
-  released: (service: string, epoch: number, lessees: readonly string[]) => boolean;
+  recentHolders: (milliseconds: number) => readonly string[];
+  hasReleased: (service: string, epoch: number, leaseHolders: readonly string[]) => boolean;
   stop: () => void;
 }>;
 
@@ -42,7 +42,7 @@
 /** An edge that was never asked says this much. */
 const untoldMilliseconds = 600_000;
 
-function create(kernel: Kernel, view: LessorView): Lessor {
+function create(kernel: Kernel, view: LeaseGrantorContext): LeaseGrantor {
   const token = kernel.randomness.token();
   const beganAt = kernel.clock.now();
   const askedAt = new Map<string, Instant>();
@@ -62,7 +62,7 @@
   function wake(): void {
     gathering = false;
     number += 1;
-    rosterAt.set(number, view.roster.number());
+    rosterAt.set(number, view.registry.version());
     rosterAt.delete(number - numbersKept);
     held.wake();
   }
@@ -79,7 +79,7 @@
 
   function changedStances(since: number): Record<string, number> {
     const changed: Record<string, number> = {};
-    for (const [service, epoch] of Object.entries(view.stances())) {
+    for (const [service, epoch] of Object.entries(view.epochs())) {
       const known = stanceAt.get(service);
       const at = known?.epoch === epoch ? known.number : number;
       if (known?.epoch !== epoch) stanceAt.set(service, { epoch, number });
@@ -105,7 +105,7 @@
     if (at === undefined) return;
     const before = `${node} until ${at}`;
     endedAt.set(before, at);
-    seen.beganAnew(node, before);
+    seen.processRestarted(node, before);
   }
 
   /** How far commits reach, as all edges have told that may have acknowledged one: those of ended processes among them (design 8.11). */
@@ -115,7 +115,7 @@
     return seen.all({
       edges: [...within(rememberMilliseconds), ...endedAt.keys()],
       askedAt: new Map([...askedAt, ...endedAt]),
-      strangersUntil: strangersUntil(),
+      unknownHoldersUntil: strangersUntil(),
     });
   }
 
@@ -124,7 +124,7 @@
     return identifiers.after(later(beganAt, view.openedAt()), termMilliseconds + marginMilliseconds);
   }
 
-  async function lease(ask: Ask<'lease'>): Promise<Reply<'lease'>> {
+  async function lease(ask: Request<'lease'>): Promise<Reply<'lease'>> {
     const cameAt = kernel.clock.now();
     if (ask.token === '') beginAnew(ask.node);
     if (!askedAt.has(ask.node)) kernel.log('lease.asked', { node: ask.node, area: ask.area });
@@ -133,8 +133,8 @@
     demands.set(ask.node, ask.demand);
     released.set(ask.node, { ...ask.released });
     // One that tells of no positions has not been asked to: nothing is known of it then.
-    if (ask.positionsAgo < untoldMilliseconds) seen.told(ask.node, ask.marks, ask.positions, ask.positionsAgo);
-    for (const member of ask.notListening) view.onNotListening(member);
+    if (ask.positionsAgo < untoldMilliseconds) seen.report(ask.node, ask.marks, ask.positions, ask.positionsAgo);
+    for (const member of ask.notListening) view.onConnectionRefused(member);
     if (ask.token === token && ask.seen === number && ask.hold > 0) await held.hold(ask.hold);
     const ready = view.ready();
     // Nothing that was told before this core was ready is built on.
@@ -144,7 +144,7 @@
     // The grant runs from the reply: until then and a term beyond, this edge is one to be waited out.
     askedAt.set(ask.node, kernel.clock.now());
     const holders = within(termMilliseconds + marginMilliseconds);
-    const troubled = view.troubled();
+    const troubled = view.isLeaderMissing();
     return {
       ready,
       held: Math.max(0, kernel.clock.now() - cameAt),
@@ -154,7 +154,7 @@
       configuration: view.configuration(),
       membership: view.membership(),
       puts: view.puts(),
-      roster: [...view.roster.since(whole ? 0 : (rosterAt.get(ask.seen) ?? 0))],
+      roster: [...view.registry.changedSince(whole ? 0 : (rosterAt.get(ask.seen) ?? 0))],
       whole,
       edges: byArea(holders, () => 1),
       demand: byArea(holders, (node) => demands.get(node) ?? 0),
@@ -164,15 +164,15 @@
   }
 
   return {
-    lease,
-    changed: function changed() {
+    grant: lease,
+    notify: function changed() {
       if (gathering || stopped) return;
       gathering = true;
-      kernel.clock.alarm(gatherMilliseconds, wake);
+      kernel.clock.startTimer(gatherMilliseconds, wake);
     },
-    lessees: () => (kernel.clock.now() < strangersUntil() ? Option.none : Option.some(within(termMilliseconds + marginMilliseconds))),
-    recent: within,
-    released: (service, epoch, lessees) => lessees.every((node) => (released.get(node)?.[service] ?? 0) >= epoch),
+    leaseHolders: () => (kernel.clock.now() < strangersUntil() ? Option.none : Option.some(within(termMilliseconds + marginMilliseconds))),
+    recentHolders: within,
+    hasReleased: (service, epoch, lessees) => lessees.every((node) => (released.get(node)?.[service] ?? 0) >= epoch),
     stop: function stop() {
       stopped = true;
       wake();
@@ -180,6 +180,6 @@
   };
 }
 
-export const lessorService = kernels.serviceName<Lessor>('lessor');
+export const leaseGrantorService = kernels.serviceName<LeaseGrantor>('lessor');
 
-export const lessor = { create } as const;
+export const leaseGrantor = { create } as const;
--- a/packages/lease/src/lessee.ts
+++ b/packages/lease/src/lease-holder.ts
@@ -3,73 +3,82 @@
 import { identifiers, kernel as kernels, type Instant, type Kernel } from '@stallstall/kernel';
 import {
   message,
-  SettledSchema,
+  ElectedPrimarySchema,
   type Change,
   type CoreSet,
   type LogPosition,
-  type Marks,
+  type CommitWatermarks,
   type Reply,
-  type RosterEntry,
+  type MemberRecord,
   type Seat,
-  type Settled,
+  type ElectedPrimary,
 } from '@stallstall/message';
 import { peer, type Peer } from '@stallstall/peer';
 import { quorum } from '@stallstall/quorum';
-import { contents, notes, proposer, watcher, type CoreSets, type Notes, type NoteTarget, type RegisterTarget } from '@stallstall/register';
-import { fence, leastSpan } from '@stallstall/quorum-lease';
-import type { Configuration, Obeyed } from '@stallstall/node';
-
-export type LesseeSettings = Readonly<{
+import {
+  contentFetcher,
+  durableReports,
+  proposer,
+  watcher,
+  type CoreSetSource,
+  type DurableReports,
+  type ReportReplica,
+  type RegisterReplica,
+} from '@stallstall/register';
+import { quorumLease, withClockDrift } from '@stallstall/quorum-lease';
+import type { Configuration, Applied } from '@stallstall/node';
+
+export type LeaseHolderSettings = Readonly<{
   node: string;
   area: string;
   /** Asked at each greeting, since the settings file may change while the process runs. */
   seeds: () => readonly string[];
 }>;
 
-export type LesseeParts = Readonly<{
+export type LeaseHolderParts = Readonly<{
   /** What the proxy has let go of: below this epoch it has nothing under way. */
   released: () => Readonly<Record<string, number>>;
   positions: () => Readonly<Record<string, LogPosition>>;
-  marks: () => Marks;
+  commitWatermarks: () => CommitWatermarks;
   positionsAgo: () => number;
   /** A leader is missing somewhere: news is asked for more often. */
-  troubled: () => boolean;
-  notListening: () => readonly string[];
+  isLeaderMissing: () => boolean;
+  refusedMembers: () => readonly string[];
   demand: () => number;
   onChange: () => void;
 }>;
 
-export type Lessee = Readonly<{
+export type LeaseHolder = Readonly<{
   start: () => void;
   stop: () => void;
-  configuration: () => Option.Option<Obeyed<Configuration>>;
-  settled: (service: string) => Option.Option<Settled>;
+  configuration: () => Option.Option<Applied<Configuration>>;
+  electedPrimary: (service: string) => Option.Option<ElectedPrimary>;
   services: () => readonly string[];
   /** When the lease for a service at its settled epoch ends; in the past when no majority of cores grants it. */
   leaseUntil: (service: string) => Instant;
   /** The highest epoch that a core has told for a service: below it nothing is begun any more once the lease is gone. */
-  release: (service: string) => number;
-  roster: () => readonly RosterEntry[];
-  rosterNumber: () => number;
+  releaseEpoch: (service: string) => number;
+  members: () => readonly MemberRecord[];
+  membersVersion: () => number;
   /** How many edges hold leases, by area, as the core that counts most of them says. */
   edges: () => Readonly<Record<string, number>>;
   /** What is asked of all of them, by area, as the same core says. */
   demand: () => Readonly<Record<string, number>>;
   /** How far each service's commits reach as a majority of cores covers it, and as of which of this process's own moments. */
-  marks: () => ReadonlyMap<string, Readonly<{ position: LogPosition; at: Instant }>>;
-  notes: Notes;
-  cores: () => number;
+  commitWatermarks: () => ReadonlyMap<string, Readonly<{ position: LogPosition; at: Instant }>>;
+  durableReports: DurableReports;
+  coreCount: () => number;
   /** How many cores granted within the last term. */
-  granting: () => number;
+  grantingCores: () => number;
   /** Has each core told what the proxy says now, at once. */
-  tell: () => void;
+  reportNow: () => void;
   /** The proxy's process has ended: each core is told that what it acknowledged last may have been told to nobody (design 8.11). */
-  beginAnew: () => void;
+  proxyRestarted: () => void;
 }>;
 
 /** The last told of one core. */
 type Told = {
-  readonly roster: Map<string, RosterEntry>;
+  readonly roster: Map<string, MemberRecord>;
   token: string;
   seen: number;
   stances: Readonly<Record<string, number>>;
@@ -100,8 +109,8 @@
   return Object.values(counts).reduce((total, count) => total + count, 0);
 }
 
-function create(kernel: Kernel, settings: LesseeSettings, parts: LesseeParts): Lessee {
-  const grants = fence.create();
+function create(kernel: Kernel, settings: LeaseHolderSettings, parts: LeaseHolderParts): LeaseHolder {
+  const grants = quorumLease.create();
   const held = new Map<string, Held>();
   const told = new Map<string, Told>();
   const floors = new Map<string, number>();
@@ -117,26 +126,26 @@
   let stopped = false;
   const seat: Seat = { node: settings.node, role: 'edge', area: settings.area, address: '-', outward: '-', draining: false };
 
-  function targets(): readonly RegisterTarget[] {
-    return cores.map((core): RegisterTarget => ({
+  function targets(): readonly RegisterReplica[] {
+    return cores.map((core): RegisterReplica => ({
       core: core.node,
-      ask: function ask(kind, body, milliseconds) {
+      send: function ask(kind, body, milliseconds) {
         const link = held.get(core.node);
         return link === undefined ? Promise.resolve(Option.none) : link.peer.call(kind, body, milliseconds);
       },
     }));
   }
 
-  function noteTargets(): readonly NoteTarget[] {
-    return cores.map((core): NoteTarget => (body, milliseconds) => {
+  function noteTargets(): readonly ReportReplica[] {
+    return cores.map((core): ReportReplica => (body, milliseconds) => {
       const link = held.get(core.node);
       return link === undefined ? Promise.resolve(Option.none) : link.peer.call('note', body, milliseconds);
     });
   }
 
-  const sets: CoreSets = { number: () => setNumber, learn: follow };
+  const sets: CoreSetSource = { number: () => setNumber, observe: follow };
   const register = proposer.create(kernel, settings.node, targets, () => cores.length, sets);
-  const noted = notes.create(noteTargets, () => cores.length, sets);
+  const noted = durableReports.create(noteTargets, () => cores.length, sets);
   const watch = watcher.create(
     kernel,
     register,
@@ -171,14 +180,14 @@
     parts.onChange();
   }
 
-  function configuration(): Option.Option<Obeyed<Configuration>> {
-    const entry = watch.obeyed('configuration');
+  function configuration(): Option.Option<Applied<Configuration>> {
+    const entry = watch.applied('configuration');
     return Option.isSome(entry) ? Option.some({ version: entry.value.version, value: entry.value.value as Configuration }) : Option.none;
   }
 
-  function settled(service: string): Option.Option<Settled> {
-    const entry = watch.obeyed(`epoch/${service}`);
-    return Option.isSome(entry) && message.fits(SettledSchema, entry.value.value) ? Option.some(entry.value.value) : Option.none;
+  function settled(service: string): Option.Option<ElectedPrimary> {
+    const entry = watch.applied(`epoch/${service}`);
+    return Option.isSome(entry) && message.matches(ElectedPrimarySchema, entry.value.value) ? Option.some(entry.value.value) : Option.none;
   }
 
   function services(): readonly string[] {
@@ -235,8 +244,8 @@
   }
 
   /** Of all that the cores tell of a member the latest stands; it is down only if every core that knows it says so. */
-  function roster(): readonly RosterEntry[] {
-    const merged = new Map<string, RosterEntry>();
+  function roster(): readonly MemberRecord[] {
+    const merged = new Map<string, MemberRecord>();
     for (const known of told.values()) {
       for (const entry of known.roster.values()) {
         const before = merged.get(entry.member);
@@ -281,7 +290,7 @@
     return choices[sum % Math.max(1, choices.length)]?.node ?? '';
   }
 
-  const changes = contents.create(kernel, { set: () => setNumber, take: watch.changed, stopped: () => stopped });
+  const changes = contentFetcher.create(kernel, { set: () => setNumber, deliver: watch.receive, stopped: () => stopped });
 
   async function ask(core: string, link: Peer, hold: number): Promise<boolean> {
     const known = toldOf(core);
@@ -300,12 +309,12 @@
         obeyed: Option.isSome(current) ? current.value.version : 0,
         released: pending(parts.released()),
         ...(wanted()
-          ? { positions: { ...parts.positions() }, marks: { ...parts.marks() }, positionsAgo: parts.positionsAgo() }
+          ? { positions: { ...parts.positions() }, marks: { ...parts.commitWatermarks() }, positionsAgo: parts.positionsAgo() }
           : { positions: {}, marks: {}, positionsAgo: untoldMilliseconds }),
-        notListening: [...parts.notListening()],
+        notListening: [...parts.refusedMembers()],
         demand: parts.demand(),
         content: core === contentCore(),
-        holds: changes.holds(),
+        holds: changes.latestBallot(),
         set: setNumber,
       },
       hold + callMilliseconds,
@@ -313,7 +322,7 @@
     if (Option.isNone(reply) || held.get(core)?.peer !== link) return false;
     if (anew) known.anew = false;
     // What the core says was so when it replied, and that was not before it had held the question for so long.
-    take(core, known, reply.value, identifiers.after(sentAt, leastSpan(reply.value.held)));
+    take(core, known, reply.value, identifiers.after(sentAt, withClockDrift(reply.value.held)));
     return true;
   }
 
@@ -340,7 +349,7 @@
   }
 
   /** `saidAt` is no later than the reply was made, so what held so long before the reply held later than so long before that. */
-  function takeMarks(core: string, toldMarks: Marks, saidAt: Instant): void {
+  function takeMarks(core: string, toldMarks: CommitWatermarks, saidAt: Instant): void {
     marks.set(
       core,
       new Map(
@@ -390,7 +399,7 @@
         await kernel.clock.sleep(redialLookMilliseconds);
         continue;
       }
-      const replied = await ask(core, link, parts.troubled() ? troubledHoldMilliseconds : holdMilliseconds);
+      const replied = await ask(core, link, parts.isLeaderMissing() ? troubledHoldMilliseconds : holdMilliseconds);
       if (!replied) await kernel.clock.sleep(retryMilliseconds);
     }
   }
@@ -405,7 +414,7 @@
       },
       changed: function changed(change: Change) {
         toldOf(core.node).acknowledged = change.number;
-        changes.changed(core.node, Option.some(link), change);
+        changes.receive(core.node, Option.some(link), change);
       },
     });
     held.set(core.node, { address: core.address, peer: link });
@@ -464,25 +473,25 @@
       for (const link of held.values()) link.peer.close();
     },
     configuration,
-    settled,
+    electedPrimary: settled,
     services,
     leaseUntil,
-    release: (service) => floors.get(service) ?? 0,
-    roster,
-    rosterNumber: () => rosterNumber,
+    releaseEpoch: (service) => floors.get(service) ?? 0,
+    members: roster,
+    membersVersion: () => rosterNumber,
     edges: () => fullest().edges,
     demand: () => fullest().demand,
-    marks: merged,
-    notes: noted,
-    cores: () => cores.length,
-    granting: () => names().filter((core) => kernel.clock.now() - toldOf(core).at < 2_000).length,
-    tell: function tell() {
+    commitWatermarks: merged,
+    durableReports: noted,
+    coreCount: () => cores.length,
+    grantingCores: () => names().filter((core) => kernel.clock.now() - toldOf(core).at < 2_000).length,
+    reportNow: function tell() {
       for (const [core, link] of held) if (link.peer.connected()) void ask(core, link.peer, 0);
     },
-    beginAnew: function beginAnew() {
+    proxyRestarted: function beginAnew() {
       for (const known of told.values()) known.anew = true;
     },
   };
 }
 
-export const lessee = { create } as const;
+export const leaseHolder = { create } as const;
--- a/packages/member-registry/src/index.ts
+++ b/packages/member-registry/src/index.ts
@@ -1,39 +1,39 @@
 // Members that register by their beats: one core takes a beat, all cores know it (design 4.7).
 import * as Option from 'fp-ts/lib/Option.js';
 import { identifiers, kernel as kernels, type Instant, type Kernel } from '@stallstall/kernel';
-import type { RosterEntry } from '@stallstall/message';
+import type { MemberRecord } from '@stallstall/message';
 import type { SheetMember } from '@stallstall/placement';
 import { livenessService } from '@stallstall/election';
 
 /** What a member tells of itself with each beat. */
-export type Registration = Omit<RosterEntry, 'gone' | 'down'>;
-export type Spread = Readonly<{ entry: RosterEntry; ago: number }>;
+export type Registration = Omit<MemberRecord, 'gone' | 'down'>;
+export type ReceivedBeat = Readonly<{ entry: MemberRecord; ago: number }>;
 
-export type Roster = Readonly<{
+export type MemberRegistry = Readonly<{
   /** Takes a beat that reached this core; false when a later one of the same member was taken before. */
-  beat: (registration: Registration) => boolean;
+  heartbeat: (registration: Registration) => boolean;
   /** The member has left for good. */
   leave: (member: string) => void;
   /** Beats that another core took. */
-  take: (spread: readonly Spread[]) => void;
+  merge: (takeRecent: readonly ReceivedBeat[]) => void;
   /** What stood before a restart: of use until beats tell, and never later than any of them. */
-  restore: (entries: readonly RosterEntry[]) => void;
+  restore: (entries: readonly MemberRecord[]) => void;
   /** Beats taken here since the last call, for the other cores. */
-  spread: () => readonly Spread[];
+  takeRecent: () => readonly ReceivedBeat[];
   /** All that is known here of members, for a core that has missed some of it. */
-  everything: () => readonly Spread[];
+  all: () => readonly ReceivedBeat[];
   /** Grows with every change that a reader must know of. */
-  number: () => number;
+  version: () => number;
   /** What has changed since a number. */
-  since: (number: number) => readonly RosterEntry[];
-  entryOf: (member: string) => Option.Option<RosterEntry>;
+  changedSince: (version: number) => readonly MemberRecord[];
+  recordOf: (member: string) => Option.Option<MemberRecord>;
   membersOf: (service: string) => readonly SheetMember[];
   /** Looks for members that went silent, or are heard again. */
-  step: () => void;
+  sweep: () => void;
 }>;
 
 /** `left`: it said so itself; one that is gone by its silence alone is back with its next beat. */
-type Known = { entry: RosterEntry; changedAt: number; takenAt: Instant; left: boolean };
+type Known = { entry: MemberRecord; changedAt: number; takenAt: Instant; left: boolean };
 
 /** No beat is late by more than this: a lower count after such a silence is that of a member that began anew. */
 const lateMilliseconds = 3_000;
@@ -42,7 +42,7 @@
 /** A member silent for so long is of no service any more: it crashed for good and said nothing. */
 const forgetMilliseconds = 60_000;
 
-function same(left: RosterEntry, right: RosterEntry): boolean {
+function same(left: MemberRecord, right: MemberRecord): boolean {
   return (
     left.address === right.address &&
     left.area === right.area &&
@@ -56,17 +56,17 @@
 }
 
 /** A member of which no beat was heard here: all that can be told of it is that it has left. */
-function unmet(member: string): RosterEntry {
+function unmet(member: string): MemberRecord {
   return { member, service: '-', address: '-', area: '-', draining: true, role: 'replica', slots: 0, sequence: 0, gone: true, down: false };
 }
 
-function create(kernel: Kernel, onChange: () => void): Roster {
+function create(kernel: Kernel, onChange: () => void): MemberRegistry {
   const liveness = kernel.services.find(livenessService);
   const table = new Map<string, Known>();
   const toSpread = new Map<string, Instant>();
   let number = 0;
 
-  function put(entry: RosterEntry, takenAt: Instant, left: boolean): void {
+  function put(entry: MemberRecord, takenAt: Instant, left: boolean): void {
     const known = table.get(entry.member);
     const changed = known === undefined || !same(known.entry, entry);
     if (changed) number += 1;
@@ -75,7 +75,7 @@
   }
 
   /** What leaves never comes back, and of two tellings the later one stands. */
-  function isLate(entry: RosterEntry, takenAt: Instant): boolean {
+  function isLate(entry: MemberRecord, takenAt: Instant): boolean {
     const known = table.get(entry.member);
     if (known === undefined) return false;
     return (
@@ -83,13 +83,13 @@
     );
   }
 
-  function heard(entry: RosterEntry, ago: number): boolean {
+  function heard(entry: MemberRecord, ago: number): boolean {
     const takenAt = identifiers.after(kernel.clock.now(), -ago);
     if (isLate(entry, takenAt)) return false;
-    if (!entry.gone) liveness.heard(entry.member, ago);
+    if (!entry.gone) liveness.observeHeartbeat(entry.member, ago);
     const known = table.get(entry.member);
     const newest = identifiers.instant(Math.max(takenAt, known?.takenAt ?? Number.NEGATIVE_INFINITY));
-    put({ ...entry, down: !entry.gone && liveness.down(entry.member) }, newest, entry.gone);
+    put({ ...entry, down: !entry.gone && liveness.isDown(entry.member) }, newest, entry.gone);
     return true;
   }
 
@@ -106,11 +106,11 @@
     toSpread.set(member, kernel.clock.now());
   }
 
-  function restore(entries: readonly RosterEntry[]): void {
+  function restore(entries: readonly MemberRecord[]): void {
     for (const entry of entries) if (!table.has(entry.member)) put({ ...entry, down: false }, kernel.clock.now(), entry.gone);
   }
 
-  function spread(): readonly Spread[] {
+  function spread(): readonly ReceivedBeat[] {
     const now = kernel.clock.now();
     const told = [...toSpread].flatMap(([member, at]) => {
       const known = table.get(member);
@@ -121,7 +121,7 @@
   }
 
   /** One that is gone by its silence alone is left out: told as gone it would never come back. */
-  function everything(): readonly Spread[] {
+  function everything(): readonly ReceivedBeat[] {
     const now = kernel.clock.now();
     return [...table.values()]
       .filter((known) => known.left || !known.entry.gone)
@@ -137,24 +137,24 @@
         else table.delete(member);
         continue;
       }
-      const down = !known.entry.gone && liveness.down(member);
+      const down = !known.entry.gone && liveness.isDown(member);
       if (down !== known.entry.down) put({ ...known.entry, down }, known.takenAt, known.left);
     }
   }
 
   return {
-    beat,
+    heartbeat: beat,
     restore,
     leave,
-    spread,
-    everything,
-    step,
-    take: function take(told) {
+    takeRecent: spread,
+    all: everything,
+    sweep: step,
+    merge: function take(told) {
       for (const one of told) heard(one.entry, one.ago);
     },
-    number: () => number,
-    since: (from) => [...table.values()].filter((known) => known.changedAt > from).map((known) => known.entry),
-    entryOf: (member) => Option.map((known: Known) => known.entry)(Option.fromNullable(table.get(member))),
+    version: () => number,
+    changedSince: (from) => [...table.values()].filter((known) => known.changedAt > from).map((known) => known.entry),
+    recordOf: (member) => Option.map((known: Known) => known.entry)(Option.fromNullable(table.get(member))),
     membersOf: (service) =>
       [...table.values()]
         .filter((known) => known.entry.service === service && !known.entry.gone)
@@ -168,6 +168,6 @@
   };
 }
 
-export const rosterService = kernels.serviceName<Roster>('roster');
+export const memberRegistryService = kernels.serviceName<MemberRegistry>('roster');
 
-export const roster = { create } as const;
+export const memberRegistry = { create } as const;
--- a/packages/message/src/index.ts
+++ b/packages/message/src/index.ts
@@ -44,14 +44,14 @@
 const SetNumber = Type.Optional(Count);
 const NewerSet = Type.Optional(CoreSetSchema);
 
-export const SettledSchema = Type.Object({
+export const ElectedPrimarySchema = Type.Object({
   epoch: Count,
   primary: Name,
   wonBy: Name,
   position: Count,
   settledAt: Moment,
 });
-export type Settled = Readonly<Static<typeof SettledSchema>>;
+export type ElectedPrimary = Readonly<Static<typeof ElectedPrimarySchema>>;
 
 const HelloAsk = Type.Object({ seat: SeatSchema, incarnation: Count, fleet: Type.String({ maxLength: 200 }) });
 const HelloReply = Type.Object({
@@ -76,10 +76,10 @@
 const FormReply = Type.Object({ agreed: Type.Boolean() });
 
 /** How far a service's acknowledged commits reach: the highest epoch goes first, then the highest position (design 7.5). */
-export const FloorSchema = Type.Object({ epoch: Count, position: Count });
-export type Floor = Readonly<Static<typeof FloorSchema>>;
-const Floors = Type.Record(Type.String({ maxLength: 200 }), FloorSchema);
-export type Floors = Readonly<Record<string, Floor>>;
+export const DurableWatermarkSchema = Type.Object({ epoch: Count, position: Count });
+export type DurableWatermark = Readonly<Static<typeof DurableWatermarkSchema>>;
+const DurableWatermarks = Type.Record(Type.String({ maxLength: 200 }), DurableWatermarkSchema);
+export type DurableWatermarks = Readonly<Record<string, DurableWatermark>>;
 
 export const UsageReportSchema = Type.Object({
   node: Name,
@@ -94,12 +94,12 @@
 
 /** What an edge has a core's disk keep before it replies (design 7.5, 8.6). `through`: up to which wall time each edge has told all it counted. */
 const NoteAsk = Type.Object({
-  floors: Floors,
+  floors: DurableWatermarks,
   reports: Type.Array(UsageReportSchema, { maxItems: 10_000 }),
   through: Type.Record(Type.String({ maxLength: 200 }), Moment),
   set: SetNumber,
 });
-const NoteReply = Type.Object({ ready: Type.Boolean(), floors: Floors, newer: NewerSet });
+const NoteReply = Type.Object({ ready: Type.Boolean(), floors: DurableWatermarks, newer: NewerSet });
 
 /** A page of what a disk holds, after the key that ended the page before it; `next` is empty on the last (design 4.3). */
 const CopyAsk = Type.Object({ after: Type.String({ maxLength: 400 }) });
@@ -219,7 +219,7 @@
 const UsageLookReply = Type.Object({ ready: Type.Boolean(), reports: NoteAsk.properties.reports, through: NoteAsk.properties.through });
 
 /** What is known of a member that registers by its beats (design 4.7). */
-export const RosterEntrySchema = Type.Object({
+export const MemberRecordSchema = Type.Object({
   member: Name,
   service: Name,
   address: Name,
@@ -235,11 +235,11 @@
   /** Unheard for so long as to be DOWN (design 7.1). */
   down: Type.Boolean(),
 });
-export type RosterEntry = Readonly<Static<typeof RosterEntrySchema>>;
-const RosterEntries = Type.Array(RosterEntrySchema, { maxItems: 20_000 });
+export type MemberRecord = Readonly<Static<typeof MemberRecordSchema>>;
+const MemberRecords = Type.Array(MemberRecordSchema, { maxItems: 20_000 });
 
 /** Between cores: beats that the sender took itself, and how long ago (design 4.7). */
-const SpreadAsk = Type.Object({ beats: Type.Array(Type.Object({ entry: RosterEntrySchema, ago: Type.Number() }), { maxItems: 20_000 }) });
+const SpreadAsk = Type.Object({ beats: Type.Array(Type.Object({ entry: MemberRecordSchema, ago: Type.Number() }), { maxItems: 20_000 }) });
 const SpreadReply = Type.Object({ taken: Type.Boolean() });
 
 /** A position in a member's log: the log's term and the number in it. */
@@ -248,8 +248,11 @@
 const LogPositions = Type.Record(Type.String({ maxLength: 200 }), LogPositionSchema);
 
 /** A position that covers whatever was acknowledged up to so many milliseconds ago (design 8.11). */
-const Marks = Type.Record(Type.String({ maxLength: 200 }), Type.Object({ term: Count, number: Count, ago: Type.Number({ minimum: 0 }) }));
-export type Marks = Readonly<Static<typeof Marks>>;
+const CommitWatermarks = Type.Record(
+  Type.String({ maxLength: 200 }),
+  Type.Object({ term: Count, number: Count, ago: Type.Number({ minimum: 0 }) }),
+);
+export type CommitWatermarks = Readonly<Static<typeof CommitWatermarks>>;
 
 /** An edge asks each core for its lease; the core replies at once with news, or at the latest after `hold` (design 7.12). */
 const LeaseAsk = Type.Object({
@@ -264,7 +267,7 @@
   /** For a service: below this epoch the edge has nothing under way and takes no lease any more. */
   released: ServiceCounts,
   /** How far this edge has seen each leader's log reach, and as of when; `LogPositions` are the commits its senders were told of. */
-  marks: Marks,
+  marks: CommitWatermarks,
   positions: LogPositions,
   /** How long ago, at the most, `positions` was all there was to tell. */
   positionsAgo: Type.Number({ minimum: 0 }),
@@ -291,7 +294,7 @@
   membership: Count,
   puts: Count,
   /** What has changed in the roster since `seen`; all of it when `whole`. */
-  roster: RosterEntries,
+  roster: MemberRecords,
   whole: Type.Boolean(),
   /** How many edges hold leases here, by area. */
   edges: Type.Record(Type.String({ maxLength: 200 }), Count),
@@ -300,7 +303,7 @@
   /** A leader is missing somewhere: edges are to tell marks and positions, which nobody needs otherwise. */
   wants: Type.Boolean(),
   /** What all edges together have seen. */
-  marks: Marks,
+  marks: CommitWatermarks,
 });
 
 /** What a proxy is fed of placement (design 8.10). */
@@ -323,7 +326,7 @@
   configuration: Count,
   released: ServiceCounts,
   positions: LogPositions,
-  marks: Marks,
+  marks: CommitWatermarks,
   notListening: Type.Array(Name, { maxItems: 1_000 }),
   demand: Type.Number({ minimum: 0 }),
   metrics: Type.Record(Type.String({ maxLength: 100 }), Type.Number()),
@@ -338,11 +341,11 @@
   configurationVersion: Count,
   services: Type.Array(PlacementSchema, { maxItems: 20_000 }),
   /** The whole roster, or null where it is as it was at `seen`. */
-  roster: Type.Union([RosterEntries, Type.Null()]),
+  roster: Type.Union([MemberRecords, Type.Null()]),
   /** How many edges hold leases, by area. */
   edges: Type.Record(Type.String({ maxLength: 200 }), Count),
   demand: Type.Record(Type.String({ maxLength: 200 }), Type.Number({ minimum: 0 })),
-  marks: Marks,
+  marks: CommitWatermarks,
   area: Name,
   node: Name,
 });
@@ -380,7 +383,7 @@
 /** What a proxy has its agent note on the core disks; `kept` once a majority of them has synced it. */
 const TellAsk = Type.Object({
   number: Count,
-  floors: Floors,
+  floors: DurableWatermarks,
   usage: Type.Array(Type.Object({ window: Count, counts: ServiceCounts }), { maxItems: 20 }),
   /** The wall time of this machine at which `usage` held all that was counted. */
   through: Moment,
@@ -424,7 +427,7 @@
 } as const;
 
 export type MessageKind = keyof typeof messages;
-export type Ask<Kind extends MessageKind> = Readonly<Static<(typeof messages)[Kind]['ask']>>;
+export type Request<Kind extends MessageKind> = Readonly<Static<(typeof messages)[Kind]['ask']>>;
 export type Reply<Kind extends MessageKind> = Readonly<Static<(typeof messages)[Kind]['reply']>>;
 
 /** Numbered changes a core pushes down held links (design 5.2). */
@@ -451,7 +454,7 @@
 
 const compiled = new Map<TSchema, TypeCheck<TSchema>>();
 
-function fits<Schema extends TSchema>(schema: Schema, value: unknown): value is Static<Schema> {
+function matches<Schema extends TSchema>(schema: Schema, value: unknown): value is Static<Schema> {
   let check = compiled.get(schema);
   if (check === undefined) {
     check = TypeCompiler.Compile(schema);
@@ -471,29 +474,29 @@
 }
 
 /** The epoch first, then the position. */
-function compareFloors(left: Floor, right: Floor): number {
+function compareWatermarks(left: DurableWatermark, right: DurableWatermark): number {
   return left.epoch === right.epoch ? left.position - right.position : left.epoch - right.epoch;
 }
 
 /** Whether every one of these floors is reached by those known. */
-function reaches(known: Floors, floors: Floors): boolean {
+function covers(known: DurableWatermarks, floors: DurableWatermarks): boolean {
   return Object.entries(floors).every(function reached([service, floor]) {
     const standing = known[service];
-    return standing !== undefined && compareFloors(standing, floor) >= 0;
+    return standing !== undefined && compareWatermarks(standing, floor) >= 0;
   });
 }
 
-function higherFloors(left: Floors, right: Floors): Floors {
-  const merged: Record<string, Floor> = { ...left };
+function maxWatermarks(left: DurableWatermarks, right: DurableWatermarks): DurableWatermarks {
+  const merged: Record<string, DurableWatermark> = { ...left };
   for (const [service, floor] of Object.entries(right)) {
     const known = merged[service];
-    if (known === undefined || compareFloors(known, floor) < 0) merged[service] = floor;
+    if (known === undefined || compareWatermarks(known, floor) < 0) merged[service] = floor;
   }
   return merged;
 }
 
 export const ballotZero: Ballot = { counter: 0, node: '' };
 
-export const message = { fits, isKind, compareBallots, compareFloors, reaches, higherFloors } as const;
+export const message = { matches, isKind, compareBallots, compareWatermarks, covers, maxWatermarks } as const;
 
 export { differences, type Difference } from './differences.js';
--- a/packages/node/src/index.ts
+++ b/packages/node/src/index.ts
@@ -8,15 +8,15 @@
   kernel as kernels,
   type Fault,
   type HttpReply,
-  type HttpMapping,
+  type HttpRoute,
   type Instant,
   type Kernel,
 } from '@stallstall/kernel';
 import {
   MembershipSchema,
   message,
-  SettledSchema,
-  type Ask,
+  ElectedPrimarySchema,
+  type Request,
   type Change,
   type CoreSet,
   type Entry,
@@ -24,24 +24,24 @@
   type NodeRole,
   type Reply,
   type Seat,
-  type Settled,
+  type ElectedPrimary,
 } from '@stallstall/message';
 import { peer, type Handlers, type Peer } from '@stallstall/peer';
 import { quorum } from '@stallstall/quorum';
 import {
-  contents,
-  notes,
-  notesService,
+  contentFetcher,
+  durableReports,
+  durableReportsService,
   proposer,
   registerService,
   watcher,
-  type CoreSets,
-  type Notes,
-  type NoteTarget,
+  type CoreSetSource,
+  type DurableReports,
+  type ReportReplica,
   type Register,
-  type RegisterTarget,
+  type RegisterReplica,
 } from '@stallstall/register';
-import { fence, fenceService, termMilliseconds, type Fence } from '@stallstall/quorum-lease';
+import { quorumLease, quorumLeaseService, termMilliseconds, type QuorumLease } from '@stallstall/quorum-lease';
 import {
   election,
   electionService,
@@ -52,9 +52,9 @@
   type PlatformCalls,
   type VoteStore,
 } from '@stallstall/election';
-import { sheets, type Sheet, type SheetMember } from '@stallstall/placement';
+import { placements, type Sheet, type SheetMember } from '@stallstall/placement';
 
-export const beatMilliseconds = 200;
+export const heartbeatMilliseconds = 200;
 const callMilliseconds = 800;
 
 export type NodeSettings = Readonly<{
@@ -82,18 +82,18 @@
   history?: ReadonlyArray<Readonly<{ version: number; sheet: Sheet; sendId: string; sentBy: string; sentAt: number }>>;
 }>;
 
-export type Obeyed<Value> = Readonly<{ version: number; value: Value }>;
+export type Applied<Value> = Readonly<{ version: number; value: Value }>;
 
 /** Where members register by their beats and edges hold leases: what the node asks of whoever keeps these (design 4.7, 7.12). */
-export type Registered = Readonly<{
+export type RegistrationSupport = Readonly<{
   calls: PlatformCalls;
   probe: MemberProbe;
   membersOf: (service: string) => readonly SheetMember[];
-  lessees: () => Option.Option<readonly string[]>;
-  released: (service: string, epoch: number, lessees: readonly string[]) => boolean;
-  onStance: () => void;
+  leaseHolders: () => Option.Option<readonly string[]>;
+  hasReleased: (service: string, epoch: number, leaseHolders: readonly string[]) => boolean;
+  onEpochRaised: () => void;
   /** Another node tells of a newer set of cores (design 4.8). */
-  learn: (set: CoreSet) => void;
+  observeCoreSet: (set: CoreSet) => void;
 }>;
 
 /** What differs between a core and an agent. */
@@ -101,44 +101,44 @@
   role: NodeRole;
   votes: (register: Register) => VoteStore;
   /** A core's own disk, which it asks without a link. */
-  own: Option.Option<Readonly<{ target: RegisterTarget; note: NoteTarget; accepted: (key: string) => Option.Option<Entry> }>>;
+  own: Option.Option<Readonly<{ target: RegisterReplica; note: ReportReplica; accepted: (key: string) => Option.Option<Entry> }>>;
   /** The most connections to any one member that this edge holds or may hold, by service (design 8.3). */
   caps: () => Readonly<Record<string, number>>;
-  onObeyed: (key: string) => void;
+  onApplied: (key: string) => void;
   onHello: (reply: Reply<'hello'>, address: string) => void;
-  registered?: Registered;
+  registered?: RegistrationSupport;
 }>;
 
 export type Node = Readonly<{
   settings: NodeSettings;
   handlers: Handlers;
-  mappings: readonly HttpMapping[];
-  configuration: () => Option.Option<Obeyed<Configuration>>;
-  membership: () => Obeyed<Membership>;
-  settled: (service: string) => Option.Option<Settled>;
+  routes: readonly HttpRoute[];
+  configuration: () => Option.Option<Applied<Configuration>>;
+  membership: () => Applied<Membership>;
+  electedPrimary: (service: string) => Option.Option<ElectedPrimary>;
   /** When the majority of cores last confirmed that nothing newer than what is obeyed here is acknowledged, plus a term. */
-  controlUntil: () => Instant;
-  fenceUntil: (service: string) => Instant;
-  notes: Notes;
+  configurationLeaseUntil: () => Instant;
+  serviceLeaseUntil: (service: string) => Instant;
+  durableReports: DurableReports;
   /** What every other edge last told of its caps; none for one that has told nothing yet. */
-  capsOfOthers: () => ReadonlyArray<Option.Option<Readonly<Record<string, number>>>>;
+  connectionCapsOfOthers: () => ReadonlyArray<Option.Option<Readonly<Record<string, number>>>>;
   /** The epoch this node stands at for each service (design 7.3). */
   epochs: () => Readonly<Record<string, number>>;
-  stances: () => ReadonlyArray<Readonly<{ node: string; membership: number; epochs: Readonly<Record<string, number>> }>>;
-  heardAt: (node: string) => Option.Option<Instant>;
+  reportedEpochs: () => ReadonlyArray<Readonly<{ node: string; membership: number; epochs: Readonly<Record<string, number>> }>>;
+  lastHeartbeatAt: (node: string) => Option.Option<Instant>;
   /** The latest moment after which a majority of cores, this node included where it is one, was asked and has answered (design 7.14). */
-  answeredAt: () => Instant;
-  callPeer: (node: string) => Option.Option<Peer>;
+  majorityContactAt: () => Instant;
+  peerOf: (node: string) => Option.Option<Peer>;
   cores: () => readonly Seat[];
   setCores: (cores: readonly Seat[]) => void;
   /** The set of cores that this node counts majorities of from now on, where it may change: its membership table as well (design 4.8). */
-  follow: (set: CoreSet) => void;
+  followCoreSet: (set: CoreSet) => void;
   incarnation: () => number;
   seat: () => Seat;
   fleet: () => string;
   setFleet: (fleet: string) => void;
   /** Takes what a core's own disk accepted, as if it had been pushed. */
-  changed: (core: string, change: Change) => void;
+  receiveOwnChange: (core: string, change: Change) => void;
   isStale: (node: string, incarnation: number) => boolean;
   start: () => void;
   stop: () => void;
@@ -156,8 +156,8 @@
     draining: false,
   };
   const registered = Option.fromNullable(parts.registered);
-  const members = liveness.create(kernel, Option.map((known: Registered) => known.probe)(registered));
-  const terms: Fence = fence.create();
+  const members = liveness.create(kernel, Option.map((known: RegistrationSupport) => known.probe)(registered));
+  const terms: QuorumLease = quorumLease.create();
   const peers = new Map<string, Readonly<{ address: string; peer: Peer }>>();
   const told = new Map<string, Told>();
   const incarnations = new Map<string, number>();
@@ -178,12 +178,12 @@
     return !stopped;
   }
 
-  function targets(): readonly RegisterTarget[] {
+  function targets(): readonly RegisterReplica[] {
     const remote = cores
       .filter((core) => core.node !== settings.node)
-      .map((core): RegisterTarget => ({
+      .map((core): RegisterReplica => ({
         core: core.node,
-        ask: function ask(kind, body, milliseconds) {
+        send: function ask(kind, body, milliseconds) {
           const held = peers.get(core.node);
           return held === undefined ? Promise.resolve(Option.none) : held.peer.call(kind, body, milliseconds);
         },
@@ -191,19 +191,19 @@
     return Option.isSome(parts.own) ? [parts.own.value.target, ...remote] : remote;
   }
 
-  function noteTargets(): readonly NoteTarget[] {
+  function noteTargets(): readonly ReportReplica[] {
     const remote = cores
       .filter((core) => core.node !== settings.node)
-      .map((core): NoteTarget => (body, milliseconds) => {
+      .map((core): ReportReplica => (body, milliseconds) => {
         const held = peers.get(core.node);
         return held === undefined ? Promise.resolve(Option.none) : held.peer.call('note', body, milliseconds);
       });
     return Option.isSome(parts.own) ? [parts.own.value.note, ...remote] : remote;
   }
 
-  const sets: CoreSets = {
+  const sets: CoreSetSource = {
     number: () => (Option.isSome(followed) ? followed.value.number : 0),
-    learn: (set) => (Option.isSome(registered) ? registered.value.learn(set) : undefined),
+    observe: (set) => (Option.isSome(registered) ? registered.value.observeCoreSet(set) : undefined),
   };
   const register = proposer.create(
     kernel,
@@ -213,11 +213,11 @@
     sets,
     (key) => (Option.isSome(parts.own) ? parts.own.value.accepted(key) : Option.none),
   );
-  const noted = notes.create(noteTargets, () => cores.length, sets);
-  kernel.services.offer(notesService, noted);
+  const noted = durableReports.create(noteTargets, () => cores.length, sets);
+  kernel.services.offer(durableReportsService, noted);
   kernel.services.offer(registerService, register);
   kernel.services.offer(livenessService, members);
-  kernel.services.offer(fenceService, terms);
+  kernel.services.offer(quorumLeaseService, terms);
   const watch = watcher.create(
     kernel,
     register,
@@ -225,30 +225,30 @@
     function obeyed(key, entry) {
       kernel.log('node.obeyed', { key, version: entry.version });
       if (key === 'membership') membershipChanged();
-      parts.onObeyed(key);
+      parts.onApplied(key);
     },
     { number: sets.number, includes: (core) => Option.isNone(followed) || cores.some((one) => one.node === core) },
   );
 
   // A core accepts nearly every configuration itself: what the others push of it needs no content (design 5.6).
-  const changes = contents.create(kernel, { set: sets.number, take: watch.changed, stopped: () => stopped });
+  const changes = contentFetcher.create(kernel, { set: sets.number, deliver: watch.receive, stopped: () => stopped });
 
-  function configuration(): Option.Option<Obeyed<Configuration>> {
-    const entry = watch.obeyed('configuration');
+  function configuration(): Option.Option<Applied<Configuration>> {
+    const entry = watch.applied('configuration');
     return Option.isSome(entry) ? Option.some({ version: entry.value.version, value: entry.value.value as Configuration }) : Option.none;
   }
 
-  function membership(): Obeyed<Membership> {
+  function membership(): Applied<Membership> {
     if (Option.isSome(followed)) return { version: followed.value.number, value: followed.value };
-    const entry = watch.obeyed('membership');
-    return Option.isSome(entry) && message.fits(MembershipSchema, entry.value.value)
+    const entry = watch.applied('membership');
+    return Option.isSome(entry) && message.matches(MembershipSchema, entry.value.value)
       ? { version: entry.value.version, value: entry.value.value }
       : { version: 0, value: quorum.empty };
   }
 
-  function settled(service: string): Option.Option<Settled> {
-    const entry = watch.obeyed(`epoch/${service}`);
-    return Option.isSome(entry) && message.fits(SettledSchema, entry.value.value) ? Option.some(entry.value.value) : Option.none;
+  function settled(service: string): Option.Option<ElectedPrimary> {
+    const entry = watch.applied(`epoch/${service}`);
+    return Option.isSome(entry) && message.matches(ElectedPrimarySchema, entry.value.value) ? Option.some(entry.value.value) : Option.none;
   }
 
   /** The sheet as sent; a service whose members register has those of the roster. */
@@ -306,20 +306,20 @@
       },
       changed: function changed(change: Change) {
         acknowledged.set(seat.node, change.number);
-        changes.changed(seat.node, Option.some(dialled), change);
+        changes.receive(seat.node, Option.some(dialled), change);
       },
     });
     peers.set(seat.node, { address: seat.address, peer: dialled });
     void kernels.every(
       kernel.clock,
-      beatMilliseconds,
+      heartbeatMilliseconds,
       () => void beat(seat.node, dialled),
       () => goesOn() && peers.get(seat.node)?.peer === dialled,
     );
     if (seat.role === 'core') {
       void kernels.every(
         kernel.clock,
-        beatMilliseconds,
+        heartbeatMilliseconds,
         () => void watchCore(seat.node, dialled),
         () => goesOn() && peers.get(seat.node)?.peer === dialled,
       );
@@ -412,7 +412,7 @@
 
   async function askNewer(to: Peer): Promise<void> {
     const reply = await to.call('hello', { seat: ownSeat, incarnation, fleet: fleetName }, callMilliseconds);
-    if (Option.isSome(reply) && reply.value.fleet === fleetName && reply.value.set !== undefined) sets.learn(reply.value.set);
+    if (Option.isSome(reply) && reply.value.fleet === fleetName && reply.value.set !== undefined) sets.observe(reply.value.set);
   }
 
   async function watchCore(core: string, to: Peer): Promise<void> {
@@ -424,8 +424,8 @@
         node: settings.node,
         incarnation,
         acknowledged: acknowledged.get(core) ?? 0,
-        obeyed: Option.getOrElse(() => 0)(Option.map((current: Obeyed<Configuration>) => current.version)(configuration())),
-        ...(Option.isSome(parts.own) ? { content: false } : { holds: changes.holds() }),
+        obeyed: Option.getOrElse(() => 0)(Option.map((current: Applied<Configuration>) => current.version)(configuration())),
+        ...(Option.isSome(parts.own) ? { content: false } : { holds: changes.latestBallot() }),
       },
       callMilliseconds,
     );
@@ -476,14 +476,14 @@
     kernel,
     {
       self: settings.node,
-      calls: Option.map((known: Registered) => known.calls)(registered),
-      lessees: () => (Option.isSome(registered) ? registered.value.lessees() : Option.none),
-      released: (service, epoch, lessees) => Option.isSome(registered) && registered.value.released(service, epoch, lessees),
-      onStance: () => (Option.isSome(registered) ? registered.value.onStance() : undefined),
+      calls: Option.map((known: RegistrationSupport) => known.calls)(registered),
+      leaseHolders: () => (Option.isSome(registered) ? registered.value.leaseHolders() : Option.none),
+      hasReleased: (service, epoch, lessees) => Option.isSome(registered) && registered.value.hasReleased(service, epoch, lessees),
+      onEpochRaised: () => (Option.isSome(registered) ? registered.value.onEpochRaised() : undefined),
       membership: () => membership().value,
       membershipVersion: () => membership().version,
-      sheet,
-      settled,
+      placement: sheet,
+      electedPrimary: settled,
       platform: settings.platform,
       propose: function propose(node, ask) {
         const held = peers.get(node);
@@ -532,7 +532,7 @@
 
     await kernels.every(
       kernel.clock,
-      beatMilliseconds,
+      heartbeatMilliseconds,
       greet,
       () => goesOn() && settings.seeds().includes(address) && !(cores.length > 0 && joined()),
     );
@@ -575,7 +575,7 @@
   async function join(): Promise<void> {
     let lastReason = '';
     while (goesOn()) {
-      await kernel.clock.sleep(beatMilliseconds / 2);
+      await kernel.clock.sleep(heartbeatMilliseconds / 2);
       // Where the set of cores changes by itself, a core asks to be taken in before it is of the fleet (design 4.8).
       if (Option.isSome(registered)) continue;
       const table = membership().value;
@@ -617,19 +617,19 @@
       if (!stale) takeTold(ask.node, ask);
       return { epochs: toldEpochs(), caps: parts.caps(), membership: membership().version, superseded: stale };
     },
-    propose: function propose(ask: Ask<'propose'>) {
-      return elections.consider(ask);
+    propose: function propose(ask: Request<'propose'>) {
+      return elections.handleProposal(ask);
     },
   };
 
-  const mappings: readonly HttpMapping[] = [
+  const mappings: readonly HttpRoute[] = [
     {
       method: 'POST',
       path: '/v1/members/:member/beat',
       handle: async function heard(request): Promise<HttpReply> {
         const current = sheet();
-        if (!message.fits(MemberStateSchema, request.body) || request.body.member !== request.query['member']) {
-          return http.denied(
+        if (!message.matches(MemberStateSchema, request.body) || request.body.member !== request.query['member']) {
+          return http.rejected(
             fault.create({
               kind: 'bad-request',
               message: 'a beat is {member, role, epoch, received, applied} of the member named in the path',
@@ -637,8 +637,8 @@
             }),
           );
         }
-        if (Option.isNone(current) || sheets.member(current.value, request.body.member) === undefined) {
-          return http.denied(
+        if (Option.isNone(current) || placements.member(current.value, request.body.member) === undefined) {
+          return http.rejected(
             fault.create({
               kind: 'not-found',
               message: `no sheet names a member ${request.body.member}`,
@@ -647,7 +647,7 @@
             }),
           );
         }
-        members.beat(request.body);
+        members.heartbeat(request.body);
         return { status: 200, body: { heard: true } };
       },
     },
@@ -669,10 +669,10 @@
   }
 
   function start(): void {
-    void kernels.every(kernel.clock, beatMilliseconds, greetSeeds, goesOn);
+    void kernels.every(kernel.clock, heartbeatMilliseconds, greetSeeds, goesOn);
     void takeIncarnation();
     void join();
-    void kernels.every(kernel.clock, beatMilliseconds, tick, goesOn);
+    void kernels.every(kernel.clock, heartbeatMilliseconds, tick, goesOn);
   }
 
   function stop(): void {
@@ -684,36 +684,36 @@
   return {
     settings,
     handlers,
-    mappings,
+    routes: mappings,
     configuration,
     membership,
-    settled,
-    controlUntil,
-    fenceUntil,
+    electedPrimary: settled,
+    configurationLeaseUntil: controlUntil,
+    serviceLeaseUntil: fenceUntil,
     epochs,
-    notes: noted,
+    durableReports: noted,
     start,
     stop,
     setCores,
-    follow,
+    followCoreSet: follow,
     isStale,
-    changed: (core, change) => changes.changed(core, Option.none, change),
-    capsOfOthers: function capsOfOthers() {
+    receiveOwnChange: (core, change) => changes.receive(core, Option.none, change),
+    connectionCapsOfOthers: function capsOfOthers() {
       return quorum
         .withRole(membership().value, 'edge')
         .filter((seat) => seat.node !== settings.node)
         .map((seat) => Option.map((entry: Told) => entry.caps)(Option.fromNullable(told.get(seat.node))));
     },
-    stances: function stances() {
+    reportedEpochs: function stances() {
       const others = otherSeats().flatMap((node) => {
         const stance = told.get(node);
         return stance === undefined ? [] : [{ node, membership: stance.membership, epochs: stance.epochs }];
       });
       return [{ node: settings.node, membership: membership().version, epochs: epochs() }, ...others];
     },
-    answeredAt,
-    heardAt: (node) => Option.map((entry: Told) => entry.at)(Option.fromNullable(told.get(node))),
-    callPeer: (node) => Option.map((held: Readonly<{ peer: Peer }>) => held.peer)(Option.fromNullable(peers.get(node))),
+    majorityContactAt: answeredAt,
+    lastHeartbeatAt: (node) => Option.map((entry: Told) => entry.at)(Option.fromNullable(told.get(node))),
+    peerOf: (node) => Option.map((held: Readonly<{ peer: Peer }>) => held.peer)(Option.fromNullable(peers.get(node))),
     cores: () => cores,
     incarnation: () => incarnation,
     seat: () => ownSeat,
--- a/packages/peer/src/index.ts
+++ b/packages/peer/src/index.ts
@@ -1,14 +1,14 @@
 // Calls between nodes over held links: one task for each peer and each connection (design 3.2).
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
-import type { Address, Alarm, Kernel, Link, Listening, Protocols } from '@stallstall/kernel';
+import type { Address, Timer, Kernel, Link, Listening, Protocols } from '@stallstall/kernel';
 import {
   ChangeSchema,
   FrameSchema,
   GreetSchema,
   message,
   messages,
-  type Ask,
+  type Request,
   type Change,
   type MessageKind,
   type Reply,
@@ -16,7 +16,7 @@
 
 export type Peer = Readonly<{
   address: Address;
-  call: <Kind extends MessageKind>(kind: Kind, body: Ask<Kind>, milliseconds: number) => Promise<Option.Option<Reply<Kind>>>;
+  call: <Kind extends MessageKind>(kind: Kind, body: Request<Kind>, milliseconds: number) => Promise<Option.Option<Reply<Kind>>>;
   connected: () => boolean;
   /** The version agreed on with who serves the link; 0 while there is none. */
   protocol: () => number;
@@ -27,10 +27,10 @@
 export type Caller = Readonly<{ change: (change: Change) => void; open: () => boolean }>;
 
 export type Handlers = {
-  readonly [Kind in MessageKind]?: (body: Ask<Kind>, caller: Caller) => Promise<Reply<Kind>> | Reply<Kind>;
+  readonly [Kind in MessageKind]?: (body: Request<Kind>, caller: Caller) => Promise<Reply<Kind>> | Reply<Kind>;
 };
 
-type Waiting = Readonly<{ kind: MessageKind; settle: (reply: Option.Option<unknown>) => void; alarm: Alarm }>;
+type Waiting = Readonly<{ kind: MessageKind; settle: (reply: Option.Option<unknown>) => void; alarm: Timer }>;
 
 export type PeerEvents = Readonly<{
   connected?: () => void;
@@ -61,7 +61,7 @@
 async function greet(kernel: Kernel, link: Link): Promise<Option.Option<Protocols>> {
   link.send({ greet: kernel.protocols });
   const frame = await link.receive();
-  return Option.isSome(frame) && message.fits(GreetSchema, frame.value) ? Option.some(frame.value.greet) : Option.none;
+  return Option.isSome(frame) && message.matches(GreetSchema, frame.value) ? Option.some(frame.value.greet) : Option.none;
 }
 
 function dial(kernel: Kernel, address: Address, events: PeerEvents = {}): Peer {
@@ -95,12 +95,12 @@
   }
 
   function take(frame: unknown): boolean {
-    if (!message.fits(FrameSchema, frame)) return false;
+    if (!message.matches(FrameSchema, frame)) return false;
     silent = 0;
     if ('reply' in frame) {
       const entry = waiting.get(frame.reply);
       if (entry === undefined) return isLate(frame.reply);
-      if (!message.fits(messages[entry.kind].reply, frame.body)) return false;
+      if (!message.matches(messages[entry.kind].reply, frame.body)) return false;
       settle(frame.reply, Option.some(frame.body));
       return true;
     }
@@ -110,7 +110,7 @@
       settle(frame.deny, Option.none);
       return true;
     }
-    if ('change' in frame && message.fits(ChangeSchema, frame.change)) {
+    if ('change' in frame && message.matches(ChangeSchema, frame.change)) {
       events.changed?.(frame.change);
       return true;
     }
@@ -118,7 +118,7 @@
   }
 
   async function hold(link: Link): Promise<void> {
-    const alarm = kernel.clock.alarm(greetMilliseconds, link.close);
+    const alarm = kernel.clock.startTimer(greetMilliseconds, link.close);
     const greeted = await greet(kernel, link);
     alarm.cancel();
     version = Option.isSome(greeted) ? agreed(kernel.protocols, greeted.value) : 0;
@@ -169,13 +169,13 @@
     if (givenUp.size > givenUpKept && oldest !== undefined) givenUp.delete(oldest);
   }
 
-  function call<Kind extends MessageKind>(kind: Kind, body: Ask<Kind>, milliseconds: number): Promise<Option.Option<Reply<Kind>>> {
+  function call<Kind extends MessageKind>(kind: Kind, body: Request<Kind>, milliseconds: number): Promise<Option.Option<Reply<Kind>>> {
     if (Option.isNone(current)) return Promise.resolve(Option.none);
     const link = current.value;
     lastCall += 1;
     const number = lastCall;
     return new Promise(function wait(resolve) {
-      const alarm = kernel.clock.alarm(milliseconds, function late() {
+      const alarm = kernel.clock.startTimer(milliseconds, function late() {
         settle(number, Option.none);
         giveUp(number);
         silent += 1;
@@ -215,7 +215,7 @@
     link.send({ deny: frame.call, reason: `no handler for ${frame.kind}` });
     return;
   }
-  if (!message.fits(messages[frame.kind].ask, frame.body)) {
+  if (!message.matches(messages[frame.kind].ask, frame.body)) {
     link.send({ deny: frame.call, reason: `malformed ${frame.kind}` });
     return;
   }
@@ -229,7 +229,7 @@
 
 function listen(kernel: Kernel, address: Address, handlers: Handlers): Promise<Listening> {
   async function task(link: Link): Promise<void> {
-    const alarm = kernel.clock.alarm(greetMilliseconds, link.close);
+    const alarm = kernel.clock.startTimer(greetMilliseconds, link.close);
     const greeted = await greet(kernel, link);
     alarm.cancel();
     if (Option.isNone(greeted) || agreed(kernel.protocols, greeted.value) === 0) {
@@ -253,7 +253,7 @@
     for (;;) {
       const frame = await link.receive();
       if (Option.isNone(frame)) break;
-      if (!message.fits(FrameSchema, frame.value) || !('call' in frame.value)) {
+      if (!message.matches(FrameSchema, frame.value) || !('call' in frame.value)) {
         kernel.log('peer.malformed', { address });
         break;
       }
--- a/packages/placement/src/cross-checks.ts
+++ b/packages/placement/src/cross-checks.ts
@@ -1,11 +1,11 @@
 /** Checks of a sheet that its schema cannot express: names that occur twice, and names that nothing stands for. */
 import { outageChecks } from './outage-checks.js';
-import type { Sheet, SheetRow, SheetService } from './schema.js';
-import { sheetFaults, type SheetFault } from './sheet-faults.js';
+import type { PlacementConfiguration, PlacementRow, ServicePlacement } from './schema.js';
+import { sheetFaults, type PlacementFault } from './sheet-faults.js';
 
 const { repetitions, shortened, standsTwice } = sheetFaults;
 
-function repeatedMembers(sheet: Sheet): readonly SheetFault[] {
+function repeatedMembers(sheet: PlacementConfiguration): readonly PlacementFault[] {
   const members = sheet.services.flatMap((service) => service.members);
   return [
     ...repetitions(
@@ -21,7 +21,7 @@
   ];
 }
 
-function membersFault(service: SheetService, index: number): SheetFault | undefined {
+function membersFault(service: ServicePlacement, index: number): PlacementFault | undefined {
   const row = `services[${index}]`;
   const { members, registered } = service;
   if (members.length === 0 && !registered)
@@ -43,7 +43,7 @@
   return undefined;
 }
 
-function serviceFaults(sheet: Sheet): readonly SheetFault[] {
+function serviceFaults(sheet: PlacementConfiguration): readonly PlacementFault[] {
   return [
     ...repetitions(
       sheet.services.map((service) => service.service),
@@ -55,12 +55,12 @@
   ];
 }
 
-function unknownService(row: string, column: string, named: string): SheetFault {
+function unknownService(row: string, column: string, named: string): PlacementFault {
   return { row, column, message: `there is no service ${named}`, remedy: 'add it under services, or mend the name' };
 }
 
 /** Members named in a row that its service does not have. */
-function rowMemberFaults(row: SheetRow, where: string, service: SheetService): readonly SheetFault[] {
+function rowMemberFaults(row: PlacementRow, where: string, service: ServicePlacement): readonly PlacementFault[] {
   const members = new Set(service.members.map((member) => member.member));
   const kinds = ['bounded-read', 'own-read'] as const;
   const named = [
@@ -77,7 +77,7 @@
     }));
 }
 
-function rowFaults(sheet: Sheet, services: ReadonlyMap<string, SheetService>): readonly SheetFault[] {
+function rowFaults(sheet: PlacementConfiguration, services: ReadonlyMap<string, ServicePlacement>): readonly PlacementFault[] {
   return [
     ...repetitions(
       sheet.rows.map((row) => `${row.service}/${row.area}`),
@@ -93,7 +93,7 @@
   ];
 }
 
-function keyFaults(sheet: Sheet, services: ReadonlyMap<string, SheetService>): readonly SheetFault[] {
+function keyFaults(sheet: PlacementConfiguration, services: ReadonlyMap<string, ServicePlacement>): readonly PlacementFault[] {
   return [
     ...repetitions(
       sheet.keys.map((key) => key.key),
@@ -107,7 +107,7 @@
   ];
 }
 
-function mappingFaults(sheet: Sheet, services: ReadonlyMap<string, SheetService>): readonly SheetFault[] {
+function mappingFaults(sheet: PlacementConfiguration, services: ReadonlyMap<string, ServicePlacement>): readonly PlacementFault[] {
   return [
     ...repetitions(
       sheet.mappings.map((mapping) => mapping.mapping),
@@ -120,7 +120,7 @@
   ];
 }
 
-function databaseFaults(sheet: Sheet, services: ReadonlyMap<string, SheetService>): readonly SheetFault[] {
+function databaseFaults(sheet: PlacementConfiguration, services: ReadonlyMap<string, ServicePlacement>): readonly PlacementFault[] {
   return [
     ...repetitions(
       sheet.databases.map((database) => database.database),
@@ -133,7 +133,7 @@
   ];
 }
 
-function tenantFaults(sheet: Sheet): readonly SheetFault[] {
+function tenantFaults(sheet: PlacementConfiguration): readonly PlacementFault[] {
   return [
     ...repetitions(
       sheet.tenants.map((tenant) => tenant.tenant),
@@ -150,7 +150,7 @@
 }
 
 /** Every fault of a sheet that fits the schema, in the order of its sections. */
-function check(sheet: Sheet): readonly SheetFault[] {
+function check(sheet: PlacementConfiguration): readonly PlacementFault[] {
   const services = new Map(sheet.services.map((service) => [service.service, service]));
   return [
     ...serviceFaults(sheet),
--- a/packages/placement/src/index.ts
+++ b/packages/placement/src/index.ts
@@ -4,31 +4,31 @@
 import { crossChecks } from './cross-checks.js';
 import { outageWindows } from './outage-windows.js';
 import {
-  sheetSchema,
-  type Sheet,
-  type SheetMapping,
-  type SheetMember,
-  type SheetRow,
-  type SheetService,
+  placementSchema,
+  type PlacementConfiguration,
+  type NamedStatement,
+  type MemberPlacement,
+  type PlacementRow,
+  type ServicePlacement,
   type StatementKind,
 } from './schema.js';
-import type { SheetFault } from './sheet-faults.js';
+import type { PlacementFault } from './sheet-faults.js';
 
 export { statementKinds, weekdays } from './schema.js';
 export type {
   OutageWindow,
-  Sheet,
-  SheetDatabase,
-  SheetKey,
-  SheetMapping,
-  SheetMember,
-  SheetOutage,
-  SheetRow,
-  SheetService,
-  SheetTenant,
+  PlacementConfiguration as Sheet,
+  DatabasePlacement as SheetDatabase,
+  ClientKey as SheetKey,
+  NamedStatement as SheetMapping,
+  MemberPlacement as SheetMember,
+  AnnouncedOutage as SheetOutage,
+  PlacementRow as SheetRow,
+  ServicePlacement as SheetService,
+  Tenant as SheetTenant,
   StatementKind,
 } from './schema.js';
-export type { SheetFault } from './sheet-faults.js';
+export type { PlacementFault as SheetFault } from './sheet-faults.js';
 
 /** Where an issue stands, as an operator would point at it: `rows[3] (bookings/north)`, column `weights.bookings-2`. */
 function place(path: readonly PropertyKey[]): Readonly<{ row: string; column: string }> {
@@ -43,9 +43,9 @@
 }
 
 /** The sheet with its defaults filled in, or one fault whose details list everything that is wrong with it (`SheetFault`). */
-function check(value: unknown): Either.Either<Fault, Sheet> {
-  const parsed = sheetSchema.safeParse(value);
-  const faults: readonly SheetFault[] = parsed.success
+function check(value: unknown): Either.Either<Fault, PlacementConfiguration> {
+  const parsed = placementSchema.safeParse(value);
+  const faults: readonly PlacementFault[] = parsed.success
     ? crossChecks.check(parsed.data)
     : parsed.error.issues.map((issue) => ({ ...place(issue.path), message: issue.message, remedy: remedyOf(issue.code) }));
   if (parsed.success && faults.length === 0) return Either.right(parsed.data);
@@ -60,12 +60,12 @@
 }
 
 /** Undefined when the sheet names no such service. */
-function service(sheet: Sheet, named: string): SheetService | undefined {
+function service(sheet: PlacementConfiguration, named: string): ServicePlacement | undefined {
   return sheet.services.find((candidate) => candidate.service === named);
 }
 
 /** The member of that name, of whichever service. */
-function member(sheet: Sheet, named: string): SheetMember | undefined {
+function member(sheet: PlacementConfiguration, named: string): MemberPlacement | undefined {
   for (const candidate of sheet.services) {
     const found = candidate.members.find((one) => one.member === named);
     if (found !== undefined) return found;
@@ -74,17 +74,17 @@
 }
 
 /** How an area is served by a service. */
-function row(sheet: Sheet, named: string, area: string): SheetRow | undefined {
+function row(sheet: PlacementConfiguration, named: string, area: string): PlacementRow | undefined {
   return sheet.rows.find((candidate) => candidate.service === named && candidate.area === area);
 }
 
 /** The statement that clients call by this name. */
-function mapping(sheet: Sheet, named: string): SheetMapping | undefined {
+function mapping(sheet: PlacementConfiguration, named: string): NamedStatement | undefined {
   return sheet.mappings.find((candidate) => candidate.mapping === named);
 }
 
 /** Whether a key may send statements of a kind to a service. */
-function allows(sheet: Sheet, key: string, named: string, kind: StatementKind): boolean {
+function allows(sheet: PlacementConfiguration, key: string, named: string, kind: StatementKind): boolean {
   return sheet.keys.some((candidate) => candidate.key === key && candidate.services.includes(named) && candidate.kinds.includes(kind));
 }
 
@@ -93,4 +93,4 @@
   return edges === 0 ? 0 : Math.max(0, Math.floor((limit - nodes) / edges));
 }
 
-export const sheets = { check, service, member, row, mapping, allows, share, windows: outageWindows.windows } as const;
+export const placements = { check, service, member, row, mapping, allows, share, windows: outageWindows.windows } as const;
--- a/packages/placement/src/outage-checks.ts
+++ b/packages/placement/src/outage-checks.ts
@@ -1,13 +1,13 @@
 /** Checks of a sheet's announced outages that its schema cannot express (design 8.13). */
 import { outageWindows } from './outage-windows.js';
-import type { Sheet, SheetOutage } from './schema.js';
-import type { SheetFault } from './sheet-faults.js';
+import type { PlacementConfiguration, AnnouncedOutage } from './schema.js';
+import type { PlacementFault } from './sheet-faults.js';
 
 /** The names that outages may refer to. */
 type Names = Readonly<{ databases: ReadonlySet<string>; tenants: ReadonlySet<string> }>;
 
 /** The fault of the windows themselves, if there is one: without sound windows nothing else of the outage can be checked. */
-function windowFault(outage: SheetOutage, row: string): SheetFault | undefined {
+function windowFault(outage: AnnouncedOutage, row: string): PlacementFault | undefined {
   const isDated = outage.from !== undefined && outage.to !== undefined;
   if (isDated === outage.weekly.length > 0 || (outage.from === undefined) !== (outage.to === undefined))
     return {
@@ -26,7 +26,7 @@
   return undefined;
 }
 
-function databaseFaults(outage: SheetOutage, row: string, names: Names): readonly SheetFault[] {
+function databaseFaults(outage: AnnouncedOutage, row: string, names: Names): readonly PlacementFault[] {
   return [...outage.databases, ...outage.things.map((thing) => thing.database)]
     .filter((named) => !names.databases.has(named))
     .map((named) => ({
@@ -37,8 +37,8 @@
     }));
 }
 
-function thingFaults(outage: SheetOutage, row: string, names: Names): readonly SheetFault[] {
-  const faults: SheetFault[] = [];
+function thingFaults(outage: AnnouncedOutage, row: string, names: Names): readonly PlacementFault[] {
+  const faults: PlacementFault[] = [];
   for (const thing of outage.things) {
     if (!names.tenants.has(thing.tenant))
       faults.push({
@@ -59,8 +59,8 @@
 }
 
 /** `others`: the outage itself and those after it, so that each pair is told once. */
-function overlapFaults(outage: SheetOutage, row: string, others: readonly SheetOutage[]): readonly SheetFault[] {
-  const faults: SheetFault[] = [];
+function overlapFaults(outage: AnnouncedOutage, row: string, others: readonly AnnouncedOutage[]): readonly PlacementFault[] {
+  const faults: PlacementFault[] = [];
   for (const other of others) {
     const shared = other.site === outage.site ? other.databases.filter((named) => outage.databases.includes(named)) : [];
     if (shared.length > 0 && outageWindows.overlap(outage, other))
@@ -74,7 +74,7 @@
   return faults;
 }
 
-function check(sheet: Sheet): readonly SheetFault[] {
+function check(sheet: PlacementConfiguration): readonly PlacementFault[] {
   const names: Names = {
     databases: new Set(sheet.databases.map((database) => database.database)),
     tenants: new Set(sheet.tenants.map((tenant) => tenant.tenant)),
--- a/packages/placement/src/outage-windows.ts
+++ b/packages/placement/src/outage-windows.ts
@@ -1,5 +1,5 @@
 /** When announced outages take place. */
-import { weekdays, type OutageWindow, type SheetOutage } from './schema.js';
+import { weekdays, type OutageWindow, type AnnouncedOutage } from './schema.js';
 
 const minuteMilliseconds = 60_000;
 const dayMilliseconds = 86_400_000;
@@ -8,13 +8,13 @@
 const firstSunday = 3 * dayMilliseconds;
 
 /** The window of an outage that is announced by its dates; undefined for one of weekly windows. */
-function datedWindow(outage: SheetOutage): OutageWindow | undefined {
+function datedWindow(outage: AnnouncedOutage): OutageWindow | undefined {
   if (outage.from === undefined || outage.to === undefined) return undefined;
   return { from: Date.parse(outage.from), to: Date.parse(outage.to) };
 }
 
 /** The windows of an outage that touch a span of the wall clock, the earliest first. */
-function windows(outage: SheetOutage, from: number, to: number): readonly OutageWindow[] {
+function windows(outage: AnnouncedOutage, from: number, to: number): readonly OutageWindow[] {
   const dated = datedWindow(outage);
   const week = firstSunday + Math.floor((from - firstSunday) / weekMilliseconds) * weekMilliseconds;
   const weeks = Array.from({ length: Math.ceil((to - week) / weekMilliseconds) + 1 }, (_, index) => week + (index - 1) * weekMilliseconds);
@@ -34,7 +34,7 @@
 }
 
 /** Whether windows of two outages, or of one with itself, overlap. Dated windows are compared where they are, weekly ones over two weeks. */
-function overlap(left: SheetOutage, right: SheetOutage): boolean {
+function overlap(left: AnnouncedOutage, right: AnnouncedOutage): boolean {
   const span = datedWindow(left) ?? datedWindow(right) ?? { from: firstSunday, to: firstSunday + 2 * weekMilliseconds };
   const others = windows(right, span.from, span.to);
   return windows(left, span.from, span.to).some((one, index) =>
--- a/packages/placement/src/schema.ts
+++ b/packages/placement/src/schema.ts
@@ -115,7 +115,7 @@
   messageBytes: z.number().int().min(1_024).max(1_048_576).default(1_048_576),
 });
 
-export const sheetSchema = z.strictObject({
+export const placementSchema = z.strictObject({
   services: z.array(serviceSchema).max(500),
   rows: z.array(rowSchema).max(5_000),
   keys: z.array(keySchema).max(10_000),
@@ -128,16 +128,16 @@
 });
 
 /** A whole placement configuration, as it is sent, stored and followed. */
-export type Sheet = z.infer<typeof sheetSchema>;
-export type SheetService = Sheet['services'][number];
-export type SheetMember = SheetService['members'][number];
-export type SheetRow = Sheet['rows'][number];
-export type SheetMapping = Sheet['mappings'][number];
-export type SheetKey = Sheet['keys'][number];
-export type SheetDatabase = Sheet['databases'][number];
-export type SheetTenant = Sheet['tenants'][number];
+export type PlacementConfiguration = z.infer<typeof placementSchema>;
+export type ServicePlacement = PlacementConfiguration['services'][number];
+export type MemberPlacement = ServicePlacement['members'][number];
+export type PlacementRow = PlacementConfiguration['rows'][number];
+export type NamedStatement = PlacementConfiguration['mappings'][number];
+export type ClientKey = PlacementConfiguration['keys'][number];
+export type DatabasePlacement = PlacementConfiguration['databases'][number];
+export type Tenant = PlacementConfiguration['tenants'][number];
 
 /** An announced outage of a site's uplink. */
-export type SheetOutage = NonNullable<Sheet['outages']>[number];
+export type AnnouncedOutage = NonNullable<PlacementConfiguration['outages']>[number];
 /** Milliseconds of the wall clock since 1970; `to` is not part of the window. */
 export type OutageWindow = Readonly<{ from: number; to: number }>;
--- a/packages/placement/src/sheet-faults.ts
+++ b/packages/placement/src/sheet-faults.ts
@@ -1,5 +1,5 @@
 /** What is wrong with a sheet, as an operator is told: where it stands, what is wrong, and how to mend it. */
-export type SheetFault = Readonly<{ row: string; column: string; message: string; remedy: string }>;
+export type PlacementFault = Readonly<{ row: string; column: string; message: string; remedy: string }>;
 
 /** The names that occur more than once, each of them once. */
 function repeated(names: readonly string[]): readonly string[] {
@@ -18,7 +18,7 @@
   place: Readonly<{ row: string; column: string }>,
   remedy: string,
   told: (name: string) => string = standsTwice,
-): readonly SheetFault[] {
+): readonly PlacementFault[] {
   return repeated(names).map((name) => ({ ...place, message: told(name), remedy }));
 }
 
--- a/packages/pool/src/index.ts
+++ b/packages/pool/src/index.ts
@@ -1,13 +1,21 @@
 /** Connections of the HTTP wire to members: few, costly, reused, never more than this edge's share (design 8.2, 8.3). */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
-import { identifiers, type Fault, type HttpAsk, type HttpConnection, type HttpReply, type Instant, type Kernel } from '@stallstall/kernel';
+import {
+  identifiers,
+  type Fault,
+  type OutgoingHttpRequest,
+  type HttpConnection,
+  type HttpReply,
+  type Instant,
+  type Kernel,
+} from '@stallstall/kernel';
 
 /** A connection to a member, opened while its service was at `epoch`. */
 export type MemberConnection = Readonly<{
   member: string;
   epoch: number;
-  exchange: (ask: HttpAsk, milliseconds: number) => Promise<Either.Either<Fault, HttpReply>>;
+  exchange: (ask: OutgoingHttpRequest, milliseconds: number) => Promise<Either.Either<Fault, HttpReply>>;
   closed: () => boolean;
 }>;
 
--- a/packages/pooler/src/connections.ts
+++ b/packages/pooler/src/connections.ts
@@ -93,7 +93,7 @@
   if (isSaturated(error)) {
     known.saturation = Option.some({ admitted: Math.max(1, memberConnections.total(known)), since: now });
     if (memberConnections.makeRoom(known, tenant, now)) void open(table, place, tenant, known);
-    else kernel.clock.alarm(saturationStepMilliseconds * (0.5 + kernel.randomness.fraction()), onFreed);
+    else kernel.clock.startTimer(saturationStepMilliseconds * (0.5 + kernel.randomness.fraction()), onFreed);
     return;
   }
   memberConnections.noteFailure(known, now, kernel.randomness.fraction());
--- a/packages/pooler/src/copies.ts
+++ b/packages/pooler/src/copies.ts
@@ -1,7 +1,7 @@
 /** Copies of reads that an edge holds through an announced outage of its site's uplink (design 8.13). */
 import * as Option from 'fp-ts/lib/Option.js';
 import { identifiers, type Kernel } from '@stallstall/kernel';
-import { sheets, type SheetOutage } from '@stallstall/placement';
+import { placements, type SheetOutage } from '@stallstall/placement';
 import type { StatementReply } from '@stallstall/session-protocol';
 import { outageCopies, outageGraceMilliseconds, type OutageCopies, type RememberedRead } from './outage-copies.js';
 import { sessions } from './sessions.js';
@@ -134,7 +134,7 @@
 function windowsOf(state: State, outage: SheetOutage, before: readonly OutageCopies[]): readonly OutageCopies[] {
   const wall = state.kernel.clock.wall();
   const source = JSON.stringify(outage);
-  return sheets.windows(outage, wall - outageGraceMilliseconds, wall + aheadMilliseconds).map(function known(window): OutageCopies {
+  return placements.windows(outage, wall - outageGraceMilliseconds, wall + aheadMilliseconds).map(function known(window): OutageCopies {
     const held = before.find((one) => one.source === source && one.window.from === window.from);
     if (held !== undefined) return held;
     const added = outageCopies.create(outage, source, window);
--- a/packages/pooler/src/draining.ts
+++ b/packages/pooler/src/draining.ts
@@ -30,7 +30,7 @@
     while (clock.now() < deadline) {
       if (accepting && clock.now() - beganAt >= acceptingMilliseconds) {
         accepting = false;
-        listener.deafen();
+        listener.stopAccepting();
       }
       // While new sessions are accepted nobody is closed: who is closed would only come back.
       if (!accepting) clients.closeIdle(idleMilliseconds);
--- a/packages/pooler/src/epoch-release.ts
+++ b/packages/pooler/src/epoch-release.ts
@@ -49,7 +49,7 @@
     let anyReleased = false;
     for (const [service, since] of [...releasing]) if (release(service, since)) anyReleased = true;
     if (anyReleased) parts.onReleased();
-    if (releasing.size > 0) kernel.clock.alarm(lookMilliseconds, look);
+    if (releasing.size > 0) kernel.clock.startTimer(lookMilliseconds, look);
   }
 
   function follow(): void {
--- a/packages/pooler/src/placement.ts
+++ b/packages/pooler/src/placement.ts
@@ -1,7 +1,7 @@
 /** Chooses the member that a statement runs on: the leader under a valid lease, or for reads any member fresh enough (design 8.4, 8.11). */
 import * as Option from 'fp-ts/lib/Option.js';
 import { identifiers, type Instant } from '@stallstall/kernel';
-import type { RosterEntry } from '@stallstall/message';
+import type { MemberRecord } from '@stallstall/message';
 import { positions, type MemberPlace, type Position } from '@stallstall/session-protocol';
 import type { RequestParts } from './request-parts.js';
 import type { RequestRecord, StatementRequest, Target } from './statement-request.js';
@@ -33,11 +33,11 @@
   return Option.isSome(request.transaction) ? !request.transaction.value.readOnly : request.writes;
 }
 
-function placeOf(entry: RosterEntry): MemberPlace {
+function placeOf(entry: MemberRecord): MemberPlace {
   return { service: entry.service, member: entry.member, address: entry.address };
 }
 
-function isDrained(parts: PlacementParts, known: View, entry: RosterEntry): boolean {
+function isDrained(parts: PlacementParts, known: View, entry: MemberRecord): boolean {
   const since = known.drainingSince.get(entry.member);
   return since !== undefined && parts.kernel.clock.now() - since > drainMilliseconds;
 }
@@ -64,7 +64,7 @@
   return own === undefined ? covering : Option.some(positions.later(covering.value, own));
 }
 
-function cost(parts: PlacementParts, entry: RosterEntry, primary: string, area: string): number {
+function cost(parts: PlacementParts, entry: MemberRecord, primary: string, area: string): number {
   return (
     parts.connections.busy(entry.member) +
     (entry.area === area ? 0 : farWeight) +
@@ -73,7 +73,7 @@
   );
 }
 
-function cheapestMember(parts: PlacementParts, record: RequestRecord): RosterEntry | undefined {
+function cheapestMember(parts: PlacementParts, record: RequestRecord): MemberRecord | undefined {
   const { connections } = parts;
   const known = parts.view();
   const { service } = record.request.database;
--- a/packages/pooler/src/pooler.ts
+++ b/packages/pooler/src/pooler.ts
@@ -1,6 +1,6 @@
 /** The process that clients connect to: their sessions in, their statements placed on members, the members' replies out (design 8.10). */
 import * as Option from 'fp-ts/lib/Option.js';
-import { identifiers, kernel as kernels, type HttpMapping, type Instant, type Kernel, type Listening } from '@stallstall/kernel';
+import { identifiers, kernel as kernels, type HttpRoute, type Instant, type Kernel, type Listening } from '@stallstall/kernel';
 import { peer, type Peer } from '@stallstall/peer';
 import type { Dialect } from '@stallstall/session-protocol';
 import { admissions } from './admission.js';
@@ -33,7 +33,7 @@
 export type PoolerParts = Readonly<{
   dialect: Dialect;
   /** The readiness pages, in the platform's words. */
-  pages: (ready: () => boolean) => readonly HttpMapping[];
+  pages: (ready: () => boolean) => readonly HttpRoute[];
 }>;
 
 export type Pooler = Readonly<{
@@ -225,7 +225,7 @@
     identifiers.address(settings.address),
     (stream) => void assembly.serving.serve(stream),
   );
-  const pages = await kernel.network.serve(identifiers.address(settings.outward), { mappings: parts.pages(ready) });
+  const pages = await kernel.network.serve(identifiers.address(settings.outward), { routes: parts.pages(ready) });
   startTasks(assembly);
   const { feed, requests, copies } = assembly;
   return { drain, stop, view: feed.view, ready, totals: requests.totals, copied: copies.describe };
--- a/packages/pooler/src/requests.ts
+++ b/packages/pooler/src/requests.ts
@@ -61,7 +61,7 @@
   function setTimer(): void {
     if (timerSet) return;
     timerSet = true;
-    kernel.clock.alarm(sweepMilliseconds, function due() {
+    kernel.clock.startTimer(sweepMilliseconds, function due() {
       timerSet = false;
       sweep();
     });
--- a/packages/pooler/src/view.ts
+++ b/packages/pooler/src/view.ts
@@ -1,7 +1,7 @@
 // What the pooler knows of placement, as its agent feeds it (design 8.10).
 import * as Option from 'fp-ts/lib/Option.js';
 import { identifiers, type Instant } from '@stallstall/kernel';
-import type { Reply, RosterEntry } from '@stallstall/message';
+import type { Reply, MemberRecord } from '@stallstall/message';
 import type { Sheet, SheetDatabase, SheetTenant } from '@stallstall/placement';
 
 export const never: Instant = identifiers.instant(Number.NEGATIVE_INFINITY);
@@ -16,8 +16,8 @@
   /** By key. */
   tenants: ReadonlyMap<string, SheetTenant>;
   leaders: ReadonlyMap<string, Leadership>;
-  members: ReadonlyMap<string, RosterEntry>;
-  byService: ReadonlyMap<string, readonly RosterEntry[]>;
+  members: ReadonlyMap<string, MemberRecord>;
+  byService: ReadonlyMap<string, readonly MemberRecord[]>;
   /** Since when each member is known to be draining; `never` where that may have been said at any time before. */
   drainingSince: ReadonlyMap<string, Instant>;
   /** How many edges hold leases, by area. */
@@ -43,8 +43,8 @@
   node: '',
 };
 
-function grouped(entries: readonly RosterEntry[]): ReadonlyMap<string, readonly RosterEntry[]> {
-  const groups = new Map<string, RosterEntry[]>();
+function grouped(entries: readonly MemberRecord[]): ReadonlyMap<string, readonly MemberRecord[]> {
+  const groups = new Map<string, MemberRecord[]>();
   for (const entry of entries) {
     const group = groups.get(entry.service);
     if (group === undefined) groups.set(entry.service, [entry]);
@@ -57,7 +57,7 @@
  * When the news that a member drains was said first, at the latest. Whoever held a lease on it as the news came was in touch with a majority
  * of cores within a term, so that the news is no older than that; to anybody else it may be of any age, and its time is over.
  */
-function newsOfDraining(before: View, entry: RosterEntry, now: Instant): Instant {
+function newsOfDraining(before: View, entry: MemberRecord, now: Instant): Instant {
   const known = before.drainingSince.get(entry.member);
   if (known !== undefined) return known;
   const leader = before.leaders.get(entry.service);
--- a/packages/proxy/src/client-api.ts
+++ b/packages/proxy/src/client-api.ts
@@ -2,9 +2,9 @@
 import { Type } from '@sinclair/typebox';
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
-import { http, type Clock, type Fault, type HttpMapping, type HttpReply, type HttpRequest } from '@stallstall/kernel';
+import { http, type Clock, type Fault, type HttpRoute, type HttpReply, type HttpRequest } from '@stallstall/kernel';
 import { message } from '@stallstall/message';
-import { sheets, statementKinds } from '@stallstall/placement';
+import { placements, statementKinds } from '@stallstall/placement';
 import { requestFaults } from './request-faults.js';
 import type { Requests } from './requests.js';
 import type { Session, Sessions } from './sessions.js';
@@ -45,7 +45,7 @@
 function mayUse(known: Known, key: string, service: string): boolean {
   if (Option.isNone(known.sheet)) return false;
   const sheet = known.sheet.value;
-  return statementKinds.some((kind) => sheets.allows(sheet, key, service, kind));
+  return statementKinds.some((kind) => placements.allows(sheet, key, service, kind));
 }
 
 /** What stands against a statement's transaction step in the session that it names, or in none. */
@@ -72,8 +72,8 @@
 }
 
 async function runStatement(parts: ClientApiParts, request: HttpRequest): Promise<HttpReply> {
-  if (!message.fits(statementSchema, request.body))
-    return http.denied(
+  if (!message.matches(statementSchema, request.body))
+    return http.rejected(
       requestFaults.badRequest(
         'a statement is {kind, statements: [{text, parameters}], transaction?, atLeast?, horizonMilliseconds?}',
         `kind is one of ${statementKinds.join(', ')}; see docs/operations.md`,
@@ -84,7 +84,7 @@
   const session = Option.fromNullable(request.headers['x-stallstall-session']);
   const transaction = body.transaction ?? 'none';
   const rejected = sessionFault(parts, request, service, session, transaction);
-  if (Option.isSome(rejected)) return http.denied(rejected.value);
+  if (Option.isSome(rejected)) return http.rejected(rejected.value);
   const outcome = await parts.requests.submit({
     service,
     kind: body.kind,
@@ -95,15 +95,15 @@
     statements: body.statements.map((one) => ({ text: one.text, parameters: one.parameters ?? [] })),
     timeLimitMilliseconds: body.horizonMilliseconds ?? defaultTimeLimitMilliseconds,
   });
-  return http.replied(outcome);
+  return http.toReply(outcome);
 }
 
 /** A statement that the sheet names: the client gives its parameters alone (design 8.7). */
 async function runMapping(parts: ClientApiParts, request: HttpRequest): Promise<HttpReply> {
   const { sheet } = parts.known();
   const name = request.query['mapping'] ?? '';
-  const mapping = Option.isSome(sheet) ? sheets.mapping(sheet.value, name) : undefined;
-  if (mapping === undefined) return http.denied(requestFaults.notFound(`a mapping ${name}`));
+  const mapping = Option.isSome(sheet) ? placements.mapping(sheet.value, name) : undefined;
+  if (mapping === undefined) return http.rejected(requestFaults.notFound(`a mapping ${name}`));
   const given = (typeof request.body === 'object' && request.body !== null ? request.body : {}) as Readonly<Record<string, unknown>>;
   const { parameters, ...rest } = given;
   return runStatement(parts, {
@@ -115,38 +115,38 @@
 
 async function openSession({ clock, known, sessions }: ClientApiParts, request: HttpRequest): Promise<HttpReply> {
   const service = request.query['service'] ?? '';
-  if (known().controlUntil <= clock.now()) return http.denied(requestFaults.staleConfiguration('try another edge'));
-  if (known().draining) return http.denied(requestFaults.draining());
-  if (!mayUse(known(), keyOf(request), service)) return http.denied(requestFaults.keyRejected(`open a session on ${service}`));
+  if (known().controlUntil <= clock.now()) return http.rejected(requestFaults.staleConfiguration('try another edge'));
+  if (known().draining) return http.rejected(requestFaults.draining());
+  if (!mayUse(known(), keyOf(request), service)) return http.rejected(requestFaults.keyRejected(`open a session on ${service}`));
   return { status: 201, body: { session: sessions.open(keyOf(request), service).id } };
 }
 
 async function closeSession(parts: ClientApiParts, request: HttpRequest): Promise<HttpReply> {
   const session = sessionFor(parts, request, request.query['session'] ?? '');
   if (Either.isRight(session)) parts.sessions.close(session.right);
-  return http.replied(Either.map(() => ({ closed: true }))(session));
+  return http.toReply(Either.map(() => ({ closed: true }))(session));
 }
 
 async function setValue(parts: ClientApiParts, request: HttpRequest): Promise<HttpReply> {
   const session = sessionFor(parts, request, request.query['session'] ?? '');
-  if (Either.isLeft(session)) return http.denied(session.left);
-  if (!message.fits(valueSchema, request.body))
-    return http.denied(requestFaults.badRequest('a session value is {"value": text, number or truth}', 'send that shape'));
+  if (Either.isLeft(session)) return http.rejected(session.left);
+  if (!message.matches(valueSchema, request.body))
+    return http.rejected(requestFaults.badRequest('a session value is {"value": text, number or truth}', 'send that shape'));
   session.right.setValue(request.query['name'] ?? '', request.body.value);
   return { status: 200, body: { set: true } };
 }
 
 async function prepareStatement(parts: ClientApiParts, request: HttpRequest): Promise<HttpReply> {
   const session = sessionFor(parts, request, request.query['session'] ?? '');
-  if (Either.isLeft(session)) return http.denied(session.left);
-  if (!message.fits(preparedSchema, request.body))
-    return http.denied(requestFaults.badRequest('a prepared shape is {"text": "..."}', 'send that shape'));
+  if (Either.isLeft(session)) return http.rejected(session.left);
+  if (!message.matches(preparedSchema, request.body))
+    return http.rejected(requestFaults.badRequest('a prepared shape is {"text": "..."}', 'send that shape'));
   session.right.prepare(request.query['name'] ?? '', request.body.text);
   return { status: 200, body: { prepared: true } };
 }
 
 /** The routes of the interface; paths are kept for the clients that use them. */
-function routes(parts: ClientApiParts): readonly HttpMapping[] {
+function routes(parts: ClientApiParts): readonly HttpRoute[] {
   return [
     { method: 'POST', path: '/v1/services/:service/statements', handle: (request) => runStatement(parts, request) },
     { method: 'POST', path: '/v1/mappings/:mapping', handle: (request) => runMapping(parts, request) },
--- a/packages/proxy/src/notes.ts
+++ b/packages/proxy/src/durable-reports.ts
@@ -1,7 +1,7 @@
 /** Reports what must be durable on a majority of core disks before a reply leaves: commit positions and usage (design 7.5, 8.6). */
 import * as Option from 'fp-ts/lib/Option.js';
 import { identifiers, type Instant, type Kernel } from '@stallstall/kernel';
-import { message, type Floor, type Floors } from '@stallstall/message';
+import { message, type DurableWatermark, type DurableWatermarks } from '@stallstall/message';
 import type { Peer } from '@stallstall/peer';
 import type { UsageWindow } from './usage-windows.js';
 
@@ -9,7 +9,7 @@
   /** The number of the report that will hold what is counted before the next call of `note`. */
   next: () => number;
   /** Has a position reported, with all that is counted by now. */
-  note: (service: string, watermark: Option.Option<Floor>) => void;
+  note: (service: string, watermark: Option.Option<DurableWatermark>) => void;
   /** Whether that report, or a later one, is durable. */
   noted: (number: number) => boolean;
   /** The usage window of the latest durable report: what it confirms was served then. */
@@ -37,7 +37,7 @@
   readonly incarnation: string;
   readonly sources: NoteSources;
   /** The highest position of each service that was reported. */
-  watermarks: Floors;
+  watermarks: DurableWatermarks;
   /** Numbers of reports: the latest begun, the latest durable, the latest that somebody waits for. */
   started: number;
   durable: number;
@@ -122,7 +122,7 @@
 
   return {
     note: function note(service, watermark) {
-      if (Option.isSome(watermark)) state.watermarks = message.higherFloors(state.watermarks, { [service]: watermark.value });
+      if (Option.isSome(watermark)) state.watermarks = message.maxWatermarks(state.watermarks, { [service]: watermark.value });
       state.wanted = state.started + 1;
       void report(state);
     },
--- a/packages/proxy/src/exchange.ts
+++ b/packages/proxy/src/exchange.ts
@@ -1,7 +1,7 @@
 /** Sends one request to its member and settles it by what came back, or by what did not (design 8.2, 8.5). */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
-import { fault, type Fault, type HttpAsk, type HttpReply } from '@stallstall/kernel';
+import { fault, type Fault, type OutgoingHttpRequest, type HttpReply } from '@stallstall/kernel';
 import type { MemberConnection } from '@stallstall/pool';
 import type { Confirmations } from './confirmations.js';
 import { memberReplies, type MemberResult } from './member-reply.js';
@@ -29,7 +29,7 @@
 const mostAttempts = 3;
 const leastExchangeMilliseconds = 1;
 
-function runCall({ record, session }: SentRequest): HttpAsk {
+function runCall({ record, session }: SentRequest): OutgoingHttpRequest {
   const { request } = record;
   return {
     method: 'POST',
--- a/packages/proxy/src/passes.ts
+++ b/packages/proxy/src/passes.ts
@@ -4,7 +4,7 @@
  */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
-import { sheets } from '@stallstall/placement';
+import { placements } from '@stallstall/placement';
 import { verdicts } from '@stallstall/routing';
 import { fenceChecks } from './fence-check.js';
 import { requestFaults } from './request-faults.js';
@@ -25,9 +25,9 @@
   const known = parts.known();
   const stale = fenceChecks.controlFault(known, kernel.clock.now());
   if (Option.isSome(stale)) return table.reject(record, stale.value);
-  if (Option.isNone(known.sheet) || sheets.service(known.sheet.value, service) === undefined)
+  if (Option.isNone(known.sheet) || placements.service(known.sheet.value, service) === undefined)
     return table.reject(record, requestFaults.notFound(`a service ${service}`));
-  if (!sheets.allows(known.sheet.value, key, service, kind))
+  if (!placements.allows(known.sheet.value, key, service, kind))
     return table.reject(record, requestFaults.keyRejected(`send ${kind} to ${service}`));
   return record.stage === 'arrived' ? admitNew(parts, record) : record;
 }
@@ -37,7 +37,7 @@
   const { service, transaction } = record.request;
   const { draining, sheet, area } = known();
   if (draining && (transaction === 'none' || transaction === 'begin')) return table.reject(record, requestFaults.draining());
-  const row = Option.isSome(sheet) ? sheets.row(sheet.value, service, area) : undefined;
+  const row = Option.isSome(sheet) ? placements.row(sheet.value, service, area) : undefined;
   const waiting = table.waitingFor(service);
   if (row !== undefined && waiting >= row.mostWaiting) return table.reject(record, requestFaults.overloaded(service, waiting));
   return { ...record, stage: 'waiting' };
--- a/packages/proxy/src/placement-feed.ts
+++ b/packages/proxy/src/placement-feed.ts
@@ -3,7 +3,7 @@
 import { identifiers, type Clock, type Instant } from '@stallstall/kernel';
 import type { Reply, ServiceFeed } from '@stallstall/message';
 import type { MemberWish } from '@stallstall/pool';
-import { sheets, type Sheet } from '@stallstall/placement';
+import { placements, type Sheet } from '@stallstall/placement';
 import { verdicts, type KnownService } from '@stallstall/routing';
 import { handoverMilliseconds, lameDuckMilliseconds, openTransactionMilliseconds } from './settings.js';
 import type { Known } from './statement-request.js';
@@ -90,7 +90,7 @@
   const before = state.known.sheet;
   const services = [...(Option.isSome(before) ? before.value.services : []), ...sheet.services];
   for (const { member } of services.flatMap((service) => service.members)) {
-    if (sheets.member(sheet, member)?.state === 'serving') state.goingSince.delete(member);
+    if (placements.member(sheet, member)?.state === 'serving') state.goingSince.delete(member);
     else if (!state.goingSince.has(member)) state.goingSince.set(member, Option.isNone(before) ? never : state.clock.now());
   }
 }
--- a/packages/proxy/src/proxy.ts
+++ b/packages/proxy/src/proxy.ts
@@ -1,10 +1,10 @@
 /** The HTTP proxy of an edge: clients' statements in, verdicts looked up, members' replies out; fed by its agent (design 8). */
 import * as Option from 'fp-ts/lib/Option.js';
-import { identifiers, kernel as kernels, type HttpMapping, type Kernel, type Listening } from '@stallstall/kernel';
+import { identifiers, kernel as kernels, type HttpRoute, type Kernel, type Listening } from '@stallstall/kernel';
 import { peer, type Peer } from '@stallstall/peer';
 import { pools, type Pool } from '@stallstall/pool';
 import { clientApi } from './client-api.js';
-import { notes as noteTables, type Notes } from './notes.js';
+import { notes as noteTables, type Notes } from './durable-reports.js';
 import { placementFeeds, type PlacementFeed } from './placement-feed.js';
 import { requests as requestTables, type Requests } from './requests.js';
 import { sessions as sessionTables, type Sessions } from './sessions.js';
@@ -98,7 +98,7 @@
 }
 
 /** What the platform and the operators ask of this process itself. */
-function statusRoutes(assembly: Assembly): readonly HttpMapping[] {
+function statusRoutes(assembly: Assembly): readonly HttpRoute[] {
   const { feed, requests, pool } = assembly;
   return [
     { method: 'GET', path: '/live', handle: async () => ({ status: 200, body: { live: true } }) },
@@ -127,7 +127,7 @@
 }
 
 /** Notes who is connected: a planned end waits until each has been told to close its connection (design 7.10). */
-function noteConnection({ connected, feed }: Assembly, route: HttpMapping): HttpMapping {
+function noteConnection({ connected, feed }: Assembly, route: HttpRoute): HttpRoute {
   return {
     ...route,
     handle: async function handle(request) {
@@ -160,7 +160,7 @@
   let stopped = false;
 
   const listening: Listening = await kernel.network.serve(identifiers.address(settings.address), {
-    mappings: routes.map((route) => noteConnection(assembly, route)),
+    routes: routes.map((route) => noteConnection(assembly, route)),
     connectionClosed: (connection) => void connected.delete(connection),
   });
   void kernels.every(
--- a/packages/proxy/src/request-parts.ts
+++ b/packages/proxy/src/request-parts.ts
@@ -2,7 +2,7 @@
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Kernel } from '@stallstall/kernel';
 import type { Pool } from '@stallstall/pool';
-import type { Notes } from './notes.js';
+import type { Notes } from './durable-reports.js';
 import type { RequestTable } from './request-table.js';
 import type { Session, Sessions } from './sessions.js';
 import type { Known, RequestRecord } from './statement-request.js';
--- a/packages/quorum-lease/src/index.ts
+++ b/packages/quorum-lease/src/index.ts
@@ -9,13 +9,13 @@
 /**
  * A span that another process measured, as this one may count on it: shorter by more than any two clocks drift apart (design 7.4).
  */
-export function leastSpan(milliseconds: number): number {
+export function withClockDrift(milliseconds: number): number {
   return milliseconds * 0.95;
 }
 
 export type Echo = Readonly<{ sentAt: Instant; epochs: Readonly<Record<string, number>> }>;
 
-export type Fence = Readonly<{
+export type QuorumLease = Readonly<{
   heard: (peer: string, echo: Echo) => void;
   forget: (peer: string) => void;
   /**
@@ -27,7 +27,7 @@
   reachable: (now: Instant, peers: readonly string[]) => number;
 }>;
 
-function create(): Fence {
+function create(): QuorumLease {
   const echoes = new Map<string, Echo>();
 
   function heard(peer: string, echo: Echo): void {
@@ -59,6 +59,6 @@
   };
 }
 
-export const fenceService = kernels.serviceName<Fence>('fence');
+export const quorumLeaseService = kernels.serviceName<QuorumLease>('fence');
 
-export const fence = { create } as const;
+export const quorumLease = { create } as const;
--- a/packages/register/src/acceptor.ts
+++ b/packages/register/src/acceptor.ts
@@ -7,40 +7,40 @@
   EntrySchema,
   BallotSchema,
   message,
-  type Ask,
+  type Request,
   type Ballot,
   type CoreSet,
   type Entry,
   type Reply,
 } from '@stallstall/message';
-import { difference } from './difference.js';
+import { compressedDifference } from './compressed-difference.js';
 
 export type CellState = Readonly<{ promised: Ballot; accepted: Entry | null }>;
 
 type Cell = { state: CellState };
 
 /** Where a disk stands in the order of the sets of cores (design 4.8). */
-export type Standing = Readonly<{
+export type CoreSetView = Readonly<{
   /** The number of the set stood at; below zero while it is between two. */
   number: () => number;
   /** What a proposer with an earlier set is told. */
-  newer: (told: number) => CoreSet | undefined;
+  newerThan: (told: number) => CoreSet | undefined;
 }>;
 
 /** A set that never changes. */
-const unchanging: Standing = { number: () => 0, newer: () => undefined };
+const unchanging: CoreSetView = { number: () => 0, newerThan: () => undefined };
 
-export type Page = Readonly<{ entries: Array<{ key: string; state: unknown }>; next: string }>;
+export type CellPage = Readonly<{ entries: Array<{ key: string; state: unknown }>; next: string }>;
 
 export type Acceptor = Readonly<{
-  prepare: (ask: Ask<'prepare'>) => Promise<Reply<'prepare'>>;
-  accept: (ask: Ask<'accept'>) => Promise<Reply<'accept'>>;
-  look: (ask: Ask<'look'>) => Promise<Reply<'look'>>;
+  prepare: (ask: Request<'prepare'>) => Promise<Reply<'prepare'>>;
+  accept: (ask: Request<'accept'>) => Promise<Reply<'accept'>>;
+  look: (ask: Request<'look'>) => Promise<Reply<'look'>>;
   accepted: (key: string) => Option.Option<Entry>;
   keys: () => readonly string[];
   cells: () => ReadonlyArray<Readonly<{ key: string; state: CellState }>>;
   /** A page of the cells as they stand on the disk, but for the archive. */
-  page: (after: string) => Promise<Either.Either<Fault, Page>>;
+  page: (after: string) => Promise<Either.Either<Fault, CellPage>>;
   /** Takes over what another disk holds, never going back (design 4.3). */
   merge: (key: string, state: CellState) => Promise<boolean>;
   open: () => void;
@@ -65,12 +65,12 @@
   return (
     typeof cell === 'object' &&
     cell !== null &&
-    message.fits(BallotSchema, cell.promised) &&
-    (cell.accepted === null || message.fits(EntrySchema, cell.accepted))
+    message.matches(BallotSchema, cell.promised) &&
+    (cell.accepted === null || message.matches(EntrySchema, cell.accepted))
   );
 }
 
-function higher(left: CellState, right: CellState): CellState {
+function mergeStates(left: CellState, right: CellState): CellState {
   const promised = message.compareBallots(left.promised, right.promised) >= 0 ? left.promised : right.promised;
   if (left.accepted === null) return { promised, accepted: right.accepted };
   if (right.accepted === null) return { promised, accepted: left.accepted };
@@ -90,7 +90,7 @@
   stored: ReadonlyMap<string, unknown>,
   onAccepted: (key: string, entry: Entry) => void,
   onDamaged: (error: Fault) => void,
-  standing: Standing = unchanging,
+  standing: CoreSetView = unchanging,
   /** Keeps an entry that is about to be replaced by its successor; without it the successor is not accepted. */
   keepEarlier: (entry: Entry) => Promise<boolean> = () => Promise.resolve(true),
 ): Acceptor {
@@ -117,9 +117,9 @@
 
   /** Runs a command on a cell, fetched first if it is of the archive; one that cannot be read gives no answer. */
   function on<Outcome>(key: string, unread: Outcome, command: (cell: Cell) => Promise<Outcome> | Outcome): Promise<Outcome> {
-    if (!key.startsWith(archivePrefix)) return cellOf(key).ask(command);
+    if (!key.startsWith(archivePrefix)) return cellOf(key).run(command);
     const archive = archives[Number(/\d+$/.exec(key)?.[0] ?? 0) % archiveOwners] as Owner<null>;
-    return archive.ask(async function fetched() {
+    return archive.run(async function fetched() {
       const stored = await disk.read(registerPrefix + key);
       if (Either.isLeft(stored)) {
         onDamaged(stored.left);
@@ -160,10 +160,10 @@
   }
 
   /** The entry that an ask stands for; none where its difference does not fit what is held here. */
-  function entryOf(ask: Ask<'accept'>, state: CellState): Option.Option<Entry> {
+  function entryOf(ask: Request<'accept'>, state: CellState): Option.Option<Entry> {
     if (ask.base === undefined) return Option.some(ask.entry);
     if (state.accepted === null || message.compareBallots(state.accepted.ballot, ask.base.ballot) !== 0) return Option.none;
-    const joined = difference.join(state.accepted.value, ask.base.difference);
+    const joined = compressedDifference.join(state.accepted.value, ask.base.difference);
     return Either.isLeft(joined) ? Option.none : Option.some({ ...ask.entry, value: joined.right });
   }
 
@@ -171,7 +171,7 @@
   function stranger(set: number | undefined): Option.Option<Reply<'prepare'>> {
     const told = set ?? 0;
     if (told === standing.number()) return Option.none;
-    const newer = standing.newer(told);
+    const newer = standing.newerThan(told);
     return Option.some(newer === undefined ? unanswered : { ...unanswered, newer });
   }
 
@@ -180,7 +180,7 @@
     return Option.isNone(disk.trouble());
   }
 
-  function prepare(ask: Ask<'prepare'>): Promise<Reply<'prepare'>> {
+  function prepare(ask: Request<'prepare'>): Promise<Reply<'prepare'>> {
     if (!syncs()) return Promise.resolve(unanswered);
     return on(ask.key, unanswered, async function promise(cell) {
       if (!open) return unanswered;
@@ -194,7 +194,7 @@
 
   // Only a ballot this very disk has promised is accepted: a promise that was lost with an earlier disk counts for
   // nothing (design 5.1).
-  function accept(ask: Ask<'accept'>): Promise<Reply<'accept'>> {
+  function accept(ask: Request<'accept'>): Promise<Reply<'accept'>> {
     if (!syncs()) return Promise.resolve(unanswered);
     return on(ask.key, unanswered, async function take(cell) {
       if (!open) return unanswered;
@@ -211,7 +211,7 @@
     });
   }
 
-  function look(ask: Ask<'look'>): Promise<Reply<'look'>> {
+  function look(ask: Request<'look'>): Promise<Reply<'look'>> {
     if (!open) return Promise.resolve(unanswered);
     const strange = stranger(ask.set);
     if (Option.isSome(strange)) return Promise.resolve(strange.value);
@@ -221,13 +221,13 @@
 
   function merge(key: string, state: CellState): Promise<boolean> {
     return on(key, false, function take(cell) {
-      const merged = higher(cell.state, state);
+      const merged = mergeStates(cell.state, state);
       return isSame(merged, cell.state) ? true : keep(key, cell, merged);
     });
   }
 
   /** What is read from the disk when asked for is left out: nobody who copies this disk waits for it (design 5.4). */
-  async function page(after: string): Promise<Either.Either<Fault, Page>> {
+  async function page(after: string): Promise<Either.Either<Fault, CellPage>> {
     const found = await disk.page(registerPrefix, after === '' ? '' : registerPrefix + after, pageBytes);
     if (Either.isLeft(found)) return found;
     const hot = found.right.filter(([key]) => !key.startsWith(coldPrefix));
--- a/packages/register/src/levelling.ts
+++ b/packages/register/src/catch-up.ts
@@ -53,7 +53,7 @@
 }
 
 /** Has the other cores choose, beyond all promises copied, what each doubtful cell holds; false when no majority of them answered. */
-async function settleDoubtful(cells: Acceptor, register: Register): Promise<boolean> {
+async function completeUnresolved(cells: Acceptor, register: Register): Promise<boolean> {
   const keys = cells
     .cells()
     .filter((cell) => isDoubtful(cell.state))
@@ -65,4 +65,4 @@
   return true;
 }
 
-export const levelling = { sourcesNeeded, mayBeCopied, copyEnough, settleDoubtful } as const;
+export const catchUp = { sourcesNeeded, mayBeCopied, copyEnough, completeUnresolved } as const;
--- a/packages/register/src/contents.ts
+++ b/packages/register/src/content-fetcher.ts
@@ -1,26 +1,26 @@
 // Changes that were told without their content wait for it: from whoever hands it over whole, else it is asked for (design 5.6).
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Kernel } from '@stallstall/kernel';
-import { ballotZero, differences, type Ask, type Ballot, type Change, type Reply } from '@stallstall/message';
+import { ballotZero, differences, type Request, type Ballot, type Change, type Reply } from '@stallstall/message';
 
 /** A held link, as far as contents are asked for over it. */
 export type ContentLink = Readonly<{
-  call: (kind: 'look', body: Ask<'look'>, milliseconds: number) => Promise<Option.Option<Reply<'look'>>>;
+  call: (kind: 'look', body: Request<'look'>, milliseconds: number) => Promise<Option.Option<Reply<'look'>>>;
 }>;
 
-export type ContentParts = Readonly<{
+export type ContentFetcherParts = Readonly<{
   /** The number of the set of cores stood at; 0 where it never changes (design 4.8). */
   set: () => number;
   /** Takes a change with its content. */
-  take: (core: string, change: Change) => void;
+  deliver: (core: string, change: Change) => void;
   stopped: () => boolean;
 }>;
 
-export type Contents = Readonly<{
+export type ContentFetcher = Readonly<{
   /** Takes what a core has told, at once if its content is known here; `link` is where it is asked for otherwise. */
-  changed: (core: string, link: Option.Option<ContentLink>, change: Change) => void;
+  receive: (core: string, link: Option.Option<ContentLink>, change: Change) => void;
   /** The ballot of the content that came last: what differs from it is enough. */
-  holds: () => Ballot;
+  latestBallot: () => Ballot;
 }>;
 
 /** A content that another was to hand over whole is asked for after so long; of one core at a time, since a link may be narrow. */
@@ -35,7 +35,7 @@
   return `${key} ${ballot.counter} ${ballot.node}`;
 }
 
-function create(kernel: Kernel, parts: ContentParts): Contents {
+function create(kernel: Kernel, parts: ContentFetcherParts): ContentFetcher {
   const known = new Map<string, unknown>();
   const waiting = new Map<string, Change>();
   let fetching = false;
@@ -43,7 +43,7 @@
 
   function fill(core: string, change: Change, value: unknown): void {
     waiting.delete(core);
-    parts.take(core, { ...change, entry: { ...change.entry, value } });
+    parts.deliver(core, { ...change, entry: { ...change.entry, value } });
   }
 
   function keep(identity: string, ballot: Ballot, content: unknown): void {
@@ -70,7 +70,7 @@
         keep(identity, change.entry.ballot, content);
         waiting.delete(core);
       }
-      parts.take(core, { ...change, entry: { ...change.entry, value: content } });
+      parts.deliver(core, { ...change, entry: { ...change.entry, value: content } });
       for (const [other, slim] of [...waiting]) if (identityOf(slim.key, slim.entry.ballot) === identity) fill(other, slim, content);
       return;
     }
@@ -79,7 +79,7 @@
   }
 
   function later(core: string, link: ContentLink, change: Change): void {
-    kernel.clock.alarm(waitMilliseconds, () => void fetch(core, link, change));
+    kernel.clock.startTimer(waitMilliseconds, () => void fetch(core, link, change));
   }
 
   async function fetch(core: string, link: ContentLink, change: Change): Promise<void> {
@@ -95,7 +95,7 @@
     changed(core, Option.some(link), { ...change, entry });
   }
 
-  return { changed, holds: () => latest };
+  return { receive: changed, latestBallot: () => latest };
 }
 
-export const contents = { create } as const;
+export const contentFetcher = { create } as const;
--- a/packages/register/src/stepper.ts
+++ b/packages/register/src/core-set-changes.ts
@@ -6,11 +6,11 @@
 import { quorum } from '@stallstall/quorum';
 import type { NumberedRegister } from './proposer.js';
 
-export type StepperParts = Readonly<{
+export type CoreSetChangeParts = Readonly<{
   set: () => CoreSet;
-  under: NumberedRegister['under'];
+  under: NumberedRegister['inSet'];
   adopt: (seat: Seat, set: CoreSet) => Promise<Option.Option<Reply<'adopt'>>>;
-  learn: (set: CoreSet) => void;
+  observe: (set: CoreSet) => void;
 }>;
 
 /** Level cores that stand at a set, and cores that every one of these has not heard for long. */
@@ -19,18 +19,18 @@
 /** Nodes whose seat may be given to another, those that should go first before the others. */
 export type Vacancies = (set: CoreSet, confirmed: Confirmed) => readonly string[];
 
-export type Stepper = Readonly<{
+export type CoreSetChanges = Readonly<{
   /** Gives a vacant seat to this occupant; right once a majority of the new set stands at it. */
-  step: (occupant: Seat, vacancies: Vacancies) => Promise<Either.Either<Fault, CoreSet>>;
+  replaceOccupant: (occupant: Seat, vacancies: Vacancies) => Promise<Either.Either<Fault, CoreSet>>;
   /** Completes a step whose proposer fell silent. */
-  finish: () => Promise<void>;
+  completeInterrupted: () => Promise<void>;
 }>;
 
 /** What was confirmed is old by then: whoever was silent may be heard again. */
 const decideMilliseconds = 1_000;
 
 /** The cell that decides which set follows a set: written once, under that set. */
-export function stepKey(after: number): string {
+export function coreSetKey(after: number): string {
   return `cores/${after + 1}`;
 }
 
@@ -39,7 +39,7 @@
   return one.node === other.node && one.disk === other.disk;
 }
 
-function create(parts: StepperParts): Stepper {
+function create(parts: CoreSetChangeParts): CoreSetChanges {
   const commands = owner.create('steps', null);
 
   function denied(why: string): Either.Either<Fault, never> {
@@ -63,7 +63,7 @@
     const silent: Array<ReadonlySet<string>> = [];
     for (const { seat, reply } of replies) {
       if (Option.isNone(reply)) continue;
-      if (reply.value.newer !== undefined) parts.learn(reply.value.newer);
+      if (reply.value.newer !== undefined) parts.observe(reply.value.newer);
       if (!reply.value.adopted) continue;
       standing.push(seat.node);
       silent.push(new Set(reply.value.silent));
@@ -112,25 +112,25 @@
     };
     const written = await parts
       .under(set.number)
-      .change(stepKey(set.number), (current) => (Option.isSome(current) ? Option.none : Option.some(wanted)), decideMilliseconds);
+      .change(coreSetKey(set.number), (current) => (Option.isSome(current) ? Option.none : Option.some(wanted)), decideMilliseconds);
     if (Either.isLeft(written)) return written;
     const decided = Option.isSome(written.right.entry) ? written.right.entry.value.value : null;
-    if (!message.fits(CoreSetSchema, decided)) return denied('its cell holds no set');
+    if (!message.matches(CoreSetSchema, decided)) return denied('its cell holds no set');
     if (!(await spread(set, decided))) return denied('no majority of the new set stands at it yet');
     return isSeated(decided, occupant) ? Either.right(decided) : denied('another step was decided');
   }
 
   async function finished(): Promise<void> {
     const set = parts.set();
-    const read = await parts.under(set.number).change(stepKey(set.number), () => Option.none);
+    const read = await parts.under(set.number).change(coreSetKey(set.number), () => Option.none);
     const entry: Option.Option<Entry> = Either.isRight(read) ? read.right.entry : Option.none;
-    if (Option.isSome(entry) && message.fits(CoreSetSchema, entry.value.value)) await spread(set, entry.value.value);
+    if (Option.isSome(entry) && message.matches(CoreSetSchema, entry.value.value)) await spread(set, entry.value.value);
   }
 
   return {
-    step: (occupant, vacancies) => commands.ask(() => proposed(occupant, vacancies)),
-    finish: () => commands.ask(finished),
+    replaceOccupant: (occupant, vacancies) => commands.run(() => proposed(occupant, vacancies)),
+    completeInterrupted: () => commands.run(finished),
   };
 }
 
-export const stepper = { create } as const;
+export const coreSetChanges = { create } as const;
--- a/packages/register/src/notes.ts
+++ b/packages/register/src/durable-reports.ts
@@ -2,32 +2,32 @@
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { fault, kernel as kernels, type Fault } from '@stallstall/kernel';
-import { message, type Ask, type Floors, type Reply } from '@stallstall/message';
+import { message, type Request, type DurableWatermarks, type Reply } from '@stallstall/message';
 import { quorum } from '@stallstall/quorum';
-import { unchangingSets, type CoreSets } from './proposer.js';
+import { fixedCoreSet, type CoreSetSource } from './proposer.js';
 
-export type NoteTarget = (body: Ask<'note'>, milliseconds: number) => Promise<Option.Option<Reply<'note'>>>;
+export type ReportReplica = (body: Request<'note'>, milliseconds: number) => Promise<Option.Option<Reply<'note'>>>;
 
-export type Notes = Readonly<{
+export type DurableReports = Readonly<{
   /** Right once a majority of disks has synced what was told: all floors that any majority had before are among these. */
-  note: (body: Ask<'note'>) => Promise<Either.Either<Fault, Floors>>;
-  floors: () => Promise<Either.Either<Fault, Floors>>;
+  report: (body: Request<'note'>) => Promise<Either.Either<Fault, DurableWatermarks>>;
+  watermarks: () => Promise<Either.Either<Fault, DurableWatermarks>>;
 }>;
 
 const noteMilliseconds = 800;
-const nothing: Ask<'note'> = { floors: {}, reports: [], through: {} };
+const nothing: Request<'note'> = { floors: {}, reports: [], through: {} };
 
-function create(targets: () => readonly NoteTarget[], total: () => number, sets: CoreSets = unchangingSets): Notes {
-  function note(body: Ask<'note'>): Promise<Either.Either<Fault, Floors>> {
+function create(targets: () => readonly ReportReplica[], total: () => number, sets: CoreSetSource = fixedCoreSet): DurableReports {
+  function note(body: Request<'note'>): Promise<Either.Either<Fault, DurableWatermarks>> {
     return new Promise(function collect(resolve) {
       // One set from beginning to end: its disks, its majority, its number (design 4.8).
       const asked = targets();
       const size = total();
       const needed = quorum.majority(size);
-      const numbered: Ask<'note'> = sets.number() === 0 ? body : { ...body, set: sets.number() };
+      const numbered: Request<'note'> = sets.number() === 0 ? body : { ...body, set: sets.number() };
       let left = asked.length;
       let kept = 0;
-      let floors: Floors = {};
+      let floors: DurableWatermarks = {};
       function settle(): void {
         if (size > 0 && kept >= needed) resolve(Either.right(floors));
         else if (left === 0) {
@@ -43,13 +43,13 @@
           );
         }
       }
-      async function ask(target: NoteTarget): Promise<void> {
+      async function ask(target: ReportReplica): Promise<void> {
         const reply = await target(numbered, noteMilliseconds);
         left -= 1;
-        if (Option.isSome(reply) && reply.value.newer !== undefined) sets.learn(reply.value.newer);
+        if (Option.isSome(reply) && reply.value.newer !== undefined) sets.observe(reply.value.newer);
         if (Option.isSome(reply) && reply.value.ready) {
           kept += 1;
-          floors = message.higherFloors(floors, reply.value.floors);
+          floors = message.maxWatermarks(floors, reply.value.floors);
         }
         settle();
       }
@@ -58,9 +58,9 @@
     });
   }
 
-  return { note, floors: () => note(nothing) };
+  return { report: note, watermarks: () => note(nothing) };
 }
 
-export const notesService = kernels.serviceName<Notes>('notes');
+export const durableReportsService = kernels.serviceName<DurableReports>('notes');
 
-export const notes = { create } as const;
+export const durableReports = { create } as const;
--- a/packages/register/src/proposer.ts
+++ b/packages/register/src/proposer.ts
@@ -2,27 +2,27 @@
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { fault, identifiers, kernel as kernels, type Fault, type Kernel } from '@stallstall/kernel';
-import { ballotZero, message, type Ask, type Ballot, type CoreSet, type Entry, type Reply } from '@stallstall/message';
+import { ballotZero, message, type Request, type Ballot, type CoreSet, type Entry, type Reply } from '@stallstall/message';
 import { quorum } from '@stallstall/quorum';
-import { difference } from './difference.js';
+import { compressedDifference } from './compressed-difference.js';
 
 type RegisterKind = 'prepare' | 'accept' | 'look';
 
 /** One disk as a proposer sees it: a call over a held link, or the core's own acceptor. */
-export type RegisterTarget = Readonly<{
+export type RegisterReplica = Readonly<{
   core: string;
   /** The core's own disk: what is handed to it travels nowhere. */
   local?: boolean;
-  ask: <Kind extends RegisterKind>(kind: Kind, body: Ask<Kind>, milliseconds: number) => Promise<Option.Option<Reply<Kind>>>;
+  send: <Kind extends RegisterKind>(kind: Kind, body: Request<Kind>, milliseconds: number) => Promise<Option.Option<Reply<Kind>>>;
 }>;
 
 /** Which set of cores is counted, and who is told of a newer one (design 4.8). */
-export type CoreSets = Readonly<{ number: () => number; learn: (set: CoreSet) => void }>;
+export type CoreSetSource = Readonly<{ number: () => number; observe: (set: CoreSet) => void }>;
 
 /** A set that never changes. */
-export const unchangingSets: CoreSets = { number: () => 0, learn: () => undefined };
+export const fixedCoreSet: CoreSetSource = { number: () => 0, observe: () => undefined };
 
-export type Changed = Readonly<{ wrote: boolean; entry: Option.Option<Entry> }>;
+export type ChangeOutcome = Readonly<{ wrote: boolean; entry: Option.Option<Entry> }>;
 
 export type Register = Readonly<{
   read: (key: string, milliseconds?: number) => Promise<Either.Either<Fault, Option.Option<Entry>>>;
@@ -34,13 +34,13 @@
     key: string,
     decide: (current: Option.Option<Entry>) => Option.Option<unknown>,
     milliseconds?: number,
-  ) => Promise<Either.Either<Fault, Changed>>;
+  ) => Promise<Either.Either<Fault, ChangeOutcome>>;
 }>;
 
 export type NumberedRegister = Register &
   Readonly<{
     /** The register under one set of cores alone: once another is stood at here, reads and changes fail (design 4.8). */
-    under: (set: number) => Register;
+    inSet: (set: number) => Register;
   }>;
 
 const callMilliseconds = 800;
@@ -52,10 +52,10 @@
 const lateMilliseconds = 6;
 
 /** `held`: the target left its entry out, for it is the one that the asker holds. */
-type Replied = Readonly<{ target: RegisterTarget; reply: Reply<'prepare'>; held: boolean }>;
+type Replied = Readonly<{ target: RegisterReplica; reply: Reply<'prepare'>; held: boolean }>;
 
 /** What is asked of each target; the same of all, or by what each holds. */
-type Asks<Kind extends RegisterKind> = (target: RegisterTarget) => Ask<Kind>;
+type Asks<Kind extends RegisterKind> = (target: RegisterReplica) => Request<Kind>;
 
 /**
  * Asks every target and settles once `enough` holds, after a moment more for those that are about to reply, or when all have answered or
@@ -63,12 +63,12 @@
  */
 function gather<Kind extends RegisterKind>(
   kernel: Kernel,
-  targets: readonly RegisterTarget[],
+  targets: readonly RegisterReplica[],
   kind: Kind,
   asks: Asks<Kind>,
   milliseconds: number,
   enough: (replies: readonly Replied[]) => boolean,
-  learn: CoreSets['learn'],
+  learn: CoreSetSource['observe'],
   more = 0,
 ): Promise<readonly Replied[]> {
   return new Promise(function collect(resolve) {
@@ -76,15 +76,15 @@
     const replies: Replied[] = [];
     let left = targets.length;
     if (left === 0) resolve(replies);
-    async function ask(target: RegisterTarget): Promise<void> {
-      const reply = await target.ask(kind, asks(target), milliseconds);
+    async function ask(target: RegisterReplica): Promise<void> {
+      const reply = await target.send(kind, asks(target), milliseconds);
       left -= 1;
       if (Option.isSome(reply) && reply.value.newer !== undefined) learn(reply.value.newer);
       if (Option.isSome(reply) && reply.value.ready) replies.push({ target, reply: reply.value as Reply<'prepare'>, held: false });
       if (left === 0 || (more === 0 && enough(replies))) resolve([...replies]);
       else if (!settling && enough(replies)) {
         settling = true;
-        kernel.clock.alarm(more, () => resolve([...replies]));
+        kernel.clock.startTimer(more, () => resolve([...replies]));
       }
     }
     for (const target of targets) void ask(target);
@@ -100,13 +100,13 @@
 }
 
 /** Sends the whole entry to an acceptor whose held value the difference does not fit. */
-function wholeWhereAsked(target: RegisterTarget, whole: Ask<'accept'>): RegisterTarget {
+function wholeWhereAsked(target: RegisterReplica, whole: Request<'accept'>): RegisterReplica {
   return {
     ...target,
-    ask: async function ask(kind, body, milliseconds) {
-      const reply = await target.ask(kind, body, milliseconds);
+    send: async function ask(kind, body, milliseconds) {
+      const reply = await target.send(kind, body, milliseconds);
       const again = Option.isSome(reply) && 'whole' in reply.value && reply.value.whole === true;
-      return again ? target.ask(kind, whole as typeof body, milliseconds) : reply;
+      return again ? target.send(kind, whole as typeof body, milliseconds) : reply;
     },
   };
 }
@@ -136,9 +136,9 @@
 function create(
   kernel: Kernel,
   name: string,
-  targets: () => readonly RegisterTarget[],
+  targets: () => readonly RegisterReplica[],
   total: () => number,
-  sets: CoreSets = unchangingSets,
+  sets: CoreSetSource = fixedCoreSet,
   /** What is at hand of a key already: its entry need not be sent here again (design 5.7). */
   held: (key: string) => Option.Option<Entry> = () => Option.none,
 ): NumberedRegister {
@@ -165,7 +165,7 @@
 
   /** Taken once for each round: its disks, its majority and its number are of one set (design 4.8). */
   type Round = Readonly<{
-    asked: readonly RegisterTarget[];
+    asked: readonly RegisterReplica[];
     set: Readonly<{ set?: number }>;
     majorityOf: (replies: readonly Replied[]) => boolean;
   }>;
@@ -180,7 +180,10 @@
     };
   }
 
-  async function shot(key: string, decide: (current: Option.Option<Entry>) => Option.Option<unknown>): Promise<Option.Option<Changed>> {
+  async function shot(
+    key: string,
+    decide: (current: Option.Option<Entry>) => Option.Option<unknown>,
+  ): Promise<Option.Option<ChangeOutcome>> {
     const ballot = nextBallot();
     const { asked, set, majorityOf } = begin();
     const known = held(key);
@@ -191,7 +194,7 @@
       () => ({ key, ballot, ...set, ...holdsOf(known) }),
       callMilliseconds,
       (replies) => majorityOf(agreed(replies)),
-      sets.learn,
+      sets.observe,
       lateMilliseconds,
     );
     const promised = filled(replied, known);
@@ -204,7 +207,7 @@
     const entry: Entry = Option.isSome(decided)
       ? { ballot, version: Option.isSome(current) ? current.value.version + 1 : 1, value: decided.value, ...afterOf(key, current) }
       : { ...(current as Option.Some<Entry>).value, ballot };
-    const whole: Ask<'accept'> = { key, entry, ...set };
+    const whole: Request<'accept'> = { key, entry, ...set };
     const slim = slimmed(whole, known, promises);
     const holding = new Set(promises.filter((one) => one.held && one.target.local !== true).map((one) => one.target.core));
     // Only those whose promises were counted are asked to accept (design 5.1).
@@ -215,16 +218,16 @@
       (target) => (holding.has(target.core) ? slim : whole),
       callMilliseconds,
       (replies) => majorityOf(agreed(replies)),
-      sets.learn,
+      sets.observe,
     );
     learn(accepted);
     return majorityOf(agreed(accepted)) ? Option.some({ wrote: Option.isSome(decided), entry: Option.some(entry) }) : Option.none;
   }
 
   /** The same ask with what differs from the known entry alone, where any target holds that entry. */
-  function slimmed(whole: Ask<'accept'>, known: Option.Option<Entry>, promises: readonly Replied[]): Ask<'accept'> {
+  function slimmed(whole: Request<'accept'>, known: Option.Option<Entry>, promises: readonly Replied[]): Request<'accept'> {
     if (Option.isNone(known) || !promises.some((one) => one.held && one.target.local !== true)) return whole;
-    const differs = difference.between(known.value.value, whole.entry.value);
+    const differs = compressedDifference.between(known.value.value, whole.entry.value);
     if (differs === undefined) return whole;
     return { ...whole, entry: { ...whole.entry, value: null }, base: { ballot: known.value.ballot, difference: differs } };
   }
@@ -246,7 +249,7 @@
       key: string,
       decide: (current: Option.Option<Entry>) => Option.Option<unknown>,
       milliseconds = defaultHorizonMilliseconds,
-    ): Promise<Either.Either<Fault, Changed>> {
+    ): Promise<Either.Either<Fault, ChangeOutcome>> {
       const horizon = identifiers.after(kernel.clock.now(), milliseconds);
       for (let shots = 1; holds(); shots += 1) {
         const outcome = await shot(key, decide);
@@ -262,8 +265,8 @@
       if (!holds()) return Either.left(noMajority(key));
       const { asked, set, majorityOf } = begin();
       const known = held(key);
-      const ask: Ask<'look'> = { key, ...set, ...holdsOf(known) };
-      const replies = filled(await gather(kernel, asked, 'look', () => ask, callMilliseconds, majorityOf, sets.learn), known);
+      const ask: Request<'look'> = { key, ...set, ...holdsOf(known) };
+      const replies = filled(await gather(kernel, asked, 'look', () => ask, callMilliseconds, majorityOf, sets.observe), known);
       if (majorityOf(replies) && sameEverywhere(replies)) return Either.right(highestEntry(replies));
       const completed = await change(key, keep, milliseconds);
       return Either.isLeft(completed) ? completed : Either.right(completed.right.entry);
@@ -273,7 +276,7 @@
   }
 
   // The set can only change between two rounds of a caller that looks at it in the same turn in which a round begins.
-  return { ...counting(() => true), under: (set) => counting(() => sets.number() === set) };
+  return { ...counting(() => true), inSet: (set) => counting(() => sets.number() === set) };
 }
 
 /** The name under which a process's other services find its register (design 2.1). */
--- a/packages/register/src/keeper.ts
+++ b/packages/register/src/report-store.ts
@@ -2,14 +2,14 @@
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { owner, type Disk, type Kernel } from '@stallstall/kernel';
-import { message, messages, type Ask, type Floors, type Reply, type UsageReport } from '@stallstall/message';
+import { message, messages, type Request, type DurableWatermarks, type Reply, type UsageReport } from '@stallstall/message';
 
-export type Keeper = Readonly<{
+export type ReportStore = Readonly<{
   /** Merges and syncs what is told; the reply holds all floors known here. */
-  keep: (ask: Ask<'note'>) => Promise<Reply<'note'>>;
+  keep: (ask: Request<'note'>) => Promise<Reply<'note'>>;
   look: (window: number) => Reply<'usageLook'>;
   /** All of it, for a disk that copies this one. */
-  all: () => Ask<'note'>;
+  all: () => Request<'note'>;
   /** Whether all that was told is on the disk. */
   synced: () => boolean;
   open: () => void;
@@ -28,7 +28,7 @@
 }
 
 /** For each process what it told last of a window; all of them added up. */
-function add(reports: readonly UsageReport[]): Readonly<Record<string, number>> {
+function sumReports(reports: readonly UsageReport[]): Readonly<Record<string, number>> {
   const latest = new Map<string, UsageReport>();
   for (const report of reports) if (report.number > (latest.get(sourceOf(report))?.number ?? -1)) latest.set(sourceOf(report), report);
   const total: Record<string, number> = {};
@@ -39,7 +39,7 @@
 
 /** `dirty`: windows whose entry on the disk is behind. */
 type Table = {
-  floors: Floors;
+  floors: DurableWatermarks;
   readonly reports: Map<number, Map<string, UsageReport>>;
   readonly through: Map<string, number>;
   readonly dirty: Set<number>;
@@ -47,7 +47,7 @@
   synced: number;
 };
 
-function create(kernel: Kernel, disk: Disk, stored: ReadonlyMap<string, unknown>): Keeper {
+function create(kernel: Kernel, disk: Disk, stored: ReadonlyMap<string, unknown>): ReportStore {
   const table: Table = { floors: {}, reports: new Map(), through: new Map(), dirty: new Set(), changes: 0, synced: 0 };
   const notes = owner.create('notes', table);
   let open = false;
@@ -62,9 +62,9 @@
   }
 
   /** What is told is in memory at once; the disk follows before anybody is answered. */
-  function merge(told: Ask<'note'>): void {
-    if (!message.reaches(table.floors, told.floors)) {
-      table.floors = message.higherFloors(table.floors, told.floors);
+  function merge(told: Request<'note'>): void {
+    if (!message.covers(table.floors, told.floors)) {
+      table.floors = message.maxWatermarks(table.floors, told.floors);
       change(currentWindow());
     }
     for (const [edge, moment] of Object.entries(told.through)) table.through.set(edge, Math.max(moment, table.through.get(edge) ?? 0));
@@ -101,16 +101,16 @@
   }
 
   /** Those who come while the disk is at work share its next sync. */
-  async function keep(told: Ask<'note'>): Promise<Reply<'note'>> {
+  async function keep(told: Request<'note'>): Promise<Reply<'note'>> {
     // What could not be synced is not taken up: nobody would be answered, and it would pile up behind a disk that hangs.
     if (Option.isSome(disk.trouble())) return { ready: false, floors: { ...table.floors } };
     merge(told);
     const changes = table.changes;
-    const kept = await notes.ask(() => sync(changes));
+    const kept = await notes.run(() => sync(changes));
     return { ready: open && kept, floors: { ...table.floors } };
   }
 
-  for (const [key, value] of stored) if (key.startsWith(notesPrefix) && message.fits(messages.note.ask, value)) merge(value);
+  for (const [key, value] of stored) if (key.startsWith(notesPrefix) && message.matches(messages.note.ask, value)) merge(value);
   table.dirty.clear();
   table.synced = table.changes;
 
@@ -132,4 +132,4 @@
   };
 }
 
-export const keeper = { create, add } as const;
+export const reportStore = { create, sumReports } as const;
--- a/packages/register/src/watcher.ts
+++ b/packages/register/src/watcher.ts
@@ -8,10 +8,10 @@
 import type { Register } from './proposer.js';
 
 export type Watcher = Readonly<{
-  changed: (core: string, change: Change) => void;
+  receive: (core: string, change: Change) => void;
   /** The set of cores has changed: what was handed over is counted anew, over the cores that are left (design 4.8). */
   recount: () => void;
-  obeyed: (key: string) => Option.Option<Entry>;
+  applied: (key: string) => Option.Option<Entry>;
   keys: () => readonly string[];
   /** Reads what is in doubt; called at each beat, so that an interrupted round is completed by whoever meets it. */
   resolve: () => void;
@@ -22,20 +22,20 @@
 type Handed = Readonly<{ entry: Entry; set: number }>;
 type Known = { readonly fromCore: Map<string, Handed>; obeyed: Option.Option<Entry>; doubtSince: Option.Option<number>; reading: boolean };
 
-function watched(key: string): boolean {
+function isWatched(key: string): boolean {
   return key === 'configuration' || key === 'membership' || key.startsWith('epoch/');
 }
 
 /** Cores of which set are counted, where it may change. */
-export type Counted = Readonly<{ number: () => number; includes: (core: string) => boolean }>;
-const everyCore: Counted = { number: () => 0, includes: () => true };
+export type CountedCores = Readonly<{ number: () => number; includes: (core: string) => boolean }>;
+const everyCore: CountedCores = { number: () => 0, includes: () => true };
 
 function create(
   kernel: Kernel,
   register: Register,
   total: () => number,
   onObeyed: (key: string, entry: Entry) => void,
-  cores: Counted = everyCore,
+  cores: CountedCores = everyCore,
 ): Watcher {
   const known = new Map<string, Known>();
 
@@ -107,10 +107,10 @@
   }
 
   return {
-    changed,
+    receive: changed,
     recount,
     resolve,
-    obeyed: function obeyed(key) {
+    applied: function obeyed(key) {
       return known.get(key)?.obeyed ?? Option.none;
     },
     keys: function keys() {
@@ -119,4 +119,4 @@
   };
 }
 
-export const watcher = { create, watched } as const;
+export const watcher = { create, isWatched } as const;
--- a/packages/routing/src/index.ts
+++ b/packages/routing/src/index.ts
@@ -2,7 +2,7 @@
 import * as Either from 'fp-ts/lib/Either.js';
 import { fault, type Fault, type FaultKind, type Instant } from '@stallstall/kernel';
 import {
-  sheets,
+  placements,
   statementKinds,
   type Sheet,
   type SheetMember,
@@ -116,7 +116,7 @@
 }
 
 function judgeKind(sheet: Sheet, service: SheetService, known: KnownService | undefined, kind: StatementKind, area: string): Verdict {
-  const row = sheets.row(sheet, service.service, area);
+  const row = placements.row(sheet, service.service, area);
   const serves = row?.serves[kind];
   if (row === undefined || serves === undefined)
     return reject(
--- a/packages/runtime/src/clock.ts
+++ b/packages/runtime/src/clock.ts
@@ -16,7 +16,7 @@
 export const clock: Clock = {
   now: steady,
   wall,
-  alarm: function alarm(milliseconds, action) {
+  startTimer: function alarm(milliseconds, action) {
     const alarm = setTimeout(action, milliseconds);
     return { cancel: () => clearTimeout(alarm) };
   },
--- a/packages/runtime/src/index.ts
+++ b/packages/runtime/src/index.ts
@@ -9,6 +9,6 @@
   return base.create(base.logThrough(program, (await import('roarr')) as never), network, disk);
 }
 
-export const machine = { create } as const;
+export const nodeRuntime = { create } as const;
 export { disk } from './disk.js';
 export { network } from './network.js';
--- a/packages/runtime/src/links.ts
+++ b/packages/runtime/src/links.ts
@@ -107,7 +107,7 @@
     server.on('error', reject);
     server.listen(parts(address), () =>
       resolve({
-        deafen: () => void server.close(),
+        stopAccepting: () => void server.close(),
         stop: () =>
           new Promise((stopped) => {
             server.close(() => stopped());
@@ -214,7 +214,7 @@
     server.on('error', reject);
     server.listen({ ...parts(address), backlog: 1_024 }, () =>
       resolve({
-        deafen: () => void server.close(),
+        stopAccepting: () => void server.close(),
         stop: () =>
           new Promise((stopped) => {
             server.close(() => stopped());
--- a/packages/runtime/src/lean.ts
+++ b/packages/runtime/src/minimal-runtime.ts
@@ -11,7 +11,7 @@
   type Address,
   type Disk,
   type Fault,
-  type HttpAsk,
+  type OutgoingHttpRequest,
   type HttpConnection,
   type HttpReply,
   type HttpServer,
@@ -78,9 +78,9 @@
   async function reply(request: http.IncomingMessage): Promise<HttpReply> {
     const connection = nameOf(request.socket);
     const read = await body(request);
-    if (Either.isLeft(read)) return pages.denied(read.left);
+    if (Either.isLeft(read)) return pages.rejected(read.left);
     const [path, query] = (request.url ?? '').split('?');
-    return pages.mapped(server.mappings, {
+    return pages.dispatch(server.routes, {
       method: request.method ?? '',
       path: path ?? '',
       query: Object.fromEntries(new URLSearchParams(query ?? '')),
@@ -109,7 +109,7 @@
     listener.on('error', reject);
     listener.listen(links.parts(address), () =>
       resolve({
-        deafen: () => void listener.close(),
+        stopAccepting: () => void listener.close(),
         stop: () =>
           new Promise((stopped) => {
             listener.close(() => stopped());
@@ -151,7 +151,7 @@
     agent.destroy();
   }
 
-  function exchange(ask: HttpAsk, milliseconds: number): Promise<Either.Either<Fault, HttpReply>> {
+  function exchange(ask: OutgoingHttpRequest, milliseconds: number): Promise<Either.Either<Fault, HttpReply>> {
     if (closed) return Promise.resolve(denied('the connection is closed'));
     if (under !== undefined) return Promise.resolve(denied('another exchange is under way'));
     return new Promise((resolve) => {
@@ -241,4 +241,4 @@
   return base.create(base.logThrough(program, { Roarr, ROARR } as never), leanNetwork, disk);
 }
 
-export const leanMachine = { create } as const;
+export const minimalRuntime = { create } as const;
--- a/packages/runtime/src/network.ts
+++ b/packages/runtime/src/network.ts
@@ -8,7 +8,7 @@
   http,
   type Address,
   type Fault,
-  type HttpAsk,
+  type OutgoingHttpRequest,
   type HttpConnection,
   type HttpReply,
   type HttpServer,
@@ -23,7 +23,7 @@
 const httpConnectMilliseconds = 3_000;
 
 function typedError(error: { readonly statusCode?: number; readonly message: string }): HttpReply {
-  return http.denied(
+  return http.rejected(
     error.statusCode === 413
       ? fault.create({ kind: 'too-large', message: `the body is over ${longestBody} bytes`, remedy: 'send less at a time' })
       : fault.create({
@@ -59,7 +59,7 @@
     await reply.status(typed.status).send(typed.body);
   });
   app.setNotFoundHandler(async (request, reply) => {
-    const missing = await http.mapped([], {
+    const missing = await http.dispatch([], {
       method: request.method,
       path: request.url,
       query: {},
@@ -69,12 +69,12 @@
     });
     await reply.status(missing.status).send(missing.body);
   });
-  for (const mapping of server.mappings) {
+  for (const mapping of server.routes) {
     app.route({
       method: mapping.method,
       url: mapping.path,
       handler: async (request, response) => {
-        const reply = await http.mapped([{ ...mapping, path: '' }], {
+        const reply = await http.dispatch([{ ...mapping, path: '' }], {
           method: request.method,
           path: '',
           body: request.body ?? null,
@@ -90,7 +90,7 @@
     });
   }
   await app.listen(parts(address));
-  return { deafen: () => void app.server.close(), stop: () => app.close().then(() => undefined) };
+  return { stopAccepting: () => void app.server.close(), stop: () => app.close().then(() => undefined) };
 }
 
 function connect(address: Address): HttpConnection {
@@ -130,7 +130,7 @@
   // Once lost, this connection never comes back by itself: a member would not know the session on it.
   held.on('disconnect', close);
 
-  async function exchange(ask: HttpAsk, milliseconds: number): Promise<Either.Either<Fault, HttpReply>> {
+  async function exchange(ask: OutgoingHttpRequest, milliseconds: number): Promise<Either.Either<Fault, HttpReply>> {
     const alarm = setTimeout(close, milliseconds);
     try {
       if (closed) throw new Error('the connection is closed');
--- a/packages/session-protocol/src/line.ts
+++ b/packages/session-protocol/src/line.ts
@@ -93,7 +93,7 @@
         resolve({ replies: [], whole: false });
         return;
       }
-      const alarm = kernel.clock.alarm(Math.max(1, milliseconds), over);
+      const alarm = kernel.clock.startTimer(Math.max(1, milliseconds), over);
       const replies: StatementReply[] = [];
       waiting = {
         kind,
--- a/packages/simulator/src/checks.ts
+++ b/packages/simulator/src/checks.ts
@@ -1,7 +1,7 @@
 // The checkers of what must never happen. They judge by what senders, members, platform and operators saw; where one reads a
 // process's own state, another beside it does not (design 10.3).
 import type { HttpReply } from '@stallstall/kernel';
-import { sheets, type Sheet, type StatementKind } from '@stallstall/placement';
+import { placements, type Sheet, type StatementKind } from '@stallstall/placement';
 import type { Ledger, PlatformStore, ReadRecord, WriteRecord } from '@stallstall/fakes';
 import type { CoreSlot, Fleet } from './fleet.js';
 import { wallStart } from './world.js';
@@ -415,7 +415,7 @@
         return [];
       const then = obeyable(known, ran.at, ran.at);
       const kept =
-        then.length > 0 && then.every((sheet) => (sheets.row(sheet, slot.place.service, area)?.weights[slot.place.member] ?? 1) === 0);
+        then.length > 0 && then.every((sheet) => (placements.row(sheet, slot.place.service, area)?.weights[slot.place.member] ?? 1) === 0);
       return kept
         ? [{ check: 'weight-unobeyed', detail: `${slot.place.member} was read from ${area} at ${Math.round(ran.at)} ms with weight 0` }]
         : [];
@@ -462,7 +462,7 @@
       const arrived = slot.store.ran.filter((ran) => fleet.world.machineOf(ran.connection) === edge.machine);
       const going = goingSpans(learned(fleet, edge.name, 'configuration'), function goes(version) {
         const sheet = byVersion.get(version);
-        return sheet !== undefined && sheets.member(sheet, slot.place.member)?.state !== 'serving';
+        return sheet !== undefined && placements.member(sheet, slot.place.member)?.state !== 'serving';
       });
       const late = arrived.find((ran) => going.some((span) => ran.at > span.from + goingMilliseconds && ran.at < span.until));
       const lateEdge = arrived.find((ran) =>
--- a/packages/simulator/src/core-fleet.ts
+++ b/packages/simulator/src/core-fleet.ts
@@ -4,7 +4,7 @@
 import { core, type Core, type Door } from '@stallstall/core';
 import { fault, type Kernel } from '@stallstall/kernel';
 import type { PlatformCall } from '@stallstall/election';
-import { lessee as lessees, type Lessee } from '@stallstall/lease';
+import { leaseHolder as lessees, type LeaseHolder } from '@stallstall/lease';
 import { registerService } from '@stallstall/register';
 import { areas, deployments, redComun } from '@stallstall/fakes';
 import { world as worlds, type Process, type SimulatedDisk, type World } from './world.js';
@@ -20,12 +20,12 @@
   door: Door | undefined;
 };
 
-export type FleetEdge = Readonly<{ edge: Lessee; machine: string; kernel: Kernel }>;
+export type FleetEdge = Readonly<{ edge: LeaseHolder; machine: string; kernel: Kernel }>;
 
 export type CoreFleet = Readonly<{
   world: World;
   machines: CoreMachine[];
-  edge: Lessee;
+  edge: LeaseHolder;
   /** One more edge, on a machine of its own. */
   newEdge: (name: string, seeds: readonly string[]) => FleetEdge;
   /** The service whose epoch is settled, and the sheet that every version here holds. */
@@ -118,17 +118,17 @@
         cores: 3,
       },
       Option.some({
-        calls: { promotion: nobody, usage: nobody, restMilliseconds: 3_000 },
+        calls: { promotion: nobody, usage: nobody, handoverDelayMilliseconds: 3_000 },
         probe: {
-          ask: () =>
+          readState: () =>
             Promise.resolve(Either.left(fault.create({ kind: 'unreachable', message: 'no member runs here', remedy: 'none is needed' }))),
-          hold: () => Promise.resolve(Either.right(null)),
+          keepConnection: () => Promise.resolve(Either.right(null)),
         },
-        pages: function capture(door) {
+        routes: function capture(door) {
           machine.door = door;
           return [];
         },
-        door: machine.outward.replace(':7001', ':7002'),
+        platformApiAddress: machine.outward.replace(':7001', ':7002'),
         founds,
         founders: seeds,
       }),
@@ -238,10 +238,10 @@
       {
         released: () => ({}),
         positions: () => ({}),
-        marks: () => ({}),
+        commitWatermarks: () => ({}),
         positionsAgo: () => 0,
-        troubled: () => false,
-        notListening: () => [],
+        isLeaderMissing: () => false,
+        refusedMembers: () => [],
         demand: () => 0,
         onChange: () => undefined,
       },
@@ -267,7 +267,7 @@
   }
 
   function everyFounded(): boolean {
-    return machines.every((machine) => machine.running?.open() === true) && edge.cores() === founded;
+    return machines.every((machine) => machine.running?.open() === true) && edge.coreCount() === founded;
   }
 
   if (!(await until(everyFounded, 10_000))) throw new Error('the cores did not found a fleet');
