--- a/packages/simulator/src/explored-machines.ts
+++ b/packages/simulator/src/explored-machines.ts
@@ -5,15 +5,15 @@
 import * as Option from 'fp-ts/lib/Option.js';
 import { copying, cores, setOf, standingOf, type CoreCall, type Cores, type Fleet } from '@stallstall/core';
 import { identifiers, type Clock, type Disk, type Instant, type Kernel } from '@stallstall/kernel';
-import type { Ask, CoreSet, MessageKind, Reply, Seat } from '@stallstall/message';
+import type { Request, CoreSet, MessageKind, Reply, Seat } from '@stallstall/message';
 import {
   acceptor,
   proposer,
-  stepKey,
+  coreSetKey,
   type Acceptor,
-  type CoreSets,
+  type CoreSetSource,
   type NumberedRegister,
-  type RegisterTarget,
+  type RegisterReplica,
 } from '@stallstall/register';
 
 /** What an exploration decides: when each thing that is under way happens, if it does, and who hears whom. */
@@ -51,7 +51,7 @@
   /** A register for somebody who is no core: it learns of sets as it goes on. */
   client: (name: string, first: CoreSet) => NumberedRegister;
   /** Says one thing to one core, as a proposer would that ended right after. */
-  tell: <Kind extends 'prepare' | 'accept'>(seat: Seat, kind: Kind, body: Ask<Kind>) => Promise<Option.Option<Reply<Kind>>>;
+  tell: <Kind extends 'prepare' | 'accept'>(seat: Seat, kind: Kind, body: Request<Kind>) => Promise<Option.Option<Reply<Kind>>>;
   newest: () => CoreSet;
   /** Seats whose occupant is not up, not level, or behind. */
   short: () => number;
@@ -96,7 +96,7 @@
       now,
       wall: () => identifiers.wallTime(now()),
       sleep: () => new Promise((resolve) => course.later(() => (alive() ? resolve() : undefined), 'pause')),
-      alarm: function alarm(_milliseconds, act) {
+      startTimer: function alarm(_milliseconds, act) {
         let cancelled = false;
         course.later(() => (alive() && !cancelled ? act() : undefined), 'pause');
         return {
@@ -135,20 +135,20 @@
 
   async function answer(state: State, kind: MessageKind, body: unknown): Promise<unknown> {
     const running = state.running as Running;
-    if (kind === 'prepare') return running.cells.prepare(body as Ask<'prepare'>);
-    if (kind === 'accept') return running.cells.accept(body as Ask<'accept'>);
-    if (kind === 'look') return running.cells.look(body as Ask<'look'>);
-    if (kind === 'adopt') return running.cores.adopt(body as Ask<'adopt'>);
+    if (kind === 'prepare') return running.cells.prepare(body as Request<'prepare'>);
+    if (kind === 'accept') return running.cells.accept(body as Request<'accept'>);
+    if (kind === 'look') return running.cells.look(body as Request<'look'>);
+    if (kind === 'adopt') return running.cores.adopt(body as Request<'adopt'>);
     if (kind === 'join') {
       running.joins += 1;
-      const reply = await running.cores.join(body as Ask<'join'>);
+      const reply = await running.cores.join(body as Request<'join'>);
       running.joins -= 1;
       return reply;
     }
-    return copied(running, body as Ask<'copy'>);
+    return copied(running, body as Request<'copy'>);
   }
 
-  async function copied(running: Running, ask: Ask<'copy'>): Promise<Reply<'copy'>> {
+  async function copied(running: Running, ask: Request<'copy'>): Promise<Reply<'copy'>> {
     const isFormed = running.cells.ready() && Option.isSome(running.fleet) && running.fleet.value.stage === 'formed';
     const set = Option.isSome(running.fleet) ? setOf(running.fleet.value).number : 0;
     const page = await running.cells.page(ask.after);
@@ -162,7 +162,7 @@
     function call(address: string, kind: MessageKind, body: unknown): Promise<Option.Option<unknown>> {
       return new Promise(function carry(resolve) {
         const what = isOfSteps(kind, body) ? 'step' : 'message';
-        const steps = kind === 'accept' && (body as Ask<'accept'>).key.startsWith('cores/') ? 1 : 0;
+        const steps = kind === 'accept' && (body as Request<'accept'>).key.startsWith('cores/') ? 1 : 0;
         stepsUnderWay += steps;
         function settle(reply: Option.Option<unknown>): void {
           stepsUnderWay -= steps;
@@ -187,14 +187,20 @@
     return call as CoreCall;
   }
 
-  function registerFrom(name: string, kernel: Kernel, call: CoreCall, set: () => CoreSet, learn: CoreSets['learn']): NumberedRegister {
+  function registerFrom(
+    name: string,
+    kernel: Kernel,
+    call: CoreCall,
+    set: () => CoreSet,
+    learn: CoreSetSource['observe'],
+  ): NumberedRegister {
     return proposer.create(
       kernel,
       name,
       () =>
-        set().seats.map((seat): RegisterTarget => ({ core: seat.node, ask: (kind, body, time) => call(seat.address, kind, body, time) })),
+        set().seats.map((seat): RegisterReplica => ({ core: seat.node, send: (kind, body, time) => call(seat.address, kind, body, time) })),
       () => set().seats.length,
-      { number: () => set().number, learn },
+      { number: () => set().number, observe: learn },
     );
   }
 
@@ -223,7 +229,7 @@
       kernel,
       call,
       () => (Option.isSome(running.fleet) ? setOf(running.fleet.value) : { number: 0, seats: [], epochs: {} }),
-      (set) => running.cores.learn(set),
+      (set) => running.cores.observe(set),
     );
     const created = cores.create(
       kernel,
@@ -238,11 +244,11 @@
             platform: () => '',
           },
           seat: () => seatOf(state.name),
-          heardAt: (other) => Option.some(course.isSilent(state.name, other) ? identifiers.instant(0) : now()),
+          lastHeartbeatAt: (other) => Option.some(course.isSilent(state.name, other) ? identifiers.instant(0) : now()),
           setFleet: () => undefined,
         },
         register,
-        call,
+        callCore: call,
         cells,
         copying: copying.create(kernel, {
           call,
@@ -258,7 +264,7 @@
           return true;
         },
         open: cells.open,
-        moved: () => undefined,
+        changeSet: () => undefined,
         close: cells.close,
       },
       function change(moving) {
@@ -291,14 +297,14 @@
       isUp: () => state.running !== undefined,
       level,
       isAsked: () => state.running !== undefined && state.running.joins > 0,
-      holdsStep: (after) => state.running !== undefined && Option.isSome(state.running.cells.accepted(stepKey(after))),
+      holdsStep: (after) => state.running !== undefined && Option.isSome(state.running.cells.accepted(coreSetKey(after))),
       hears: function hears(set) {
         if (state.running === undefined) return;
-        if (Option.isSome(level())) state.running.cores.learn(set);
-        else state.running.cores.met('explored', set);
+        if (Option.isSome(level())) state.running.cores.observe(set);
+        else state.running.cores.fleetFound('explored', set);
       },
       leave: function leave() {
-        void state.running?.cores.leave(identifiers.instant(Number.POSITIVE_INFINITY));
+        void state.running?.cores.handOverSeat(identifiers.instant(Number.POSITIVE_INFINITY));
       },
       crash: (wiped) => end(state, wiped),
       start: () => begin(state),
--- a/packages/simulator/src/faults.ts
+++ b/packages/simulator/src/faults.ts
@@ -1,6 +1,6 @@
 // The brief's failures, each as something that happens to an in-memory fleet (design 10.4).
 import * as Either from 'fp-ts/lib/Either.js';
-import { sheets, statementKinds, type Sheet, type StatementKind } from '@stallstall/placement';
+import { placements, statementKinds, type Sheet, type StatementKind } from '@stallstall/placement';
 import type { MemberKnobs } from '@stallstall/fakes';
 import type { EdgeDrain, PlannedEnd, Sent } from './checks.js';
 import type { CoreSlot, EdgeSlot, Fleet, MemberSlot } from './fleet.js';
@@ -157,7 +157,7 @@
   if (storm.keyless) sheet.keys.splice(0);
   if (storm.second !== undefined) sheet.keys.push({ key: secondKey, ...storm.second });
   sheet.keys.push({ key: mark, services: [fleet.deployment.services[0]], kinds: ['leader-read'] });
-  const checked = sheets.check(sheet);
+  const checked = placements.check(sheet);
   if (Either.isLeft(checked)) throw new Error(checked.left.message);
   return { sheet: checked.right, mark };
 }
--- a/packages/simulator/src/fuzz.ts
+++ b/packages/simulator/src/fuzz.ts
@@ -190,7 +190,7 @@
   function spoilt(kind: MessageKind): unknown {
     for (;;) {
       const body = spoil(replies[kind], random);
-      if (!message.fits(messages[kind].reply, body)) return body;
+      if (!message.matches(messages[kind].reply, body)) return body;
     }
   }
 
--- a/packages/simulator/src/pooled-adapter.ts
+++ b/packages/simulator/src/pooled-adapter.ts
@@ -2,7 +2,7 @@
 import * as Either from 'fp-ts/lib/Either.js';
 import type { Door } from '@stallstall/core';
 import type { MemberProbe, PlatformCalls } from '@stallstall/election';
-import { http, type HttpMapping, type HttpReply, type Kernel } from '@stallstall/kernel';
+import { http, type HttpRoute, type HttpReply, type Kernel } from '@stallstall/kernel';
 import type { Registration } from '@stallstall/member-registry';
 import { plainDialect } from '@stallstall/fakes';
 import { prober } from '@stallstall/session-protocol';
@@ -12,7 +12,7 @@
 const away: HttpReply = { status: 503, body: {} };
 
 /** The stand-ins' pages of a core's door. */
-function pages(door: Door): readonly HttpMapping[] {
+function pages(door: Door): readonly HttpRoute[] {
   return [
     {
       method: 'POST',
@@ -33,7 +33,7 @@
       handle: async function configure(request) {
         const { version, sheet } = request.body as Readonly<{ version: number; sheet: unknown }>;
         const taken = await door.configure({ version, source: JSON.stringify({ version, sheet }) }, sheet);
-        return Either.isLeft(taken) ? http.denied(taken.left) : { status: 200, body: {} };
+        return Either.isLeft(taken) ? http.rejected(taken.left) : { status: 200, body: {} };
       },
     },
     {
@@ -41,22 +41,22 @@
       path: '/configuration',
       handle: async function read() {
         const source = await door.source();
-        return Either.isLeft(source) ? http.denied(source.left) : { status: 200, body: JSON.parse(source.right) as unknown };
+        return Either.isLeft(source) ? http.rejected(source.left) : { status: 200, body: JSON.parse(source.right) as unknown };
       },
     },
   ];
 }
 
 const calls: PlatformCalls = {
-  restMilliseconds: 3_000,
-  promotion: ({ service, member, turn, holder }) => ({
+  handoverDelayMilliseconds: 3_000,
+  promotion: ({ service, member, fencingToken: turn, holder }) => ({
     repeatable: 'unchanged',
     method: 'POST',
     path: '/duties/promotion',
     headers: { holder, turn: String(turn) },
     body: { service, member },
   }),
-  usage: ({ window, counts, turn, holder }) => ({
+  usage: ({ window, counts, fencingToken: turn, holder }) => ({
     repeatable: 'unchanged',
     method: 'POST',
     path: '/duties/usage',
@@ -68,8 +68,8 @@
 function memberProbe(kernel: Kernel): MemberProbe {
   const probes = prober.create(kernel, plainDialect, ownTenant);
   return {
-    hold: probes.hold,
-    ask: async function ask(service, member, address, milliseconds) {
+    keepConnection: probes.hold,
+    readState: async function ask(service, member, address, milliseconds) {
       const standing = await probes.ask(service, member, address, milliseconds);
       if (Either.isLeft(standing)) return standing;
       const { role, term, received } = standing.right;
--- a/packages/simulator/src/pooled-fleet.ts
+++ b/packages/simulator/src/pooled-fleet.ts
@@ -1,7 +1,7 @@
 // An in-memory fleet of the pooled mode: cores that grant leases, edges that hold them, members that register, senders with sessions (design 10.4).
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
-import { lesseeAgent } from '@stallstall/agent';
+import { leaseAgent } from '@stallstall/agent';
 import { core, type CoreParts } from '@stallstall/core';
 import { http, identifiers, kernel as kernels } from '@stallstall/kernel';
 import { pooler } from '@stallstall/pooler';
@@ -146,8 +146,8 @@
     const parts: CoreParts = {
       calls: pooledAdapter.calls,
       probe: pooledAdapter.memberProbe(spawned.kernel),
-      pages: pooledAdapter.pages,
-      door,
+      routes: pooledAdapter.pages,
+      platformApiAddress: door,
       founds: first,
       founders,
     };
@@ -178,7 +178,7 @@
     slot.life += 1;
     readSettings(slot);
     slot.agentProcess = world.spawn(`${slot.name}/agent`, slot.machine);
-    slot.agent = await lesseeAgent.start(slot.agentProcess.kernel, { node: slot.name, area: slot.area, feed, seeds: () => slot.seeds });
+    slot.agent = await leaseAgent.start(slot.agentProcess.kernel, { node: slot.name, area: slot.area, feed, seeds: () => slot.seeds });
     slot.proxyProcess = world.spawn(`${slot.name}/proxy`, slot.machine);
     slot.proxy = await pooler.start(
       slot.proxyProcess.kernel,
--- a/packages/simulator/src/pooled-model.ts
+++ b/packages/simulator/src/pooled-model.ts
@@ -1,6 +1,6 @@
 // What an in-memory fleet of the pooled mode is made of: machines, placement configurations, and the fleet as faults and checkers see it.
 import type * as Option from 'fp-ts/lib/Option.js';
-import type { LesseeAgent } from '@stallstall/agent';
+import type { LeaseAgent } from '@stallstall/agent';
 import type { Core } from '@stallstall/core';
 import type { HttpReply } from '@stallstall/kernel';
 import type { Pooler } from '@stallstall/pooler';
@@ -38,7 +38,7 @@
   readonly machine: string;
   readonly area: string;
   agentProcess: Process | undefined;
-  agent: LesseeAgent | undefined;
+  agent: LeaseAgent | undefined;
   proxyProcess: Process | undefined;
   proxy: Pooler | undefined;
   /** What its settings named when it last read them. */
--- a/packages/simulator/src/schedules.ts
+++ b/packages/simulator/src/schedules.ts
@@ -4,7 +4,7 @@
 import * as Option from 'fp-ts/lib/Option.js';
 import { identifiers, type Disk, type Kernel } from '@stallstall/kernel';
 import type { Ballot, Entry, Seat } from '@stallstall/message';
-import { acceptor, levelling, proposer, type Acceptor, type NumberedRegister } from '@stallstall/register';
+import { acceptor, catchUp, proposer, type Acceptor, type NumberedRegister } from '@stallstall/register';
 
 type Core = { set: number; readonly cells: Acceptor };
 
@@ -80,11 +80,11 @@
       () =>
         [...seats].map((name) => ({
           core: name,
-          ask: async (kind, body) =>
+          send: async (kind, body) =>
             names.includes(name) ? Option.some((await core(name).cells[kind](body as never)) as never) : Option.none,
         })),
       () => seats.length,
-      { number: () => set, learn: () => undefined },
+      { number: () => set, observe: () => undefined },
     );
   }
 
@@ -95,7 +95,7 @@
       new Map(),
       () => undefined,
       () => undefined,
-      { number: () => own.set, newer: () => undefined },
+      { number: () => own.set, newerThan: () => undefined },
     );
     cores.set(name, Object.assign(own, { cells }));
     if (name !== 'f') cells.open();
@@ -114,11 +114,11 @@
       for (const name of names) await core(name).cells.accept({ key, entry, set: 1 });
     },
     level: async function level(name, sources) {
-      const enough = await levelling.copyEnough(
+      const enough = await catchUp.copyEnough(
         [...sources].map(seatOf),
-        levelling.sourcesNeeded(secondSeats.length),
+        catchUp.sourcesNeeded(secondSeats.length),
         async function copy(source) {
-          if (!levelling.mayBeCopied(2, core(source.node).set)) return false;
+          if (!catchUp.mayBeCopied(2, core(source.node).set)) return false;
           const page = await core(source.node).cells.page('');
           if (Either.isLeft(page)) return false;
           for (const { key: copied, state } of page.right.entries)
@@ -127,7 +127,7 @@
         },
         () => false,
       );
-      if (!enough || !(await levelling.settleDoubtful(core(name).cells, reaching('bcde', 2).under(2)))) return false;
+      if (!enough || !(await catchUp.completeUnresolved(core(name).cells, reaching('bcde', 2).inSet(2)))) return false;
       core(name).cells.open();
       return true;
     },
--- a/packages/simulator/src/wires.ts
+++ b/packages/simulator/src/wires.ts
@@ -42,7 +42,7 @@
     }
     busy = true;
     const wait = kernel.randomness.fraction() < troubles.delay ? kernel.randomness.fraction() * mostDelayMilliseconds : 0;
-    kernel.clock.alarm(wait, function due() {
+    kernel.clock.startTimer(wait, function due() {
       if (!isCut) deliver();
       next();
     });
--- a/packages/simulator/src/world.ts
+++ b/packages/simulator/src/world.ts
@@ -10,7 +10,7 @@
   kernel as kernels,
   protocolsSpoken,
   type Fault,
-  type HttpAsk,
+  type OutgoingHttpRequest,
   type HttpConnection,
   type HttpReply,
   type HttpServer,
@@ -437,7 +437,7 @@
       });
     }
 
-    function exchange(ask: HttpAsk, milliseconds: number): Promise<Either.Either<Fault, HttpReply>> {
+    function exchange(ask: OutgoingHttpRequest, milliseconds: number): Promise<Either.Either<Fault, HttpReply>> {
       return new Promise((resolve) => {
         let settled = false;
         let left = false;
@@ -484,7 +484,7 @@
             latency(),
             () => {
               void http
-                .mapped(server.mappings, {
+                .dispatch(server.routes, {
                   method: ask.method,
                   path: path ?? '',
                   query: Object.fromEntries(new URLSearchParams(query ?? '')),
@@ -543,7 +543,7 @@
     const clock = {
       now: steady,
       wall: wallClock.create(steady, () => identifiers.wallTime(wallStart + now + body.wallOffset)),
-      alarm: function alarm(milliseconds: number, action: () => void) {
+      startTimer: function startTimer(milliseconds: number, action: () => void) {
         let live = true;
         at(
           milliseconds / body.clockRate,
@@ -570,7 +570,7 @@
         if (table.get(address)?.body === body) table.delete(address);
       }
       return {
-        deafen,
+        stopAccepting: deafen,
         stop: function stop() {
           deafen();
           return Promise.resolve();
