--- a/eslint.config.js
+++ b/eslint.config.js
@@ -3,7 +3,7 @@
 /**
  * Packages that pass the whole of the rules. The list only grows: a package that is cleaned is added, none is taken out.
  */
-const cleanPackages = ['cli', 'pooler', 'pool', 'proxy', 'quorum', 'placement', 'routing'];
+const cleanPackages = ['cli', 'election', 'lease', 'node', 'placement', 'pool', 'pooler', 'proxy', 'quorum', 'quorum-lease', 'routing'];
 const cleanFiles = cleanPackages.map((name) => `packages/${name}/src/**/*.ts`);
 
 const noClasses = {
--- a/packages/acceptance/src/administration.ts
+++ b/packages/acceptance/src/administration.ts
@@ -225,7 +225,7 @@
 });
 
 function proposalOf(story: Story, service: string, since: number): string | undefined {
-  return story.fleet.world.logs.find((line) => line.at >= since && line.event === 'elect.propose' && line.fields['service'] === service)
+  return story.fleet.world.logs.find((line) => line.at >= since && line.event === 'election.propose' && line.fields['service'] === service)
     ?.process;
 }
 
@@ -254,7 +254,7 @@
   await this.fleet.world.run(seconds * 1_000);
   this.fleet.platform().knobs.losesReplies = false;
   const settled = this.fleet.world.logs.filter(
-    (line) => line.at >= promotedAt && line.event === 'node.obeyed' && line.fields['key'] === 'epoch/bookings',
+    (line) => line.at >= promotedAt && line.event === 'node.applied' && line.fields['key'] === 'epoch/bookings',
   );
   this.window = Math.min(...settled.map((line) => line.at - promotedAt));
 });
--- a/packages/acceptance/src/candidacies.ts
+++ b/packages/acceptance/src/candidacies.ts
@@ -8,7 +8,7 @@
 import { identifiers } from '@stallstall/kernel';
 import { ballotZero, type Entry, type Seat, type ElectedPrimary } from '@stallstall/message';
 import { durableReportsService, registerService, type DurableReports, type NumberedRegister } from '@stallstall/register';
-import type { Sheet } from '@stallstall/placement';
+import type { PlacementConfiguration } from '@stallstall/placement';
 import { world as worlds, type World } from '@stallstall/simulator';
 
 /** One chosen write of the stub register, in the order in which they were chosen. */
@@ -33,18 +33,18 @@
 const settledAtFirst: ElectedPrimary = { epoch: 4, primary: 'ferries-1', wonBy: 'core-1', position: 10, settledAt: 0 };
 const seat: Seat = { node: 'core-1', role: 'core', area: 'north', address: '10.1.0.1:7000', outward: '10.1.0.1:7001', draining: false };
 
-function members(count: number): Sheet['services'][number]['members'] {
+function members(count: number): PlacementConfiguration['services'][number]['members'] {
   return Array.from({ length: count }, (_, index) => ({
     member: `ferries-${index + 1}`,
     area: 'north',
     address: `10.3.0.${index + 1}:5000`,
     state: 'serving' as const,
-  })) as Sheet['services'][number]['members'];
+  })) as PlacementConfiguration['services'][number]['members'];
 }
 
-function sheetOfStory({ synchronousReplicas }: CandidacyStory): Sheet {
+function sheetOfStory({ synchronousReplicas }: CandidacyStory): PlacementConfiguration {
   const count = synchronousReplicas === 0 ? 2 : 3;
-  return { services: [{ service, members: members(count), synchronousReplicas, registered: true }] } as unknown as Sheet;
+  return { services: [{ service, members: members(count), synchronousReplicas, registered: true }] } as unknown as PlacementConfiguration;
 }
 
 function stubRegister(story: CandidacyStory): NumberedRegister {
@@ -76,14 +76,14 @@
     return { member, role: leads ? 'primary' : 'replica', epoch: 4, received, applied: received, term: leads ? 5 : 4 };
   }
   return {
-    alive: (member: string) => story.received.has(member),
+    isAlive: (member: string) => story.received.has(member),
     probe: function probe(member: string) {
       const received = story.received.get(member);
       return Promise.resolve(
         received === undefined ? unanswered : Either.right({ sentAt: identifiers.instant(0), state: state(member, received) }),
       );
     },
-  } as unknown as Liveness;
+  } satisfies Partial<Liveness> as unknown as Liveness;
 }
 
 /** Starts one election over stubs; its primary, the first member, is silent. */
@@ -163,7 +163,7 @@
 
 When("the candidate's primary is silent for {int} s", async function when(this: CandidacyStory, seconds: number) {
   for (let spent = 0; spent < seconds * 1_000; spent += stepMilliseconds) {
-    this.election.step();
+    this.election.tick();
     await this.world.run(stepMilliseconds);
   }
 });
--- a/packages/acceptance/src/duties.ts
+++ b/packages/acceptance/src/duties.ts
@@ -8,7 +8,7 @@
 import { fault, identifiers, kernel as kernels, type Fault, type HttpReply, type Kernel } from '@stallstall/kernel';
 import { ballotZero, type Entry, type Membership, type ElectedPrimary } from '@stallstall/message';
 import { durableReportsService, registerService, type DurableReports, type NumberedRegister, type Register } from '@stallstall/register';
-import type { Sheet } from '@stallstall/placement';
+import type { PlacementConfiguration } from '@stallstall/placement';
 import { world as worlds, type Process, type World } from '@stallstall/simulator';
 
 type DutyStory = {
@@ -149,7 +149,7 @@
       members: [primary, ...replicas].map((member) => ({ member, area: 'north', address: '10.3.0.1:5000', state: 'serving' })),
     },
   ],
-} as unknown as Sheet;
+} as unknown as PlacementConfiguration;
 
 function settledAt(epoch: number): ElectedPrimary {
   return { epoch, primary, wonBy: 'core-2', position: 0, settledAt: 0 };
@@ -175,7 +175,9 @@
     const { kernel } = this.world.spawn('core-1', 'core-machine-1');
     const table = new Map<string, Entry>([['epoch/ferries', { ballot: ballotZero, version: 1, value: settledAt(settled) }]]);
     kernel.services.offer(registerService, tableRegister(kernel, table));
-    kernel.services.offer(durableReportsService, { floors: () => Promise.resolve(Either.right({})) } as unknown as DurableReports);
+    kernel.services.offer(durableReportsService, {
+      watermarks: () => Promise.resolve(Either.right({})),
+    } satisfies Partial<DurableReports> as unknown as DurableReports);
     kernel.services.offer(
       livenessService,
       liveness.create(
@@ -186,7 +188,7 @@
         }),
       ),
     );
-    kernel.services.offer(quorumLeaseService, { ...quorumLease.create(), reachable: () => seats.length });
+    kernel.services.offer(quorumLeaseService, { ...quorumLease.create(), reachableCount: () => seats.length });
     /** What was settled by others has not been told here; what this core settles itself is. */
     function settledHere(): ElectedPrimary {
       const own = table.get('epoch/ferries')?.value as ElectedPrimary;
@@ -213,7 +215,7 @@
       },
       votesInMemory(),
     );
-    void kernels.every(kernel.clock, beatMilliseconds, elections.step, () => true);
+    void kernels.every(kernel.clock, beatMilliseconds, elections.tick, () => true);
   },
 );
 
--- a/packages/acceptance/src/guarantees.ts
+++ b/packages/acceptance/src/guarantees.ts
@@ -41,7 +41,7 @@
 });
 
 Then('another member of {string} is settled as its primary', function then(this: Story, service: string) {
-  const outcome = this.fleet.world.logs.filter((line) => line.event === 'elect.outcome').at(-1);
+  const outcome = this.fleet.world.logs.filter((line) => line.event === 'election.outcome').at(-1);
   for (const edge of this.fleet.edges) {
     const settled = edge.agent.running?.node.electedPrimary(service) ?? Option.none;
     assert.ok(
--- a/packages/acceptance/src/marks.ts
+++ b/packages/acceptance/src/marks.ts
@@ -29,7 +29,7 @@
 const untoldMilliseconds = 600_000;
 
 function emptyRoster(): MemberRegistry {
-  return { number: () => 0, since: () => [] } as unknown as MemberRegistry;
+  return { version: () => 0, changedSince: () => [] } satisfies Partial<MemberRegistry> as unknown as MemberRegistry;
 }
 
 async function ask(story: MarkStory, node: string, change: Partial<Request<'lease'>>): Promise<void> {
--- a/packages/acceptance/src/orders.ts
+++ b/packages/acceptance/src/orders.ts
@@ -3,14 +3,14 @@
 import { Given, Then, When } from '@cucumber/cucumber';
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
-import { claimsKept, ledger, type Ledger } from '@stallstall/core';
+import { claimsKept, claimTable, type ClaimTable } from '@stallstall/core';
 import type { HttpReply } from '@stallstall/kernel';
 import { ballotZero, type Entry } from '@stallstall/message';
 import type { Register } from '@stallstall/register';
 import { orderChecks, pooledFleet, type PooledFleet, type PooledSheet } from '@stallstall/simulator';
 import type { Story } from './story.js';
 
-type OrderStory = Story & { pooled: PooledFleet; ledger: Ledger; claimed: number; firstVersion: number };
+type OrderStory = Story & { pooled: PooledFleet; ledger: ClaimTable; claimed: number; firstVersion: number };
 
 /** A sheet that can be told from all others by a database of its own. */
 function sheetOf(fleet: PooledFleet, mark: string): PooledSheet {
@@ -166,7 +166,7 @@
 }
 
 Given('a ledger of numbers that has taken more claims than it keeps', { timeout: 60_000 }, async function given(this: OrderStory) {
-  this.ledger = ledger.create(plainRegister());
+  this.ledger = claimTable.create(plainRegister());
   this.claimed = claimsKept * 100;
   for (let number = 0; number < this.claimed; number += 1) await this.ledger.claimNumber(number, `text ${number}`, 1_000);
 });
--- a/packages/acceptance/src/pooled.ts
+++ b/packages/acceptance/src/pooled.ts
@@ -246,7 +246,7 @@
 
 function handOver(story: PooledStory): Readonly<{ proposedAt: number; promotedAt: number }> {
   const proposed = story.pooled.world.logs.filter(
-    (line) => line.event === 'elect.propose' && line.fields['service'] === 'bookings' && line.at >= story.calledAt,
+    (line) => line.event === 'election.propose' && line.fields['service'] === 'bookings' && line.at >= story.calledAt,
   );
   const promoted = story.pooled.platformStore.calls.filter(
     (call) => call.duty === 'promotion' && call.subject === 'bookings' && call.at >= story.calledAt,
--- a/packages/agent/src/index.ts
+++ b/packages/agent/src/index.ts
@@ -17,9 +17,9 @@
 import { quorum } from '@stallstall/quorum';
 import type { Register } from '@stallstall/register';
 import { node as nodes, type Node, type NodeSettings } from '@stallstall/node';
-import { marginMilliseconds, termMilliseconds } from '@stallstall/quorum-lease';
+import { leaseMarginMilliseconds, leaseTermMilliseconds } from '@stallstall/quorum-lease';
 import { livenessService, type Vote, type VoteStore } from '@stallstall/election';
-import { placements, type SheetService } from '@stallstall/placement';
+import { placements, type ServicePlacement } from '@stallstall/placement';
 import { Type } from '@sinclair/typebox';
 
 export type AgentSettings = NodeSettings & Readonly<{ feed: string }>;
@@ -79,15 +79,15 @@
   const node: Node = nodes.create(kernel, settings, {
     role: 'edge',
     votes: (register) => edgeVotes(register, settings.node),
-    own: Option.none,
-    caps: toldCaps,
+    localReplica: Option.none,
+    connectionCaps: toldCaps,
     onApplied: function obeyed(key) {
       if (key === 'membership' || key === 'configuration') {
         layoutSince = kernel.clock.now();
         settleCaps();
       }
     },
-    onHello: () => undefined,
+    onHelloReply: () => undefined,
   });
 
   const members = kernel.services.find(livenessService);
@@ -108,7 +108,7 @@
     const edges = quorum.withRole(table, 'edge').length;
     const listed = quorum.seat(table, settings.node) !== undefined;
     const now = kernel.clock.now();
-    const mayGrow = now - layoutSince >= termMilliseconds + marginMilliseconds && node.configurationLeaseUntil() > now;
+    const mayGrow = now - layoutSince >= leaseTermMilliseconds + leaseMarginMilliseconds && node.configurationLeaseUntil() > now;
     for (const service of configuration.value.value.sheet.services) {
       const share = listed ? placements.share(service.connectionLimit, table.seats.length, edges) : 0;
       // What a proxy holds already, its agent's predecessor had told the others: a restarted agent takes it over.
@@ -128,7 +128,7 @@
 
   const samples = new Map<string, readonly Sample[]>();
 
-  async function probeMember(service: SheetService, member: SheetService['members'][number]): Promise<void> {
+  async function probeMember(service: ServicePlacement, member: ServicePlacement['members'][number]): Promise<void> {
     const settled = node.electedPrimary(service.service);
     const state = await members.probe(member.member, member.address, probeMilliseconds);
     if (
@@ -172,10 +172,10 @@
 
   /** What is left of a term, as JSON can carry it. */
   function within(left: number): number {
-    return Math.max(0, Math.min(left, termMilliseconds));
+    return Math.max(0, Math.min(left, leaseTermMilliseconds));
   }
 
-  function serviceFeed(service: SheetService): ServiceFeed {
+  function serviceFeed(service: ServicePlacement): ServiceFeed {
     const settled = node.electedPrimary(service.service);
     const epoch = Option.isSome(settled) ? settled.value.epoch : 0;
     const left = node.serviceLeaseUntil(service.service) - kernel.clock.now();
@@ -251,7 +251,7 @@
       1 +
       node.membership().value.seats.filter((seat) => {
         const at = node.lastHeartbeatAt(seat.node);
-        return Option.isSome(at) && kernel.clock.now() - at.value < termMilliseconds;
+        return Option.isSome(at) && kernel.clock.now() - at.value < leaseTermMilliseconds;
       }).length
     );
   }
--- a/packages/agent/src/lease-agent.ts
+++ b/packages/agent/src/lease-agent.ts
@@ -5,7 +5,7 @@
 import type { Request, LogPosition, CommitWatermarks, Placement, Reply } from '@stallstall/message';
 import { peer, type Caller } from '@stallstall/peer';
 import { leaseHolder as lessees } from '@stallstall/lease';
-import { termMilliseconds } from '@stallstall/quorum-lease';
+import { leaseTermMilliseconds } from '@stallstall/quorum-lease';
 
 export type LeaseAgentSettings = Readonly<{ node: string; area: string; feed: string; seeds: () => readonly string[] }>;
 export type LeaseAgent = Readonly<{ drain: () => Promise<void>; stop: () => Promise<void> }>;
@@ -77,7 +77,7 @@
         service,
         epoch: Option.isSome(settled) ? settled.value.epoch : 0,
         primary: Option.isSome(settled) ? settled.value.primary : '',
-        left: Math.max(0, Math.min(lessee.leaseUntil(service) - now, termMilliseconds)),
+        left: Math.max(0, Math.min(lessee.leaseUntil(service) - now, leaseTermMilliseconds)),
         release: lessee.releaseEpoch(service),
       };
     });
--- a/packages/bench/src/hollow/run.ts
+++ b/packages/bench/src/hollow/run.ts
@@ -124,9 +124,9 @@
     child.last += 1;
     const message: HollowMessage = { number: child.last, ask: what };
     return new Promise((resolve, reject) => {
-      const alarm = setTimeout(() => reject(new Error(`${child.name} did not reply to ${what.kind}`)), replyMilliseconds);
+      const timer = setTimeout(() => reject(new Error(`${child.name} did not reply to ${what.kind}`)), replyMilliseconds);
       child.waiting.set(message.number, (reply) => {
-        clearTimeout(alarm);
+        clearTimeout(timer);
         resolve(reply.values);
       });
       child.process.send(message);
--- a/packages/cli/src/mappings.ts
+++ b/packages/cli/src/mappings.ts
@@ -3,25 +3,25 @@
 import { dereference } from '@readme/openapi-parser';
 import { Args, Command, Flags } from '@oclif/core';
 import * as Either from 'fp-ts/lib/Either.js';
-import { placements, type SheetMapping } from '@stallstall/placement';
+import { placements, type NamedStatement } from '@stallstall/placement';
 
 type Operation = Readonly<Record<string, unknown>>;
-type Imported = Readonly<{ mappings: readonly SheetMapping[]; leftOut: readonly string[] }>;
+type Imported = Readonly<{ mappings: readonly NamedStatement[]; leftOut: readonly string[] }>;
 
 const methods = ['get', 'put', 'post', 'delete', 'patch'] as const;
 
-function mappingOf(method: string, operation: Operation): SheetMapping | undefined {
+function mappingOf(method: string, operation: Operation): NamedStatement | undefined {
   const text = operation['x-stallstall-statement'];
   const named = operation['operationId'];
   const tags = operation['tags'];
   const service = operation['x-stallstall-service'] ?? (Array.isArray(tags) ? (tags[0] as unknown) : undefined);
   const kind = operation['x-stallstall-kind'] ?? (method === 'get' ? 'bounded-read' : 'write');
   if (typeof text !== 'string' || typeof named !== 'string' || typeof service !== 'string' || typeof kind !== 'string') return undefined;
-  return { mapping: named, service, kind: kind as SheetMapping['kind'], text };
+  return { mapping: named, service, kind: kind as NamedStatement['kind'], text };
 }
 
 function collect(paths: Readonly<Record<string, unknown>>): Imported {
-  const mappings: SheetMapping[] = [];
+  const mappings: NamedStatement[] = [];
   const leftOut: string[] = [];
   for (const [path, item] of Object.entries(paths)) {
     for (const method of methods) {
--- a/packages/core/src/configuration-updates.ts
+++ b/packages/core/src/configuration-updates.ts
@@ -5,7 +5,7 @@
 import type { Entry } from '@stallstall/message';
 import type { Configuration } from '@stallstall/node';
 import type { ChangeOutcome, Register } from '@stallstall/register';
-import type { Sheet } from '@stallstall/placement';
+import type { PlacementConfiguration } from '@stallstall/placement';
 import { documentDigest } from './document-digest.js';
 import { claimTable as ledgers, type SendClaim } from './claim-table.js';
 import { operators, type Caller } from './operators.js';
@@ -17,7 +17,7 @@
 /** A sheet that an operator of this product sends. */
 export type PlacementUpdate = Readonly<{
   caller: Caller;
-  sheet: Sheet;
+  sheet: PlacementConfiguration;
   /** The sheet as sent, before anything was filled in: what a send id stands for. */
   document: unknown;
   sendId: string;
@@ -31,7 +31,10 @@
 export type ConfigurationUpdates = Readonly<{
   replace: (order: PlacementUpdate) => Promise<Either.Either<Fault, Readonly<{ version: number }>>>;
   /** Of two external versions the higher stands; a lower one, or the same again, changes nothing and is right all the same. */
-  replaceExternal: (external: ExternalVersion, sheet: Sheet) => Promise<Either.Either<Fault, Readonly<{ version: number }>>>;
+  replaceExternal: (
+    external: ExternalVersion,
+    sheet: PlacementConfiguration,
+  ) => Promise<Either.Either<Fault, Readonly<{ version: number }>>>;
 }>;
 
 export type ConfigurationUpdateParts = Readonly<{
@@ -207,7 +210,10 @@
     return Either.right(undefined);
   }
 
-  async function configure(external: ExternalVersion, sheet: Sheet): Promise<Either.Either<Fault, Readonly<{ version: number }>>> {
+  async function configure(
+    external: ExternalVersion,
+    sheet: PlacementConfiguration,
+  ): Promise<Either.Either<Fault, Readonly<{ version: number }>>> {
     const horizon = kernel.clock.now() + configureMilliseconds;
     const textDigest = documentDigest.ofText(external.source);
     const claimed = await claimNumber(external, textDigest, horizon);
--- a/packages/core/src/core-set-manager.ts
+++ b/packages/core/src/core-set-manager.ts
@@ -5,11 +5,11 @@
 import type { Request, CoreSet, Reply, Seat } from '@stallstall/message';
 import { quorum } from '@stallstall/quorum';
 import {
-  sameOccupant,
+  isSameOccupant,
   coreSetKey,
   coreSetChanges,
   type Acceptor,
-  type Confirmed,
+  type ConfirmedCores,
   type NumberedRegister,
   type CoreSetChanges,
 } from '@stallstall/register';
@@ -20,7 +20,7 @@
 import { learner } from './learner.js';
 
 export type CoreSetManagerParts = Readonly<{
-  node: Pick<Node, 'settings' | 'seat' | 'lastHeartbeatAt' | 'setFleet'>;
+  node: Pick<Node, 'settings' | 'ownSeat' | 'lastHeartbeatAt' | 'setFleet'>;
   register: Pick<NumberedRegister, 'inSet'>;
   callCore: CoreCall;
   cells: Acceptor;
@@ -79,11 +79,11 @@
   function ownSeat(): Seat {
     const known = parts.fleet();
     const disk = Option.isSome(known) ? known.value.disk : undefined;
-    return { ...node.seat(), ...(disk === undefined ? {} : { disk }) };
+    return { ...node.ownSeat(), ...(disk === undefined ? {} : { disk }) };
   }
 
   function isListed(set: CoreSet): boolean {
-    return set.seats.some((seat) => sameOccupant(seat, ownSeat()));
+    return set.seats.some((seat) => isSameOccupant(seat, ownSeat()));
   }
 
   const learning = learner.create(kernel, {
@@ -189,16 +189,16 @@
     const known = parts.fleet();
     if (Option.isNone(known)) return Option.none;
     const ask: Request<'adopt'> = { fleet: known.value.fleet, set };
-    if (seat.address === node.seat().address) return Option.some(await adopt(ask));
+    if (seat.address === node.ownSeat().address) return Option.some(await adopt(ask));
     // Whoever was silent for long would only be waited for; it hears of the set from whoever it reaches first.
     if (silent().includes(seat.node)) return Option.none;
     return parts.callCore(seat.address, 'adopt', ask, callMilliseconds);
   }
 
-  const steps: CoreSetChanges = coreSetChanges.create({ set: own, under: parts.register.inSet, adopt: askAdopt, observe: learn });
+  const steps: CoreSetChanges = coreSetChanges.create({ set: own, registerInSet: parts.register.inSet, adopt: askAdopt, observe: learn });
 
   /** A node that is listed with another disk, or elsewhere, has its own seat only; else whoever is gone goes first. */
-  function vacancies(occupant: Seat, set: CoreSet, confirmed: Confirmed): readonly string[] {
+  function vacancies(occupant: Seat, set: CoreSet, confirmed: ConfirmedCores): readonly string[] {
     if (quorum.seat(set, occupant.node) !== undefined) return [occupant.node];
     const gone = set.seats.map((seat) => seat.node).filter((core) => confirmed.silent.has(core) && !confirmed.standing.includes(core));
     return leaving ? [...gone, node.settings.node] : gone;
@@ -212,7 +212,7 @@
   async function join(ask: Request<'join'>): Promise<Reply<'join'>> {
     if (!cells.ready()) return { joined: false, reason: 'this core is not open yet' };
     const { seat } = ask;
-    const listed = own().seats.find((one) => sameOccupant(one, seat));
+    const listed = own().seats.find((one) => isSameOccupant(one, seat));
     if (listed?.address === seat.address) return { joined: true, reason: '', set: own() };
     if (listed === undefined) learnerAskedAt = kernel.clock.now();
     if (!mayBeVacant(seat)) return { joined: false, reason: 'no seat is vacant', set: own() };
@@ -251,8 +251,8 @@
 
   /** A core that came back at another address has itself listed there. */
   async function seeAddress(): Promise<void> {
-    const listed = own().seats.find((seat) => sameOccupant(seat, ownSeat()));
-    if (!cells.ready() || listed === undefined || listed.address === node.seat().address) return;
+    const listed = own().seats.find((seat) => isSameOccupant(seat, ownSeat()));
+    if (!cells.ready() || listed === undefined || listed.address === node.ownSeat().address) return;
     await join({ seat: ownSeat() });
   }
 
--- a/packages/core/src/data-folder.ts
+++ b/packages/core/src/data-folder.ts
@@ -4,8 +4,8 @@
 import { Type } from '@sinclair/typebox';
 import { fault, type Disk, type Fault, type Kernel } from '@stallstall/kernel';
 import { message, messages, SeatSchema } from '@stallstall/message';
-import { acceptor, coldPrefix, notesPrefix, registerPrefix } from '@stallstall/register';
-import { VoteSchema, votesPrefix } from './vote-store.js';
+import { acceptor, archiveStoragePrefix, reportStoragePrefix, registerStoragePrefix } from '@stallstall/register';
+import { VoteSchema, voteStoragePrefix } from './vote-store.js';
 
 /** Of what lies in a data folder. 1: the sheet's history inside its cell, no notes; 2: an archive and notes (design 4.6). */
 export const diskFormat = 2;
@@ -48,9 +48,9 @@
 
 /** Whether an entry that a core leans on can be read; others are of no matter. */
 function isReadable(key: string, value: unknown): boolean {
-  if (key.startsWith(registerPrefix)) return acceptor.isCellState(value);
-  if (key.startsWith(votesPrefix)) return message.matches(VoteSchema, value);
-  if (key.startsWith(notesPrefix)) return message.matches(messages.note.ask, value);
+  if (key.startsWith(registerStoragePrefix)) return acceptor.isCellState(value);
+  if (key.startsWith(voteStoragePrefix)) return message.matches(VoteSchema, value);
+  if (key.startsWith(reportStoragePrefix)) return message.matches(messages.note.ask, value);
   return true;
 }
 
@@ -74,7 +74,7 @@
 
 /** All that the folder holds but the archive; nothing, once a broken store has been given up for an empty one. */
 export async function readFolder(kernel: Kernel, disk: Disk, node: string): Promise<Either.Either<Fault, ReadonlyMap<string, unknown>>> {
-  const loaded = await disk.load(coldPrefix);
+  const loaded = await disk.load(archiveStoragePrefix);
   const lost = disk.lost();
   if (Option.isSome(lost) && Either.isRight(loaded) && !loaded.right.has('fleet')) kernel.log('disk.replaced', { reason: lost.value });
   const state = Either.isLeft(loaded) ? broken(loaded.left.message) : stateOf(loaded.right, node);
--- a/packages/core/src/fleet-bootstrap.ts
+++ b/packages/core/src/fleet-bootstrap.ts
@@ -21,7 +21,7 @@
 }>;
 
 export type FleetBootstrapParts = Readonly<{
-  node: Pick<Node, 'seat' | 'setFleet'>;
+  node: Pick<Node, 'ownSeat' | 'setFleet'>;
   cells: Pick<Acceptor, 'ready'>;
   disk: Pick<Disk, 'puts' | 'lost'>;
   record: FleetRecord;
@@ -142,7 +142,7 @@
 
   function onHello(reply: Reply<'hello'>, address: string): void {
     if (reply.role !== 'core' || reply.node === settings.node) return;
-    metCores.set(reply.node, { seat: { ...node.seat(), node: reply.node, address }, fleet: reply.fleet, at: kernel.clock.now() });
+    metCores.set(reply.node, { seat: { ...node.ownSeat(), node: reply.node, address }, fleet: reply.fleet, at: kernel.clock.now() });
     knownPuts = Math.max(knownPuts, reply.knownPuts);
     if (reply.fleet === '') return;
     const known = record.current();
@@ -215,7 +215,7 @@
   /** Proposes a fleet of everybody met, if this core is the one to do so. */
   async function propose(): Promise<void> {
     const others = [...metCores.values()].filter((core) => kernel.clock.now() - core.at < metMilliseconds);
-    const everyone = [node.seat(), ...others.map((core) => core.seat)].sort((left, right) => (left.node < right.node ? -1 : 1));
+    const everyone = [node.ownSeat(), ...others.map((core) => core.seat)].sort((left, right) => (left.node < right.node ? -1 : 1));
     if (!isGathered(everyone) || others.some((core) => core.fleet !== '')) return;
     const current = record.current();
     const known: Fleet = Option.isSome(current)
--- a/packages/core/src/index.ts
+++ b/packages/core/src/index.ts
@@ -129,7 +129,7 @@
   const notes = reportStore.create(kernel, disk, stored);
   const votes = coreVoteStore(disk, stored);
   const calls = coreCalls.create(kernel);
-  const copying = copyings.create(kernel, { call: calls.call, cells, notes, votes, stopped: () => stopped });
+  const stateTransfer = copyings.create(kernel, { call: calls.call, cells, notes, votes, stopped: () => stopped });
   const ownTarget: RegisterReplica = {
     core: settings.node,
     local: true,
@@ -161,14 +161,14 @@
   const node: Node = nodes.create(kernel, Option.isNone(parts) ? settings : { ...settings, seeds }, {
     role: 'core',
     votes: () => votes,
-    own: Option.some({
+    localReplica: Option.some({
       target: ownTarget,
       note: async (body) => Option.some(await storeReport(notes, standing, body)),
       accepted: cells.accepted,
     }),
-    caps: () => ({}),
+    connectionCaps: () => ({}),
     onApplied: wakeLessees,
-    onHello: (reply, address) => formation.onHelloReply(reply, address),
+    onHelloReply: (reply, address) => formation.onHelloReply(reply, address),
     ...(Option.isNone(parts) ? {} : { registered: registeredParts(parts.value) }),
   });
   const contact = contacts.create(kernel, node.majorityContactAt);
@@ -239,7 +239,7 @@
           open,
           changeSet: standAt,
           close,
-          copying,
+          copying: stateTransfer,
         },
         function change(now) {
           between = now;
@@ -272,7 +272,7 @@
     cells,
     disk,
     record,
-    copying,
+    copying: stateTransfer,
     votes,
     coreSet: () => coreSet,
     founding: parts,
@@ -366,12 +366,12 @@
   return { node, open: cells.ready, stop, drain };
 }
 
-export { claimsKept, claimTable as ledger, type ClaimTable as Ledger } from './claim-table.js';
+export { claimsKept, claimTable, type ClaimTable } from './claim-table.js';
 export { versionBytesMost, versionStore, type VersionStore } from './version-store.js';
 export const core = { start } as const;
 
 // For the exploration of design 10.4, which runs these over a network and disks of its own.
-export { coreSetManager as cores, type CoreSetManager as Cores } from './core-set-manager.js';
-export { stateTransfer as copying } from './state-transfer.js';
+export { coreSetManager, type CoreSetManager } from './core-set-manager.js';
+export { stateTransfer } from './state-transfer.js';
 export type { CoreCall } from './core-calls.js';
-export { setOf, coreSetViewOf as standingOf, type Fleet } from './fleet-record.js';
+export { setOf, coreSetViewOf, type Fleet } from './fleet-record.js';
--- a/packages/core/src/learner.ts
+++ b/packages/core/src/learner.ts
@@ -2,7 +2,7 @@
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Kernel } from '@stallstall/kernel';
 import type { CoreSet, Seat } from '@stallstall/message';
-import { catchUp, proposer, sameOccupant, type Acceptor, type NumberedRegister, type RegisterReplica } from '@stallstall/register';
+import { catchUp, proposer, isSameOccupant, type Acceptor, type NumberedRegister, type RegisterReplica } from '@stallstall/register';
 import type { CoreCall } from './core-calls.js';
 import type { StateTransfer } from './state-transfer.js';
 
@@ -47,7 +47,7 @@
   }
 
   function isSeated(set: CoreSet): boolean {
-    return set.seats.some((seat) => sameOccupant(seat, parts.seat()));
+    return set.seats.some((seat) => isSameOccupant(seat, parts.seat()));
   }
 
   function others(set: CoreSet): readonly Seat[] {
--- a/packages/core/src/member-registration.ts
+++ b/packages/core/src/member-registration.ts
@@ -14,7 +14,7 @@
   type MemberRegistry,
   type ReceivedBeat,
 } from '@stallstall/member-registry';
-import type { SheetMember } from '@stallstall/placement';
+import type { MemberPlacement } from '@stallstall/placement';
 import { rosterKey } from './data-folder.js';
 import { registryBroadcaster as spreaders } from './registry-broadcaster.js';
 
@@ -30,7 +30,7 @@
 export type MemberRegistration = Readonly<{
   lessor: LeaseGrantor;
   /** The members of a service, its leader among them. */
-  membersOf: (service: string) => readonly SheetMember[];
+  membersOf: (service: string) => readonly MemberPlacement[];
   /** Resolves to false when no majority of cores would know of the beat, so that the member turns to another core. */
   heartbeat: (registration: Registration) => Promise<boolean>;
   /** Resolves to true once a majority of cores knows that the member has left. */
@@ -151,7 +151,7 @@
   }
 
   /** A leader that no beat has named yet is not gone: liveness tells whether it is DOWN (design 7.1). */
-  function membersOf(service: string): readonly SheetMember[] {
+  function membersOf(service: string): readonly MemberPlacement[] {
     const members = roster.membersOf(service);
     const settled = node.electedPrimary(service);
     if (Option.isNone(settled) || Option.isSome(roster.recordOf(settled.value.primary))) return members;
--- a/packages/core/src/operators.ts
+++ b/packages/core/src/operators.ts
@@ -6,7 +6,7 @@
 import { fault, type Fault, type HttpRequest, type Kernel } from '@stallstall/kernel';
 import { message, type Entry } from '@stallstall/message';
 import { registerService } from '@stallstall/register';
-import type { Sheet } from '@stallstall/placement';
+import type { PlacementConfiguration } from '@stallstall/placement';
 
 export const ScopeSchema = Type.Object({
   /** The services whose members, rows and keys it may change; '*' stands for all. */
@@ -63,8 +63,8 @@
 }
 
 /** The services that differ between two sheets, by their members, their rows or the keys that reach them. */
-function changedServices(before: Sheet | undefined, after: Sheet): readonly string[] {
-  function facts(sheet: Sheet | undefined, service: string): string {
+function changedServices(before: PlacementConfiguration | undefined, after: PlacementConfiguration): readonly string[] {
+  function facts(sheet: PlacementConfiguration | undefined, service: string): string {
     return JSON.stringify([
       sheet?.services.filter((one) => one.service === service) ?? [],
       sheet?.rows.filter((one) => one.service === service) ?? [],
@@ -76,7 +76,11 @@
   return [...names].filter((service) => facts(before, service) !== facts(after, service));
 }
 
-function mayChange(caller: Caller, before: Sheet | undefined, after: Sheet): Either.Either<Fault, readonly string[]> {
+function mayChange(
+  caller: Caller,
+  before: PlacementConfiguration | undefined,
+  after: PlacementConfiguration,
+): Either.Either<Fault, readonly string[]> {
   const changed = changedServices(before, after);
   const beyond = changed.filter((service) => !covers(caller.scope, service));
   return beyond.length === 0 ? Either.right(changed) : Either.left(denied(`${caller.operator} may not change ${beyond.join(', ')}`));
--- a/packages/core/src/peer-handlers.ts
+++ b/packages/core/src/peer-handlers.ts
@@ -43,12 +43,12 @@
 
 /** What is noted counts for the set under which it was told: by who stands there before and after the sync (design 4.8). */
 export async function storeReport(notes: ReportStore, standing: CoreSetView | undefined, ask: Request<'note'>): Promise<Reply<'note'>> {
-  if (standing === undefined) return notes.keep(ask);
+  if (standing === undefined) return notes.store(ask);
   const { set, ...told } = ask;
   const newer = standing.newerThan(set ?? 0);
   const elsewhere: Reply<'note'> = { ready: false, floors: {}, ...(newer === undefined ? {} : { newer }) };
   if (set !== standing.number()) return elsewhere;
-  const reply = await notes.keep(told);
+  const reply = await notes.store(told);
   return set === standing.number() ? reply : elsewhere;
 }
 
@@ -89,7 +89,7 @@
       ready: Either.isRight(page) && cells.ready() && (standing === undefined || at.set !== undefined),
       ...at,
       votes: await votedEpochs(votes, cells),
-      notes: notes.all(),
+      notes: notes.snapshot(),
       ...(Either.isRight(page) ? page.right : { entries: [], next: '' }),
     };
   };
@@ -139,7 +139,7 @@
     join: async (ask) => (Option.isSome(coreSet) ? coreSet.value.join(ask) : table.join(ask)),
     note: (ask) => storeReport(notes, standing, ask),
     earlier: versions.earlier,
-    usageLook: (ask) => notes.look(ask.window),
+    usageLook: (ask) => notes.usageOf(ask.window),
     spread: async function spread(ask) {
       const taken = Option.isSome(registered) && (await registered.value.mergeBeats(ask.beats));
       return { taken: taken && cells.ready() };
--- a/packages/core/src/state-transfer.ts
+++ b/packages/core/src/state-transfer.ts
@@ -9,7 +9,7 @@
 export type StateTransferParts = Readonly<{
   call: CoreCall;
   cells: Acceptor;
-  notes: Pick<ReportStore, 'keep' | 'synced'>;
+  notes: Pick<ReportStore, 'store' | 'isSynced'>;
   votes: Pick<CoreVoteStore, 'epochs' | 'record'>;
   stopped: () => boolean;
 }>;
@@ -32,7 +32,7 @@
   const { cells, notes, votes } = parts;
 
   function mayBeCopied(wanted: CopiedSet, told: number | undefined): boolean {
-    return Option.isNone(wanted) ? told === undefined : catchUp.mayBeCopied(wanted.value, told);
+    return Option.isNone(wanted) ? told === undefined : catchUp.isEligibleSource(wanted.value, told);
   }
 
   async function pages(other: Seat, set: CopiedSet, epochs: Record<string, number>, given: () => boolean = () => false): Promise<boolean> {
@@ -47,8 +47,8 @@
       const merged = await Promise.all(
         entries.map((entry) => (acceptor.isCellState(entry.state) ? cells.merge(entry.key, entry.state) : false)),
       );
-      await notes.keep(noted);
-      if (!merged.every(Boolean) || !notes.synced()) {
+      await notes.store(noted);
+      if (!merged.every(Boolean) || !notes.isSynced()) {
         await kernel.clock.sleep(againMilliseconds);
         continue;
       }
--- a/packages/core/src/usage-reporting.ts
+++ b/packages/core/src/usage-reporting.ts
@@ -6,7 +6,7 @@
 import { message, type Entry, type Reply } from '@stallstall/message';
 import { singletonRole, type RoleLease, type PlatformCall, type PlatformCalls } from '@stallstall/election';
 import { quorum } from '@stallstall/quorum';
-import { reportStore, keptWindows, registerService, usageWindowMilliseconds, type ReportStore } from '@stallstall/register';
+import { reportStore, usageWindowsKept, registerService, usageWindowMilliseconds, type ReportStore } from '@stallstall/register';
 import type { Node } from '@stallstall/node';
 
 /**
@@ -67,7 +67,7 @@
     const replies = (
       await Promise.all(
         node.cores().map(async function ask(core): Promise<readonly Told[]> {
-          if (core.node === node.settings.node) return [notes.look(window)];
+          if (core.node === node.settings.node) return [notes.usageOf(window)];
           const held = node.peerOf(core.node);
           const reply = Option.isNone(held) ? Option.none : await held.value.call('usageLook', { window }, 500);
           return Option.isSome(reply) ? [reply.value] : [];
@@ -92,7 +92,7 @@
         const fixed = fixedOf(current);
         if (fixed.windows.some((known) => known.window >= window)) return Option.none;
         const added: FixedWindow = { window, counts: { ...counts }, sent: false };
-        return Option.some({ windows: [...fixed.windows, added].slice(-2 * keptWindows) });
+        return Option.some({ windows: [...fixed.windows, added].slice(-2 * usageWindowsKept) });
       },
       1_500,
     );
@@ -146,7 +146,7 @@
     if (Either.isLeft(read)) return;
     const known = fixedOf(read.right).windows;
     const newest = known.at(-1)?.window ?? last - 1;
-    for (let window = Math.max(newest + 1, last - keptWindows + 2); window <= last; window += 1) {
+    for (let window = Math.max(newest + 1, last - usageWindowsKept + 2); window <= last; window += 1) {
       const counts = await gather(window);
       if (Option.isNone(counts)) break;
       await fix(window, counts.value);
--- a/packages/core/src/version-store.ts
+++ b/packages/core/src/version-store.ts
@@ -6,7 +6,7 @@
 import { kernel as kernels, owner, type Disk, type Kernel } from '@stallstall/kernel';
 import { ballotZero, EarlierVersionSchema, message, type Request, type EarlierVersion, type Entry, type Reply } from '@stallstall/message';
 import type { Configuration, Node } from '@stallstall/node';
-import { acceptor, archivePrefix, coldPrefix, type CellState } from '@stallstall/register';
+import { acceptor, archivePrefix, archiveStoragePrefix, type CellState } from '@stallstall/register';
 
 /** What is kept of a version: what is carried along for later sends alone stays behind. */
 export type SentVersion = Omit<Configuration, 'recent' | 'history'>;
@@ -37,7 +37,7 @@
 export const versionsKept = 10_000;
 /** And no more than so many bytes of them: the oldest go first. */
 export const versionBytesMost = 16 * 1024 * 1024;
-const prefix = `${coldPrefix}versions/`;
+const prefix = `${archiveStoragePrefix}versions/`;
 const pageBytes = 256 * 1024;
 const askedAtOnce = 50;
 const askMilliseconds = 1_000;
--- a/packages/core/src/vote-store.ts
+++ b/packages/core/src/vote-store.ts
@@ -6,7 +6,7 @@
 import type { Vote, VoteStore } from '@stallstall/election';
 
 /** Where votes lie in the data folder. */
-export const votesPrefix = 'vote/';
+export const voteStoragePrefix = 'vote/';
 export const VoteSchema = Type.Object({ epoch: Type.Integer({ minimum: 0 }), candidate: Type.String(), proposer: Type.String() });
 
 /** A vote for nobody: all it does is deny that epoch and those before it. */
@@ -19,7 +19,7 @@
 export function coreVoteStore(disk: Disk, stored: ReadonlyMap<string, unknown>): CoreVoteStore {
   const votes = owner.create('votes', new Map<string, Vote>());
   for (const [key, value] of stored)
-    if (key.startsWith(votesPrefix)) void votes.run((table) => void table.set(key.slice(votesPrefix.length), value as Vote));
+    if (key.startsWith(voteStoragePrefix)) void votes.run((table) => void table.set(key.slice(voteStoragePrefix.length), value as Vote));
   return {
     epochs: () => votes.run((table) => Object.fromEntries([...table].map(([service, vote]) => [service, vote.epoch]))),
     load: (service) => votes.run((table) => Either.right(Option.fromNullable(table.get(service)))),
@@ -28,7 +28,7 @@
       if (Option.isSome(disk.trouble())) return false;
       return votes.run(async function sync(table) {
         if ((table.get(service)?.epoch ?? 0) >= vote.epoch) return false;
-        const kept = await disk.put(`${votesPrefix}${service}`, vote);
+        const kept = await disk.put(`${voteStoragePrefix}${service}`, vote);
         if (Either.isLeft(kept)) return false;
         table.set(service, vote);
         return true;
--- a/packages/kernel/src/disk-health.ts
+++ b/packages/kernel/src/disk-health.ts
@@ -33,9 +33,9 @@
   }
 
   async function watched(commit: () => Promise<Either.Either<Fault, null>>): Promise<Either.Either<Fault, null>> {
-    const alarm = clock.startTimer(stallMilliseconds, () => change(Option.some(fault.diskStalled(stallMilliseconds))));
+    const timer = clock.startTimer(stallMilliseconds, () => change(Option.some(fault.diskStalled(stallMilliseconds))));
     const outcome = await commit();
-    alarm.cancel();
+    timer.cancel();
     change(Either.isLeft(outcome) ? Option.some(outcome.left) : Option.none);
     return outcome;
   }
--- a/packages/kernel/src/waiters.ts
+++ b/packages/kernel/src/waiters.ts
@@ -12,9 +12,9 @@
 
   function hold(milliseconds: number): Promise<void> {
     return new Promise((resolve) => {
-      const alarm = clock.startTimer(milliseconds, over);
+      const timer = clock.startTimer(milliseconds, over);
       function over(): void {
-        alarm.cancel();
+        timer.cancel();
         waiting.delete(over);
         resolve();
       }
--- a/packages/lease/src/commit-watermarks.ts
+++ b/packages/lease/src/commit-watermarks.ts
@@ -1,14 +1,20 @@
-// How far each service's commits reach, as all edges together have seen it (design 8.11).
-import { identifiers, type Instant, type Kernel } from '@stallstall/kernel';
-import type { LogPosition, CommitWatermarks } from '@stallstall/message';
-import { marginMilliseconds, termMilliseconds } from '@stallstall/quorum-lease';
+/** How far each service's commits reach, as all edges together have seen it (design 8.11). */
+import { identifiers, type Clock, type Instant } from '@stallstall/kernel';
+import type { CommitWatermarks, LogPosition } from '@stallstall/message';
+import { leaseMarginMilliseconds, leaseTermMilliseconds } from '@stallstall/quorum-lease';
 
-export type CommitWatermarkTable = Readonly<{
-  /** What an edge has seen of leaders, and how far the commits reach that its senders were told of so long ago. */
-  report: (node: string, seen: CommitWatermarks, commits: Readonly<Record<string, LogPosition>>, agoMilliseconds: number) => void;
-  /** Another process runs as this edge: what the one before acknowledged last it may have told nobody. `as`: the name its telling goes on under. */
-  processRestarted: (node: string, as: string) => void;
-  all: (lessees: KnownLeaseHolders) => Record<string, { term: number; number: number; ago: number }>;
+/** A position that covers whatever was acknowledged up to a moment of this process's clock. */
+export type CommitWatermark = Readonly<{ position: LogPosition; at: Instant }>;
+
+/** What an edge reports of a service's commits. */
+export type CommitReport = Readonly<{
+  node: string;
+  /** How far this edge has seen each leader's log reach, and as of when. */
+  seen: CommitWatermarks;
+  /** The commits that its clients were told of, by service. */
+  commits: Readonly<Record<string, LogPosition>>;
+  /** How long ago, at the most, `commits` was all there was to report. Unit: milliseconds. */
+  agoMilliseconds: number;
 }>;
 
 /** Who may have acknowledged commits, as far as this core can tell. */
@@ -17,81 +23,107 @@
   edges: readonly string[];
   /** When each of them asked for leases last. */
   askedAt: ReadonlyMap<string, Instant>;
-  /** Until then others may have held leases that an earlier process or occupant of this core's seat granted. */
+  /** Until then others may hold leases that an earlier process or occupant of this core's seat granted. */
   unknownHoldersUntil: Instant;
 }>;
 
-type Mark = Readonly<{ position: LogPosition; at: Instant }>;
+export type CommitWatermarkTable = Readonly<{
+  report: (report: CommitReport) => void;
+  /**
+   * Another process runs as this edge: what the one before acknowledged last it may have reported to nobody.
+   * @param as - the name under which the earlier process's reports are kept
+   */
+  processRestarted: (node: string, as: string) => void;
+  /** The watermark of each service, as the lease reply carries it. */
+  all: (holders: KnownLeaseHolders) => Record<string, { term: number; number: number; ago: number }>;
+}>;
+
+type TableState = Readonly<{
+  clock: Clock;
+  reportedAt: Map<string, Instant>;
+  watermarks: Map<string, CommitWatermark>;
+  commits: Map<string, LogPosition>;
+}>;
 
 /** After so long an edge that says nothing acknowledges nothing more: its leases have ended. */
-const endedMilliseconds = termMilliseconds + marginMilliseconds;
+const leaseEndedMilliseconds = leaseTermMilliseconds + leaseMarginMilliseconds;
 
-function compare(left: LogPosition, right: LogPosition): number {
+/** Orders positions: the term first, then the number. */
+export function comparePositions(left: LogPosition, right: LogPosition): number {
   return left.term === right.term ? left.number - right.number : left.term - right.term;
 }
 
 /** The later of two moments. */
-export function later(left: Instant, right: Instant | undefined): Instant {
+export function laterOf(left: Instant, right: Instant | undefined): Instant {
   return right === undefined || left > right ? left : right;
 }
 
-function create(kernel: Kernel): CommitWatermarkTable {
-  const toldAt = new Map<string, Instant>();
-  const commitWatermarkTable = new Map<string, Mark>();
-  const commits = new Map<string, LogPosition>();
-
-  function told(node: string, seen: CommitWatermarks, committed: Readonly<Record<string, LogPosition>>, agoMilliseconds: number): void {
-    const now = kernel.clock.now();
-    toldAt.set(node, later(identifiers.after(now, -agoMilliseconds), toldAt.get(node)));
-    for (const [service, position] of Object.entries(committed)) {
-      const known = commits.get(service);
-      if (known === undefined || compare(position, known) > 0) commits.set(service, { term: position.term, number: position.number });
-    }
-    for (const [service, mark] of Object.entries(seen)) {
-      const at = identifiers.after(now, -mark.ago);
-      const known = commitWatermarkTable.get(service);
-      if (known === undefined || at > known.at)
-        commitWatermarkTable.set(service, { at, position: { term: mark.term, number: mark.number } });
-    }
+function report(
+  { clock, reportedAt, watermarks, commits }: TableState,
+  { node, seen, commits: told, agoMilliseconds }: CommitReport,
+): void {
+  const now = clock.now();
+  reportedAt.set(node, laterOf(identifiers.after(now, -agoMilliseconds), reportedAt.get(node)));
+  for (const [service, { term, number }] of Object.entries(told)) {
+    const known = commits.get(service);
+    if (known === undefined || comparePositions({ term, number }, known) > 0) commits.set(service, { term, number });
   }
-
-  /**
-   * While no leader replies, what edges were told still grows: a commit is known to some edge before its sender hears of it. Once every
-   * edge that may have acknowledged anything since the last mark has told again, the highest commit covers all up to the earliest telling.
-   */
-  function composed(mark: Mark, commit: LogPosition, { edges, askedAt, unknownHoldersUntil: strangersUntil }: KnownLeaseHolders): Mark {
-    // An edge that this core never met may have acknowledged something since the mark, and tells it nothing.
-    if (mark.at < strangersUntil) return mark;
-    let earliest = kernel.clock.now();
-    for (const edge of edges) {
-      // One that asked for no lease since so long before the mark has acknowledged nothing that the mark does not cover.
-      if ((askedAt.get(edge) ?? mark.at) + endedMilliseconds <= mark.at) continue;
-      const at = toldAt.get(edge) ?? identifiers.instant(Number.NEGATIVE_INFINITY);
-      if (at < earliest) earliest = at;
-    }
-    if (earliest <= mark.at) return mark;
-    return { at: earliest, position: compare(commit, mark.position) > 0 ? commit : mark.position };
+  for (const [service, { term, number, ago }] of Object.entries(seen)) {
+    const at = identifiers.after(now, -ago);
+    const known = watermarks.get(service);
+    if (known === undefined || at > known.at) watermarks.set(service, { at, position: { term, number } });
   }
+}
 
-  function beganAnew(node: string, as: string): void {
-    const at = toldAt.get(node);
-    toldAt.delete(node);
-    if (at !== undefined) toldAt.set(as, at);
+/** When every edge that may have acknowledged anything since the watermark has reported; the earliest of their reports. */
+function allReportedAt({ clock, reportedAt }: TableState, watermark: CommitWatermark, { edges, askedAt }: KnownLeaseHolders): Instant {
+  let earliest = clock.now();
+  for (const edge of edges) {
+    // One that asked for no lease since so long before the watermark has acknowledged nothing that the watermark does not cover.
+    if ((askedAt.get(edge) ?? watermark.at) + leaseEndedMilliseconds <= watermark.at) continue;
+    const at = reportedAt.get(edge) ?? identifiers.instant(Number.NEGATIVE_INFINITY);
+    if (at < earliest) earliest = at;
   }
+  return earliest;
+}
+
+/**
+ * While no leader replies, what edges were told still grows: a commit is known to some edge before its client hears of it. Once every
+ * edge that may have acknowledged anything since the last watermark has reported again, the highest commit covers all up to the earliest
+ * report.
+ */
+function advanced(table: TableState, watermark: CommitWatermark, commit: LogPosition, holders: KnownLeaseHolders): CommitWatermark {
+  // An edge that this core never heard of may have acknowledged something since the watermark, and reports nothing here.
+  if (watermark.at < holders.unknownHoldersUntil) return watermark;
+  const at = allReportedAt(table, watermark, holders);
+  if (at <= watermark.at) return watermark;
+  return { at, position: comparePositions(commit, watermark.position) > 0 ? commit : watermark.position };
+}
+
+function processRestarted({ reportedAt }: TableState, node: string, as: string): void {
+  const at = reportedAt.get(node);
+  reportedAt.delete(node);
+  if (at !== undefined) reportedAt.set(as, at);
+}
+
+function all(table: TableState, holders: KnownLeaseHolders): Record<string, { term: number; number: number; ago: number }> {
+  const now = table.clock.now();
+  const rows = [...table.watermarks].map(function row([service, watermark]) {
+    const commit = table.commits.get(service) ?? watermark.position;
+    const { at, position } = advanced(table, watermark, commit, holders);
+    return [service, { term: position.term, number: position.number, ago: Math.max(0, now - at) }] as const;
+  });
+  return Object.fromEntries(rows);
+}
 
+function create(clock: Clock): CommitWatermarkTable {
+  const table: TableState = { clock, reportedAt: new Map(), watermarks: new Map(), commits: new Map() };
   return {
-    report: told,
-    processRestarted: beganAnew,
-    all: function all(lessees) {
-      const now = kernel.clock.now();
-      return Object.fromEntries(
-        [...commitWatermarkTable].map(([service, mark]) => {
-          const { at, position } = composed(mark, commits.get(service) ?? mark.position, lessees);
-          return [service, { term: position.term, number: position.number, ago: Math.max(0, now - at) }];
-        }),
-      );
-    },
+    report: (given) => report(table, given),
+    processRestarted: (node, as) => processRestarted(table, node, as),
+    all: (holders) => all(table, holders),
   };
 }
 
+/** @internal */
 export const commitWatermarkTable = { create } as const;
--- /dev/null
+++ b/packages/lease/src/holder-state.ts
@@ -0,0 +1,98 @@
+/** The keys that an edge acts by, as a majority of cores has pushed them (design 5.2, 5.6). */
+import * as Option from 'fp-ts/lib/Option.js';
+import type { Ballot, Change, ElectedPrimary } from '@stallstall/message';
+import { appliedValues, type Applied, type Configuration } from '@stallstall/node';
+import {
+  contentFetcher,
+  durableReports,
+  proposer,
+  watcher,
+  type ContentLink,
+  type CoreSetSource,
+  type DurableReports,
+  type RegisterReplica,
+  type ReportReplica,
+} from '@stallstall/register';
+import type { Peer } from '@stallstall/peer';
+import type { HolderContext } from './holder-context.js';
+
+/** @internal */
+export type HolderState = Readonly<{
+  reports: DurableReports;
+  configuration: () => Option.Option<Applied<Configuration>>;
+  electedPrimary: (service: string) => Option.Option<ElectedPrimary>;
+  /** The services of the applied configuration. */
+  services: () => readonly string[];
+  receive: (core: string, link: ContentLink, change: Change) => void;
+  /** The ballot of the newest configuration whose content is known here. */
+  contentBallot: () => Ballot;
+  recount: () => void;
+  resolve: () => void;
+}>;
+
+type LinkOf = (core: string) => Peer | undefined;
+
+function registerReplicas({ cores }: HolderContext, linkOf: LinkOf): readonly RegisterReplica[] {
+  return cores.map(({ node }): RegisterReplica => ({
+    core: node,
+    send: async function send(kind, body, milliseconds) {
+      const link = linkOf(node);
+      return link === undefined ? Option.none : link.call(kind, body, milliseconds);
+    },
+  }));
+}
+
+function reportReplicas({ cores }: HolderContext, linkOf: LinkOf): readonly ReportReplica[] {
+  return cores.map(({ node }): ReportReplica => {
+    return async function send(body, milliseconds) {
+      const link = linkOf(node);
+      return link === undefined ? Option.none : link.call('note', body, milliseconds);
+    };
+  });
+}
+
+/** @param observeCoreSet - called with a set of cores that any core reported */
+function create(context: HolderContext, linkOf: LinkOf, observeCoreSet: CoreSetSource['observe']): HolderState {
+  const { kernel, settings, parts } = context;
+  const coreSets: CoreSetSource = { number: () => context.setNumber, observe: observeCoreSet };
+  function coreCount(): number {
+    return context.cores.length;
+  }
+  const register = proposer.create(kernel, settings.node, () => registerReplicas(context, linkOf), coreCount, coreSets);
+  const watch = watcher.create(
+    kernel,
+    register,
+    coreCount,
+    function onApplied(key, entry) {
+      kernel.log('lease-holder.applied', { key, version: entry.version });
+      parts.onChange();
+    },
+    { number: coreSets.number, includes: (core) => context.cores.some((one) => one.node === core) },
+  );
+  const contents = contentFetcher.create(kernel, {
+    set: coreSets.number,
+    deliver: watch.receive,
+    stopped: () => context.isStopped,
+  });
+
+  function configuration(): Option.Option<Applied<Configuration>> {
+    return appliedValues.configuration(watch.applied('configuration'));
+  }
+
+  return {
+    reports: durableReports.create(() => reportReplicas(context, linkOf), coreCount, coreSets),
+    configuration,
+    electedPrimary: (service) => appliedValues.electedPrimary(watch.applied(`epoch/${service}`)),
+    services: function services() {
+      const current = configuration();
+      return Option.isSome(current) ? current.value.value.sheet.services.map((service) => service.service) : [];
+    },
+    receive: (core, link, change) => contents.receive(core, Option.some(link), change),
+    contentBallot: contents.latestBallot,
+    recount: watch.recount,
+    resolve: watch.resolve,
+  };
+}
+
+/** @internal */
+export const holderState = { create } as const;
--- a/packages/member-registry/src/index.ts
+++ b/packages/member-registry/src/index.ts
@@ -2,7 +2,7 @@
 import * as Option from 'fp-ts/lib/Option.js';
 import { identifiers, kernel as kernels, type Instant, type Kernel } from '@stallstall/kernel';
 import type { MemberRecord } from '@stallstall/message';
-import type { SheetMember } from '@stallstall/placement';
+import type { MemberPlacement } from '@stallstall/placement';
 import { livenessService } from '@stallstall/election';
 
 /** What a member tells of itself with each beat. */
@@ -27,7 +27,7 @@
   /** What has changed since a number. */
   changedSince: (version: number) => readonly MemberRecord[];
   recordOf: (member: string) => Option.Option<MemberRecord>;
-  membersOf: (service: string) => readonly SheetMember[];
+  membersOf: (service: string) => readonly MemberPlacement[];
   /** Looks for members that went silent, or are heard again. */
   sweep: () => void;
 }>;
@@ -158,7 +158,7 @@
     membersOf: (service) =>
       [...table.values()]
         .filter((known) => known.entry.service === service && !known.entry.gone)
-        .map(({ entry }): SheetMember => ({
+        .map(({ entry }): MemberPlacement => ({
           member: entry.member,
           area: entry.area,
           address: entry.address,
--- /dev/null
+++ b/packages/node/src/applied-values.ts
@@ -0,0 +1,24 @@
+/** Reads the values of watched keys from the entries of the register. */
+import * as Option from 'fp-ts/lib/Option.js';
+import { ElectedPrimarySchema, MembershipSchema, message, type ElectedPrimary, type Entry, type Membership } from '@stallstall/message';
+import { quorum } from '@stallstall/quorum';
+import type { Applied, Configuration } from './configuration.js';
+
+function configuration(entry: Option.Option<Entry>): Option.Option<Applied<Configuration>> {
+  if (Option.isNone(entry)) return Option.none;
+  return Option.some({ version: entry.value.version, value: entry.value.value as Configuration });
+}
+
+/** None where there is no entry, or one that does not hold an elected primary. */
+function electedPrimary(entry: Option.Option<Entry>): Option.Option<ElectedPrimary> {
+  if (Option.isNone(entry) || !message.matches(ElectedPrimarySchema, entry.value.value)) return Option.none;
+  return Option.some(entry.value.value);
+}
+
+/** The empty table, at version 0, where there is no entry. */
+function membership(entry: Option.Option<Entry>): Applied<Membership> {
+  if (Option.isNone(entry) || !message.matches(MembershipSchema, entry.value.value)) return { version: 0, value: quorum.empty };
+  return { version: entry.value.version, value: entry.value.value };
+}
+
+export const appliedValues = { configuration, electedPrimary, membership } as const;
--- /dev/null
+++ b/packages/node/src/heartbeats.ts
@@ -0,0 +1,101 @@
+/** Heartbeats between nodes: each reports its epochs, its connection caps and the membership it acts by (design 3.4, 7.3). */
+import * as Option from 'fp-ts/lib/Option.js';
+import type { Instant } from '@stallstall/kernel';
+import type { Reply, Request } from '@stallstall/message';
+import type { Peer } from '@stallstall/peer';
+import type { QuorumLease } from '@stallstall/quorum-lease';
+import type { AppliedState } from './applied-state.js';
+import type { Incarnations } from './incarnations.js';
+import { callMilliseconds, type NodeContext } from './node-context.js';
+
+/** What a node reported with its newest heartbeat, and when it arrived. @internal */
+export type HeartbeatReport = Readonly<{
+  membership: number;
+  epochs: Readonly<Record<string, number>>;
+  caps: Readonly<Record<string, number>>;
+  at: Instant;
+}>;
+
+/** @internal */
+export type Heartbeats = Readonly<{
+  send: (node: string, link: Peer) => Promise<void>;
+  receive: (request: Request<'beat'>) => Reply<'beat'>;
+  /** None for a node that has reported nothing yet. */
+  reportOf: (node: string) => Option.Option<HeartbeatReport>;
+  forget: (node: string) => void;
+}>;
+
+/** @internal */
+export type HeartbeatParts = Readonly<{
+  applied: AppliedState;
+  incarnations: Incarnations;
+  lease: QuorumLease;
+  /** The epochs that this node counts for. */
+  epochs: () => Readonly<Record<string, number>>;
+  linkOf: (node: string) => Peer | undefined;
+  recordReply: (node: string, sentAt: Instant) => void;
+  observeCoreSet: (set: NonNullable<Reply<'hello'>['set']>) => void;
+  onSuperseded: () => void;
+}>;
+
+type Report = Readonly<Pick<Reply<'beat'>, 'epochs' | 'caps' | 'membership'>>;
+
+function create(context: NodeContext, parts: HeartbeatParts): Heartbeats {
+  const { kernel, settings, registration } = context;
+  const { applied, incarnations, linkOf } = parts;
+  const reports = new Map<string, HeartbeatReport>();
+
+  /** Where edges hold leases no core holds one of its own: cores tell edges their epochs, and each other only that they run. */
+  function ownReport(): Report {
+    const epochs = Option.isSome(registration) ? {} : { ...parts.epochs() };
+    return { epochs, caps: { ...context.parts.connectionCaps() }, membership: applied.membership().version };
+  }
+
+  function keep(node: string, { membership, epochs, caps }: Report): void {
+    reports.set(node, { membership, epochs, caps, at: kernel.clock.now() });
+  }
+
+  async function fetchNewerSet(link: Peer): Promise<void> {
+    const request = { seat: context.ownSeat, incarnation: incarnations.own(), fleet: context.fleet };
+    const reply = await link.call('hello', request, callMilliseconds);
+    if (Option.isSome(reply) && reply.value.fleet === context.fleet && reply.value.set !== undefined) parts.observeCoreSet(reply.value.set);
+  }
+
+  /** Whichever of the two nodes is behind is told of the newer set of cores (design 4.8). */
+  function exchangeCoreSet(link: Peer, reportedNumber: number): void {
+    if (Option.isNone(context.coreSet)) return;
+    const { value: set } = context.coreSet;
+    if (reportedNumber > set.number) void fetchNewerSet(link);
+    // One that is behind may have no link to anybody who is further.
+    if (reportedNumber < set.number) void link.call('adopt', { fleet: context.fleet, set }, callMilliseconds);
+  }
+
+  async function send(node: string, link: Peer): Promise<void> {
+    if (incarnations.own() === 0 || !link.connected()) return;
+    const sentAt = kernel.clock.now();
+    const request = { node: settings.node, incarnation: incarnations.own(), ...ownReport() };
+    const reply = await link.call('beat', request, callMilliseconds);
+    if (Option.isNone(reply) || linkOf(node) !== link) return;
+    if (reply.value.superseded) return parts.onSuperseded();
+    parts.recordReply(node, sentAt);
+    keep(node, reply.value);
+    exchangeCoreSet(link, reply.value.membership);
+    parts.lease.recordEcho(node, { sentAt, epochs: reply.value.epochs });
+  }
+
+  function receive(request: Request<'beat'>): Reply<'beat'> {
+    const superseded = incarnations.isSuperseded(request.node, request.incarnation);
+    if (!superseded) keep(request.node, request);
+    return { ...ownReport(), superseded };
+  }
+
+  return {
+    send,
+    receive,
+    reportOf: (node) => Option.fromNullable(reports.get(node)),
+    forget: (node) => void reports.delete(node),
+  };
+}
+
+/** @internal */
+export const heartbeats = { create } as const;
--- /dev/null
+++ b/packages/node/src/incarnations.ts
@@ -0,0 +1,70 @@
+/** A restart is the same node with a later incarnation; the register hands the number out (design 4.1). */
+import * as Either from 'fp-ts/lib/Either.js';
+import * as Option from 'fp-ts/lib/Option.js';
+import { fault, type Fault } from '@stallstall/kernel';
+import type { Register } from '@stallstall/register';
+import type { NodeContext } from './node-context.js';
+
+/** @internal */
+export type Incarnations = Readonly<{
+  /** This process's own; 0 until the register has handed it out. */
+  own: () => number;
+  /** Keeps the latest incarnation of a node; true when a later one than this is known. */
+  isSuperseded: (node: string, incarnation: number) => boolean;
+  /** Resolves once this process has its number, has been superseded or has stopped. */
+  acquire: () => Promise<void>;
+  /** Why this process must not go on once another runs as the same node. */
+  supersededFault: () => Fault;
+}>;
+
+type IncarnationRecord = Readonly<{ number: number; token: string }>;
+
+const retryMilliseconds = 50;
+
+/** @param onSuperseded - called when another process runs as this node */
+function create(context: NodeContext, register: Register, onSuperseded: () => void): Incarnations {
+  const { kernel, settings } = context;
+  const latest = new Map<string, number>();
+  let own = 0;
+
+  /** Takes the next number under this process's token; none while the register does not reply. */
+  async function takeNumber(token: string): Promise<Option.Option<IncarnationRecord>> {
+    const changed = await register.change(`incarnation/${settings.node}`, function next(current) {
+      const record = Option.isSome(current) ? (current.value.value as IncarnationRecord) : { number: 0, token: '' };
+      return record.token === token ? Option.none : Option.some({ number: record.number + 1, token });
+    });
+    if (Either.isLeft(changed) || Option.isNone(changed.right.entry)) return Option.none;
+    return Option.some(changed.right.entry.value.value as IncarnationRecord);
+  }
+
+  async function acquire(): Promise<void> {
+    const token = kernel.randomness.token();
+    while (!context.isStopped && own === 0) {
+      await kernel.clock.sleep(retryMilliseconds);
+      if (context.cores.length === 0) continue;
+      const record = await takeNumber(token);
+      if (Option.isNone(record)) continue;
+      if (record.value.token !== token) return onSuperseded();
+      own = record.value.number;
+    }
+  }
+
+  function isSuperseded(node: string, incarnation: number): boolean {
+    const known = latest.get(node) ?? 0;
+    if (incarnation > known) latest.set(node, incarnation);
+    return incarnation < known;
+  }
+
+  function supersededFault(): Fault {
+    return fault.create({
+      kind: 'superseded',
+      message: `another process runs as ${settings.node} with a later incarnation than ${own}`,
+      remedy: 'run one process for each node id, or give this one an id of its own',
+    });
+  }
+
+  return { own: () => own, isSuperseded, acquire, supersededFault };
+}
+
+/** @internal */
+export const incarnations = { create } as const;
--- /dev/null
+++ b/packages/node/src/node-context.ts
@@ -0,0 +1,28 @@
+/** What the modules of a node share. */
+import type * as Option from 'fp-ts/lib/Option.js';
+import type { Kernel } from '@stallstall/kernel';
+import type { CoreSet, Seat } from '@stallstall/message';
+import type { NodeParts, RegistrationSupport } from './node-parts.js';
+import type { NodeSettings } from './node-settings.js';
+
+/** How often a node sends heartbeats, watches cores and looks for elections. Unit: milliseconds. */
+export const heartbeatMilliseconds = 200;
+
+/** What a call between nodes may take. Unit: milliseconds. @internal */
+export const callMilliseconds = 800;
+
+/** @internal */
+export type NodeContext = {
+  readonly kernel: Kernel;
+  readonly settings: NodeSettings;
+  readonly parts: NodeParts;
+  readonly registration: Option.Option<RegistrationSupport>;
+  readonly ownSeat: Seat;
+  /** The cores that this node asks and counts majorities of. */
+  cores: readonly Seat[];
+  /** The set of cores, where it may change (design 4.8). */
+  coreSet: Option.Option<CoreSet>;
+  /** The fleet's id; empty until it is found. */
+  fleet: string;
+  isStopped: boolean;
+};
--- /dev/null
+++ b/packages/node/src/node.ts
@@ -0,0 +1,367 @@
+/** What a core and an agent share: discovery, heartbeats, applied keys, failure detection, leases and election (design 3, 4). */
+import * as Option from 'fp-ts/lib/Option.js';
+import { election, electionService, liveness, livenessService, type Election, type Liveness } from '@stallstall/election';
+import { fault, identifiers, kernel as kernels, type Fault, type HttpRoute, type Instant, type Kernel } from '@stallstall/kernel';
+import type { Change, CoreSet, ElectedPrimary, Membership, Reply, Seat } from '@stallstall/message';
+import type { Handlers, Peer } from '@stallstall/peer';
+import { quorum } from '@stallstall/quorum';
+import { quorumLease, quorumLeaseService, type QuorumLease } from '@stallstall/quorum-lease';
+import type { DurableReports } from '@stallstall/register';
+import { appliedState, type AppliedState } from './applied-state.js';
+import type { Applied, Configuration } from './configuration.js';
+import { coreWatch, type CoreWatch } from './core-watch.js';
+import { heartbeats as heartbeatTables, type HeartbeatReport, type Heartbeats } from './heartbeats.js';
+import { incarnations as incarnationTables, type Incarnations } from './incarnations.js';
+import { memberRoutes } from './member-routes.js';
+import { membershipJoin } from './membership-join.js';
+import { heartbeatMilliseconds, type NodeContext } from './node-context.js';
+import type { NodeParts } from './node-parts.js';
+import type { NodeSettings } from './node-settings.js';
+import { peerLinks, type PeerLinks } from './peer-links.js';
+import { registerAccess } from './register-access.js';
+import { seedDiscovery, type SeedDiscovery } from './seed-discovery.js';
+
+/** Connection caps by service. */
+export type ConnectionCaps = Readonly<Record<string, number>>;
+
+/** What a node reported of itself: the membership version it acts by, and its epoch for each service. */
+export type ReportedEpochs = Readonly<{ node: string; membership: number; epochs: Readonly<Record<string, number>> }>;
+
+export type Node = Readonly<{
+  settings: NodeSettings;
+  handlers: Handlers;
+  routes: readonly HttpRoute[];
+  configuration: () => Option.Option<Applied<Configuration>>;
+  membership: () => Applied<Membership>;
+  electedPrimary: (service: string) => Option.Option<ElectedPrimary>;
+  /** When a majority of cores last confirmed that nothing newer than what is applied here is acknowledged, plus a term. */
+  configurationLeaseUntil: () => Instant;
+  /** When this node's lease for a service ends; in the past while it holds none. */
+  serviceLeaseUntil: (service: string) => Instant;
+  durableReports: DurableReports;
+  /** What every other edge reported last of its caps; none for one that has reported nothing yet. */
+  connectionCapsOfOthers: () => ReadonlyArray<Option.Option<ConnectionCaps>>;
+  /** The epoch that this node counts for, by service (design 7.3). */
+  epochs: () => Readonly<Record<string, number>>;
+  /** This node's epochs, and those of every other node that has reported any. */
+  reportedEpochs: () => readonly ReportedEpochs[];
+  lastHeartbeatAt: (node: string) => Option.Option<Instant>;
+  /** The latest moment after which a majority of cores, this node included where it is one, was asked and has replied (design 7.14). */
+  majorityContactAt: () => Instant;
+  peerOf: (node: string) => Option.Option<Peer>;
+  cores: () => readonly Seat[];
+  setCores: (cores: readonly Seat[]) => void;
+  /** Counts majorities of this set of cores from now on, where it may change: it is the membership table as well (design 4.8). */
+  followCoreSet: (set: CoreSet) => void;
+  incarnation: () => number;
+  ownSeat: () => Seat;
+  /** The fleet's id; empty until it is found. */
+  fleet: () => string;
+  setFleet: (fleet: string) => void;
+  /** Takes what a core's own disk accepted, as if it had been pushed. */
+  receiveOwnChange: (core: string, change: Change) => void;
+  /** Whether a later incarnation of that node is known here. */
+  isStale: (node: string, incarnation: number) => boolean;
+  start: () => void;
+  stop: () => void;
+}>;
+
+/** The parts of a running node. */
+type Assembly = Readonly<{
+  context: NodeContext;
+  links: PeerLinks;
+  reports: DurableReports;
+  applied: AppliedState;
+  incarnations: Incarnations;
+  watch: CoreWatch;
+  heartbeats: Heartbeats;
+  discovery: SeedDiscovery;
+  members: Liveness;
+  lease: QuorumLease;
+  elections: Election;
+  wasListed: { current: boolean };
+}>;
+
+const proposeMilliseconds = 2_900;
+
+function createContext(kernel: Kernel, settings: NodeSettings, parts: NodeParts): NodeContext {
+  return {
+    kernel,
+    settings,
+    parts,
+    registration: Option.fromNullable(parts.registered),
+    ownSeat: {
+      node: settings.node,
+      role: parts.role,
+      area: settings.area,
+      address: settings.address,
+      outward: settings.outward,
+      draining: false,
+    },
+    cores: [],
+    coreSet: Option.none,
+    fleet: '',
+    isStopped: false,
+  };
+}
+
+function stop({ context, links, members }: Assembly): void {
+  context.isStopped = true;
+  links.closeAll();
+  members.keepOnly(new Set());
+}
+
+/** Ends the process, which must not go on. */
+function endProcess(assembly: Assembly, reason: Fault): void {
+  if (assembly.context.isStopped) return;
+  stop(assembly);
+  assembly.context.kernel.stop(reason);
+}
+
+function departedFault(node: string): Fault {
+  return fault.create({
+    kind: 'departed',
+    message: `${node} was taken out of the membership table`,
+    remedy: 'start it again only if it is to join anew',
+  });
+}
+
+function onMembershipChanged(assembly: Assembly): void {
+  const { context, links, heartbeats, lease, applied, wasListed } = assembly;
+  const { settings } = context;
+  const table = applied.membership().value;
+  const isListed = quorum.seat(table, settings.node) !== undefined;
+  // A core that is of its set no more goes on without a seat, and may be given another (design 4.8).
+  if (wasListed.current && !isListed && Option.isNone(context.coreSet)) return endProcess(assembly, departedFault(settings.node));
+  wasListed.current = isListed;
+  for (const seat of table.seats) if (seat.node !== settings.node) links.ensure(seat);
+  const closed = links.retain((node) => quorum.seat(table, node) !== undefined || context.cores.some((core) => core.node === node));
+  for (const node of closed) {
+    heartbeats.forget(node);
+    lease.forget(node);
+  }
+}
+
+function setCores({ context, links }: Assembly, cores: readonly Seat[]): void {
+  context.cores = cores;
+  for (const core of cores) if (core.node !== context.settings.node) links.ensure(core);
+}
+
+function followCoreSet(assembly: Assembly, set: CoreSet): void {
+  const { context, applied, watch } = assembly;
+  watch.onCoreSet(set);
+  context.coreSet = Option.some(set);
+  setCores(assembly, set.seats);
+  onMembershipChanged(assembly);
+  applied.recount();
+}
+
+function epochs({ applied, elections }: Assembly): Readonly<Record<string, number>> {
+  const current = applied.placement();
+  if (Option.isNone(current)) return {};
+  const byService: Record<string, number> = {};
+  for (const { service } of current.value.services) {
+    const epoch = elections.epochOf(service);
+    if (Option.isSome(epoch)) byService[service] = epoch.value;
+  }
+  return byService;
+}
+
+function otherNodes({ applied, context }: Assembly): readonly string[] {
+  const nodes = applied.membership().value.seats.map((seat) => seat.node);
+  return nodes.filter((node) => node !== context.settings.node);
+}
+
+function serviceLeaseUntil(assembly: Assembly, service: string): Instant {
+  const { context, applied, elections, lease, watch } = assembly;
+  const elected = applied.electedPrimary(service);
+  const ownEpoch = elections.epochOf(service);
+  const table = applied.membership().value;
+  const isListed = quorum.seat(table, context.settings.node) !== undefined;
+  if (Option.isNone(elected) || Option.isNone(ownEpoch) || !isListed || ownEpoch.value !== elected.value.epoch) {
+    return identifiers.instant(Number.NEGATIVE_INFINITY);
+  }
+  const until = lease.validUntil({
+    service,
+    epoch: elected.value.epoch,
+    peers: otherNodes(assembly),
+    voterCount: table.seats.length,
+  });
+  return identifiers.instant(Math.min(until, watch.configurationLeaseUntil()));
+}
+
+function connectionCapsOfOthers({ context, applied, heartbeats }: Assembly): ReadonlyArray<Option.Option<ConnectionCaps>> {
+  return quorum
+    .withRole(applied.membership().value, 'edge')
+    .filter((seat) => seat.node !== context.settings.node)
+    .map((seat) => Option.map((report: HeartbeatReport) => report.caps)(heartbeats.reportOf(seat.node)));
+}
+
+function reportedEpochs(assembly: Assembly): readonly ReportedEpochs[] {
+  const { context, applied, heartbeats } = assembly;
+  const others = otherNodes(assembly).flatMap(function reported(node): readonly ReportedEpochs[] {
+    const report = heartbeats.reportOf(node);
+    return Option.isNone(report) ? [] : [{ node, membership: report.value.membership, epochs: report.value.epochs }];
+  });
+  return [{ node: context.settings.node, membership: applied.membership().version, epochs: epochs(assembly) }, ...others];
+}
+
+function createElection(context: NodeContext, applied: AppliedState, links: PeerLinks, votes: ReturnType<NodeParts['votes']>): Election {
+  const { kernel, settings, registration } = context;
+  return election.create(
+    kernel,
+    {
+      self: settings.node,
+      calls: Option.isSome(registration) ? Option.some(registration.value.calls) : Option.none,
+      leaseHolders: () => (Option.isSome(registration) ? registration.value.leaseHolders() : Option.none),
+      hasReleased: (service, epoch, holders) => Option.isSome(registration) && registration.value.hasReleased(service, epoch, holders),
+      onEpochRaised: () => (Option.isSome(registration) ? registration.value.onEpochRaised() : undefined),
+      membership: () => applied.membership().value,
+      membershipVersion: () => applied.membership().version,
+      placement: applied.placement,
+      electedPrimary: applied.electedPrimary,
+      platform: settings.platform,
+      propose: async function propose(node, request): Promise<Option.Option<Reply<'propose'>>> {
+        const link = links.of(node);
+        return link === undefined ? Option.none : link.call('propose', request, proposeMilliseconds);
+      },
+    },
+    votes,
+  );
+}
+
+function assemble(kernel: Kernel, settings: NodeSettings, parts: NodeParts): Assembly {
+  const context = createContext(kernel, settings, parts);
+  const members = liveness.create(
+    kernel,
+    Option.isSome(context.registration) ? Option.some(context.registration.value.probe) : Option.none,
+  );
+  const lease = quorumLease.create();
+  kernel.services.offer(livenessService, members);
+  kernel.services.offer(quorumLeaseService, lease);
+  const links: PeerLinks = peerLinks.create(context, {
+    onConnected: (node) => watch.onConnected(node),
+    onChange: (node, link, change) => watch.onChange(node, link, change),
+    onHeartbeat: (node, link) => heartbeats.send(node, link),
+    onWatch: (core, link) => watch.watch(core, link),
+  });
+  const access = registerAccess.create(context, links);
+  const applied: AppliedState = appliedState.create(context, access, function onApplied(key) {
+    if (key === 'membership') onMembershipChanged(assembly);
+    parts.onApplied(key);
+  });
+  const incarnations: Incarnations = incarnationTables.create(context, access.register, onSuperseded);
+  const watch: CoreWatch = coreWatch.create(context, { applied, incarnations, linkOf: links.of, onSuperseded });
+  const elections = createElection(context, applied, links, parts.votes(access.register));
+  kernel.services.offer(electionService, elections);
+  const heartbeats: Heartbeats = heartbeatTables.create(context, {
+    applied,
+    incarnations,
+    lease,
+    epochs: () => epochs(assembly),
+    linkOf: links.of,
+    recordReply: watch.recordReply,
+    observeCoreSet: access.coreSets.observe,
+    onSuperseded,
+  });
+  const discovery = seedDiscovery.create(context, {
+    incarnations,
+    hasJoined: () => incarnations.own() > 0 && quorum.seat(applied.membership().value, settings.node) !== undefined,
+    setCores: (cores) => setCores(assembly, cores),
+    onSuperseded,
+  });
+
+  function onSuperseded(): void {
+    endProcess(assembly, incarnations.supersededFault());
+  }
+
+  const assembly: Assembly = {
+    context,
+    links,
+    reports: access.reports,
+    applied,
+    incarnations,
+    watch,
+    heartbeats,
+    discovery,
+    members,
+    lease,
+    elections,
+    wasListed: { current: false },
+  };
+  return assembly;
+}
+
+function handlersOf({ context, heartbeats, incarnations, watch, elections }: Assembly): Handlers {
+  return {
+    hello: (request): Reply<'hello'> => ({
+      node: context.settings.node,
+      role: context.parts.role,
+      incarnation: incarnations.own(),
+      fleet: context.fleet,
+      founding: '',
+      cores: [...context.cores],
+      knownPuts: watch.knownPuts(request.seat.node),
+      superseded: request.incarnation > 0 && incarnations.isSuperseded(request.seat.node, request.incarnation),
+    }),
+    beat: (request) => heartbeats.receive(request),
+    propose: (request) => elections.handleProposal(request),
+  };
+}
+
+function tick({ applied, elections, members }: Assembly): void {
+  applied.resolve();
+  elections.tick();
+  const current = applied.placement();
+  if (Option.isNone(current)) return;
+  members.keepOnly(new Set(current.value.services.flatMap((service) => service.members.map((member) => member.member))));
+}
+
+function start(assembly: Assembly): void {
+  const { context, discovery, incarnations, links, applied } = assembly;
+  const { clock } = context.kernel;
+  function isRunning(): boolean {
+    return !context.isStopped;
+  }
+  void kernels.every(clock, heartbeatMilliseconds, discovery.greetSeeds, isRunning);
+  void incarnations.acquire();
+  void membershipJoin.keepJoined(context, links, applied, incarnations);
+  void kernels.every(clock, heartbeatMilliseconds, () => tick(assembly), isRunning);
+}
+
+function create(kernel: Kernel, settings: NodeSettings, parts: NodeParts): Node {
+  const assembly = assemble(kernel, settings, parts);
+  const { context, applied, watch, heartbeats, incarnations, links } = assembly;
+  return {
+    settings,
+    handlers: handlersOf(assembly),
+    routes: memberRoutes.create(settings.node, assembly.members, applied.placement),
+    configuration: applied.configuration,
+    membership: applied.membership,
+    electedPrimary: applied.electedPrimary,
+    configurationLeaseUntil: watch.configurationLeaseUntil,
+    serviceLeaseUntil: (service) => serviceLeaseUntil(assembly, service),
+    durableReports: assembly.reports,
+    connectionCapsOfOthers: () => connectionCapsOfOthers(assembly),
+    epochs: () => epochs(assembly),
+    reportedEpochs: () => reportedEpochs(assembly),
+    lastHeartbeatAt: (node) => Option.map((report: HeartbeatReport) => report.at)(heartbeats.reportOf(node)),
+    majorityContactAt: watch.majorityContactAt,
+    peerOf: (node) => Option.fromNullable(links.of(node)),
+    cores: () => context.cores,
+    setCores: (cores) => setCores(assembly, cores),
+    followCoreSet: (set) => followCoreSet(assembly, set),
+    incarnation: incarnations.own,
+    ownSeat: () => context.ownSeat,
+    fleet: () => context.fleet,
+    setFleet: function setFleet(fleet) {
+      context.fleet = fleet;
+    },
+    receiveOwnChange: (core, change) => applied.receive(core, Option.none, change),
+    isStale: incarnations.isSuperseded,
+    start: () => start(assembly),
+    stop: () => stop(assembly),
+  };
+}
+
+export const node = { create } as const;
--- /dev/null
+++ b/packages/node/src/register-access.ts
@@ -0,0 +1,73 @@
+/** The register and the durable reports as this node reaches them: its own disk, and the other cores over their links (design 5.1, 5.5). */
+import * as Option from 'fp-ts/lib/Option.js';
+import {
+  durableReports,
+  durableReportsService,
+  proposer,
+  registerService,
+  type CoreSetSource,
+  type DurableReports,
+  type NumberedRegister,
+  type RegisterReplica,
+  type ReportReplica,
+} from '@stallstall/register';
+import type { NodeContext } from './node-context.js';
+import type { PeerLinks } from './peer-links.js';
+
+/** @internal */
+export type RegisterAccess = Readonly<{ register: NumberedRegister; reports: DurableReports; coreSets: CoreSetSource }>;
+
+function remoteCores({ cores, settings }: NodeContext): readonly string[] {
+  return cores.map((core) => core.node).filter((core) => core !== settings.node);
+}
+
+function registerReplicas(context: NodeContext, links: PeerLinks): readonly RegisterReplica[] {
+  const { localReplica } = context.parts;
+  const remote = remoteCores(context).map((core): RegisterReplica => ({
+    core,
+    send: async function send(kind, body, milliseconds) {
+      const link = links.of(core);
+      return link === undefined ? Option.none : link.call(kind, body, milliseconds);
+    },
+  }));
+  return Option.isSome(localReplica) ? [localReplica.value.target, ...remote] : remote;
+}
+
+function reportReplicas(context: NodeContext, links: PeerLinks): readonly ReportReplica[] {
+  const { localReplica } = context.parts;
+  const remote = remoteCores(context).map((core): ReportReplica => {
+    return async function send(body, milliseconds) {
+      const link = links.of(core);
+      return link === undefined ? Option.none : link.call('note', body, milliseconds);
+    };
+  });
+  return Option.isSome(localReplica) ? [localReplica.value.note, ...remote] : remote;
+}
+
+/** Offers both to the process's other services. */
+function create(context: NodeContext, links: PeerLinks): RegisterAccess {
+  const { kernel, settings, parts, registration } = context;
+  const coreSets: CoreSetSource = {
+    number: () => (Option.isSome(context.coreSet) ? context.coreSet.value.number : 0),
+    observe: (set) => (Option.isSome(registration) ? registration.value.observeCoreSet(set) : undefined),
+  };
+  const register = proposer.create(
+    kernel,
+    settings.node,
+    () => registerReplicas(context, links),
+    () => context.cores.length,
+    coreSets,
+    (key) => (Option.isSome(parts.localReplica) ? parts.localReplica.value.accepted(key) : Option.none),
+  );
+  const reports = durableReports.create(
+    () => reportReplicas(context, links),
+    () => context.cores.length,
+    coreSets,
+  );
+  kernel.services.offer(registerService, register);
+  kernel.services.offer(durableReportsService, reports);
+  return { register, reports, coreSets };
+}
+
+/** @internal */
+export const registerAccess = { create } as const;
--- /dev/null
+++ b/packages/node/src/seed-discovery.ts
@@ -0,0 +1,69 @@
+/** Finds the fleet through the seeds that the settings name (design 3.3). */
+import * as Option from 'fp-ts/lib/Option.js';
+import { identifiers, kernel as kernels } from '@stallstall/kernel';
+import type { Seat } from '@stallstall/message';
+import { peer, type Peer } from '@stallstall/peer';
+import type { Incarnations } from './incarnations.js';
+import { callMilliseconds, heartbeatMilliseconds, type NodeContext } from './node-context.js';
+
+/** @internal */
+export type SeedDiscovery = Readonly<{
+  /** Until this node is part of a fleet, greets every seed that the settings name by now. */
+  greetSeeds: () => void;
+}>;
+
+/** @internal */
+export type SeedDiscoveryParts = Readonly<{
+  incarnations: Incarnations;
+  hasJoined: () => boolean;
+  setCores: (cores: readonly Seat[]) => void;
+  onSuperseded: () => void;
+}>;
+
+function create(context: NodeContext, { incarnations, hasJoined, setCores, onSuperseded }: SeedDiscoveryParts): SeedDiscovery {
+  const { kernel, settings, parts } = context;
+  const greeting = new Set<string>();
+
+  function hasFoundFleet(): boolean {
+    return context.cores.length > 0 && hasJoined();
+  }
+
+  async function greet(address: string, link: Peer): Promise<void> {
+    const request = { seat: context.ownSeat, incarnation: incarnations.own(), fleet: context.fleet };
+    const reply = await link.call('hello', request, callMilliseconds);
+    if (Option.isNone(reply)) return;
+    if (reply.value.superseded) onSuperseded();
+    parts.onHelloReply(reply.value, address);
+    const { fleet, cores } = reply.value;
+    if (parts.role === 'edge' && fleet !== '' && cores.length > 0 && context.cores.length === 0) {
+      context.fleet = fleet;
+      setCores(cores);
+    }
+  }
+
+  async function greetUntilFound(address: string): Promise<void> {
+    const link = peer.dial(kernel, identifiers.address(address), { connected: () => void greet(address, link) });
+    await kernels.every(
+      kernel.clock,
+      heartbeatMilliseconds,
+      () => greet(address, link),
+      () => !context.isStopped && settings.seeds().includes(address) && !hasFoundFleet(),
+    );
+    link.close();
+    greeting.delete(address);
+  }
+
+  function greetSeeds(): void {
+    if (hasFoundFleet()) return;
+    for (const address of settings.seeds()) {
+      if (address === settings.address || greeting.has(address)) continue;
+      greeting.add(address);
+      void greetUntilFound(address);
+    }
+  }
+
+  return { greetSeeds };
+}
+
+/** @internal */
+export const seedDiscovery = { create } as const;
--- a/packages/peer/src/index.ts
+++ b/packages/peer/src/index.ts
@@ -30,7 +30,7 @@
   readonly [Kind in MessageKind]?: (body: Request<Kind>, caller: Caller) => Promise<Reply<Kind>> | Reply<Kind>;
 };
 
-type Waiting = Readonly<{ kind: MessageKind; settle: (reply: Option.Option<unknown>) => void; alarm: Timer }>;
+type Waiting = Readonly<{ kind: MessageKind; settle: (reply: Option.Option<unknown>) => void; timer: Timer }>;
 
 export type PeerEvents = Readonly<{
   connected?: () => void;
@@ -81,7 +81,7 @@
     const entry = waiting.get(call);
     if (entry === undefined) return;
     waiting.delete(call);
-    entry.alarm.cancel();
+    entry.timer.cancel();
     entry.settle(reply);
   }
 
@@ -118,9 +118,9 @@
   }
 
   async function hold(link: Link): Promise<void> {
-    const alarm = kernel.clock.startTimer(greetMilliseconds, link.close);
+    const timer = kernel.clock.startTimer(greetMilliseconds, link.close);
     const greeted = await greet(kernel, link);
-    alarm.cancel();
+    timer.cancel();
     version = Option.isSome(greeted) ? agreed(kernel.protocols, greeted.value) : 0;
     if (version === 0 || closed) {
       const reason = Option.isSome(greeted) ? strange(kernel.protocols, greeted.value) : '';
@@ -175,14 +175,14 @@
     lastCall += 1;
     const number = lastCall;
     return new Promise(function wait(resolve) {
-      const alarm = kernel.clock.startTimer(milliseconds, function late() {
+      const timer = kernel.clock.startTimer(milliseconds, function late() {
         settle(number, Option.none);
         giveUp(number);
         silent += 1;
         // By a reset, so that what has not arrived yet is not taken later, when nobody waits for it any more.
         if (silent >= silentCalls) link.reset();
       });
-      waiting.set(number, { kind, settle: resolve as (reply: Option.Option<unknown>) => void, alarm });
+      waiting.set(number, { kind, settle: resolve as (reply: Option.Option<unknown>) => void, timer });
       link.send({ call: number, kind, body });
     });
   }
@@ -229,9 +229,9 @@
 
 function listen(kernel: Kernel, address: Address, handlers: Handlers): Promise<Listening> {
   async function task(link: Link): Promise<void> {
-    const alarm = kernel.clock.startTimer(greetMilliseconds, link.close);
+    const timer = kernel.clock.startTimer(greetMilliseconds, link.close);
     const greeted = await greet(kernel, link);
-    alarm.cancel();
+    timer.cancel();
     if (Option.isNone(greeted) || agreed(kernel.protocols, greeted.value) === 0) {
       kernel.log('peer.strange', {
         address,
--- a/packages/placement/src/index.ts
+++ b/packages/placement/src/index.ts
@@ -17,18 +17,18 @@
 export { statementKinds, weekdays } from './schema.js';
 export type {
   OutageWindow,
-  PlacementConfiguration as Sheet,
-  DatabasePlacement as SheetDatabase,
-  ClientKey as SheetKey,
-  NamedStatement as SheetMapping,
-  MemberPlacement as SheetMember,
-  AnnouncedOutage as SheetOutage,
-  PlacementRow as SheetRow,
-  ServicePlacement as SheetService,
-  Tenant as SheetTenant,
+  PlacementConfiguration,
+  DatabasePlacement,
+  ClientKey,
+  NamedStatement,
+  MemberPlacement,
+  AnnouncedOutage,
+  PlacementRow,
+  ServicePlacement,
+  Tenant,
   StatementKind,
 } from './schema.js';
-export type { PlacementFault as SheetFault } from './sheet-faults.js';
+export type { PlacementFault } from './sheet-faults.js';
 
 /** Where an issue stands, as an operator would point at it: `rows[3] (bookings/north)`, column `weights.bookings-2`. */
 function place(path: readonly PropertyKey[]): Readonly<{ row: string; column: string }> {
--- a/packages/pooler/src/admission.ts
+++ b/packages/pooler/src/admission.ts
@@ -1,9 +1,9 @@
 /** Whether a client's key gives access to a database. */
-import type { SheetDatabase } from '@stallstall/placement';
+import type { DatabasePlacement } from '@stallstall/placement';
 import type { View } from './view.js';
 
 export type Admission =
-  | Readonly<{ admitted: true; database: SheetDatabase; tenant: string }>
+  | Readonly<{ admitted: true; database: DatabasePlacement; tenant: string }>
   | Readonly<{ admitted: false; condition: 'no-database' | 'denied' }>;
 
 /** The tenant of clients without a key on a database that is open to all. */
--- a/packages/pooler/src/copies.ts
+++ b/packages/pooler/src/copies.ts
@@ -1,7 +1,7 @@
 /** Copies of reads that an edge holds through an announced outage of its site's uplink (design 8.13). */
 import * as Option from 'fp-ts/lib/Option.js';
 import { identifiers, type Kernel } from '@stallstall/kernel';
-import { placements, type SheetOutage } from '@stallstall/placement';
+import { placements, type AnnouncedOutage } from '@stallstall/placement';
 import type { StatementReply } from '@stallstall/session-protocol';
 import { outageCopies, outageGraceMilliseconds, type OutageCopies, type RememberedRead } from './outage-copies.js';
 import { sessions } from './sessions.js';
@@ -29,7 +29,7 @@
   /** One for each window that is ahead or open. */
   windows: readonly OutageCopies[];
   /** Those of the configuration that name this edge. */
-  outages: readonly SheetOutage[];
+  outages: readonly AnnouncedOutage[];
   /** The configuration that `outages` is of. */
   version: number;
   running: boolean;
@@ -131,7 +131,7 @@
 }
 
 /** The windows of an outage that are ahead or open; those known already keep what they hold. */
-function windowsOf(state: State, outage: SheetOutage, before: readonly OutageCopies[]): readonly OutageCopies[] {
+function windowsOf(state: State, outage: AnnouncedOutage, before: readonly OutageCopies[]): readonly OutageCopies[] {
   const wall = state.kernel.clock.wall();
   const source = JSON.stringify(outage);
   return placements.windows(outage, wall - outageGraceMilliseconds, wall + aheadMilliseconds).map(function known(window): OutageCopies {
--- a/packages/pooler/src/outage-copies.ts
+++ b/packages/pooler/src/outage-copies.ts
@@ -2,7 +2,7 @@
 import * as Option from 'fp-ts/lib/Option.js';
 import { LRUCache } from 'lru-cache';
 import type { WallTime } from '@stallstall/kernel';
-import type { OutageWindow, SheetOutage } from '@stallstall/placement';
+import type { OutageWindow, AnnouncedOutage } from '@stallstall/placement';
 import { positions, type Ending, type Position, type StatementReply } from '@stallstall/session-protocol';
 import { sessions } from './sessions.js';
 import type { StatementRequest } from './statement-request.js';
@@ -19,7 +19,7 @@
 }>;
 
 export type OutageCopies = {
-  readonly outage: SheetOutage;
+  readonly outage: AnnouncedOutage;
   /** The outage as it was configured: another text is another outage. */
   readonly source: string;
   readonly window: OutageWindow;
@@ -37,7 +37,7 @@
 /** Reckoned for each entry beside its texts. */
 const entryBytes = 256;
 
-function create(outage: SheetOutage, source: string, window: OutageWindow): OutageCopies {
+function create(outage: AnnouncedOutage, source: string, window: OutageWindow): OutageCopies {
   return {
     outage,
     source,
--- a/packages/pooler/src/response-times.ts
+++ b/packages/pooler/src/response-times.ts
@@ -1,13 +1,13 @@
 /** How long members take to reply, by service and kind of read, so that a lost reply is noticed early. */
-import type { SheetDatabase } from '@stallstall/placement';
+import type { DatabasePlacement } from '@stallstall/placement';
 
 /** Both in milliseconds, smoothed as TCP smooths round-trip times (RFC 6298). */
 type Estimate = Readonly<{ mean: number; deviation: number }>;
 
 export type ResponseTimes = Readonly<{
-  note: (database: SheetDatabase, milliseconds: number) => void;
+  note: (database: DatabasePlacement, milliseconds: number) => void;
   /** A statement that can be retried is given up after so many milliseconds of silence. */
-  patienceMilliseconds: (database: SheetDatabase) => number;
+  patienceMilliseconds: (database: DatabasePlacement) => number;
 }>;
 
 const leastPatienceMilliseconds = 60;
@@ -18,7 +18,7 @@
 const meanFactor = 4;
 const deviationFactor = 8;
 
-function keyOf(database: SheetDatabase): string {
+function keyOf(database: DatabasePlacement): string {
   return `${database.service} ${database.reads}`;
 }
 
--- a/packages/pooler/src/sessions.ts
+++ b/packages/pooler/src/sessions.ts
@@ -1,7 +1,7 @@
 /** A client's session: its values and prepared names are its own until it ends (design 8.2, 8.10). */
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Instant } from '@stallstall/kernel';
-import type { SheetDatabase } from '@stallstall/placement';
+import type { DatabasePlacement } from '@stallstall/placement';
 import { positions, type Dialect, type Position, type Stance } from '@stallstall/session-protocol';
 import type { Image, PooledLine } from './connections.js';
 
@@ -13,7 +13,7 @@
 
 export type Transaction = {
   readonly readOnly: boolean;
-  readonly database: SheetDatabase;
+  readonly database: DatabasePlacement;
   readonly tenant: string;
   readonly startedAt: Instant;
   held: Option.Option<Held>;
--- a/packages/pooler/src/statement-request.ts
+++ b/packages/pooler/src/statement-request.ts
@@ -4,7 +4,7 @@
  */
 import type * as Option from 'fp-ts/lib/Option.js';
 import type { Instant } from '@stallstall/kernel';
-import type { SheetDatabase } from '@stallstall/placement';
+import type { DatabasePlacement } from '@stallstall/placement';
 import type { MemberPlace, Position } from '@stallstall/session-protocol';
 import type { PooledLine } from './connections.js';
 import type { PreparedStatement, Session, Transaction } from './sessions.js';
@@ -23,7 +23,7 @@
   /** The statement commits `transaction`, which is then present. */
   commit: boolean;
   transaction: Option.Option<Transaction>;
-  database: SheetDatabase;
+  database: DatabasePlacement;
   tenant: string;
   /** Read to fill an outage copy, not for a client: counted as nobody's usage (design 8.13). */
   copying: boolean;
--- a/packages/pooler/src/view.ts
+++ b/packages/pooler/src/view.ts
@@ -2,7 +2,7 @@
 import * as Option from 'fp-ts/lib/Option.js';
 import { identifiers, type Instant } from '@stallstall/kernel';
 import type { Reply, MemberRecord } from '@stallstall/message';
-import type { Sheet, SheetDatabase, SheetTenant } from '@stallstall/placement';
+import type { PlacementConfiguration, DatabasePlacement, Tenant } from '@stallstall/placement';
 
 export const never: Instant = identifiers.instant(Number.NEGATIVE_INFINITY);
 
@@ -11,10 +11,10 @@
 
 export type View = Readonly<{
   version: number;
-  sheet: Option.Option<Sheet>;
-  databases: ReadonlyMap<string, SheetDatabase>;
+  sheet: Option.Option<PlacementConfiguration>;
+  databases: ReadonlyMap<string, DatabasePlacement>;
   /** By key. */
-  tenants: ReadonlyMap<string, SheetTenant>;
+  tenants: ReadonlyMap<string, Tenant>;
   leaders: ReadonlyMap<string, Leadership>;
   members: ReadonlyMap<string, MemberRecord>;
   byService: ReadonlyMap<string, readonly MemberRecord[]>;
@@ -69,7 +69,7 @@
   const sheet =
     reply.configuration === null || reply.configuration.version <= before.version
       ? before.sheet
-      : Option.some(reply.configuration.sheet as Sheet);
+      : Option.some(reply.configuration.sheet as PlacementConfiguration);
   const changed = sheet !== before.sheet;
   const leaders = new Map(before.leaders);
   for (const told of reply.services) {
--- a/packages/pooler/src/warm-up.ts
+++ b/packages/pooler/src/warm-up.ts
@@ -1,9 +1,9 @@
 /** Opens connections ahead of need: a session that opens will want its leader, or a member nearby, before long. */
-import type { SheetDatabase } from '@stallstall/placement';
+import type { DatabasePlacement } from '@stallstall/placement';
 import type { Connections } from './connections.js';
 import type { View } from './view.js';
 
-function warmUp(connections: Connections, view: View, database: SheetDatabase, tenant: string): void {
+function warmUp(connections: Connections, view: View, database: DatabasePlacement, tenant: string): void {
   const leader = view.members.get(view.leaders.get(database.service)?.primary ?? '');
   if (leader !== undefined) connections.warm({ service: leader.service, member: leader.member, address: leader.address }, tenant);
   if (database.reads === 'leader') return;
--- a/packages/proxy/src/placement-feed.ts
+++ b/packages/proxy/src/placement-feed.ts
@@ -3,7 +3,7 @@
 import { identifiers, type Clock, type Instant } from '@stallstall/kernel';
 import type { Reply, ServiceFeed } from '@stallstall/message';
 import type { MemberWish } from '@stallstall/pool';
-import { placements, type Sheet } from '@stallstall/placement';
+import { placements, type PlacementConfiguration } from '@stallstall/placement';
 import { verdicts, type KnownService } from '@stallstall/routing';
 import { handoverMilliseconds, lameDuckMilliseconds, openTransactionMilliseconds } from './settings.js';
 import type { Known } from './statement-request.js';
@@ -86,7 +86,7 @@
 }
 
 /** What the first sheet of this process says is no news to its edge: those members have had their time. */
-function noteGoing(state: State, sheet: Sheet): void {
+function noteGoing(state: State, sheet: PlacementConfiguration): void {
   const before = state.known.sheet;
   const services = [...(Option.isSome(before) ? before.value.services : []), ...sheet.services];
   for (const { member } of services.flatMap((service) => service.members)) {
@@ -107,7 +107,8 @@
 
 function accept(state: State, reply: Reply<'feed'>, sentAt: Instant): Accepted {
   const { known } = state;
-  const sheet: Option.Option<Sheet> = reply.configuration === null ? known.sheet : Option.some(reply.configuration.sheet as Sheet);
+  const sheet: Option.Option<PlacementConfiguration> =
+    reply.configuration === null ? known.sheet : Option.some(reply.configuration.sheet as PlacementConfiguration);
   const changed = reply.configurationVersion !== known.version;
   // A restarted agent has not caught up yet: what it does not know takes nothing back, the terms told before run on.
   if (reply.configurationVersion < known.version || (changed && reply.configuration === null)) return 'ignored';
--- a/packages/proxy/src/statement-request.ts
+++ b/packages/proxy/src/statement-request.ts
@@ -3,7 +3,7 @@
 import type * as Option from 'fp-ts/lib/Option.js';
 import type { Fault, HttpReply, Instant } from '@stallstall/kernel';
 import type { MemberConnection } from '@stallstall/pool';
-import type { Sheet, StatementKind } from '@stallstall/placement';
+import type { PlacementConfiguration, StatementKind } from '@stallstall/placement';
 import type { Choice, VerdictTable } from '@stallstall/routing';
 
 export type Statement = Readonly<{ text: string; parameters: readonly unknown[] }>;
@@ -50,7 +50,7 @@
 
 /** What the agent's feed says, in this process's own clock (design 8.1). */
 export type Known = Readonly<{
-  sheet: Option.Option<Sheet>;
+  sheet: Option.Option<PlacementConfiguration>;
   version: number;
   area: string;
   table: VerdictTable;
--- a/packages/register/src/acceptor.ts
+++ b/packages/register/src/acceptor.ts
@@ -49,10 +49,10 @@
 }>;
 
 /** Where cells lie in the data folder. */
-export const registerPrefix = 'register/';
+export const registerStoragePrefix = 'register/';
 /** Cells that are read from the disk when asked for: they are many, and nobody waits for them (design 5.4). */
 export const archivePrefix = 'archive/';
-export const coldPrefix = `${registerPrefix}${archivePrefix}`;
+export const archiveStoragePrefix = `${registerStoragePrefix}${archivePrefix}`;
 /** Follows every key of the archive, and no other key lies between: '0' comes next to '/'. */
 const afterArchive = `${archivePrefix.slice(0, -1)}0`;
 const pageBytes = 256 * 1024;
@@ -101,7 +101,7 @@
   let open = false;
 
   for (const [key, value] of stored) {
-    if (key.startsWith(registerPrefix) && isCellState(value)) place(key.slice(registerPrefix.length), value);
+    if (key.startsWith(registerStoragePrefix) && isCellState(value)) place(key.slice(registerStoragePrefix.length), value);
   }
 
   function place(key: string, state: CellState): Owner<Cell> {
@@ -120,7 +120,7 @@
     if (!key.startsWith(archivePrefix)) return cellOf(key).run(command);
     const archive = archives[Number(/\d+$/.exec(key)?.[0] ?? 0) % archiveOwners] as Owner<null>;
     return archive.run(async function fetched() {
-      const stored = await disk.read(registerPrefix + key);
+      const stored = await disk.read(registerStoragePrefix + key);
       if (Either.isLeft(stored)) {
         onDamaged(stored.left);
         return unread;
@@ -134,7 +134,7 @@
 
   /** False when the disk did not sync: then this core gives no answer, whatever the disk may hold. */
   async function keep(key: string, cell: Cell, state: CellState): Promise<boolean> {
-    const kept = await disk.put(registerPrefix + key, state);
+    const kept = await disk.put(registerStoragePrefix + key, state);
     if (Either.isLeft(kept)) return false;
     cell.state = state;
     if (!key.startsWith(archivePrefix)) states.set(key, state);
@@ -228,11 +228,11 @@
 
   /** What is read from the disk when asked for is left out: nobody who copies this disk waits for it (design 5.4). */
   async function page(after: string): Promise<Either.Either<Fault, CellPage>> {
-    const found = await disk.page(registerPrefix, after === '' ? '' : registerPrefix + after, pageBytes);
+    const found = await disk.page(registerStoragePrefix, after === '' ? '' : registerStoragePrefix + after, pageBytes);
     if (Either.isLeft(found)) return found;
-    const hot = found.right.filter(([key]) => !key.startsWith(coldPrefix));
+    const hot = found.right.filter(([key]) => !key.startsWith(archiveStoragePrefix));
     if (hot.length === 0 && found.right.length > 0) return page(afterArchive);
-    const entries = hot.map(([key, state]) => ({ key: key.slice(registerPrefix.length), state }));
+    const entries = hot.map(([key, state]) => ({ key: key.slice(registerStoragePrefix.length), state }));
     return Either.right({ entries, next: entries.at(-1)?.key ?? '' });
   }
 
--- a/packages/register/src/catch-up.ts
+++ b/packages/register/src/catch-up.ts
@@ -21,7 +21,7 @@
 }
 
 /** A source must have left every set before the one that gave this core its seat: then it agrees to nothing there any more. */
-function mayBeCopied(since: number, told: number | undefined): boolean {
+function isEligibleSource(since: number, told: number | undefined): boolean {
   return told !== undefined && told >= since;
 }
 
@@ -65,4 +65,4 @@
   return true;
 }
 
-export const catchUp = { sourcesNeeded, mayBeCopied, copyEnough, completeUnresolved } as const;
+export const catchUp = { sourcesNeeded, isEligibleSource, copyEnough, completeUnresolved } as const;
--- a/packages/register/src/core-set-changes.ts
+++ b/packages/register/src/core-set-changes.ts
@@ -8,16 +8,16 @@
 
 export type CoreSetChangeParts = Readonly<{
   set: () => CoreSet;
-  under: NumberedRegister['inSet'];
+  registerInSet: NumberedRegister['inSet'];
   adopt: (seat: Seat, set: CoreSet) => Promise<Option.Option<Reply<'adopt'>>>;
   observe: (set: CoreSet) => void;
 }>;
 
 /** Level cores that stand at a set, and cores that every one of these has not heard for long. */
-export type Confirmed = Readonly<{ standing: readonly string[]; silent: ReadonlySet<string> }>;
+export type ConfirmedCores = Readonly<{ standing: readonly string[]; silent: ReadonlySet<string> }>;
 
 /** Nodes whose seat may be given to another, those that should go first before the others. */
-export type Vacancies = (set: CoreSet, confirmed: Confirmed) => readonly string[];
+export type Vacancies = (set: CoreSet, confirmed: ConfirmedCores) => readonly string[];
 
 export type CoreSetChanges = Readonly<{
   /** Gives a vacant seat to this occupant; right once a majority of the new set stands at it. */
@@ -35,7 +35,7 @@
 }
 
 /** A node that lost its disk is another occupant than before: it remembers none of its promises (design 4.3). */
-export function sameOccupant(one: Seat, other: Seat): boolean {
+export function isSameOccupant(one: Seat, other: Seat): boolean {
   return one.node === other.node && one.disk === other.disk;
 }
 
@@ -53,7 +53,7 @@
   }
 
   /** Who stands at a set, asking all of these seats to; whoever is further tells so. */
-  async function confirm(set: CoreSet, seats: readonly Seat[]): Promise<Confirmed> {
+  async function confirm(set: CoreSet, seats: readonly Seat[]): Promise<ConfirmedCores> {
     const replies = await Promise.all(
       seats.map(async function one(seat) {
         return { seat, reply: await parts.adopt(seat, set) };
@@ -85,7 +85,7 @@
   /** Without the former occupant a majority must be level: the newcomer copies them, and they serve until it is level. */
   function leavesMajority(set: CoreSet, standing: readonly string[], vacated: string, occupant: Seat): boolean {
     const listed = quorum.seat(set, vacated);
-    const moves = listed !== undefined && sameOccupant(listed, occupant);
+    const moves = listed !== undefined && isSameOccupant(listed, occupant);
     return majority(
       set,
       standing.filter((node) => node !== vacated || moves),
@@ -93,7 +93,7 @@
   }
 
   function isSeated(set: CoreSet, occupant: Seat): boolean {
-    return set.seats.some((seat) => sameOccupant(seat, occupant) && seat.address === occupant.address);
+    return set.seats.some((seat) => isSameOccupant(seat, occupant) && seat.address === occupant.address);
   }
 
   async function proposed(occupant: Seat, vacancies: Vacancies): Promise<Either.Either<Fault, CoreSet>> {
@@ -111,7 +111,7 @@
       epochs: set.epochs,
     };
     const written = await parts
-      .under(set.number)
+      .registerInSet(set.number)
       .change(coreSetKey(set.number), (current) => (Option.isSome(current) ? Option.none : Option.some(wanted)), decideMilliseconds);
     if (Either.isLeft(written)) return written;
     const decided = Option.isSome(written.right.entry) ? written.right.entry.value.value : null;
@@ -122,7 +122,7 @@
 
   async function finished(): Promise<void> {
     const set = parts.set();
-    const read = await parts.under(set.number).change(coreSetKey(set.number), () => Option.none);
+    const read = await parts.registerInSet(set.number).change(coreSetKey(set.number), () => Option.none);
     const entry: Option.Option<Entry> = Either.isRight(read) ? read.right.entry : Option.none;
     if (Option.isSome(entry) && message.matches(CoreSetSchema, entry.value.value)) await spread(set, entry.value.value);
   }
--- a/packages/register/src/report-store.ts
+++ b/packages/register/src/report-store.ts
@@ -6,21 +6,21 @@
 
 export type ReportStore = Readonly<{
   /** Merges and syncs what is told; the reply holds all floors known here. */
-  keep: (ask: Request<'note'>) => Promise<Reply<'note'>>;
-  look: (window: number) => Reply<'usageLook'>;
+  store: (ask: Request<'note'>) => Promise<Reply<'note'>>;
+  usageOf: (window: number) => Reply<'usageLook'>;
   /** All of it, for a disk that copies this one. */
-  all: () => Request<'note'>;
+  snapshot: () => Request<'note'>;
   /** Whether all that was told is on the disk. */
-  synced: () => boolean;
+  isSynced: () => boolean;
   open: () => void;
   close: () => void;
 }>;
 
 export const usageWindowMilliseconds = 5_000;
 /** Windows older than this can no longer arrive in time. */
-export const keptWindows = 6;
+export const usageWindowsKept = 6;
 /** Entries on the disk: each holds the floors and one window's reports, and a window so many later takes it over. */
-export const notesPrefix = 'notes/';
+export const reportStoragePrefix = 'notes/';
 const slots = 8;
 
 function sourceOf(report: UsageReport): string {
@@ -68,7 +68,7 @@
       change(currentWindow());
     }
     for (const [edge, moment] of Object.entries(told.through)) table.through.set(edge, Math.max(moment, table.through.get(edge) ?? 0));
-    const oldest = currentWindow() - keptWindows;
+    const oldest = currentWindow() - usageWindowsKept;
     for (const report of told.reports) {
       if (report.window < oldest) continue;
       const known = table.reports.get(report.window) ?? new Map<string, UsageReport>();
@@ -90,7 +90,11 @@
       const windows = [...table.dirty];
       table.dirty.clear();
       for (const window of windows) {
-        const put = await disk.put(`${notesPrefix}${window % slots}`, { floors: table.floors, reports: reportsOf(window), through: {} });
+        const put = await disk.put(`${reportStoragePrefix}${window % slots}`, {
+          floors: table.floors,
+          reports: reportsOf(window),
+          through: {},
+        });
         if (Either.isRight(put)) continue;
         for (const behind of windows) table.dirty.add(behind);
         return false;
@@ -110,19 +114,19 @@
     return { ready: open && kept, floors: { ...table.floors } };
   }
 
-  for (const [key, value] of stored) if (key.startsWith(notesPrefix) && message.matches(messages.note.ask, value)) merge(value);
+  for (const [key, value] of stored) if (key.startsWith(reportStoragePrefix) && message.matches(messages.note.ask, value)) merge(value);
   table.dirty.clear();
   table.synced = table.changes;
 
   return {
-    keep,
-    all: () => ({
+    store: keep,
+    snapshot: () => ({
       floors: { ...table.floors },
       reports: [...table.reports.keys()].flatMap(reportsOf),
       through: Object.fromEntries(table.through),
     }),
-    synced: () => table.synced >= table.changes,
-    look: (window) => ({ ready: open, reports: reportsOf(window), through: Object.fromEntries(table.through) }),
+    isSynced: () => table.synced >= table.changes,
+    usageOf: (window) => ({ ready: open, reports: reportsOf(window), through: Object.fromEntries(table.through) }),
     open: function start() {
       open = true;
     },
--- a/packages/routing/src/index.ts
+++ b/packages/routing/src/index.ts
@@ -4,10 +4,10 @@
 import {
   placements,
   statementKinds,
-  type Sheet,
-  type SheetMember,
-  type SheetRow,
-  type SheetService,
+  type PlacementConfiguration,
+  type MemberPlacement,
+  type PlacementRow,
+  type ServicePlacement,
   type StatementKind,
 } from '@stallstall/placement';
 
@@ -51,7 +51,7 @@
   return `${service}|${kind}`;
 }
 
-function leaderOf(service: SheetService, known: KnownService, area: string): readonly Choice[] {
+function leaderOf(service: ServicePlacement, known: KnownService, area: string): readonly Choice[] {
   const member = service.members.find((one) => one.member === known.primary);
   const target = known.targets.find((one) => one.member === known.primary);
   if (known.overdue || member === undefined || target === undefined || !target.alive || target.follows > known.epoch) return [];
@@ -68,7 +68,7 @@
   ];
 }
 
-function replicaOf(member: SheetMember, known: KnownService, weight: number, allowance: number, area: string): readonly Choice[] {
+function replicaOf(member: MemberPlacement, known: KnownService, weight: number, allowance: number, area: string): readonly Choice[] {
   const target = known.targets.find((one) => one.member === member.member);
   // A deposed primary, or a replica that does not follow the settled epoch yet, is no target (design 7.7).
   if (target === undefined || !target.alive || target.follows !== known.epoch || member.state !== 'serving' || weight <= 0) return [];
@@ -93,16 +93,16 @@
 }
 
 /** The verdict on kinds that only the leader serves. */
-function judgeLeaderKind(service: SheetService, known: KnownService, leader: readonly Choice[]): Verdict {
+function judgeLeaderKind(service: ServicePlacement, known: KnownService, leader: readonly Choice[]): Verdict {
   if (leader.length > 0) return { verdict: 'serve', epoch: known.epoch, choices: leader, lastResort: [] };
   const state = known.overdue ? 'to go and none has followed it' : 'down';
   return reject('read-only', `READONLY: the primary of ${service.service} is ${state}`, 'try again when an election has settled');
 }
 
 function choicesOf(
-  service: SheetService,
+  service: ServicePlacement,
   known: KnownService,
-  row: SheetRow,
+  row: PlacementRow,
   serves: readonly string[],
   leader: readonly Choice[],
 ): readonly Choice[] {
@@ -115,7 +115,13 @@
     });
 }
 
-function judgeKind(sheet: Sheet, service: SheetService, known: KnownService | undefined, kind: StatementKind, area: string): Verdict {
+function judgeKind(
+  sheet: PlacementConfiguration,
+  service: ServicePlacement,
+  known: KnownService | undefined,
+  kind: StatementKind,
+  area: string,
+): Verdict {
   const row = placements.row(sheet, service.service, area);
   const serves = row?.serves[kind];
   if (row === undefined || serves === undefined)
@@ -134,7 +140,7 @@
 }
 
 /** Works the table out anew, for an edge of the area. */
-function compile(sheet: Sheet, services: readonly KnownService[], area: string): VerdictTable {
+function compile(sheet: PlacementConfiguration, services: readonly KnownService[], area: string): VerdictTable {
   const table = new Map<string, Verdict>();
   for (const service of sheet.services) {
     const known = services.find((one) => one.service === service.service);
--- a/packages/runtime/src/clock.ts
+++ b/packages/runtime/src/clock.ts
@@ -16,9 +16,9 @@
 export const clock: Clock = {
   now: steady,
   wall,
-  startTimer: function alarm(milliseconds, action) {
-    const alarm = setTimeout(action, milliseconds);
-    return { cancel: () => clearTimeout(alarm) };
+  startTimer: function startTimer(milliseconds, action) {
+    const timer = setTimeout(action, milliseconds);
+    return { cancel: () => clearTimeout(timer) };
   },
   sleep: (milliseconds) =>
     new Promise((resolve) => {
--- a/packages/runtime/src/links.ts
+++ b/packages/runtime/src/links.ts
@@ -231,7 +231,7 @@
   const socket = dialled.right;
   return new Promise((resolve) => {
     function failed(error: Error): void {
-      clearTimeout(alarm);
+      clearTimeout(timer);
       socket.destroy();
       const notListening = (error as NodeJS.ErrnoException).code === 'ECONNREFUSED';
       resolve(
@@ -247,10 +247,10 @@
         ),
       );
     }
-    const alarm = setTimeout(() => failed(new Error('no connection in time')), Math.min(milliseconds, connectMilliseconds));
+    const timer = setTimeout(() => failed(new Error('no connection in time')), Math.min(milliseconds, connectMilliseconds));
     socket.once('error', failed);
     socket.once('connect', () => {
-      clearTimeout(alarm);
+      clearTimeout(timer);
       socket.removeListener('error', failed);
       resolve(Either.right(streamOver(socket)));
     });
--- a/packages/runtime/src/minimal-runtime.ts
+++ b/packages/runtime/src/minimal-runtime.ts
@@ -157,10 +157,10 @@
     return new Promise((resolve) => {
       let left = false;
       const text = ask.body === undefined ? undefined : JSON.stringify(ask.body);
-      const alarm = setTimeout(close, milliseconds);
+      const timer = setTimeout(close, milliseconds);
       const connecting = setTimeout(() => (connected ? undefined : close()), Math.min(2 * connectMilliseconds, milliseconds));
       function settle(result: Either.Either<Fault, HttpReply>): void {
-        clearTimeout(alarm);
+        clearTimeout(timer);
         clearTimeout(connecting);
         under = undefined;
         resolve(result);
--- a/packages/runtime/src/network.ts
+++ b/packages/runtime/src/network.ts
@@ -131,7 +131,7 @@
   held.on('disconnect', close);
 
   async function exchange(ask: OutgoingHttpRequest, milliseconds: number): Promise<Either.Either<Fault, HttpReply>> {
-    const alarm = setTimeout(close, milliseconds);
+    const timer = setTimeout(close, milliseconds);
     try {
       if (closed) throw new Error('the connection is closed');
       if (ask.leaveBefore !== undefined && performance.now() >= ask.leaveBefore) throw new Error('the time to leave is over');
@@ -159,7 +159,7 @@
       );
     } finally {
       under = false;
-      clearTimeout(alarm);
+      clearTimeout(timer);
     }
   }
 
--- a/packages/session-protocol/src/line.ts
+++ b/packages/session-protocol/src/line.ts
@@ -93,14 +93,14 @@
         resolve({ replies: [], whole: false });
         return;
       }
-      const alarm = kernel.clock.startTimer(Math.max(1, milliseconds), over);
+      const timer = kernel.clock.startTimer(Math.max(1, milliseconds), over);
       const replies: StatementReply[] = [];
       waiting = {
         kind,
         replies,
         wanted: queries.length,
         settle: function settle(whole) {
-          alarm.cancel();
+          timer.cancel();
           resolve({ replies, whole });
         },
       };
--- a/packages/simulator/exploring-mutations.mjs
+++ b/packages/simulator/exploring-mutations.mjs
@@ -79,8 +79,8 @@
   {
     name: 'not-blind-after-it-opened',
     file: 'lease/build/lease-grantor.js',
-    from: 'later(beganAt, view.openedAt())',
-    to: 'beganAt',
+    from: 'laterOf(startedAt, context.openedAt())',
+    to: 'startedAt',
     story: 'A core that was given its seat anew',
   },
 ];
--- a/packages/simulator/src/checks.ts
+++ b/packages/simulator/src/checks.ts
@@ -1,7 +1,7 @@
 // The checkers of what must never happen. They judge by what senders, members, platform and operators saw; where one reads a
 // process's own state, another beside it does not (design 10.3).
 import type { HttpReply } from '@stallstall/kernel';
-import { placements, type Sheet, type StatementKind } from '@stallstall/placement';
+import { placements, type PlacementConfiguration, type StatementKind } from '@stallstall/placement';
 import type { Ledger, PlatformStore, ReadRecord, WriteRecord } from '@stallstall/fakes';
 import type { CoreSlot, Fleet } from './fleet.js';
 import { wallStart } from './world.js';
@@ -12,7 +12,7 @@
 export type Sent = {
   readonly sentAt: number;
   readonly core: string;
-  readonly sheet: Sheet;
+  readonly sheet: PlacementConfiguration;
   readonly mark: string;
   version: number;
   acknowledgedAt: number;
@@ -340,7 +340,7 @@
   return { sample, violations };
 }
 
-type Span = Readonly<{ sheet: Sheet; from: number; until: number }>;
+type Span = Readonly<{ sheet: PlacementConfiguration; from: number; until: number }>;
 
 /** When each sheet that was sent may have been obeyed somewhere: from its sending until three seconds after a later one was acknowledged. */
 function spans(sends: readonly Sent[]): readonly Span[] {
@@ -356,7 +356,7 @@
   }));
 }
 
-function obeyable(known: readonly Span[], from: number, until: number): readonly Sheet[] {
+function obeyable(known: readonly Span[], from: number, until: number): readonly PlacementConfiguration[] {
   return known.filter((span) => span.from <= until && span.until >= from).map((span) => span.sheet);
 }
 
@@ -369,7 +369,7 @@
 }
 
 /** Reckoned here and not by the product's own function, which is what is judged. */
-function letsIn(sheet: Sheet, probe: Probe): boolean {
+function letsIn(sheet: PlacementConfiguration, probe: Probe): boolean {
   const given = sheet.keys.some((one) => one.key === probe.key && one.services.includes(probe.service) && one.kinds.includes(probe.kind));
   return (
     given && sheet.rows.some((row) => row.service === probe.service && row.area === probe.area && row.serves[probe.kind] !== undefined)
@@ -426,7 +426,7 @@
 /** What each edge had learned, and when: (moment, version) of every configuration its agents obeyed. */
 function learned(fleet: Fleet, edge: string, key: string): ReadonlyArray<Readonly<{ at: number; version: number }>> {
   return fleet.world.logs
-    .filter((line) => line.process === `${edge}/agent` && line.event === 'node.obeyed' && line.fields['key'] === key)
+    .filter((line) => line.process === `${edge}/agent` && line.event === 'node.applied' && line.fields['key'] === key)
     .map((line) => ({ at: line.at, version: Number(line.fields['version']) }));
 }
 
--- a/packages/simulator/src/event-queue.ts
+++ b/packages/simulator/src/event-queue.ts
@@ -1,6 +1,6 @@
 // The events of a simulated world in the order of their time, and the generator that a seed stands for.
 
-/** An event that nobody waits for any more (an alarm that was cancelled, a horizon that was met) is passed over. */
+/** An event that nobody waits for any more (an timer that was cancelled, a horizon that was met) is passed over. */
 export type Event = Readonly<{ at: number; order: number; action: () => void; wanted: (() => boolean) | undefined }>;
 
 /** A small generator with a good spread; the seed is the whole of its state. */
--- a/packages/simulator/src/explored-machines.ts
+++ b/packages/simulator/src/explored-machines.ts
@@ -3,7 +3,7 @@
 import { soundDisk } from './sound-disk.js';
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
-import { copying, cores, setOf, standingOf, type CoreCall, type Cores, type Fleet } from '@stallstall/core';
+import { stateTransfer, coreSetManager, setOf, coreSetViewOf, type CoreCall, type CoreSetManager, type Fleet } from '@stallstall/core';
 import { identifiers, type Clock, type Disk, type Instant, type Kernel } from '@stallstall/kernel';
 import type { Request, CoreSet, MessageKind, Reply, Seat } from '@stallstall/message';
 import {
@@ -60,7 +60,7 @@
   seats: (names: readonly string[]) => readonly Seat[];
 }>;
 
-type Running = { readonly cells: Acceptor; readonly cores: Cores; joins: number; fleet: Option.Option<Fleet> };
+type Running = { readonly cells: Acceptor; readonly cores: CoreSetManager; joins: number; fleet: Option.Option<Fleet> };
 type State = {
   readonly name: string;
   entries: Map<string, unknown>;
@@ -96,7 +96,7 @@
       now,
       wall: () => identifiers.wallTime(now()),
       sleep: () => new Promise((resolve) => course.later(() => (alive() ? resolve() : undefined), 'pause')),
-      startTimer: function alarm(_milliseconds, act) {
+      startTimer: function startTimer(_milliseconds, act) {
         let cancelled = false;
         course.later(() => (alive() && !cancelled ? act() : undefined), 'pause');
         return {
@@ -219,7 +219,7 @@
       state.entries,
       () => undefined,
       () => undefined,
-      standingOf(
+      coreSetViewOf(
         () => running.fleet,
         () => between,
       ),
@@ -231,7 +231,7 @@
       () => (Option.isSome(running.fleet) ? setOf(running.fleet.value) : { number: 0, seats: [], epochs: {} }),
       (set) => running.cores.observe(set),
     );
-    const created = cores.create(
+    const created = coreSetManager.create(
       kernel,
       {
         node: {
@@ -243,17 +243,17 @@
             seeds: () => [],
             platform: () => '',
           },
-          seat: () => seatOf(state.name),
+          ownSeat: () => seatOf(state.name),
           lastHeartbeatAt: (other) => Option.some(course.isSilent(state.name, other) ? identifiers.instant(0) : now()),
           setFleet: () => undefined,
         },
         register,
         callCore: call,
         cells,
-        copying: copying.create(kernel, {
+        copying: stateTransfer.create(kernel, {
           call,
           cells,
-          notes: { keep: () => Promise.resolve({ ready: true, floors: {} }), synced: () => true },
+          notes: { store: () => Promise.resolve({ ready: true, floors: {} }), isSynced: () => true },
           votes: { epochs: () => Promise.resolve({}), record: () => Promise.resolve(true) },
           stopped: () => !alive(),
         }),
--- a/packages/simulator/src/faults.ts
+++ b/packages/simulator/src/faults.ts
@@ -1,6 +1,6 @@
 // The brief's failures, each as something that happens to an in-memory fleet (design 10.4).
 import * as Either from 'fp-ts/lib/Either.js';
-import { placements, statementKinds, type Sheet, type StatementKind } from '@stallstall/placement';
+import { placements, statementKinds, type PlacementConfiguration, type StatementKind } from '@stallstall/placement';
 import type { MemberKnobs } from '@stallstall/fakes';
 import type { EdgeDrain, PlannedEnd, Sent } from './checks.js';
 import type { CoreSlot, EdgeSlot, Fleet, MemberSlot } from './fleet.js';
@@ -137,7 +137,7 @@
 }
 
 /** The sheet as the storm now wants it: the second key in or out, members that go, weights, limits and rows drawn anew. */
-function wanted(fleet: Fleet, storm: Storm): Readonly<{ sheet: Sheet; mark: string }> {
+function wanted(fleet: Fleet, storm: Storm): Readonly<{ sheet: PlacementConfiguration; mark: string }> {
   const sheet = fleet.sheet() as {
     keys: unknown[];
     services: Array<{ connectionLimit: number; members: Array<{ member: string; state: string }> }>;
@@ -394,7 +394,9 @@
     duty === 'usage'
       ? fleet.platformStore.usage.at(-1)?.holder
       : fleet.world.logs
-          .findLast((line) => line.event === 'elect.propose' && line.fields['service'] === fleet.platformStore.promotions.at(-1)?.service)
+          .findLast(
+            (line) => line.event === 'election.propose' && line.fields['service'] === fleet.platformStore.promotions.at(-1)?.service,
+          )
           ?.process.replace('/agent', '');
   return [...fleet.cores, ...fleet.edges].find((slot) => slot.name === name);
 }
--- a/packages/simulator/src/schedules.ts
+++ b/packages/simulator/src/schedules.ts
@@ -35,7 +35,7 @@
   return {
     clock: {
       now: () => identifiers.instant(now),
-      alarm: function alarm(_milliseconds: number, act: () => void) {
+      startTimer: function startTimer(_milliseconds: number, act: () => void) {
         setImmediate(act);
         return { cancel: () => undefined };
       },
@@ -118,7 +118,7 @@
         [...sources].map(seatOf),
         catchUp.sourcesNeeded(secondSeats.length),
         async function copy(source) {
-          if (!catchUp.mayBeCopied(2, core(source.node).set)) return false;
+          if (!catchUp.isEligibleSource(2, core(source.node).set)) return false;
           const page = await core(source.node).cells.page('');
           if (Either.isLeft(page)) return false;
           for (const { key: copied, state } of page.right.entries)
