--- a/packages/acceptance/features/platform.feature
+++ b/packages/acceptance/features/platform.feature
@@ -108,12 +108,12 @@
     Then readiness is 200 when ready, and 503 when not
 
   Scenario: Beats and leaves are put into the product's words
-    Given the pages of a core with a door that takes notes
+    Given the routes of a core with a platform API that records its calls
     When a member sends a beat in service and one that is draining, and leaves
-    Then the door heard both beats and the leave
+    Then the platform API was called with both beats and the leave
 
-  Scenario: Beats that cannot be read get a 4xx, and the door hears nothing
-    Given the pages of a core with a door that takes notes
+  Scenario: Beats that cannot be read get a 4xx, and the platform API is not called
+    Given the routes of a core with a platform API that records its calls
     Then each of these beats gets a 4xx:
       | case                         |
       | no body                      |
@@ -147,4 +147,4 @@
       | a%0D%0Ab |
       | 201 characters |
     And 3000 spoilt beats, leaves and configurations from seed 5 get a reply each, and nothing throws
-    And the door has heard only what can be told on between cores
+    And the platform API was called only with what cores can send one another
--- a/packages/acceptance/src/administration.ts
+++ b/packages/acceptance/src/administration.ts
@@ -165,12 +165,7 @@
     read: () => Promise.resolve(Either.right(Option.none)),
     change: () => Promise.resolve(Either.right({ wrote: false, entry: Option.none })),
   };
-  this.watcher = watcher.create(
-    kernel,
-    silent,
-    () => 3,
-    () => undefined,
-  );
+  this.watcher = watcher.create(kernel, { register: silent, coreCount: () => 3, onApplied: () => undefined });
 });
 
 When(
--- a/packages/acceptance/src/cores.ts
+++ b/packages/acceptance/src/cores.ts
@@ -258,10 +258,10 @@
 });
 
 Then('core-{int} turns away a beat, a leave, a configuration and a read within 1 ms', async function then(this: CoreStory, index: number) {
-  const { door } = this.cores.machine(`core-${index}`);
-  assert.ok(door !== undefined && !door.ready());
+  const { platformApi } = this.cores.machine(`core-${index}`);
+  assert.ok(platformApi !== undefined && !platformApi.ready());
   assert.equal(
-    await door.beat({
+    await platformApi.heartbeat({
       member: 'bookings-1',
       service: 'bookings',
       address: '10.3.0.1:5000',
@@ -273,10 +273,10 @@
     }),
     false,
   );
-  assert.equal(await door.leave('bookings-1'), false);
+  assert.equal(await platformApi.leave('bookings-1'), false);
   const replies: Either.Either<unknown, unknown>[] = [];
-  void door.configure({ version: 9, source: '9' }, {}).then((reply) => replies.push(reply));
-  void door.source().then((reply) => replies.push(reply));
+  void platformApi.configure({ version: 9, source: '9' }, {}).then((reply) => replies.push(reply));
+  void platformApi.source().then((reply) => replies.push(reply));
   await this.cores.world.run(1);
   assert.deepEqual(replies.map(Either.isLeft), [true, true]);
   this.operator.stop();
--- a/packages/acceptance/src/cut-core.ts
+++ b/packages/acceptance/src/cut-core.ts
@@ -3,7 +3,7 @@
 import { Then, When } from '@cucumber/cucumber';
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
-import type { Door } from '@stallstall/core';
+import type { PlatformApi } from '@stallstall/core';
 import { http, identifiers, type HttpReply } from '@stallstall/kernel';
 import { memberRegistryService, type Registration } from '@stallstall/member-registry';
 import { coreFleet, type CoreFleet, type CoreMachine } from '@stallstall/simulator';
@@ -33,25 +33,25 @@
   return { member, service: 'bookings', address: '10.3.0.1:5000', area: 'north', draining, role: 'replica', slots: 4, sequence };
 }
 
-function doorOf(machine: CoreMachine): Door {
-  assert.ok(machine.door !== undefined, `${machine.name} does not run`);
-  return machine.door;
+function platformApiOf(machine: CoreMachine): PlatformApi {
+  assert.ok(machine.platformApi !== undefined, `${machine.name} does not run`);
+  return machine.platformApi;
 }
 
 async function perform(fleet: CoreFleet, machine: CoreMachine, operation: Operation): Promise<boolean> {
-  const door = doorOf(machine);
+  const platformApi = platformApiOf(machine);
   version += 1;
   switch (operation) {
     case 'beat':
-      return door.beat(registration('bookings-7', false));
+      return platformApi.heartbeat(registration('bookings-7', false));
     case 'draining':
-      return door.beat(registration('bookings-8', true));
+      return platformApi.heartbeat(registration('bookings-8', true));
     case 'leave':
-      return door.leave('bookings-9');
+      return platformApi.leave('bookings-9');
     case 'configuration':
-      return Either.isRight(await door.configure({ version, source: String(version) }, fleet.sheet));
+      return Either.isRight(await platformApi.configure({ version, source: String(version) }, fleet.sheet));
     case 'read':
-      return Either.isRight(await door.source());
+      return Either.isRight(await platformApi.source());
   }
 }
 
@@ -170,12 +170,12 @@
 });
 
 When('{string} and {string} beat to core-{int}', async function when(this: CutCoreStory, one: string, other: string, index: number) {
-  for (const member of [one, other]) void doorOf(this.cores.machine(`core-${index}`)).beat(registration(member, false));
+  for (const member of [one, other]) void platformApiOf(this.cores.machine(`core-${index}`)).heartbeat(registration(member, false));
   await this.cores.world.run(300);
 });
 
 When('{string} leaves at core-{int}', async function when(this: CutCoreStory, member: string, index: number) {
-  void doorOf(this.cores.machine(`core-${index}`)).leave(member);
+  void platformApiOf(this.cores.machine(`core-${index}`)).leave(member);
   await this.cores.world.run(lookMilliseconds);
 });
 
@@ -318,10 +318,10 @@
   'a member beats at core-{int}, and {int} s later says at core-{int} that it leaves',
   async function when(this: CutCoreStory, first: number, seconds: number, second: number) {
     const fleet = this.cores;
-    void doorOf(fleet.machine(`core-${first}`)).beat(registration(leaver, false));
+    void platformApiOf(fleet.machine(`core-${first}`)).heartbeat(registration(leaver, false));
     await fleet.world.run(seconds * 1_000);
     let acknowledged = false;
-    void doorOf(fleet.machine(`core-${second}`))
+    void platformApiOf(fleet.machine(`core-${second}`))
       .leave(leaver)
       .then((confirmed) => (acknowledged = confirmed));
     assert.ok(await fleet.until(() => acknowledged, 1_000), 'the leave was not acknowledged');
--- a/packages/acceptance/src/platform.ts
+++ b/packages/acceptance/src/platform.ts
@@ -3,7 +3,7 @@
 import { Given, Then, When, type DataTable } from '@cucumber/cucumber';
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
-import { core, type Door } from '@stallstall/core';
+import { core, type PlatformApi } from '@stallstall/core';
 import { fault, http, identifiers, type Fault, type HttpReply, type Kernel } from '@stallstall/kernel';
 import { message, MemberRecordSchema } from '@stallstall/message';
 import { configuration, pages, platformCalls, type PlatformSettings } from '@stallstall/platform';
@@ -263,7 +263,7 @@
 
 // -- Three cores.
 
-const doors = [1, 2, 3].map((index) => identifiers.address(`10.1.0.${index}:7003`));
+const platformApiAddresses = [1, 2, 3].map((index) => identifiers.address(`10.1.0.${index}:7003`));
 const founders = [1, 2, 3].map((index) => `10.1.0.${index}:7000`);
 
 async function startCore(world: World, index: number, alone: boolean): Promise<void> {
@@ -307,7 +307,7 @@
     asks.map((ask) =>
       http.once(
         story.operator,
-        doors[ask.to - 1] ?? identifiers.address(`10.1.0.${ask.to}:7003`),
+        platformApiAddresses[ask.to - 1] ?? identifiers.address(`10.1.0.${ask.to}:7003`),
         { method: ask.method, path: ask.path, body: ask.body },
         5_000,
       ),
@@ -479,20 +479,20 @@
   }
 });
 
-Given('the pages of a core with a door that takes notes', function given(this: PlatformStory) {
+Given('the routes of a core with a platform API that records its calls', function given(this: PlatformStory) {
   this.beats = [];
   this.left = [];
-  const door: Door = {
+  const platformApi: PlatformApi = {
     ready: () => true,
     configure: (external, sheet) => {
       const checked = placements.check(sheet);
       return Promise.resolve(Either.isLeft(checked) ? checked : Either.right({ version: external.version }));
     },
     source: () => Promise.resolve(Either.right('{}')),
-    beat: (registration) => Promise.resolve(this.beats.push(registration) > 0),
+    heartbeat: (registration) => Promise.resolve(this.beats.push(registration) > 0),
     leave: (member) => Promise.resolve(this.left.push(member) > 0),
   };
-  this.mappings = pages.control(door);
+  this.mappings = pages.control(platformApi);
 });
 
 When('a member sends a beat in service and one that is draining, and leaves', async function when(this: PlatformStory) {
@@ -509,7 +509,7 @@
   ];
 });
 
-Then('the door heard both beats and the leave', function then(this: PlatformStory) {
+Then('the platform API was called with both beats and the leave', function then(this: PlatformStory) {
   assert.deepEqual(
     this.replies.map((reply) => reply.status),
     [200, 200, 200],
@@ -631,7 +631,7 @@
   },
 );
 
-Then('the door has heard only what can be told on between cores', function then(this: PlatformStory) {
+Then('the platform API was called only with what cores can send one another', function then(this: PlatformStory) {
   assert.ok(this.beats.length > 0);
   for (const told of this.beats)
     assert.ok(message.matches(MemberRecordSchema, { ...told, gone: false, down: false }), JSON.stringify(told));
--- a/packages/bench/src/hollow/child.ts
+++ b/packages/bench/src/hollow/child.ts
@@ -4,7 +4,7 @@
 import { leaseAgent } from '@stallstall/agent';
 import { core } from '@stallstall/core';
 import type { HttpRoute, Kernel } from '@stallstall/kernel';
-import type { Door } from '@stallstall/core';
+import type { PlatformApi } from '@stallstall/core';
 import { minimalRuntime } from '@stallstall/runtime/minimal-runtime';
 import { pooler } from '@stallstall/pooler';
 import type { Registration } from '@stallstall/member-registry';
@@ -22,19 +22,19 @@
 const restMilliseconds = 3_300;
 const graceMilliseconds = 6_000;
 
-function pages(door: Door): readonly HttpRoute[] {
+function pages(platformApi: PlatformApi): readonly HttpRoute[] {
   return [
     {
       method: 'POST',
       path: '/beats',
-      handle: async (request) => ({ status: (await door.beat(request.body as Registration)) ? 200 : 503, body: {} }),
+      handle: async (request) => ({ status: (await platformApi.heartbeat(request.body as Registration)) ? 200 : 503, body: {} }),
     },
     {
       method: 'PUT',
       path: '/configuration',
       handle: async function configure(request) {
         const { version, sheet } = request.body as { version: number; sheet: unknown };
-        const taken = await door.configure({ version, source: JSON.stringify(sheet) }, sheet);
+        const taken = await platformApi.configure({ version, source: JSON.stringify(sheet) }, sheet);
         return Either.isRight(taken) ? { status: 200, body: taken.right } : { status: 503, body: { message: taken.left.message } };
       },
     },
@@ -81,7 +81,7 @@
         },
       },
       routes: pages,
-      platformApiAddress: role.door,
+      platformApiAddress: role.platformApiAddress,
       founds: true,
       founders: role.founders,
     }),
--- a/packages/bench/src/hollow/members.ts
+++ b/packages/bench/src/hollow/members.ts
@@ -26,7 +26,7 @@
 async function start(kernel: Kernel, settings: MembersRole): Promise<Members> {
   const table = new Map<string, Member>();
   const held = new Map<Stream, Member>();
-  const doors = new Map<string, HttpConnection>();
+  const platformApiAddresses = new Map<string, HttpConnection>();
   let deniedBeats = 0;
   for (let index = 0; index < settings.services * membersOfService; index += 1) {
     const service = hollowRoles.serviceName(Math.floor(index / membersOfService));
@@ -44,19 +44,19 @@
     });
   }
 
-  function doorOf(door: string): HttpConnection {
-    const known = doors.get(door);
+  function connectionTo(platformApiAddress: string): HttpConnection {
+    const known = platformApiAddresses.get(platformApiAddress);
     if (known !== undefined && !known.closed()) return known;
-    const opened = kernel.network.connect(identifiers.address(door));
-    doors.set(door, opened);
+    const opened = kernel.network.connect(identifiers.address(platformApiAddress));
+    platformApiAddresses.set(platformApiAddress, opened);
     return opened;
   }
 
   async function beat(member: Member, index: number): Promise<void> {
     if (member.silent) return;
     member.sequence += 1;
-    const door = settings.doors[index % settings.doors.length] as string;
-    const reply = await doorOf(door).exchange(
+    const platformApiAddress = settings.platformApiAddresses[index % settings.platformApiAddresses.length] as string;
+    const reply = await connectionTo(platformApiAddress).exchange(
       {
         method: 'POST',
         path: '/beats',
@@ -76,13 +76,13 @@
     if (reply._tag === 'Left' || reply.right.status !== 200) deniedBeats += 1;
   }
 
-  /** One task for each core's door, which takes one exchange at a time; beats are spread over the period. */
-  async function beatTask(door: number): Promise<void> {
-    const mine = [...table.values()].filter((_, index) => index % settings.doors.length === door);
+  /** One task for each core's platformApiAddress, which takes one exchange at a time; beats are spread over the period. */
+  async function beatTask(platformApiAddress: number): Promise<void> {
+    const mine = [...table.values()].filter((_, index) => index % settings.platformApiAddresses.length === platformApiAddress);
     for (;;) {
       const began = kernel.clock.now();
       for (const [index, member] of mine.entries()) {
-        await beat(member, door);
+        await beat(member, platformApiAddress);
         const due = began + (settings.beatMilliseconds * (index + 1)) / mine.length;
         if (kernel.clock.now() < due) await kernel.clock.sleep(due - kernel.clock.now());
       }
@@ -162,7 +162,8 @@
       { method: 'POST', path: '/usage', handle: async () => ({ status: 200, body: {} }) },
     ],
   });
-  for (let door = 0; door < settings.doors.length; door += 1) void beatTask(door);
+  for (let platformApiAddress = 0; platformApiAddress < settings.platformApiAddresses.length; platformApiAddress += 1)
+    void beatTask(platformApiAddress);
 
   return {
     reply: function reply(ask) {
--- a/packages/bench/src/hollow/roles.ts
+++ b/packages/bench/src/hollow/roles.ts
@@ -8,7 +8,7 @@
       area: string;
       address: string;
       outward: string;
-      door: string;
+      platformApiAddress: string;
       founders: readonly string[];
       platform: string;
       data: string;
@@ -20,7 +20,7 @@
       role: 'members';
       address: string;
       platform: string;
-      doors: readonly string[];
+      platformApiAddresses: readonly string[];
       services: number;
       areas: readonly string[];
       beatMilliseconds: number;
--- a/packages/bench/src/hollow/run.ts
+++ b/packages/bench/src/hollow/run.ts
@@ -212,13 +212,13 @@
     return [...pairs].map(([role, readings]) => weight(role, readings));
   }
 
-  const door = at(2);
+  const platformApiAddress = at(2);
   let version = 0;
 
   async function send(): Promise<number> {
     version += 1;
     const sheet: HollowSheet = { services: size.services, connectionLimit: 1_000, tenants: size.tenants };
-    const connection = kernel.network.connect(identifiers.address(door));
+    const connection = kernel.network.connect(identifiers.address(platformApiAddress));
     const body = { version, sheet: hollowRoles.sheet(sheet) };
     timings['configurationBytes'] = JSON.stringify(body.sheet).length;
     const sentAt = Date.now();
@@ -259,13 +259,13 @@
   async function whole(): Promise<HollowOutcome> {
     const seeds = Array.from({ length: Math.min(3, size.cores) }, (_, index) => at(index * 5));
     const founders = Array.from({ length: size.cores }, (_, index) => at(index * 5));
-    const doors = Array.from({ length: size.cores }, (_, index) => at(index * 5 + 2));
+    const platformApiAddresses = Array.from({ length: size.cores }, (_, index) => at(index * 5 + 2));
     const platform = at(91);
     await start('members-1', {
       role: 'members',
       address: at(90),
       platform,
-      doors,
+      platformApiAddresses,
       services: size.services,
       areas,
       beatMilliseconds,
@@ -279,7 +279,7 @@
           area: areas[index % 3] as string,
           address: at(index * 5),
           outward: at(index * 5 + 1),
-          door: at(index * 5 + 2),
+          platformApiAddress: at(index * 5 + 2),
           founders,
           platform,
           data: path.join(folder, `core-${index + 1}`),
--- /dev/null
+++ b/packages/core/src/administration/administration.ts
@@ -0,0 +1,53 @@
+/** The administration API: routes for operators of many teams, on every core (design 9.2, 9.4). */
+import type * as Either from 'fp-ts/lib/Either.js';
+import { electionService, livenessService } from '@stallstall/election';
+import type { Fault, HttpRoute, Kernel } from '@stallstall/kernel';
+import { durableReportsService, registerService } from '@stallstall/register';
+import { configurationUpdates, type ConfigurationUpdates } from '../configuration-updates.js';
+import { configurationVersions } from '../configuration-versions.js';
+import { operators } from '../operators.js';
+import type { AdministrationContext, AdministrationParts } from './administration-context.js';
+import { electionRoutes } from './election-routes.js';
+import { healthRoutes } from './health-routes.js';
+import { nodeRoutes } from './node-routes.js';
+import { operatorRoutes } from './operator-routes.js';
+import { placementRoutes } from './placement-routes.js';
+
+export type Administration = Readonly<{
+  routes: readonly HttpRoute[];
+  /** Takes a configuration under its sender's own version. */
+  replaceExternal: ConfigurationUpdates['replaceExternal'];
+  /** The newest configuration as its sender wrote it. */
+  source: () => Promise<Either.Either<Fault, string>>;
+}>;
+
+function create(kernel: Kernel, parts: AdministrationParts): Administration {
+  const register = kernel.services.find(registerService);
+  const versions = configurationVersions.create(register, parts.versions);
+  const updates = configurationUpdates.create(kernel, { register, versions, accepted: () => parts.accepted('configuration') });
+  const context: AdministrationContext = {
+    kernel,
+    parts,
+    node: parts.node,
+    register,
+    durableReports: kernel.services.find(durableReportsService),
+    members: kernel.services.find(livenessService),
+    elections: kernel.services.find(electionService),
+    operators: operators.create(kernel, parts.rootKey),
+    versions,
+    updates,
+  };
+  return {
+    routes: [
+      ...healthRoutes.create(context),
+      ...nodeRoutes.create(context),
+      ...electionRoutes.create(context),
+      ...operatorRoutes.create(context),
+      ...placementRoutes.create(context),
+    ],
+    replaceExternal: updates.replaceExternal,
+    source: () => placementRoutes.source(context),
+  };
+}
+
+export const administration = { create } as const;
--- /dev/null
+++ b/packages/core/src/administration/authorization.ts
@@ -0,0 +1,25 @@
+/** Which operator may call which route (design 9.4). */
+import * as Either from 'fp-ts/lib/Either.js';
+import { http, type HttpReply, type HttpRequest, type HttpRoute } from '@stallstall/kernel';
+import { operators, type Caller, type OperatorTable, type Scope } from '../operators.js';
+
+/** What a caller must be allowed. What a configuration changes is checked where it is taken, so `placement` lets every operator in. */
+export type Permission = 'read' | 'placement' | 'nodes' | 'operators';
+
+export type AuthorizedHandler = (request: HttpRequest, caller: Caller) => Promise<HttpReply>;
+
+function isAllowed(scope: Scope, permission: Permission): boolean {
+  if (permission === 'nodes') return scope.nodes;
+  if (permission === 'operators') return scope.operators;
+  return true;
+}
+
+/** A handler that only callers with a permission reach. */
+export function authorized(table: OperatorTable, permission: Permission, handle: AuthorizedHandler): HttpRoute['handle'] {
+  return async function handleAuthorized(request) {
+    const caller = await table.caller(request);
+    if (Either.isLeft(caller)) return http.rejected(caller.left);
+    if (!isAllowed(caller.right.scope, permission)) return http.rejected(operators.denied(`${caller.right.operator} may not do this`));
+    return handle(request, caller.right);
+  };
+}
--- /dev/null
+++ b/packages/core/src/administration/election-routes.ts
@@ -0,0 +1,80 @@
+/** Routes for elections: their state, and an operator's consent to a loss (design 7.5, 7.11). */
+import * as Either from 'fp-ts/lib/Either.js';
+import * as Option from 'fp-ts/lib/Option.js';
+import { acceptedLossKey } from '@stallstall/election';
+import { fault, http, type Fault, type HttpReply, type HttpRequest, type HttpRoute } from '@stallstall/kernel';
+import type { DurableWatermark } from '@stallstall/message';
+import { placements } from '@stallstall/placement';
+import { operators, type Caller } from '../operators.js';
+import type { AdministrationContext } from './administration-context.js';
+import { authorized } from './authorization.js';
+import { pageOf } from './pagination.js';
+
+const nothingAcknowledged: DurableWatermark = { epoch: 0, position: 0 };
+
+function textOf({ epoch, position }: DurableWatermark): string {
+  return `${epoch}/${position}`;
+}
+
+/** Each service with its durable watermark: what any candidate must hold. */
+async function electionRows({ durableReports, elections }: AdministrationContext): Promise<Either.Either<Fault, readonly unknown[]>> {
+  const watermarks = await durableReports.watermarks();
+  if (Either.isLeft(watermarks)) return watermarks;
+  const rows = elections.describe().map(function withWatermark(row) {
+    const watermark = watermarks.right[String(row['service'])] ?? nothingAcknowledged;
+    return { ...row, floor: textOf(watermark) };
+  });
+  return Either.right(rows);
+}
+
+/** Why a loss may not be accepted for a service now; none where it may. */
+function rejectionOf({ node, members }: AdministrationContext, service: string, caller: Caller): Option.Option<Fault> {
+  const configuration = node.configuration();
+  if (Option.isNone(configuration) || placements.service(configuration.value.value.sheet, service) === undefined) {
+    return Option.some(
+      fault.create({ kind: 'not-found', message: `no sheet names a service ${service}`, remedy: 'see stallstall elections' }),
+    );
+  }
+  if (!operators.covers(caller.scope, service)) return Option.some(operators.denied(`${caller.operator} may not change ${service}`));
+  const elected = node.electedPrimary(service);
+  if (Option.isNone(elected) || !members.isAlive(elected.value.primary)) return Option.none;
+  return Option.some(
+    fault.create({
+      kind: 'unsafe-step',
+      message: `${elected.value.primary} leads ${service} and is alive: nothing needs to be lost`,
+      remedy: 'leave it, or retire that member',
+    }),
+  );
+}
+
+/** An operator consents that commits up to the watermark of this moment may be lost, if their primary never comes back. */
+async function acceptLoss(context: AdministrationContext, request: HttpRequest, caller: Caller): Promise<HttpReply> {
+  const service = request.query['service'] ?? '';
+  const rejection = rejectionOf(context, service, caller);
+  if (Option.isSome(rejection)) return http.rejected(rejection.value);
+  const watermarks = await context.durableReports.watermarks();
+  if (Either.isLeft(watermarks)) return http.rejected(watermarks.left);
+  const watermark = watermarks.right[service] ?? nothingAcknowledged;
+  const written = await context.register.change(acceptedLossKey(service), () => Option.some(watermark));
+  if (Either.isLeft(written)) return http.rejected(written.left);
+  await context.operators.recordAction(caller.operator, 'accept-loss', `${service} up to ${textOf(watermark)}`);
+  return { status: 200, body: { service, floor: watermark } };
+}
+
+function create(context: AdministrationContext): readonly HttpRoute[] {
+  async function list(request: HttpRequest): Promise<HttpReply> {
+    const rows = await electionRows(context);
+    return http.toReply(Either.map((all: readonly unknown[]) => pageOf(all, request))(rows));
+  }
+  return [
+    { method: 'GET', path: '/v1/elections', handle: authorized(context.operators, 'read', list) },
+    {
+      method: 'POST',
+      path: '/v1/services/:service/accept-loss',
+      handle: authorized(context.operators, 'read', (request, caller) => acceptLoss(context, request, caller)),
+    },
+  ];
+}
+
+/** @internal */
+export const electionRoutes = { create } as const;
--- /dev/null
+++ b/packages/core/src/administration/node-routes.ts
@@ -0,0 +1,105 @@
+/** Routes for nodes: the fleet's state, its members, draining and removing an edge (design 9.2). */
+import * as Either from 'fp-ts/lib/Either.js';
+import * as Option from 'fp-ts/lib/Option.js';
+import { fault, http, type Fault, type HttpReply, type HttpRequest, type HttpRoute } from '@stallstall/kernel';
+import type { Seat } from '@stallstall/message';
+import { quorum } from '@stallstall/quorum';
+import type { Caller } from '../operators.js';
+import type { AdministrationContext } from './administration-context.js';
+import { authorized } from './authorization.js';
+import { fleetView } from './fleet-view.js';
+import { pageOf } from './pagination.js';
+
+/** An edge heard within this span still runs. Unit: milliseconds. */
+const runningMilliseconds = 5_000;
+
+function unsafeStep(reason: string, remedy: string): Fault {
+  return fault.create({ kind: 'unsafe-step', message: reason, remedy });
+}
+
+/** The edge that a request names; left where the membership table has none of that name. */
+function edgeOf({ node }: AdministrationContext, name: string): Either.Either<Fault, Seat> {
+  const seat = quorum.seat(node.membership().value, name);
+  if (seat !== undefined && seat.role === 'edge') return Either.right(seat);
+  return Either.left(
+    fault.create({
+      kind: 'not-found',
+      message: `the membership table names no edge ${name}`,
+      remedy: 'see stallstall status for the names',
+    }),
+  );
+}
+
+async function setDraining(context: AdministrationContext, request: HttpRequest, caller: Caller, draining: boolean): Promise<HttpReply> {
+  const name = request.query['node'] ?? '';
+  const edge = edgeOf(context, name);
+  if (Either.isLeft(edge)) return http.rejected(edge.left);
+  const changed = await context.parts.changeMembership(function withDraining(before) {
+    const current = quorum.seat(before, name);
+    return current === undefined ? before : quorum.put(before, { ...current, draining });
+  });
+  if (Either.isLeft(changed)) return http.rejected(changed.left);
+  await context.operators.recordAction(caller.operator, draining ? 'drain' : 'undrain', name);
+  return http.toReply(Either.right({ node: name, draining }));
+}
+
+/** Why an edge may not be removed now; none where it may. */
+function removalRisk(context: AdministrationContext, edge: Seat, isForced: boolean): Option.Option<Fault> {
+  const { kernel, node } = context;
+  const heardAt = node.lastHeartbeatAt(edge.node);
+  const isRunning = Option.isSome(heardAt) && kernel.clock.now() - heardAt.value < runningMilliseconds;
+  if (!edge.draining && isRunning) {
+    return Option.some(unsafeStep(`${edge.node} still runs and is not drained`, `run stallstall drain ${edge.node} first`));
+  }
+  const left = node.membership().value.seats.length - 1;
+  const needed = quorum.majority(left);
+  const heard = fleetView.reachableNodes(context).filter((name) => name !== edge.node).length;
+  if (isForced || heard >= needed) return Option.none;
+  return Option.some(
+    unsafeStep(`only ${heard} other nodes are heard, and ${left} nodes need ${needed}`, 'bring nodes back first, or repeat it with force'),
+  );
+}
+
+async function remove(context: AdministrationContext, request: HttpRequest, caller: Caller): Promise<HttpReply> {
+  const name = request.query['node'] ?? '';
+  const edge = edgeOf(context, name);
+  if (Either.isLeft(edge)) return http.rejected(edge.left);
+  const risk = removalRisk(context, edge.right, request.query['force'] === 'true');
+  if (Option.isSome(risk)) return http.rejected(risk.value);
+  const changed = await context.parts.changeMembership((current) => quorum.remove(current, name));
+  if (Either.isLeft(changed)) return http.rejected(changed.left);
+  await context.operators.recordAction(caller.operator, 'remove', name);
+  return http.toReply(Either.right({ node: name, removed: true }));
+}
+
+function create(context: AdministrationContext): readonly HttpRoute[] {
+  const { operators } = context;
+  async function showFleet(): Promise<HttpReply> {
+    return { status: 200, body: fleetView.fleetStatus(context) };
+  }
+  async function listMembers(request: HttpRequest): Promise<HttpReply> {
+    return { status: 200, body: pageOf(fleetView.memberRows(context), request) };
+  }
+  return [
+    { method: 'GET', path: '/v1/fleet', handle: authorized(operators, 'read', showFleet) },
+    { method: 'GET', path: '/v1/members', handle: authorized(operators, 'read', listMembers) },
+    {
+      method: 'POST',
+      path: '/v1/nodes/:node/drain',
+      handle: authorized(operators, 'nodes', (request, caller) => setDraining(context, request, caller, true)),
+    },
+    {
+      method: 'DELETE',
+      path: '/v1/nodes/:node/drain',
+      handle: authorized(operators, 'nodes', (request, caller) => setDraining(context, request, caller, false)),
+    },
+    {
+      method: 'DELETE',
+      path: '/v1/nodes/:node',
+      handle: authorized(operators, 'nodes', (request, caller) => remove(context, request, caller)),
+    },
+  ];
+}
+
+/** @internal */
+export const nodeRoutes = { create } as const;
--- /dev/null
+++ b/packages/core/src/administration/placement-routes.ts
@@ -0,0 +1,126 @@
+/** Routes for the placement configuration: send, check, read back, list versions (design 9.2). */
+import * as Either from 'fp-ts/lib/Either.js';
+import * as Option from 'fp-ts/lib/Option.js';
+import { Type } from '@sinclair/typebox';
+import { fault, http, type Fault, type HttpReply, type HttpRequest, type HttpRoute } from '@stallstall/kernel';
+import { message } from '@stallstall/message';
+import { placements } from '@stallstall/placement';
+import type { Caller } from '../operators.js';
+import type { AdministrationContext } from './administration-context.js';
+import { authorized } from './authorization.js';
+import { pageOf } from './pagination.js';
+
+/** The field names are those of the administration API. */
+const SendSchema = Type.Object({
+  sheet: Type.Unknown(),
+  sentBy: Type.Optional(Type.String({ maxLength: 200 })),
+  sendId: Type.Optional(Type.String({ maxLength: 200 })),
+});
+
+function badRequest(reason: string, remedy: string): HttpReply {
+  return http.rejected(fault.create({ kind: 'bad-request', message: reason, remedy }));
+}
+
+function notSent(remedy: string): Fault {
+  return fault.create({ kind: 'not-found', message: 'no sheet has been sent yet', remedy });
+}
+
+function notKept(requested: string | undefined, wanted: number, latest: number, oldest: number): Fault {
+  const neverWas = wanted > latest || !Number.isInteger(wanted) || wanted < 1;
+  return fault.create({
+    kind: neverWas ? 'not-found' : 'version-forgotten',
+    message: `version ${requested} is not kept`,
+    remedy: `ask for ${oldest} to ${latest}`,
+  });
+}
+
+/** The version that an If-Match header names; left where it names none. */
+function expectedVersion(header: string | undefined): Either.Either<HttpReply, Option.Option<number>> {
+  if (header === undefined) return Either.right(Option.none);
+  if (!/^"?\d+"?$/.test(header)) {
+    return Either.left(badRequest('If-Match names no version', 'give a version number, as in If-Match: 7'));
+  }
+  return Either.right(Option.some(Number(header.replaceAll('"', ''))));
+}
+
+async function send({ kernel, updates, operators }: AdministrationContext, request: HttpRequest, caller: Caller): Promise<HttpReply> {
+  const { body } = request;
+  if (!message.matches(SendSchema, body)) {
+    return badRequest('a sheet is sent as {"sheet": {...}, "sentBy": "..."}', 'send that shape, or use stallstall sheet send');
+  }
+  const checked = placements.check(body.sheet);
+  if (Either.isLeft(checked)) return http.rejected(checked.left);
+  const expected = expectedVersion(request.headers['if-match']);
+  if (Either.isLeft(expected)) return expected.left;
+  const sentBy = caller.operator === 'anyone' ? (body.sentBy ?? 'unnamed') : caller.operator;
+  const sent = await updates.replace({
+    caller,
+    placement: checked.right,
+    document: body.sheet,
+    sendId: body.sendId ?? kernel.randomness.token(),
+    isNamed: body.sendId !== undefined,
+    sentBy,
+    expected: expected.right,
+  });
+  if (Either.isLeft(sent)) return http.rejected(sent.left);
+  const { version } = sent.right;
+  await operators.recordAction(sentBy, 'sheet', `version ${version}`);
+  return { status: 200, headers: { etag: `"${version}"` }, body: { version } };
+}
+
+async function readBack({ versions }: AdministrationContext, request: HttpRequest): Promise<HttpReply> {
+  const read = await versions.current();
+  if (Either.isLeft(read)) return http.rejected(read.left);
+  if (Option.isNone(read.right)) return http.rejected(notSent('send one with stallstall sheet send'));
+  const current = read.right.value;
+  const latest = current.version;
+  const oldest = versions.oldest(latest);
+  const requested = request.query['version'];
+  const wanted = requested === undefined ? latest : Number(requested);
+  const found = await versions.at(wanted, current);
+  if (Either.isLeft(found)) return http.rejected(found.left);
+  if (Option.isNone(found.right)) return http.rejected(notKept(requested, wanted, latest, oldest));
+  const { sheet, sentBy, sentAt } = found.right.value;
+  return { status: 200, headers: { etag: `"${wanted}"` }, body: { version: wanted, sheet, sentBy, sentAt, oldest, latest } };
+}
+
+async function listVersions({ versions }: AdministrationContext, request: HttpRequest): Promise<HttpReply> {
+  const read = await versions.current();
+  if (Either.isLeft(read)) return http.rejected(read.left);
+  if (Option.isNone(read.right)) return { status: 200, body: pageOf([], request) };
+  const current = read.right.value;
+  const shown = pageOf(versions.numbers(current.version), request);
+  const rows = await Promise.all((shown.rows as readonly number[]).map((version) => versions.row(version, current)));
+  return { status: 200, body: { ...shown, rows } };
+}
+
+async function check(request: HttpRequest): Promise<HttpReply> {
+  const checked = placements.check((request.body as { sheet?: unknown } | null)?.sheet);
+  return http.toReply(Either.map(() => ({ sound: true }))(checked));
+}
+
+/** The newest configuration as its sender wrote it. Errors: `not-found`, and those of the register. */
+async function source({ versions }: AdministrationContext): Promise<Either.Either<Fault, string>> {
+  const read = await versions.current();
+  if (Either.isLeft(read)) return read;
+  const external = Option.isSome(read.right) ? read.right.value.value.external : undefined;
+  if (external !== undefined) return Either.right(external.source);
+  return Either.left(fault.create({ kind: 'not-found', message: 'no configuration has been sent yet', remedy: 'send one' }));
+}
+
+function create(context: AdministrationContext): readonly HttpRoute[] {
+  const { operators } = context;
+  return [
+    {
+      method: 'PUT',
+      path: '/v1/sheet',
+      handle: authorized(operators, 'placement', (request, caller) => send(context, request, caller)),
+    },
+    { method: 'POST', path: '/v1/sheet/check', handle: authorized(operators, 'read', check) },
+    { method: 'GET', path: '/v1/sheet', handle: authorized(operators, 'read', (request) => readBack(context, request)) },
+    { method: 'GET', path: '/v1/sheet/versions', handle: authorized(operators, 'read', (request) => listVersions(context, request)) },
+  ];
+}
+
+/** @internal */
+export const placementRoutes = { create, source } as const;
--- /dev/null
+++ b/packages/core/src/core-context.ts
@@ -0,0 +1,46 @@
+/** What the modules of a core share while it runs. */
+import type * as Option from 'fp-ts/lib/Option.js';
+import type { Disk, Instant, Kernel } from '@stallstall/kernel';
+import type { Node } from '@stallstall/node';
+import type { Acceptor, CoreSetView, ReportStore } from '@stallstall/register';
+import type { CoreCalls } from './core-calls.js';
+import type { CoreParts, CoreSettings } from './core-settings.js';
+import type { CoreSetManager } from './core-set-manager.js';
+import type { FleetRecord } from './fleet-record.js';
+import type { MemberRegistration } from './member-registration.js';
+import type { StateTransfer } from './state-transfer.js';
+import type { CoreVoteStore } from './vote-store.js';
+
+/** @internal */
+export type CoreContext = {
+  readonly kernel: Kernel;
+  readonly settings: CoreSettings;
+  /** None where an operator runs the fleet. */
+  readonly parts: Option.Option<CoreParts>;
+  readonly disk: Disk;
+  /** None where an operator names the members. */
+  registration: Option.Option<MemberRegistration>;
+  /** None where an operator runs the set of cores. */
+  coreSet: Option.Option<CoreSetManager>;
+  /** When this core began to answer as an occupant of its seat. */
+  openedAt: Instant;
+  /** While the disk moves from one set of cores to the next. */
+  isBetweenSets: boolean;
+  isDraining: boolean;
+  isStopped: boolean;
+};
+
+/** What lies on this core's disk, and how it gets there. @internal */
+export type CoreStorage = Readonly<{
+  record: FleetRecord;
+  /** Undefined where the set of cores never changes. */
+  coreSetView: CoreSetView | undefined;
+  cells: Acceptor;
+  reports: ReportStore;
+  votes: CoreVoteStore;
+  calls: CoreCalls;
+  transfer: StateTransfer;
+}>;
+
+/** @internal */
+export type CoreServices = Readonly<{ context: CoreContext; storage: CoreStorage; node: Node }>;
--- /dev/null
+++ b/packages/core/src/core-node.ts
@@ -0,0 +1,72 @@
+/** The node of a core: the register with this core's own disk as one of its replicas (design 3, 5.1). */
+import * as Option from 'fp-ts/lib/Option.js';
+import type { Reply } from '@stallstall/message';
+import { node as nodes, type Node, type NodeSettings, type RegistrationSupport } from '@stallstall/node';
+import type { RegisterReplica } from '@stallstall/register';
+import type { CoreContext, CoreStorage } from './core-context.js';
+import type { CoreParts } from './core-settings.js';
+import { storeReport } from './report-handling.js';
+
+/** @internal */
+export type CoreNodeEvents = Readonly<{
+  /** Called once what edges are told with their leases has changed. */
+  notifyLeaseHolders: () => void;
+  onHelloReply: (reply: Reply<'hello'>, address: string) => void;
+}>;
+
+/** This core's own disk as a replica of the register. */
+function localRegisterReplica({ settings }: CoreContext, { cells }: CoreStorage): RegisterReplica {
+  return {
+    core: settings.node,
+    local: true,
+    send: async function send(call, body) {
+      const reply = await cells[call](body as never);
+      return Option.some(reply as never);
+    },
+  };
+}
+
+function registrationSupport(context: CoreContext, { calls, probe }: CoreParts, events: CoreNodeEvents): RegistrationSupport {
+  return {
+    calls,
+    probe,
+    membersOf: (service) => (Option.isSome(context.registration) ? context.registration.value.membersOf(service) : []),
+    leaseHolders: () => (Option.isSome(context.registration) ? context.registration.value.grantor.leaseHolders() : Option.none),
+    hasReleased: (service, epoch, holders) =>
+      Option.isSome(context.registration) && context.registration.value.grantor.hasReleased(service, epoch, holders),
+    onEpochRaised: events.notifyLeaseHolders,
+    observeCoreSet: (set) => (Option.isSome(context.coreSet) ? context.coreSet.value.observe(set) : undefined),
+  };
+}
+
+/** A fleet is found again though the seeds may by now name none of its cores (design 4.8). */
+function withKnownCores({ settings, parts }: CoreContext, { record }: CoreStorage): NodeSettings {
+  if (Option.isNone(parts)) return settings;
+  function seeds(): readonly string[] {
+    const known = record.current();
+    const knownCores = Option.isSome(known) ? known.value.cores.map((core) => core.address) : [];
+    return [...new Set([...settings.seeds(), ...knownCores])];
+  }
+  return { ...settings, seeds };
+}
+
+function create(context: CoreContext, storage: CoreStorage, events: CoreNodeEvents): Node {
+  const { parts, kernel } = context;
+  const { cells, reports, votes, coreSetView } = storage;
+  return nodes.create(kernel, withKnownCores(context, storage), {
+    role: 'core',
+    votes: () => votes,
+    localReplica: Option.some({
+      target: localRegisterReplica(context, storage),
+      note: async (body) => Option.some(await storeReport(reports, coreSetView, body)),
+      accepted: cells.accepted,
+    }),
+    connectionCaps: () => ({}),
+    onApplied: events.notifyLeaseHolders,
+    onHelloReply: events.onHelloReply,
+    ...(Option.isNone(parts) ? {} : { registered: registrationSupport(context, parts.value, events) }),
+  });
+}
+
+/** @internal */
+export const coreNode = { create } as const;
--- /dev/null
+++ b/packages/core/src/core-storage.ts
@@ -0,0 +1,67 @@
+/** Opens what lies on a core's disk (design 4.3, 5.1, 5.5). */
+import * as Option from 'fp-ts/lib/Option.js';
+import type { Disk, Kernel } from '@stallstall/kernel';
+import type { Entry } from '@stallstall/message';
+import { acceptor, reportStore } from '@stallstall/register';
+import { coreCalls } from './core-calls.js';
+import type { CoreContext, CoreStorage } from './core-context.js';
+import { coreSetViewOf, fleetRecord } from './fleet-record.js';
+import { stateTransfer } from './state-transfer.js';
+import { coreVoteStore } from './vote-store.js';
+
+/** @internal */
+export type StorageEvents = Readonly<{
+  /** Called once an entry is on the disk. */
+  onAccepted: (key: string, entry: Entry) => void;
+  /** Keeps an entry that is about to be replaced; resolves to false when the disk did not sync. */
+  keepEarlier: (entry: Entry) => Promise<boolean>;
+}>;
+
+function logDiskTrouble(kernel: Kernel, disk: Disk): void {
+  disk.onTrouble(function onTrouble(trouble) {
+    if (Option.isSome(trouble)) kernel.log('disk.failed', { reason: trouble.value.message });
+    else kernel.log('disk.works', {});
+  });
+}
+
+/** @param stored - what the disk held when the process started */
+function create(context: CoreContext, stored: ReadonlyMap<string, unknown>, { onAccepted, keepEarlier }: StorageEvents): CoreStorage {
+  const { kernel, disk } = context;
+  logDiskTrouble(kernel, disk);
+  const record = fleetRecord.create(disk, stored);
+  const coreSetView = Option.isNone(context.parts) ? undefined : coreSetViewOf(record.current, () => context.isBetweenSets);
+  const cells = acceptor.create({
+    disk,
+    stored,
+    onAccepted,
+    onDamaged: (error) => kernel.log('disk.damaged', { reason: error.message }),
+    ...(coreSetView === undefined ? {} : { coreSet: coreSetView }),
+    keepEarlier,
+  });
+  const reports = reportStore.create(kernel, disk, stored);
+  const votes = coreVoteStore(disk, stored);
+  const calls = coreCalls.create(kernel);
+  const transfer = stateTransfer.create(kernel, {
+    callCore: calls.call,
+    cells,
+    reports,
+    votes,
+    stopped: () => context.isStopped,
+  });
+  return { record, coreSetView, cells, reports, votes, calls, transfer };
+}
+
+/** The version of a key that the disk holds, chosen or not; 0 when it holds none. */
+function versionOf({ cells }: CoreStorage, key: string): number {
+  const entry = cells.accepted(key);
+  return Option.isSome(entry) ? entry.value.version : 0;
+}
+
+/** The set of cores is the membership table where edges have no seat (design 4.8). */
+function membershipVersion(storage: CoreStorage): number {
+  const { coreSetView } = storage;
+  return coreSetView === undefined ? versionOf(storage, 'membership') : Math.max(0, coreSetView.number());
+}
+
+/** @internal */
+export const coreStorage = { create, versionOf, membershipVersion } as const;
--- /dev/null
+++ b/packages/core/src/core.ts
@@ -0,0 +1,273 @@
+/** The core: a disk of the register, changes pushed to edges, and the operators' administration API (design 5, 6, 9). */
+import * as Either from 'fp-ts/lib/Either.js';
+import * as Option from 'fp-ts/lib/Option.js';
+import { fault, identifiers, type Disk, type Fault, type Kernel, type Listening } from '@stallstall/kernel';
+import type { Node } from '@stallstall/node';
+import { peer } from '@stallstall/peer';
+import { registerService } from '@stallstall/register';
+import { administration as administrations, type Administration } from './administration/administration.js';
+import { changeSubscribers, type ChangeSubscribers } from './change-subscribers.js';
+import type { CoreContext, CoreServices, CoreStorage } from './core-context.js';
+import { coreNode } from './core-node.js';
+import { coreRoutes, type CoreRoutes } from './core-routes.js';
+import { coreSeats, type CoreSeat } from './core-seat.js';
+import { coreSetManager, type CoreSetManager } from './core-set-manager.js';
+import type { CoreParts, CoreSettings } from './core-settings.js';
+import { coreStorage } from './core-storage.js';
+import { readFolder, registryKey } from './data-folder.js';
+import { fleetBootstrap, type FleetBootstrap } from './fleet-bootstrap.js';
+import { memberRegistration, type MemberRegistration } from './member-registration.js';
+import { membershipTable, type MembershipTable } from './membership-table.js';
+import { currentSet, peerHandlers } from './peer-handlers.js';
+import { platformApi, type PlatformApi } from './platform-api.js';
+import { quorumContact, type QuorumContact } from './quorum-contact.js';
+import { usageReporting, type UsageReporting } from './usage-reporting.js';
+import { versionStore, type VersionStore } from './version-store.js';
+
+export type Core = Readonly<{
+  node: Node;
+  /** Whether this core answers ballots. */
+  open: () => boolean;
+  /** Ends without losing a request that has arrived. */
+  drain: () => Promise<void>;
+  /** Ends at once. */
+  stop: () => Promise<void>;
+}>;
+
+/** The parts of a running core. */
+type Assembly = Readonly<{
+  services: CoreServices;
+  subscribers: ChangeSubscribers;
+  contact: QuorumContact;
+  versions: VersionStore;
+  bootstrap: FleetBootstrap;
+  usage: UsageReporting;
+  table: MembershipTable;
+  administration: Administration;
+  platformApi: PlatformApi;
+}>;
+
+const graceMilliseconds = 6_000;
+/** What the release of the usage role may take before this core ends. */
+const releaseMilliseconds = 2_000;
+/** So long a learner that waits for a seat may take to take this core's. */
+const handOverMilliseconds = 4_500;
+const drainPollMilliseconds = 20;
+/** An edge that held a lease so lately may still have counts to report. */
+const edgeMemoryMilliseconds = 12_000;
+
+function createContext(kernel: Kernel, settings: CoreSettings, parts: Option.Option<CoreParts>, disk: Disk): CoreContext {
+  return {
+    kernel,
+    settings,
+    parts,
+    disk,
+    registration: Option.none,
+    coreSet: Option.none,
+    openedAt: kernel.clock.now(),
+    isBetweenSets: false,
+    isDraining: false,
+    isStopped: false,
+  };
+}
+
+/** Whether this core answers as an occupant of its seat and does not end. */
+function isReady({ context, storage }: CoreServices): boolean {
+  return storage.cells.ready() && !context.isDraining;
+}
+
+function createCoreSet({ context, storage, node }: CoreServices, seat: CoreSeat): CoreSetManager {
+  return coreSetManager.create(context.kernel, {
+    node,
+    register: context.kernel.services.find(registerService),
+    callCore: storage.calls.call,
+    cells: storage.cells,
+    transfer: storage.transfer,
+    fleet: storage.record.current,
+    keepFleet: storage.record.keep,
+    open: seat.open,
+    changeSet: seat.changeSet,
+    close: seat.close,
+    onBetweenSets: function onBetweenSets(isBetween) {
+      context.isBetweenSets = isBetween;
+    },
+  });
+}
+
+function createRegistration(services: CoreServices, contact: QuorumContact, storedRegistry: unknown): MemberRegistration {
+  const { context, storage, node } = services;
+  return memberRegistration.create(context.kernel, {
+    node,
+    disk: context.disk,
+    storedRegistry,
+    grantorContext: {
+      ready: () => isReady(services),
+      openedAt: () => context.openedAt,
+      configuration: () => coreStorage.versionOf(storage, 'configuration'),
+      membership: () => coreStorage.membershipVersion(storage),
+      puts: context.disk.puts,
+    },
+    isInContact: contact.isInContact,
+  });
+}
+
+function createBootstrap({ context, storage, node }: CoreServices, seat: CoreSeat): FleetBootstrap {
+  return fleetBootstrap.create(context.kernel, context.settings, {
+    node,
+    cells: storage.cells,
+    disk: context.disk,
+    record: storage.record,
+    transfer: storage.transfer,
+    votes: storage.votes,
+    coreSet: () => context.coreSet,
+    founding: context.parts,
+    open: seat.open,
+    stopped: () => context.isStopped,
+  });
+}
+
+function createUsage({ context, storage, node }: CoreServices): UsageReporting {
+  const leased = Option.map((parts: CoreParts) => ({
+    calls: parts.calls,
+    edges: () => (Option.isSome(context.registration) ? context.registration.value.grantor.recentHolders(edgeMemoryMilliseconds) : []),
+  }))(context.parts);
+  return usageReporting.create(context.kernel, node, storage.reports, leased);
+}
+
+function createAdministration(
+  services: CoreServices,
+  { usage, table, versions, subscribers }: Readonly<Pick<Assembly, 'usage' | 'table' | 'versions' | 'subscribers'>>,
+): Administration {
+  const { context, storage, node } = services;
+  const { disk } = context;
+  return administrations.create(context.kernel, {
+    node,
+    usage,
+    rootKey: context.settings.operatorKey,
+    ready: () => isReady(services),
+    versionOf: (key) => coreStorage.versionOf(storage, key),
+    accepted: storage.cells.accepted,
+    changeMembership: table.change,
+    appliedVersions: subscribers.appliedVersions,
+    diskBytes: disk.size,
+    diskTrouble: disk.trouble,
+    versions,
+    metrics: () => ({
+      cells: storage.cells.keys().length,
+      puts: disk.puts(),
+      diskBytes: disk.size(),
+      ...subscribers.metrics(),
+    }),
+  });
+}
+
+function assemble(context: CoreContext, stored: ReadonlyMap<string, unknown>): Assembly {
+  const { kernel, disk } = context;
+  const storage: CoreStorage = coreStorage.create(context, stored, {
+    onAccepted: (key, entry) => seat.publish(key, entry),
+    keepEarlier: (entry) => versions.keep(entry),
+  });
+  const subscribers = changeSubscribers.create(() => currentSet(storage.coreSetView));
+  const node: Node = coreNode.create(context, storage, {
+    notifyLeaseHolders: () => seat.notifyLeaseHolders(),
+    onHelloReply: (reply, address) => bootstrap.onHelloReply(reply, address),
+  });
+  const services: CoreServices = { context, storage, node };
+  const contact = quorumContact.create(kernel, node.majorityContactAt);
+  const versions = versionStore.create(kernel, { disk, node, newest: () => coreStorage.versionOf(storage, 'configuration') });
+  const seat: CoreSeat = coreSeats.create({ services, subscribers, contact });
+  if (Option.isSome(context.parts)) {
+    context.coreSet = Option.some(createCoreSet(services, seat));
+    context.registration = Option.some(createRegistration(services, contact, stored.get(registryKey)));
+  }
+  const bootstrap: FleetBootstrap = createBootstrap(services, seat);
+  const usage = createUsage(services);
+  const table = membershipTable.create({ node, register: kernel.services.find(registerService), ready: storage.cells.ready });
+  const administration = createAdministration(services, { usage, table, versions, subscribers });
+  const api = platformApi.create({
+    isOpen: storage.cells.ready,
+    isDraining: () => context.isDraining,
+    contact,
+    administration,
+    registration: context.registration,
+  });
+  return { services, subscribers, contact, versions, bootstrap, usage, table, administration, platformApi: api };
+}
+
+async function listen(assembly: Assembly): Promise<CoreRoutes> {
+  const { services, subscribers, contact, versions, bootstrap, table, administration, platformApi: api } = assembly;
+  const { context } = services;
+  const handlers = peerHandlers.create({ services, subscribers, versions, bootstrap, table });
+  const links = await peer.listen(context.kernel, identifiers.address(context.settings.address), handlers);
+  const routes = await coreRoutes.serve({ services, administration, contact, platformApi: api });
+  return { ...routes, listening: [links, ...routes.listening] };
+}
+
+async function startServices({ services, versions, usage, bootstrap }: Assembly): Promise<void> {
+  const { context, node } = services;
+  node.start();
+  await versions.start();
+  usage.start();
+  if (Option.isSome(context.coreSet)) context.coreSet.value.start();
+  bootstrap.start();
+}
+
+async function stop({ services, versions, usage }: Assembly, listening: readonly Listening[]): Promise<void> {
+  const { context, storage, node } = services;
+  context.isStopped = true;
+  versions.stop();
+  if (Option.isSome(context.coreSet)) context.coreSet.value.stop();
+  if (Option.isSome(context.registration)) context.registration.value.stop();
+  void usage.stop();
+  node.stop();
+  storage.calls.stop();
+  for (const entry of listening) await entry.stop();
+}
+
+/** Fails readiness, hands its role and its seat on, answers what is in flight, then stops (design 7.10). */
+async function drain(assembly: Assembly, { listening, inFlight }: CoreRoutes): Promise<void> {
+  const { services, usage } = assembly;
+  const { context } = services;
+  const { clock } = context.kernel;
+  context.isDraining = true;
+  const deadline = identifiers.after(clock.now(), graceMilliseconds);
+  const handOverDeadline = identifiers.after(clock.now(), handOverMilliseconds);
+  await Promise.all([
+    Promise.race([usage.stop(), clock.sleep(releaseMilliseconds)]),
+    Option.isSome(context.coreSet) ? context.coreSet.value.handOverSeat(handOverDeadline) : undefined,
+  ]);
+  while (clock.now() < deadline && inFlight() > 0) await clock.sleep(drainPollMilliseconds);
+  await stop(assembly, listening);
+}
+
+/**
+ * Starts a core; right once it listens. Errors: `bad-settings` without a data folder, `foreign-disk` for a folder of another node or of a
+ * later version.
+ *
+ * @param parts - none where an operator runs the fleet over this product's own interfaces
+ */
+async function start(
+  kernel: Kernel,
+  settings: CoreSettings,
+  parts: Option.Option<CoreParts> = Option.none,
+): Promise<Either.Either<Fault, Core>> {
+  if (Option.isNone(kernel.disk)) {
+    return Either.left(fault.create({ kind: 'bad-settings', message: 'a core needs a data folder', remedy: 'name one with --data' }));
+  }
+  const disk = kernel.disk.value;
+  const folder = await readFolder(kernel, disk, settings.node);
+  if (Either.isLeft(folder)) return folder;
+  const assembly = assemble(createContext(kernel, settings, parts, disk), folder.right);
+  const { context, storage, node } = assembly.services;
+  if (Option.isSome(context.registration)) context.registration.value.start();
+  const routes = await listen(assembly);
+  await startServices(assembly);
+  return Either.right({
+    node,
+    open: storage.cells.ready,
+    stop: () => stop(assembly, routes.listening),
+    drain: () => drain(assembly, routes),
+  });
+}
+
+export const core = { start } as const;
--- a/packages/core/src/data-folder.ts
+++ b/packages/core/src/data-folder.ts
@@ -25,8 +25,8 @@
 /** A disk that takes no bytes as its store is given up is tried again after so long. */
 const discardMilliseconds = 500;
 
-/** The roster's entry in the folder: it saves time after a restart, and nothing leans on it. */
-export const rosterKey = 'roster';
+/** The member registry's entry in the folder: it saves time after a restart, and nothing depends on it. */
+export const registryKey = 'roster';
 
 /** Whether a folder can be used by this node: as it is, not at all, or only as that of a core that lost its disk (design 4.3). */
 type FolderState =
@@ -56,7 +56,7 @@
 
 function stateOf(stored: ReadonlyMap<string, unknown>, node: string): FolderState {
   const fleet = stored.get('fleet');
-  if (fleet === undefined) return [...stored.keys()].some((key) => key !== rosterKey) ? broken('it holds entries but no fleet') : sound;
+  if (fleet === undefined) return [...stored.keys()].some((key) => key !== registryKey) ? broken('it holds entries but no fleet') : sound;
   const told = fleet as Readonly<{ format?: unknown; node?: unknown }> | null;
   if (typeof told?.format === 'number' && told.format > diskFormat) {
     return refused(
--- /dev/null
+++ b/packages/core/src/known-cores.ts
@@ -0,0 +1,39 @@
+/** Cores that have greeted this one, or replied to its greeting, before there is a fleet (design 4.3). */
+import type { Instant, Kernel } from '@stallstall/kernel';
+import type { Seat } from '@stallstall/message';
+import { quorum } from '@stallstall/quorum';
+import type { Fleet } from './fleet-record.js';
+
+/** `fleet` is the fleet that it says it is of; empty if it is of none. @internal */
+export type KnownCore = Readonly<{ seat: Seat; fleet: string; at: Instant }>;
+
+/** @internal */
+export type KnownCores = Readonly<{
+  observe: (seat: Seat, fleet: string) => void;
+  /** Cores that were heard within the last seconds. */
+  recent: () => readonly KnownCore[];
+  /** Whether this core and those that were heard of its fleet are a majority. */
+  includesMajority: (known: Fleet) => boolean;
+}>;
+
+/** A core that was heard longer ago is not counted among those that found a fleet. */
+const recentMilliseconds = 2_000;
+
+function create(kernel: Kernel): KnownCores {
+  const known = new Map<string, KnownCore>();
+
+  function includesMajority({ fleet, cores }: Fleet): boolean {
+    const names = new Set(cores.map((core) => core.node));
+    const heard = [...known.values()].filter((core) => core.fleet === fleet && names.has(core.seat.node));
+    return heard.length >= quorum.majority(cores.length) - 1;
+  }
+
+  return {
+    observe: (seat, fleet) => void known.set(seat.node, { seat, fleet, at: kernel.clock.now() }),
+    recent: () => [...known.values()].filter((core) => kernel.clock.now() - core.at < recentMilliseconds),
+    includesMajority,
+  };
+}
+
+/** @internal */
+export const knownCores = { create } as const;
--- /dev/null
+++ b/packages/core/src/leader-watch.ts
@@ -0,0 +1,58 @@
+/** Watches the members that lead: whether their connections are open, and whether any service lacks a leader (design 7.1). */
+import * as Option from 'fp-ts/lib/Option.js';
+import { livenessService } from '@stallstall/election';
+import type { Kernel } from '@stallstall/kernel';
+import type { MemberRegistry } from '@stallstall/member-registry';
+import type { Node } from '@stallstall/node';
+
+/** @internal */
+export type LeaderWatch = Readonly<{
+  /** Sees that this core's own connection to a member is open; a refusal counts as evidence. */
+  check: (member: string) => void;
+  /** The same for every leader. */
+  checkLeaders: () => void;
+  /** Whether some service has no leader that is up, or one whose epoch has been overtaken. */
+  isLeaderMissing: () => boolean;
+}>;
+
+const connectMilliseconds = 800;
+
+function create(kernel: Kernel, node: Node, registry: MemberRegistry): LeaderWatch {
+  function registeredServices(): readonly string[] {
+    const configuration = node.configuration();
+    if (Option.isNone(configuration)) return [];
+    return configuration.value.value.sheet.services.filter((service) => service.registered).map((service) => service.service);
+  }
+
+  function check(member: string): void {
+    const record = registry.recordOf(member);
+    if (Option.isNone(record) || record.value.gone) return;
+    const { service, address } = record.value;
+    void kernel.services.find(livenessService).keepConnection(service, member, address, connectMilliseconds);
+  }
+
+  function checkLeaders(): void {
+    for (const service of registeredServices()) {
+      const elected = node.electedPrimary(service);
+      if (Option.isSome(elected)) check(elected.value.primary);
+    }
+  }
+
+  function lacksLeader(service: string, ownEpoch: number): boolean {
+    const elected = node.electedPrimary(service);
+    if (Option.isNone(elected)) return false;
+    if (ownEpoch > elected.value.epoch) return true;
+    const record = registry.recordOf(elected.value.primary);
+    return Option.isNone(record) || record.value.down || record.value.gone;
+  }
+
+  function isLeaderMissing(): boolean {
+    const epochs = node.epochs();
+    return registeredServices().some((service) => lacksLeader(service, epochs[service] ?? 0));
+  }
+
+  return { check, checkLeaders, isLeaderMissing };
+}
+
+/** @internal */
+export const leaderWatch = { create } as const;
--- a/packages/core/src/learner.ts
+++ b/packages/core/src/learner.ts
@@ -1,127 +1,141 @@
-// A core without a seat: it copies the fleet's cores, asks for a vacant seat, and answers nothing until it is level (design 4.8).
+/** A core without a seat: it copies the fleet's cores, asks for a vacant seat, and answers nothing until it has caught up (design 4.8). */
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Kernel } from '@stallstall/kernel';
 import type { CoreSet, Seat } from '@stallstall/message';
-import { catchUp, proposer, isSameOccupant, type Acceptor, type NumberedRegister, type RegisterReplica } from '@stallstall/register';
+import { catchUp, isSameOccupant, proposer, type Acceptor, type NumberedRegister, type RegisterReplica } from '@stallstall/register';
 import type { CoreCall } from './core-calls.js';
 import type { StateTransfer } from './state-transfer.js';
 
 export type LearnerParts = Readonly<{
-  call: CoreCall;
+  callCore: CoreCall;
   cells: Acceptor;
-  copying: StateTransfer;
+  transfer: StateTransfer;
   /** This node with the disk that it has now. */
   seat: () => Seat;
   /** Where the fleet may be found besides the cores that are known. */
   seeds: () => readonly string[];
   /** Whether this core is still to be given a seat. */
-  wanted: () => boolean;
-  /** Begins to answer at this set, once that is on the disk; false when it may not. */
+  isWanted: () => boolean;
+  /** Begins to answer in this set, once that is on the disk; resolves to false when it may not. */
   open: (set: CoreSet) => Promise<boolean>;
 }>;
 
 export type Learner = Readonly<{
-  /** Some core told of this set. */
+  /** Some core reported this set. */
   observe: (set: CoreSet) => void;
 }>;
 
-const askMilliseconds = 1_200;
-/** A core that has not answered by then is not waited for before the next one is asked. */
-const patienceMilliseconds = 400;
-const pauseMilliseconds = 100;
+type LearnerState = {
+  readonly kernel: Kernel;
+  readonly parts: LearnerParts;
+  newest: Option.Option<CoreSet>;
+  isRunning: boolean;
+  lastReason: string;
+};
 
-function create(kernel: Kernel, parts: LearnerParts): Learner {
-  let newest: Option.Option<CoreSet> = Option.none;
-  let running = false;
-  let lastReason = '';
+const joinMilliseconds = 1_200;
+/** A core that has not replied by then is not waited for before the next one is asked. */
+const nextCoreMilliseconds = 400;
+const pauseMilliseconds = 100;
 
-  function learn(set: CoreSet): void {
-    if (Option.isNone(newest) || set.number > newest.value.number) newest = Option.some(set);
-    if (running || !parts.wanted()) return;
-    running = true;
-    void run();
-  }
+function isNewest({ newest }: LearnerState, set: CoreSet): boolean {
+  return Option.isSome(newest) && newest.value.number === set.number;
+}
 
-  function isNewest(set: CoreSet): boolean {
-    return Option.isSome(newest) && newest.value.number === set.number;
-  }
+function isSeated({ parts }: LearnerState, set: CoreSet): boolean {
+  return set.seats.some((seat) => isSameOccupant(seat, parts.seat()));
+}
 
-  function isSeated(set: CoreSet): boolean {
-    return set.seats.some((seat) => isSameOccupant(seat, parts.seat()));
-  }
+function otherSeats({ parts }: LearnerState, set: CoreSet): readonly Seat[] {
+  return set.seats.filter((seat) => seat.node !== parts.seat().node);
+}
 
-  function others(set: CoreSet): readonly Seat[] {
-    return set.seats.filter((seat) => seat.node !== parts.seat().node);
-  }
+/** Copies enough of the others that are in no earlier set than `since`; abandoned once a newer set is known. */
+function copyOthers(learner: LearnerState, set: CoreSet, epochs: Record<string, number>, since: number): Promise<boolean> {
+  const { kernel, parts } = learner;
+  kernel.log('core.copying', { set: set.number, seated: isSeated(learner, set) });
+  return catchUp.copyEnough(
+    otherSeats(learner, set),
+    catchUp.sourcesNeeded(set.seats.length),
+    (source, isUnneeded) => parts.transfer.copyFrom(source, Option.some(since), epochs, isUnneeded),
+    () => !parts.isWanted() || !isNewest(learner, set),
+  );
+}
 
-  async function run(): Promise<void> {
-    let copied = false;
-    let asked = 0;
-    while (parts.wanted() && Option.isSome(newest)) {
-      const set = newest.value;
-      if (isSeated(set)) await becomeLevel(set);
-      else if (!copied) copied = await copy(set, {}, 0);
-      else {
-        asked += 1;
-        await ask(set, asked);
-      }
-      if (parts.wanted() && isNewest(set)) await kernel.clock.sleep(pauseMilliseconds);
-    }
-    running = false;
-  }
+/** The register as the others serve it: this core asks, and counts for nothing. */
+function registerOver(learner: LearnerState, set: CoreSet): NumberedRegister {
+  const { kernel, parts } = learner;
+  const replicas = otherSeats(learner, set).map((seat): RegisterReplica => ({
+    core: seat.node,
+    send: (call, body, milliseconds) => parts.callCore(seat.address, call, body, milliseconds),
+  }));
+  return proposer.create(kernel, {
+    name: parts.seat().node,
+    replicas: () => replicas,
+    replicaCount: () => set.seats.length,
+    coreSets: {
+      // Once a newer set is known these rounds end: their majority may be none any more.
+      number: () => (isNewest(learner, set) ? set.number : 0),
+      observe: (newer) => observe(learner, newer),
+    },
+  });
+}
 
-  /** Copies enough of the others that stand at no earlier set than `since`; abandoned once a newer set is known. */
-  async function copy(set: CoreSet, epochs: Record<string, number>, since: number): Promise<boolean> {
-    kernel.log('core.copying', { set: set.number, seated: isSeated(set) });
-    return catchUp.copyEnough(
-      others(set),
-      catchUp.sourcesNeeded(set.seats.length),
-      (source, given) => parts.copying.copyFrom(source, Option.some(since), epochs, given),
-      () => !parts.wanted() || !isNewest(set),
-    );
-  }
+/** Catches up in the set that lists this core, and opens there. */
+async function becomeLevel(learner: LearnerState, set: CoreSet): Promise<void> {
+  const { parts } = learner;
+  const epochs: Record<string, number> = { ...set.epochs };
+  if (!(await copyOthers(learner, set, epochs, set.number))) return;
+  await parts.transfer.abstain(epochs);
+  const register = registerOver(learner, set).inSet(set.number);
+  if (!(await catchUp.completeUnresolved(parts.cells, register))) return;
+  if (isNewest(learner, set) && parts.isWanted()) await parts.open(set);
+}
 
-  async function becomeLevel(set: CoreSet): Promise<void> {
-    const epochs: Record<string, number> = { ...set.epochs };
-    if (!(await copy(set, epochs, set.number))) return;
-    await parts.copying.abstain(epochs);
-    if (!(await catchUp.completeUnresolved(parts.cells, registerOver(set).inSet(set.number)))) return;
-    if (isNewest(set) && parts.wanted()) await parts.open(set);
-  }
+/** Asks one core for a seat; what it replies later than it is waited for is taken all the same. */
+async function askForSeat(learner: LearnerState, set: CoreSet, attempt: number): Promise<void> {
+  const { kernel, parts } = learner;
+  const addresses = [...otherSeats(learner, set).map((seat) => seat.address), ...parts.seeds()];
+  const others = [...new Set(addresses)].filter((address) => address !== parts.seat().address);
+  const address = others[attempt % others.length];
+  if (address === undefined) return;
+  const join = parts.callCore(address, 'join', { seat: parts.seat() }, joinMilliseconds).then(function onReply(reply) {
+    if (Option.isNone(reply)) return;
+    const { joined, reason, set: reported } = reply.value;
+    if (reported !== undefined) observe(learner, reported);
+    if (!joined && reason !== learner.lastReason) kernel.log('core.join-waits', { reason });
+    learner.lastReason = reason;
+  });
+  await Promise.race([join, kernel.clock.sleep(nextCoreMilliseconds)]);
+}
 
-  /** The register as the others serve it: this core asks, and counts for nothing. */
-  function registerOver(set: CoreSet): NumberedRegister {
-    const targets = others(set).map((seat): RegisterReplica => ({
-      core: seat.node,
-      send: (kind, body, milliseconds) => parts.call(seat.address, kind, body, milliseconds),
-    }));
-    return proposer.create(
-      kernel,
-      parts.seat().node,
-      () => targets,
-      () => set.seats.length,
-      // Once a newer set is known these rounds end: their majority may be none any more.
-      { number: () => (isNewest(set) ? set.number : 0), observe: learn },
-    );
+async function run(learner: LearnerState): Promise<void> {
+  const { kernel, parts } = learner;
+  let isCopied = false;
+  let attempts = 0;
+  while (parts.isWanted() && Option.isSome(learner.newest)) {
+    const set = learner.newest.value;
+    if (isSeated(learner, set)) await becomeLevel(learner, set);
+    else if (!isCopied) isCopied = await copyOthers(learner, set, {}, 0);
+    else {
+      attempts += 1;
+      await askForSeat(learner, set, attempts);
+    }
+    if (parts.isWanted() && isNewest(learner, set)) await kernel.clock.sleep(pauseMilliseconds);
   }
+  learner.isRunning = false;
+}
 
-  /** Asks one of the cores after the other for a seat. */
-  async function ask(set: CoreSet, turn: number): Promise<void> {
-    const addresses = [...new Set([...others(set).map((seat) => seat.address), ...parts.seeds()])].filter(
-      (address) => address !== parts.seat().address,
-    );
-    const address = addresses[turn % addresses.length];
-    if (address === undefined) return;
-    const asking = parts.call(address, 'join', { seat: parts.seat() }, askMilliseconds).then(function told(reply) {
-      if (Option.isNone(reply)) return;
-      if (reply.value.set !== undefined) learn(reply.value.set);
-      if (!reply.value.joined && reply.value.reason !== lastReason) kernel.log('core.join-waits', { reason: reply.value.reason });
-      lastReason = reply.value.reason;
-    });
-    await Promise.race([asking, kernel.clock.sleep(patienceMilliseconds)]);
-  }
+function observe(learner: LearnerState, set: CoreSet): void {
+  if (Option.isNone(learner.newest) || set.number > learner.newest.value.number) learner.newest = Option.some(set);
+  if (learner.isRunning || !learner.parts.isWanted()) return;
+  learner.isRunning = true;
+  void run(learner);
+}
 
-  return { observe: learn };
+function create(kernel: Kernel, parts: LearnerParts): Learner {
+  const learner: LearnerState = { kernel, parts, newest: Option.none, isRunning: false, lastReason: '' };
+  return { observe: (set) => observe(learner, set) };
 }
 
 export const learner = { create } as const;
--- a/packages/core/src/member-registration.ts
+++ b/packages/core/src/member-registration.ts
@@ -1,190 +1,168 @@
-// Members that register by their beats, and edges that hold leases, as one core serves them (design 4.7, 7.12).
-import * as Either from 'fp-ts/lib/Either.js';
+/** Members that register by their heartbeats, and edges that hold leases, as one core serves them (design 4.7, 7.12). */
 import * as Option from 'fp-ts/lib/Option.js';
-import { Type } from '@sinclair/typebox';
 import { kernel as kernels, type Disk, type Kernel } from '@stallstall/kernel';
-import { livenessService } from '@stallstall/election';
-import { leaseGrantor as lessors, leaseGrantorService, type LeaseGrantor, type LeaseGrantorContext } from '@stallstall/lease';
-import { message, MemberRecordSchema } from '@stallstall/message';
-import type { Node } from '@stallstall/node';
+import { leaseGrantor, leaseGrantorService, type LeaseGrantor, type LeaseGrantorContext } from '@stallstall/lease';
 import {
-  memberRegistry as rosters,
+  memberRegistry,
   memberRegistryService,
-  type Registration,
   type MemberRegistry,
   type ReceivedBeat,
+  type Registration,
 } from '@stallstall/member-registry';
+import type { Node } from '@stallstall/node';
 import type { MemberPlacement } from '@stallstall/placement';
-import { rosterKey } from './data-folder.js';
-import { registryBroadcaster as spreaders } from './registry-broadcaster.js';
+import { leaderWatch, type LeaderWatch } from './leader-watch.js';
+import { registryBroadcaster, type RegistryBroadcaster } from './registry-broadcaster.js';
+import { registryFile, type RegistryFile } from './registry-file.js';
 
 export type MemberRegistrationParts = Readonly<{
   node: Node;
   disk: Pick<Disk, 'put'>;
-  /** What the disk held of the roster when the process started. */
-  storedRoster: unknown;
+  /** What the disk held of the registry when the process started. */
+  storedRegistry: unknown;
   grantorContext: Omit<LeaseGrantorContext, 'epochs' | 'registry' | 'isLeaderMissing' | 'onConnectionRefused'>;
-  inTouch: () => boolean;
+  /** Whether a majority of cores has replied within the last moment. */
+  isInContact: () => boolean;
 }>;
 
 export type MemberRegistration = Readonly<{
-  lessor: LeaseGrantor;
+  grantor: LeaseGrantor;
   /** The members of a service, its leader among them. */
   membersOf: (service: string) => readonly MemberPlacement[];
-  /** Resolves to false when no majority of cores would know of the beat, so that the member turns to another core. */
+  /** Resolves to false when no majority of cores would know of the heartbeat, so that the member turns to another core. */
   heartbeat: (registration: Registration) => Promise<boolean>;
   /** Resolves to true once a majority of cores knows that the member has left. */
   leave: (member: string) => Promise<boolean>;
-  /** Takes beats that another core was sent; resolves to true once those that say that a member drains or has left are synced. */
+  /**
+   * Takes heartbeats that another core received; resolves to true once those that say that a member drains or has left are synced.
+   */
   mergeBeats: (beats: readonly ReceivedBeat[]) => Promise<boolean>;
   start: () => void;
   stop: () => void;
 }>;
 
-const spreadMilliseconds = 100;
-/** Changes within this span are spread together. */
+type RegistrationState = {
+  readonly kernel: Kernel;
+  readonly node: Node;
+  readonly isInContact: () => boolean;
+  readonly registry: MemberRegistry;
+  readonly grantor: LeaseGrantor;
+  readonly leaders: LeaderWatch;
+  readonly broadcaster: RegistryBroadcaster;
+  readonly file: RegistryFile;
+  isBroadcastScheduled: boolean;
+  isStopped: boolean;
+};
+
+const broadcastMilliseconds = 100;
+/** Changes within this span are broadcast together. */
 const gatherMilliseconds = 1;
-const keepMilliseconds = 300;
-/** So often this core sees that its own connection to whoever leads stands. */
-const lookMilliseconds = 300;
-const lookTimeoutMilliseconds = 800;
-const RosterSchema = Type.Array(MemberRecordSchema);
-
-/** Looks of this core's own at members and leaders, whose outcome liveness keeps. */
-function leaderWatch(kernel: Kernel, node: Node, roster: MemberRegistry) {
-  function services(): readonly string[] {
-    const current = node.configuration();
-    if (Option.isNone(current)) return [];
-    return current.value.value.sheet.services.filter((service) => service.registered).map((service) => service.service);
-  }
+/** How often this core sees that its own connection to each leader is open. */
+const leaderCheckMilliseconds = 300;
 
-  function lookAt(member: string): void {
-    const entry = roster.recordOf(member);
-    if (Option.isSome(entry) && !entry.value.gone)
-      void kernel.services.find(livenessService).keepConnection(entry.value.service, member, entry.value.address, lookTimeoutMilliseconds);
-  }
+function broadcast({ broadcaster, isStopped }: RegistrationState): void {
+  if (!isStopped) broadcaster.broadcast();
+}
 
-  function isTroubled(service: string, ownEpoch: number): boolean {
-    const settled = node.electedPrimary(service);
-    if (Option.isNone(settled)) return false;
-    const entry = roster.recordOf(settled.value.primary);
-    return ownEpoch > settled.value.epoch || Option.isNone(entry) || entry.value.down || entry.value.gone;
-  }
+/** A change goes to the other cores and to the edges at once, and to the disk some time later. */
+function onRegistryChanged(state: RegistrationState): void {
+  state.grantor.notify();
+  state.file.writeLater();
+  if (state.isBroadcastScheduled) return;
+  state.isBroadcastScheduled = true;
+  state.kernel.clock.startTimer(gatherMilliseconds, function broadcastNow() {
+    state.isBroadcastScheduled = false;
+    broadcast(state);
+  });
+}
 
-  return {
-    lookAt,
-    /** Some service has no leader that is up and stands where all agree. */
-    isAnyTroubled: function isAnyTroubled(): boolean {
-      const epochs = node.epochs();
-      return services().some((service) => isTroubled(service, epochs[service] ?? 0));
-    },
-    lookAtLeaders: function lookAtLeaders(): void {
-      for (const service of services()) {
-        const settled = node.electedPrimary(service);
-        if (Option.isSome(settled)) lookAt(settled.value.primary);
-      }
-    },
-  };
+/** Resolves to true once a majority of cores, this one included, has on its disk what a member said of its end (design 7.14). */
+async function confirm({ file, broadcaster }: RegistrationState, member: string): Promise<boolean> {
+  const [own, others] = await Promise.all([file.write(), broadcaster.confirm(member)]);
+  return own && others;
 }
 
-function create(kernel: Kernel, parts: MemberRegistrationParts): MemberRegistration {
-  const { node } = parts;
-  let stopped = false;
-  let spreading = false;
-  let keeping = false;
-  /** The roster's number at the last write that was synced. */
-  let writtenNumber = 0;
-  const roster = rosters.create(kernel, onRosterChanged);
-  const spreader = spreaders.create(kernel, node, roster);
-  const leaders = leaderWatch(kernel, node, roster);
-  const lessor = lessors.create(kernel, {
-    ...parts.grantorContext,
-    epochs: node.epochs,
-    registry: roster,
-    isLeaderMissing: leaders.isAnyTroubled,
-    onConnectionRefused: leaders.lookAt,
-  });
-  kernel.services.offer(memberRegistryService, roster);
-  kernel.services.offer(leaseGrantorService, lessor);
-  // Where members were, until their beats tell: after a stop of everything nobody waits for these (design 4.7).
-  if (message.matches(RosterSchema, parts.storedRoster)) roster.restore(parts.storedRoster);
-
-  /** Beats taken here go to the other cores, several at a time; a change at once. */
-  function spread(): void {
-    if (!stopped) spreader.broadcast();
-  }
+async function heartbeat(state: RegistrationState, registration: Registration): Promise<boolean> {
+  state.registry.heartbeat(registration);
+  return state.isInContact() && (!registration.draining || confirm(state, registration.member));
+}
 
-  /** Resolves to true once the disk holds the roster as it stands. */
-  async function write(): Promise<boolean> {
-    const number = roster.version();
-    if (number <= writtenNumber) return true;
-    const written = await parts.disk.put(rosterKey, roster.changedSince(0));
-    if (Either.isRight(written)) writtenNumber = Math.max(writtenNumber, number);
-    return Either.isRight(written);
-  }
+async function leave(state: RegistrationState, member: string): Promise<boolean> {
+  state.registry.leave(member);
+  return state.isInContact() && confirm(state, member);
+}
 
-  /** Where members are goes to the disk now and then: it saves time after a restart, and nothing leans on it. */
-  function keep(): void {
-    if (keeping || stopped) return;
-    keeping = true;
-    kernel.clock.startTimer(keepMilliseconds, function later() {
-      keeping = false;
-      if (!stopped) void write();
-    });
-  }
+async function mergeBeats({ registry, file }: RegistrationState, beats: readonly ReceivedBeat[]): Promise<boolean> {
+  registry.merge(beats);
+  return !beats.some(({ entry }) => entry.gone || entry.draining) || file.write();
+}
 
-  /** Resolves to true once a majority of cores, this one included, has on its disk what a member said of its end (design 7.14). */
-  async function confirm(member: string): Promise<boolean> {
-    const [own, others] = await Promise.all([write(), spreader.confirm(member)]);
-    return own && others;
-  }
+/** A leader that no heartbeat has named yet is not gone: liveness tells whether it is DOWN (design 7.1). */
+function membersOf({ node, registry }: RegistrationState, service: string): readonly MemberPlacement[] {
+  const members = registry.membersOf(service);
+  const elected = node.electedPrimary(service);
+  if (Option.isNone(elected) || Option.isSome(registry.recordOf(elected.value.primary))) return members;
+  return [...members, { member: elected.value.primary, area: '-', address: '', state: 'serving' }];
+}
 
-  function onRosterChanged(): void {
-    lessor.notify();
-    keep();
-    if (spreading) return;
-    spreading = true;
-    kernel.clock.startTimer(gatherMilliseconds, function now() {
-      spreading = false;
-      spread();
-    });
+function start(state: RegistrationState): void {
+  const { kernel, registry, leaders } = state;
+  function isRunning(): boolean {
+    return !state.isStopped;
   }
-
-  /** A leader that no beat has named yet is not gone: liveness tells whether it is DOWN (design 7.1). */
-  function membersOf(service: string): readonly MemberPlacement[] {
-    const members = roster.membersOf(service);
-    const settled = node.electedPrimary(service);
-    if (Option.isNone(settled) || Option.isSome(roster.recordOf(settled.value.primary))) return members;
-    return [...members, { member: settled.value.primary, area: '-', address: '', state: 'serving' }];
+  function sweepAndBroadcast(): void {
+    registry.sweep();
+    broadcast(state);
   }
+  void kernels.every(kernel.clock, broadcastMilliseconds, sweepAndBroadcast, isRunning);
+  void kernels.every(kernel.clock, leaderCheckMilliseconds, leaders.checkLeaders, isRunning);
+}
 
+function stop(state: RegistrationState): void {
+  state.isStopped = true;
+  state.file.stop();
+  state.grantor.stop();
+}
+
+function assemble(kernel: Kernel, parts: MemberRegistrationParts): RegistrationState {
+  const { node, isInContact } = parts;
+  const registry = memberRegistry.create(kernel, () => onRegistryChanged(state));
+  const leaders = leaderWatch.create(kernel, node, registry);
+  const grantor = leaseGrantor.create(kernel, {
+    ...parts.grantorContext,
+    epochs: node.epochs,
+    registry,
+    isLeaderMissing: leaders.isLeaderMissing,
+    onConnectionRefused: leaders.check,
+  });
+  const state: RegistrationState = {
+    kernel,
+    node,
+    isInContact,
+    registry,
+    grantor,
+    leaders,
+    broadcaster: registryBroadcaster.create(kernel, node, registry),
+    file: registryFile.create(kernel, parts.disk, registry),
+    isBroadcastScheduled: false,
+    isStopped: false,
+  };
+  return state;
+}
+
+function create(kernel: Kernel, parts: MemberRegistrationParts): MemberRegistration {
+  const state = assemble(kernel, parts);
+  kernel.services.offer(memberRegistryService, state.registry);
+  kernel.services.offer(leaseGrantorService, state.grantor);
+  registryFile.restore(state.registry, parts.storedRegistry);
   return {
-    lessor,
-    membersOf,
-    heartbeat: async function beat(registration) {
-      roster.heartbeat(registration);
-      return parts.inTouch() && (!registration.draining || confirm(registration.member));
-    },
-    leave: async function leave(member) {
-      roster.leave(member);
-      return parts.inTouch() && confirm(member);
-    },
-    mergeBeats: async function take(beats) {
-      roster.merge(beats);
-      return !beats.some(({ entry }) => entry.gone || entry.draining) || write();
-    },
-    start: function start() {
-      function round(): void {
-        roster.sweep();
-        spread();
-      }
-      void kernels.every(kernel.clock, spreadMilliseconds, round, () => !stopped);
-      void kernels.every(kernel.clock, lookMilliseconds, leaders.lookAtLeaders, () => !stopped);
-    },
-    stop: function stop() {
-      stopped = true;
-      lessor.stop();
-    },
+    grantor: state.grantor,
+    membersOf: (service) => membersOf(state, service),
+    heartbeat: (registration) => heartbeat(state, registration),
+    leave: (member) => leave(state, member),
+    mergeBeats: (beats) => mergeBeats(state, beats),
+    start: () => start(state),
+    stop: () => stop(state),
   };
 }
 
--- a/packages/core/src/operators.ts
+++ b/packages/core/src/operators.ts
@@ -1,12 +1,12 @@
-// Operators of many teams: their keys and scopes, and the trail of what they did, in the register (design 9.4).
+/** Operators of many teams: their keys and scopes, and the audit trail of what they did, in the register (design 9.4). */
 import { createHash } from 'node:crypto';
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { Type, type Static } from '@sinclair/typebox';
 import { fault, type Fault, type HttpRequest, type Kernel } from '@stallstall/kernel';
 import { message, type Entry } from '@stallstall/message';
-import { registerService } from '@stallstall/register';
 import type { PlacementConfiguration } from '@stallstall/placement';
+import { registerService, type Register } from '@stallstall/register';
 
 export const ScopeSchema = Type.Object({
   /** The services whose members, rows and keys it may change; '*' stands for all. */
@@ -16,148 +16,159 @@
 });
 export type Scope = Readonly<Static<typeof ScopeSchema>>;
 
+/** `digest` is the SHA-256 of the operator's key, in hexadecimal digits. */
 const OperatorsSchema = Type.Object({
   operators: Type.Array(Type.Intersect([ScopeSchema, Type.Object({ operator: Type.String(), digest: Type.String() })])),
 });
-type Operators = Readonly<Static<typeof OperatorsSchema>>;
+type StoredOperator = Readonly<Static<typeof OperatorsSchema>['operators'][number]>;
 
+/** `at` is the wall time in milliseconds since 1970. */
 const TrailSchema = Type.Object({
   entries: Type.Array(
     Type.Object({ number: Type.Integer(), at: Type.Number(), by: Type.String(), action: Type.String(), detail: Type.String() }),
   ),
 });
-type Trail = Readonly<Static<typeof TrailSchema>>;
-export type TrailEntry = Trail['entries'][number];
+export type TrailEntry = Readonly<Static<typeof TrailSchema>['entries'][number]>;
 
+/** Who calls, and what the caller may do. */
 export type Caller = Readonly<{ operator: string; scope: Scope }>;
 
 export type OperatorTable = Readonly<{
-  /** Who asks; without a root key in the settings, everyone is let in as `anyone`. */
+  /** Who calls; without a root key in the settings, everyone is admitted as `anyone`. Errors: `key-denied`, and those of the register. */
   caller: (request: HttpRequest) => Promise<Either.Either<Fault, Caller>>;
   list: () => Promise<Either.Either<Fault, ReadonlyArray<Scope & Readonly<{ operator: string }>>>>;
-  /** Makes a key, shown once; another one under the same name replaces it. */
+  /** Creates a key, shown once; another one under the same name replaces it. Errors: `unsafe-step` when there are too many operators. */
   put: (operator: string, scope: Scope) => Promise<Either.Either<Fault, string>>;
+  /** Right with whether there was such an operator. */
   remove: (operator: string) => Promise<Either.Either<Fault, boolean>>;
-  note: (by: string, action: string, detail: string) => Promise<void>;
+  /** Adds an action to the audit trail and to the log. */
+  recordAction: (by: string, action: string, detail: string) => Promise<void>;
+  /** The latest actions, the oldest first. */
   trail: () => Promise<Either.Either<Fault, readonly TrailEntry[]>>;
 }>;
 
-const everything: Scope = { services: ['*'], nodes: true, operators: true };
+const unrestricted: Scope = { services: ['*'], nodes: true, operators: true };
 const trailKept = 200;
 const operatorsKept = 200;
+const operatorsKey = 'operators';
+const trailKey = 'trail';
 
 function digestOf(key: string): string {
   return createHash('sha256').update(key).digest('hex');
 }
 
-function denied(what: string): Fault {
+function denied(reason: string): Fault {
   return fault.create({
     kind: 'key-denied',
-    message: what,
+    message: reason,
     remedy: 'send a key that may in x-stallstall-operator, or ask who holds the root key',
   });
 }
 
+function tooManyOperators(): Fault {
+  return fault.create({ kind: 'unsafe-step', message: `there are ${operatorsKept} operators already`, remedy: 'remove one first' });
+}
+
 function covers(scope: Scope, service: string): boolean {
   return scope.services.includes('*') || scope.services.includes(service);
 }
 
-/** The services that differ between two sheets, by their members, their rows or the keys that reach them. */
+/** All that a configuration says of a service: its members, its rows, the keys and the named statements that reach it. */
+function factsOf(placement: PlacementConfiguration | undefined, service: string): string {
+  return JSON.stringify([
+    placement?.services.filter((one) => one.service === service) ?? [],
+    placement?.rows.filter((one) => one.service === service) ?? [],
+    placement?.keys.filter((one) => one.services.includes(service)) ?? [],
+    placement?.mappings.filter((one) => one.service === service) ?? [],
+  ]);
+}
+
 function changedServices(before: PlacementConfiguration | undefined, after: PlacementConfiguration): readonly string[] {
-  function facts(sheet: PlacementConfiguration | undefined, service: string): string {
-    return JSON.stringify([
-      sheet?.services.filter((one) => one.service === service) ?? [],
-      sheet?.rows.filter((one) => one.service === service) ?? [],
-      sheet?.keys.filter((one) => one.services.includes(service)) ?? [],
-      sheet?.mappings.filter((one) => one.service === service) ?? [],
-    ]);
-  }
   const names = new Set([...(before?.services ?? []), ...after.services].map((one) => one.service));
-  return [...names].filter((service) => facts(before, service) !== facts(after, service));
+  return [...names].filter((service) => factsOf(before, service) !== factsOf(after, service));
 }
 
+/** Right with the services that a change touches, if the caller may change all of them. Errors: `key-denied`. */
 function mayChange(
   caller: Caller,
   before: PlacementConfiguration | undefined,
   after: PlacementConfiguration,
 ): Either.Either<Fault, readonly string[]> {
   const changed = changedServices(before, after);
-  const beyond = changed.filter((service) => !covers(caller.scope, service));
-  return beyond.length === 0 ? Either.right(changed) : Either.left(denied(`${caller.operator} may not change ${beyond.join(', ')}`));
+  const forbidden = changed.filter((service) => !covers(caller.scope, service));
+  if (forbidden.length === 0) return Either.right(changed);
+  return Either.left(denied(`${caller.operator} may not change ${forbidden.join(', ')}`));
 }
 
-function create(kernel: Kernel, rootKey: string | undefined): OperatorTable {
-  const register = kernel.services.find(registerService);
+function operatorsOf(entry: Option.Option<Entry>): readonly StoredOperator[] {
+  return Option.isSome(entry) && message.matches(OperatorsSchema, entry.value.value) ? entry.value.value.operators : [];
+}
 
-  function operatorsOf(entry: Option.Option<Entry>): Operators {
-    return Option.isSome(entry) && message.matches(OperatorsSchema, entry.value.value) ? entry.value.value : { operators: [] };
-  }
-
-  function trailOf(entry: Option.Option<Entry>): Trail {
-    return Option.isSome(entry) && message.matches(TrailSchema, entry.value.value) ? entry.value.value : { entries: [] };
-  }
-
-  async function caller(request: HttpRequest): Promise<Either.Either<Fault, Caller>> {
-    if (rootKey === undefined) return Either.right({ operator: 'anyone', scope: everything });
-    const given = digestOf(request.headers['x-stallstall-operator'] ?? '');
-    if (given === digestOf(rootKey)) return Either.right({ operator: 'root', scope: everything });
-    const read = await register.read('operators');
-    if (Either.isLeft(read)) return read;
-    const known = operatorsOf(read.right).operators.find((one) => one.digest === given);
-    return known === undefined
-      ? Either.left(denied('no operator holds this key'))
-      : Either.right({ operator: known.operator, scope: known });
-  }
-
-  async function put(operator: string, scope: Scope): Promise<Either.Either<Fault, string>> {
-    const key = `${kernel.randomness.token()}${kernel.randomness.token()}`;
-    const added = { operator, digest: digestOf(key), services: [...scope.services], nodes: scope.nodes, operators: scope.operators };
-    const changed = await register.change('operators', function next(current) {
-      const others = operatorsOf(current).operators.filter((one) => one.operator !== operator);
-      return others.length >= operatorsKept ? Option.none : Option.some({ operators: [...others, added] });
-    });
-    if (Either.isLeft(changed)) return changed;
-    if (operatorsOf(changed.right.entry).operators.some((one) => one.digest === added.digest)) return Either.right(key);
-    return Either.left(
-      fault.create({ kind: 'unsafe-step', message: `there are ${operatorsKept} operators already`, remedy: 'remove one first' }),
-    );
-  }
-
-  async function remove(operator: string): Promise<Either.Either<Fault, boolean>> {
-    let known = false;
-    const changed = await register.change('operators', function next(current) {
-      const standing = operatorsOf(current).operators;
-      known = known || standing.some((one) => one.operator === operator);
-      return standing.some((one) => one.operator === operator)
-        ? Option.some({ operators: standing.filter((one) => one.operator !== operator) })
-        : Option.none;
-    });
-    return Either.map(() => known)(changed);
-  }
-
-  async function note(by: string, action: string, detail: string): Promise<void> {
-    const at = kernel.clock.wall();
-    const noted = await register.change('trail', function next(current) {
-      const entries = trailOf(current).entries;
-      if (entries.some((one) => one.at === at && one.by === by && one.action === action && one.detail === detail)) return Option.none;
-      const entry: TrailEntry = { number: (entries.at(-1)?.number ?? 0) + 1, at, by, action, detail };
-      return Option.some({ entries: [...entries, entry].slice(-trailKept) });
-    });
-    kernel.log('operator.acted', { by, action, detail, noted: Either.isRight(noted) });
-  }
+function trailOf(entry: Option.Option<Entry>): readonly TrailEntry[] {
+  return Option.isSome(entry) && message.matches(TrailSchema, entry.value.value) ? entry.value.value.entries : [];
+}
 
+async function callerOf(register: Register, rootKey: string | undefined, request: HttpRequest): Promise<Either.Either<Fault, Caller>> {
+  if (rootKey === undefined) return Either.right({ operator: 'anyone', scope: unrestricted });
+  const digest = digestOf(request.headers['x-stallstall-operator'] ?? '');
+  if (digest === digestOf(rootKey)) return Either.right({ operator: 'root', scope: unrestricted });
+  const read = await register.read(operatorsKey);
+  if (Either.isLeft(read)) return read;
+  const known = operatorsOf(read.right).find((one) => one.digest === digest);
+  return known === undefined ? Either.left(denied('no operator holds this key')) : Either.right({ operator: known.operator, scope: known });
+}
+
+async function put(kernel: Kernel, register: Register, operator: string, scope: Scope): Promise<Either.Either<Fault, string>> {
+  const key = `${kernel.randomness.token()}${kernel.randomness.token()}`;
+  const { services, nodes, operators: mayNameOperators } = scope;
+  const added: StoredOperator = { operator, digest: digestOf(key), services: [...services], nodes, operators: mayNameOperators };
+  const changed = await register.change(operatorsKey, function next(current) {
+    const others = operatorsOf(current).filter((one) => one.operator !== operator);
+    return others.length >= operatorsKept ? Option.none : Option.some({ operators: [...others, added] });
+  });
+  if (Either.isLeft(changed)) return changed;
+  const isAdded = operatorsOf(changed.right.entry).some((one) => one.digest === added.digest);
+  return isAdded ? Either.right(key) : Either.left(tooManyOperators());
+}
+
+async function remove(register: Register, operator: string): Promise<Either.Either<Fault, boolean>> {
+  let wasKnown = false;
+  const changed = await register.change(operatorsKey, function next(current) {
+    const stored = operatorsOf(current);
+    const isKnown = stored.some((one) => one.operator === operator);
+    // An attempt whose fate was not known may have removed it: then the next attempt finds it gone.
+    wasKnown = wasKnown || isKnown;
+    return isKnown ? Option.some({ operators: stored.filter((one) => one.operator !== operator) }) : Option.none;
+  });
+  return Either.map(() => wasKnown)(changed);
+}
+
+async function recordAction(kernel: Kernel, register: Register, by: string, action: string, detail: string): Promise<void> {
+  const at = kernel.clock.wall();
+  const changed = await register.change(trailKey, function next(current) {
+    const entries = trailOf(current);
+    const isRecorded = entries.some((one) => one.at === at && one.by === by && one.action === action && one.detail === detail);
+    if (isRecorded) return Option.none;
+    const entry: TrailEntry = { number: (entries.at(-1)?.number ?? 0) + 1, at, by, action, detail };
+    return Option.some({ entries: [...entries, entry].slice(-trailKept) });
+  });
+  kernel.log('operator.acted', { by, action, detail, noted: Either.isRight(changed) });
+}
+
+/** @param rootKey - the key that may do everything; undefined admits everyone */
+function create(kernel: Kernel, rootKey: string | undefined): OperatorTable {
+  const register = kernel.services.find(registerService);
   return {
-    caller,
-    put,
-    remove,
-    note,
+    caller: (request) => callerOf(register, rootKey, request),
+    put: (operator, scope) => put(kernel, register, operator, scope),
+    remove: (operator) => remove(register, operator),
+    recordAction: (by, action, detail) => recordAction(kernel, register, by, action, detail),
     list: async function list() {
-      const read = await register.read('operators');
-      return Either.map((entry: Option.Option<Entry>) => operatorsOf(entry).operators.map(({ digest: _digest, ...shown }) => shown))(read);
+      const read = await register.read(operatorsKey);
+      return Either.map((entry: Option.Option<Entry>) => operatorsOf(entry).map(({ digest: _digest, ...shown }) => shown))(read);
     },
     trail: async function trail() {
-      const read = await register.read('trail');
-      return Either.map((entry: Option.Option<Entry>) => trailOf(entry).entries)(read);
+      return Either.map(trailOf)(await register.read(trailKey));
     },
   };
 }
--- a/packages/core/src/peer-handlers.ts
+++ b/packages/core/src/peer-handlers.ts
@@ -1,150 +1,141 @@
-// What a core answers to other processes over their links (design 3.2, 4, 5).
+/** What a core answers to other processes over their links (design 3.2, 4, 5). */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
-import type { Request, Reply } from '@stallstall/message';
-import type { Node } from '@stallstall/node';
+import type { Vote } from '@stallstall/election';
+import type { Reply, Request } from '@stallstall/message';
 import type { Caller, Handlers } from '@stallstall/peer';
 import { quorum } from '@stallstall/quorum';
-import type { Acceptor, ReportStore, CoreSetView } from '@stallstall/register';
-import type { Vote } from '@stallstall/election';
-import type { CoreSetManager } from './core-set-manager.js';
-import { setOf, type FleetRecord } from './fleet-record.js';
+import type { CoreSetView } from '@stallstall/register';
+import type { ChangeSubscribers } from './change-subscribers.js';
+import type { CoreServices, CoreStorage } from './core-context.js';
+import { coreStorage } from './core-storage.js';
 import type { FleetBootstrap } from './fleet-bootstrap.js';
+import { setOf } from './fleet-record.js';
 import type { MembershipTable } from './membership-table.js';
-import type { MemberRegistration } from './member-registration.js';
-import type { ChangeSubscribers } from './change-subscribers.js';
+import { storeReport } from './report-handling.js';
 import type { VersionStore } from './version-store.js';
-import type { CoreVoteStore } from './vote-store.js';
 
-export type HandlerParts = Readonly<{
-  node: Node;
-  cells: Acceptor;
-  notes: ReportStore;
-  votes: Pick<CoreVoteStore, 'epochs'>;
-  record: FleetRecord;
-  /** Where this core stands, if the set of cores may change. */
-  standing: CoreSetView | undefined;
-  subscriptions: ChangeSubscribers;
+export type PeerHandlerParts = Readonly<{
+  services: CoreServices;
+  subscribers: ChangeSubscribers;
   versions: Pick<VersionStore, 'earlier'>;
-  formation: FleetBootstrap;
+  bootstrap: FleetBootstrap;
   table: MembershipTable;
-  coreSet: Option.Option<CoreSetManager>;
-  registered: Option.Option<MemberRegistration>;
-  puts: () => number;
-  /** The version that this core's disk holds under a key; 0 when it holds none. */
-  versionOf: (key: string) => number;
-  membershipVersion: () => number;
 }>;
 
-/** The number of the set that a core stands at, where it may change (design 4.8). */
-export function currentSet(standing: CoreSetView | undefined): Readonly<{ set?: number }> {
-  return standing === undefined || standing.number() < 0 ? {} : { set: standing.number() };
+/** The number of the set that a core is in, for its messages; left out where there is none, or while it is between two (design 4.8). */
+export function currentSet(view: CoreSetView | undefined): Readonly<{ set?: number }> {
+  return view === undefined || view.number() < 0 ? {} : { set: view.number() };
 }
 
-/** What is noted counts for the set under which it was told: by who stands there before and after the sync (design 4.8). */
-export async function storeReport(notes: ReportStore, standing: CoreSetView | undefined, ask: Request<'note'>): Promise<Reply<'note'>> {
-  if (standing === undefined) return notes.store(ask);
-  const { set, ...told } = ask;
-  const newer = standing.newerThan(set ?? 0);
-  const elsewhere: Reply<'note'> = { ready: false, floors: {}, ...(newer === undefined ? {} : { newer }) };
-  if (set !== standing.number()) return elsewhere;
-  const reply = await notes.store(told);
-  return set === standing.number() ? reply : elsewhere;
-}
-
-/** This core's own votes, and those of edges as far as its cells hold them. */
-async function votedEpochs(votes: Pick<CoreVoteStore, 'epochs'>, cells: Acceptor): Promise<Record<string, number>> {
+/** The highest epochs of this core's own votes, and of those of edges as far as its cells hold them. */
+async function votedEpochs({ votes, cells }: CoreStorage): Promise<Record<string, number>> {
   const epochs: Record<string, number> = { ...(await votes.epochs()) };
-  for (const cell of cells.cells()) {
-    const [kind, service] = cell.key.split('/');
-    const vote = cell.state.accepted?.value as Partial<Vote> | undefined;
-    if (kind === 'vote' && service !== undefined && typeof vote?.epoch === 'number')
-      epochs[service] = Math.max(vote.epoch, epochs[service] ?? 0);
+  for (const { key, state } of cells.cells()) {
+    const [kind, service] = key.split('/');
+    const vote = state.accepted?.value as Partial<Vote> | undefined;
+    if (kind !== 'vote' || service === undefined || typeof vote?.epoch !== 'number') continue;
+    epochs[service] = Math.max(vote.epoch, epochs[service] ?? 0);
   }
   return epochs;
 }
 
-function greeting({ node, record, coreSet, formation }: HandlerParts): NonNullable<Handlers['hello']> {
-  return async function hello(ask, caller) {
-    const reply = await (node.handlers.hello as NonNullable<Handlers['hello']>)(ask, caller);
-    formation.onHelloReceived(ask);
-    const known = record.current();
+function helloHandler({ services, bootstrap }: PeerHandlerParts): NonNullable<Handlers['hello']> {
+  const { context, storage, node } = services;
+  return async function hello(request, caller) {
+    const reply = await (node.handlers.hello as NonNullable<Handlers['hello']>)(request, caller);
+    bootstrap.onHelloReceived(request);
+    const known = storage.record.current();
     if (Option.isNone(known)) return { ...reply, fleet: '', founding: '', cores: [] };
-    if (known.value.stage !== 'formed') return { ...reply, fleet: '', founding: known.value.fleet, cores: [] };
+    const { fleet, stage, cores } = known.value;
+    if (stage !== 'formed') return { ...reply, fleet: '', founding: fleet, cores: [] };
     return {
       ...reply,
-      fleet: known.value.fleet,
-      founding: known.value.fleet,
-      cores: known.value.cores.map((core) => quorum.seat(node.membership().value, core.node) ?? core),
-      ...(Option.isSome(coreSet) ? { set: setOf(known.value) } : {}),
+      fleet,
+      founding: fleet,
+      cores: cores.map((core) => quorum.seat(node.membership().value, core.node) ?? core),
+      ...(Option.isSome(context.coreSet) ? { set: setOf(known.value) } : {}),
     };
   };
 }
 
-function copying({ cells, notes, votes, standing }: HandlerParts): NonNullable<Handlers['copy']> {
-  return async function copy(ask) {
-    const at = currentSet(standing);
-    const page = await cells.page(ask.after);
+/** A page of this core's state, for a core that copies it. */
+function copyHandler({ services }: PeerHandlerParts): NonNullable<Handlers['copy']> {
+  const { storage } = services;
+  const { cells, reports, coreSetView } = storage;
+  return async function copy(request) {
+    const current = currentSet(coreSetView);
+    const page = await cells.page(request.after);
     return {
-      ready: Either.isRight(page) && cells.ready() && (standing === undefined || at.set !== undefined),
-      ...at,
-      votes: await votedEpochs(votes, cells),
-      notes: notes.snapshot(),
+      ready: Either.isRight(page) && cells.ready() && (coreSetView === undefined || current.set !== undefined),
+      ...current,
+      votes: await votedEpochs(storage),
+      notes: reports.snapshot(),
       ...(Either.isRight(page) ? page.right : { entries: [], next: '' }),
     };
   };
 }
 
-/** Pushes changes to whoever asks, and counts its acknowledgements (design 5.2). */
-function watching(parts: HandlerParts): NonNullable<Handlers['watch']> {
-  const { node, cells, subscriptions } = parts;
-  return function watch(ask, caller) {
-    const entry = subscriptions.subscribe(cells, ask, caller);
+/** Subscribes a node to changes, and takes its acknowledgement (design 5.2). */
+function watchHandler({ services, subscribers }: PeerHandlerParts): NonNullable<Handlers['watch']> {
+  const { context, storage, node } = services;
+  return function watch(request, caller) {
+    const subscriber = subscribers.subscribe(storage.cells, request, caller);
     return {
-      ready: cells.ready(),
-      number: entry?.number ?? 0,
-      configuration: parts.versionOf('configuration'),
-      membership: parts.membershipVersion(),
-      puts: parts.puts(),
-      superseded: ask.incarnation > 0 && node.isStale(ask.node, ask.incarnation),
+      ready: storage.cells.ready(),
+      number: subscriber?.number ?? 0,
+      configuration: coreStorage.versionOf(storage, 'configuration'),
+      membership: coreStorage.membershipVersion(storage),
+      puts: context.disk.puts(),
+      superseded: request.incarnation > 0 && node.isStale(request.node, request.incarnation),
     };
   };
 }
 
-function leasing({ cells, subscriptions, registered, standing }: HandlerParts) {
-  return async function lease(ask: Request<'lease'>, caller: Caller): Promise<Reply<'lease'>> {
-    if (Option.isNone(registered)) throw new Error('this fleet holds no leases');
-    subscriptions.subscribe(cells, ask, caller);
-    const reply = await registered.value.lessor.grant(ask);
-    // It may have waited for this core to open: what is watched is handed over before the reply.
-    if (reply.ready) subscriptions.subscribe(cells, ask, caller);
-    const newer = standing?.newerThan(ask.set ?? 0);
-    const at = currentSet(standing);
-    return { ...reply, ready: reply.ready && at.set !== undefined, ...at, ...(newer === undefined ? {} : { newer }) };
+function leaseHandler({ services, subscribers }: PeerHandlerParts): NonNullable<Handlers['lease']> {
+  const { context, storage } = services;
+  const { cells, coreSetView } = storage;
+  return async function lease(request: Request<'lease'>, caller: Caller): Promise<Reply<'lease'>> {
+    if (Option.isNone(context.registration)) throw new Error('this fleet holds no leases');
+    subscribers.subscribe(cells, request, caller);
+    const reply = await context.registration.value.grantor.grant(request);
+    // It may have waited for this core to open: what is watched is pushed before the reply.
+    if (reply.ready) subscribers.subscribe(cells, request, caller);
+    const newer = coreSetView?.newerThan(request.set ?? 0);
+    const current = currentSet(coreSetView);
+    return { ...reply, ready: reply.ready && current.set !== undefined, ...current, ...(newer === undefined ? {} : { newer }) };
+  };
+}
+
+/** Takes heartbeats that another core received. */
+function spreadHandler({ services }: PeerHandlerParts): NonNullable<Handlers['spread']> {
+  const { context, storage } = services;
+  return async function spread(request) {
+    const isMerged = Option.isSome(context.registration) && (await context.registration.value.mergeBeats(request.beats));
+    return { taken: isMerged && storage.cells.ready() };
   };
 }
 
-function create(parts: HandlerParts): Handlers {
-  const { node, cells, notes, standing, versions, formation, table, coreSet, registered } = parts;
+function create(parts: PeerHandlerParts): Handlers {
+  const { services, versions, bootstrap, table } = parts;
+  const { context, storage, node } = services;
+  const { cells, reports, coreSetView } = storage;
   return {
     ...node.handlers,
-    hello: greeting(parts),
-    form: formation.handleFormRequest,
-    copy: copying(parts),
-    adopt: async (ask) => (Option.isSome(coreSet) ? coreSet.value.adopt(ask) : { adopted: false, silent: [] }),
+    hello: helloHandler(parts),
+    form: bootstrap.handleFormRequest,
+    copy: copyHandler(parts),
+    adopt: async (request) => (Option.isSome(context.coreSet) ? context.coreSet.value.adopt(request) : { adopted: false, silent: [] }),
     prepare: cells.prepare,
     accept: cells.accept,
     look: cells.look,
-    watch: watching(parts),
-    join: async (ask) => (Option.isSome(coreSet) ? coreSet.value.join(ask) : table.join(ask)),
-    note: (ask) => storeReport(notes, standing, ask),
+    watch: watchHandler(parts),
+    join: async (request) => (Option.isSome(context.coreSet) ? context.coreSet.value.join(request) : table.join(request)),
+    note: (request) => storeReport(reports, coreSetView, request),
     earlier: versions.earlier,
-    usageLook: (ask) => notes.usageOf(ask.window),
-    spread: async function spread(ask) {
-      const taken = Option.isSome(registered) && (await registered.value.mergeBeats(ask.beats));
-      return { taken: taken && cells.ready() };
-    },
-    lease: leasing(parts),
+    usageLook: (request) => reports.usageOf(request.window),
+    spread: spreadHandler(parts),
+    lease: leaseHandler(parts),
   };
 }
 
--- a/packages/core/src/platform-api.ts
+++ b/packages/core/src/platform-api.ts
@@ -1,34 +1,36 @@
-// What a core offers to another platform's pages (design 9.6).
+/** What a core offers to the routes of another platform: decisions stay here, words there (design 9.6). */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { fault, type Fault } from '@stallstall/kernel';
 import type { Registration } from '@stallstall/member-registry';
 import { placements } from '@stallstall/placement';
-import type { Administration } from './administration.js';
-import type { QuorumContact } from './quorum-contact.js';
-import type { ExternalVersion } from './configuration-updates.js';
+import type { Administration } from './administration/administration.js';
+import type { ExternalVersion, TakenVersion } from './configuration-updates.js';
 import type { MemberRegistration } from './member-registration.js';
+import type { QuorumContact } from './quorum-contact.js';
 
-/** What another platform's pages are served from: decisions stay here, words there (design 9.6). */
 export type PlatformApi = Readonly<{
   ready: () => boolean;
-  /** Takes a whole sheet under its sender's own version; of two the higher stands, and a lower one changes nothing. */
-  configure: (external: ExternalVersion, sheet: unknown) => Promise<Either.Either<Fault, Readonly<{ version: number }>>>;
-  /** The newest configuration as its sender wrote it. */
+  /**
+   * Takes a complete placement under its sender's own version; of two the higher stands, and a lower one changes nothing. Errors:
+   * `bad-sheet`, `version-conflict`, `outcome-unknown`, `no-majority`.
+   */
+  configure: (external: ExternalVersion, placement: unknown) => Promise<Either.Either<Fault, TakenVersion>>;
+  /** The newest configuration as its sender wrote it. Errors: `not-found`, `no-majority`. */
   source: () => Promise<Either.Either<Fault, string>>;
-  /** False when no majority of cores would know of it; that a member drains is confirmed by one. */
-  beat: (registration: Registration) => Promise<boolean>;
-  /** The same: right once a majority of cores knows that the member has left. */
+  /** Resolves to false when no majority of cores would know of the heartbeat; that a member drains is confirmed by one. */
+  heartbeat: (registration: Registration) => Promise<boolean>;
+  /** Resolves to true once a majority of cores knows that the member has left. */
   leave: (member: string) => Promise<boolean>;
 }>;
 
 export type PlatformApiParts = Readonly<{
-  /** This core is open: it answers as an occupant of its seat. */
+  /** This core answers as an occupant of its seat. */
   isOpen: () => boolean;
-  isEnding: () => boolean;
+  isDraining: () => boolean;
   contact: QuorumContact;
   administration: Pick<Administration, 'replaceExternal' | 'source'>;
-  registered: Option.Option<Pick<MemberRegistration, 'heartbeat' | 'leave'>>;
+  registration: Option.Option<Pick<MemberRegistration, 'heartbeat' | 'leave'>>;
 }>;
 
 function notOpen(): Fault {
@@ -40,18 +42,19 @@
   });
 }
 
-function create({ isOpen, isEnding, contact, administration, registered }: PlatformApiParts): PlatformApi {
+function create({ isOpen, isDraining, contact, administration, registration }: PlatformApiParts): PlatformApi {
   return {
-    ready: () => isOpen() && !isEnding(),
-    configure: async function configure(external, sheet) {
+    ready: () => isOpen() && !isDraining(),
+    configure: async function configure(external, placement) {
       if (!isOpen()) return Either.left(notOpen());
-      const checked = placements.check(sheet);
-      return Either.isLeft(checked) ? checked : contact.whileInContact(() => administration.replaceExternal(external, checked.right));
+      const checked = placements.check(placement);
+      if (Either.isLeft(checked)) return checked;
+      return contact.whileInContact(() => administration.replaceExternal(external, checked.right));
     },
     source: async () => (isOpen() ? contact.whileInContact(administration.source) : Either.left(notOpen())),
-    // One that is of no fleet could tell nobody, nor one that no majority answers: who calls turns to another.
-    beat: async (registration) => Option.isSome(registered) && isOpen() && registered.value.heartbeat(registration),
-    leave: async (member) => Option.isSome(registered) && isOpen() && registered.value.leave(member),
+    // A core that is of no fleet could tell nobody, nor one that no majority answers: whoever calls turns to another.
+    heartbeat: async (given) => Option.isSome(registration) && isOpen() && registration.value.heartbeat(given),
+    leave: async (member) => Option.isSome(registration) && isOpen() && registration.value.leave(member),
   };
 }
 
--- a/packages/core/src/registry-broadcaster.ts
+++ b/packages/core/src/registry-broadcaster.ts
@@ -1,86 +1,107 @@
-// Beats that this core took go to the other cores; what a member builds on is confirmed by a majority of them (design 4.7, 7.14).
+/** Heartbeats that this core received go to the other cores; what a member builds on is confirmed by a majority (design 4.7, 7.14). */
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Kernel } from '@stallstall/kernel';
-import type { Seat } from '@stallstall/message';
+import type { MemberRegistry, ReceivedBeat } from '@stallstall/member-registry';
 import type { Node } from '@stallstall/node';
 import type { Peer } from '@stallstall/peer';
 import { quorum } from '@stallstall/quorum';
-import type { MemberRegistry, ReceivedBeat } from '@stallstall/member-registry';
 
 export type RegistryBroadcaster = Readonly<{
-  /** Sends what is new to all others, and everything to whoever has missed some of it. */
+  /** Sends what is new to all other cores, and everything to whoever has missed some of it. */
   broadcast: () => void;
-  /** Tells the others where a member stands; right once a majority of cores, this one included, knows it. */
+  /** Sends what is known of a member to the others; resolves to true once a majority of cores, this one included, knows it. */
   confirm: (member: string) => Promise<boolean>;
 }>;
 
-const spreadMilliseconds = 1_000;
+type BroadcasterState = Readonly<{
+  kernel: Kernel;
+  node: Node;
+  registry: MemberRegistry;
+  /** Cores that have been sent everything, over a link that has been open since. */
+  upToDate: Set<string>;
+  /** Cores to which everything is on its way. */
+  catchingUp: Set<string>;
+}>;
+
+const sendMilliseconds = 1_000;
 /** A member gives an acknowledgement one second. */
 const confirmMilliseconds = 800;
-/** Everything is told again to who did not take it after so long. */
-const againMilliseconds = 1_000;
+/** Everything is sent again to a core that did not take it after so long. */
+const retryMilliseconds = 1_000;
 
-function create(kernel: Kernel, node: Node, roster: MemberRegistry): RegistryBroadcaster {
-  /** Cores that have been told everything, over a link that has stood since. */
-  const informed = new Set<string>();
-  /** Cores to which everything is on its way. */
-  const informing = new Set<string>();
+function otherCores({ node }: BroadcasterState): readonly string[] {
+  return node
+    .cores()
+    .map((core) => core.node)
+    .filter((core) => core !== node.settings.node);
+}
 
-  function others(): readonly Seat[] {
-    return node.cores().filter((core) => core.node !== node.settings.node);
-  }
+async function send(link: Peer, beats: readonly ReceivedBeat[], milliseconds: number): Promise<boolean> {
+  const reply = await link.call('spread', { beats: [...beats] }, milliseconds);
+  return Option.isSome(reply) && reply.value.taken;
+}
 
-  async function tell(link: Peer, beats: readonly ReceivedBeat[], milliseconds: number): Promise<boolean> {
-    const reply = await link.call('spread', { beats: [...beats] }, milliseconds);
-    return Option.isSome(reply) && reply.value.taken;
-  }
+async function sendRecent({ upToDate }: BroadcasterState, core: string, link: Peer, beats: readonly ReceivedBeat[]): Promise<void> {
+  const isTaken = await send(link, beats, sendMilliseconds);
+  if (!isTaken) upToDate.delete(core);
+}
 
-  async function tellNews(core: string, link: Peer, beats: readonly ReceivedBeat[]): Promise<void> {
-    if (!(await tell(link, beats, spreadMilliseconds))) informed.delete(core);
-  }
+async function sendAll({ kernel, registry, upToDate, catchingUp }: BroadcasterState, core: string, link: Peer): Promise<void> {
+  catchingUp.add(core);
+  const isTaken = await send(link, registry.all(), sendMilliseconds);
+  if (isTaken) upToDate.add(core);
+  // One that is there and not open yet takes nothing: it is asked again in a while, not at every broadcast.
+  else await kernel.clock.sleep(retryMilliseconds);
+  catchingUp.delete(core);
+}
 
-  async function tellEverything(core: string, link: Peer): Promise<void> {
-    informing.add(core);
-    if (await tell(link, roster.all(), spreadMilliseconds)) informed.add(core);
-    // One that is there and not open yet takes nothing: it is asked again in a while, not at every look.
-    else await kernel.clock.sleep(againMilliseconds);
-    informing.delete(core);
+function broadcast(state: BroadcasterState): void {
+  const { node, registry, upToDate, catchingUp } = state;
+  const recent = registry.takeRecent();
+  for (const core of otherCores(state)) {
+    const link = node.peerOf(core);
+    if (Option.isNone(link) || !link.value.connected()) upToDate.delete(core);
+    else if (!upToDate.has(core) && !catchingUp.has(core)) void sendAll(state, core, link.value);
+    else if (recent.length > 0) void sendRecent(state, core, link.value, recent);
   }
+}
 
-  function spread(): void {
-    const beats = roster.takeRecent();
-    for (const { node: core } of others()) {
-      const link = node.peerOf(core);
-      if (Option.isNone(link) || !link.value.connected()) informed.delete(core);
-      else if (!informed.has(core) && !informing.has(core)) void tellEverything(core, link.value);
-      else if (beats.length > 0) void tellNews(core, link.value, beats);
+/** Resolves to true once so many of these confirmations are, to false once too few can be. */
+function enoughOf(confirmations: ReadonlyArray<Promise<boolean>>, needed: number): Promise<boolean> {
+  return new Promise(function count(resolve) {
+    let confirmed = 0;
+    let outstanding = confirmations.length;
+    if (needed <= 0 || outstanding === 0) resolve(needed <= 0);
+    for (const confirmation of confirmations) {
+      void confirmation.then(function onConfirmation(isConfirmed) {
+        outstanding -= 1;
+        if (isConfirmed) confirmed += 1;
+        if (confirmed >= needed) resolve(true);
+        else if (outstanding === 0) resolve(false);
+      });
     }
-  }
+  });
+}
 
-  function confirm(member: string): Promise<boolean> {
-    const beats = roster.all().filter((one) => one.entry.member === member);
-    const asked = others();
-    const isCore = asked.length < node.cores().length;
-    const needed = quorum.majority(node.cores().length) - (isCore ? 1 : 0);
-    return new Promise((resolve) => {
-      let taken = 0;
-      let left = asked.length;
-      function count(done: boolean): void {
-        left -= 1;
-        if (done) taken += 1;
-        if (taken >= needed) resolve(true);
-        else if (left === 0) resolve(false);
-      }
-      if (needed <= 0 || left === 0) resolve(needed <= 0);
-      for (const { node: core } of asked) {
-        const link = node.peerOf(core);
-        if (Option.isNone(link)) count(false);
-        else void tell(link.value, beats, confirmMilliseconds).then(count);
-      }
-    });
-  }
+function confirm(state: BroadcasterState, member: string): Promise<boolean> {
+  const { node, registry } = state;
+  const beats = registry.all().filter((one) => one.entry.member === member);
+  const others = otherCores(state);
+  const isCore = others.length < node.cores().length;
+  const needed = quorum.majority(node.cores().length) - (isCore ? 1 : 0);
+  const confirmations = others.map(async function confirmAt(core) {
+    const link = node.peerOf(core);
+    return Option.isSome(link) && (await send(link.value, beats, confirmMilliseconds));
+  });
+  return enoughOf(confirmations, needed);
+}
 
-  return { broadcast: spread, confirm };
+function create(kernel: Kernel, node: Node, registry: MemberRegistry): RegistryBroadcaster {
+  const state: BroadcasterState = { kernel, node, registry, upToDate: new Set(), catchingUp: new Set() };
+  return {
+    broadcast: () => broadcast(state),
+    confirm: (member) => confirm(state, member),
+  };
 }
 
 export const registryBroadcaster = { create } as const;
--- a/packages/core/src/state-transfer.ts
+++ b/packages/core/src/state-transfer.ts
@@ -1,74 +1,93 @@
-// Copies what another core holds into this core's own disk: cells, votes and notes (design 4.3).
+/** Copies what another core holds to this core's own disk: cells, votes and reports (design 4.3). */
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Kernel } from '@stallstall/kernel';
-import type { Seat } from '@stallstall/message';
+import type { Reply, Seat } from '@stallstall/message';
 import { acceptor, catchUp, type Acceptor, type ReportStore } from '@stallstall/register';
 import type { CoreCall } from './core-calls.js';
-import { abstained, type CoreVoteStore } from './vote-store.js';
+import { abstention, type CoreVoteStore } from './vote-store.js';
 
 export type StateTransferParts = Readonly<{
-  call: CoreCall;
+  callCore: CoreCall;
   cells: Acceptor;
-  notes: Pick<ReportStore, 'store' | 'isSynced'>;
+  reports: Pick<ReportStore, 'store' | 'isSynced'>;
   votes: Pick<CoreVoteStore, 'epochs' | 'record'>;
   stopped: () => boolean;
 }>;
 
-/** Which cores may be copied: those that stand at no set, or at this one or a later one (design 4.8). */
+/** Which cores may be copied: those that are in no numbered set, or in this one or a later one (design 4.8). */
 export type CopiedSet = Option.Option<number>;
 
 export type StateTransfer = Readonly<{
-  /** All that another core holds, adding the highest epochs it voted for to `epochs`; false once `given` says that it is not needed any more. */
-  copyFrom: (other: Seat, set: CopiedSet, epochs: Record<string, number>, given?: () => boolean) => Promise<boolean>;
+  /**
+   * Copies all that another core holds, adding the highest epochs it voted for to `epochs`; resolves to false once `isUnneeded` says that
+   * the copy is not wanted any more.
+   */
+  copyFrom: (other: Seat, set: CopiedSet, epochs: Record<string, number>, isUnneeded?: () => boolean) => Promise<boolean>;
   /** Votes for nobody in these epochs: what this core voted is lost, and an epoch it may have helped to win has other voters. */
   abstain: (epochs: Readonly<Record<string, number>>) => Promise<void>;
 }>;
 
 const pageMilliseconds = 2_000;
 /** So long after a page that did not come, or did not sync, it is asked for again. */
-const againMilliseconds = 50;
+const retryMilliseconds = 50;
 
-function create(kernel: Kernel, parts: StateTransferParts): StateTransfer {
-  const { cells, notes, votes } = parts;
+function isEligibleSource(wanted: CopiedSet, told: number | undefined): boolean {
+  return Option.isNone(wanted) ? told === undefined : catchUp.isEligibleSource(wanted.value, told);
+}
 
-  function mayBeCopied(wanted: CopiedSet, told: number | undefined): boolean {
-    return Option.isNone(wanted) ? told === undefined : catchUp.isEligibleSource(wanted.value, told);
-  }
+/** A page of another core's state; none while it may not be copied. */
+async function fetchPage(
+  { callCore }: StateTransferParts,
+  other: Seat,
+  set: CopiedSet,
+  after: string,
+): Promise<Option.Option<Reply<'copy'>>> {
+  const reply = await callCore(other.address, 'copy', { after }, pageMilliseconds);
+  if (Option.isNone(reply) || !reply.value.ready || !isEligibleSource(set, reply.value.set)) return Option.none;
+  return reply;
+}
+
+/** Resolves to true once all of a page is on this core's disk. */
+async function storePage({ cells, reports }: StateTransferParts, page: Reply<'copy'>): Promise<boolean> {
+  const merged = await Promise.all(
+    page.entries.map((entry) => (acceptor.isCellState(entry.state) ? cells.merge(entry.key, entry.state) : false)),
+  );
+  await reports.store(page.notes);
+  return merged.every(Boolean) && reports.isSynced();
+}
 
-  async function pages(other: Seat, set: CopiedSet, epochs: Record<string, number>, given: () => boolean = () => false): Promise<boolean> {
-    let whole = false;
-    for (let after = ''; !whole && !parts.stopped() && !given();) {
-      const reply = await parts.call(other.address, 'copy', { after }, pageMilliseconds);
-      if (Option.isNone(reply) || !reply.value.ready || !mayBeCopied(set, reply.value.set)) {
-        await kernel.clock.sleep(againMilliseconds);
-        continue;
-      }
-      const { entries, votes: voted, notes: noted, next } = reply.value;
-      const merged = await Promise.all(
-        entries.map((entry) => (acceptor.isCellState(entry.state) ? cells.merge(entry.key, entry.state) : false)),
-      );
-      await notes.store(noted);
-      if (!merged.every(Boolean) || !notes.isSynced()) {
-        await kernel.clock.sleep(againMilliseconds);
-        continue;
-      }
-      for (const [service, epoch] of Object.entries(voted)) epochs[service] = Math.max(epoch, epochs[service] ?? 0);
-      after = next;
-      whole = next === '';
+async function copyFrom(
+  kernel: Kernel,
+  parts: StateTransferParts,
+  { other, set, epochs, isUnneeded }: Readonly<{ other: Seat; set: CopiedSet; epochs: Record<string, number>; isUnneeded: () => boolean }>,
+): Promise<boolean> {
+  let after = '';
+  while (!parts.stopped() && !isUnneeded()) {
+    const page = await fetchPage(parts, other, set, after);
+    if (Option.isNone(page) || !(await storePage(parts, page.value))) {
+      await kernel.clock.sleep(retryMilliseconds);
+      continue;
     }
-    return whole;
+    const { votes, next } = page.value;
+    for (const [service, epoch] of Object.entries(votes)) epochs[service] = Math.max(epoch, epochs[service] ?? 0);
+    if (next === '') return true;
+    after = next;
   }
+  return false;
+}
 
-  async function abstainIn(service: string, epoch: number): Promise<void> {
-    while (!parts.stopped() && ((await votes.epochs())[service] ?? 0) < epoch) {
-      if (!(await votes.record(service, { epoch, ...abstained }))) await kernel.clock.sleep(againMilliseconds);
-    }
+async function abstainIn(kernel: Kernel, { votes, stopped }: StateTransferParts, service: string, epoch: number): Promise<void> {
+  while (!stopped() && ((await votes.epochs())[service] ?? 0) < epoch) {
+    const isRecorded = await votes.record(service, { epoch, ...abstention });
+    if (!isRecorded) await kernel.clock.sleep(retryMilliseconds);
   }
+}
 
+function create(kernel: Kernel, parts: StateTransferParts): StateTransfer {
   return {
-    copyFrom: pages,
+    copyFrom: (other, set, epochs, isUnneeded = () => false) => copyFrom(kernel, parts, { other, set, epochs, isUnneeded }),
     abstain: async function abstain(epochs) {
-      await Promise.all(Object.entries(epochs).map(([service, epoch]) => abstainIn(service, epoch)));
+      await Promise.all(Object.entries(epochs).map(([service, epoch]) => abstainIn(kernel, parts, service, epoch)));
     },
   };
 }
--- a/packages/core/src/vote-store.ts
+++ b/packages/core/src/vote-store.ts
@@ -1,4 +1,4 @@
-// A core's votes in elections, each on its disk before it is counted (design 7.3).
+/** A core's votes in elections, each on its disk before it is counted (design 7.3). */
 import * as Either from 'fp-ts/lib/Either.js';
 import { Type } from '@sinclair/typebox';
 import * as Option from 'fp-ts/lib/Option.js';
@@ -9,10 +9,10 @@
 export const voteStoragePrefix = 'vote/';
 export const VoteSchema = Type.Object({ epoch: Type.Integer({ minimum: 0 }), candidate: Type.String(), proposer: Type.String() });
 
-/** A vote for nobody: all it does is deny that epoch and those before it. */
-export const abstained = { candidate: '', proposer: '' } as const;
+/** A vote for nobody: all it does is to exclude that epoch and those before it. */
+export const abstention = { candidate: '', proposer: '' } as const;
 
-/** A vote store that tells the highest epoch voted for in each service. */
+/** A vote store that also tells the highest epoch voted for in each service. */
 export type CoreVoteStore = VoteStore & Readonly<{ epochs: () => Promise<Readonly<Record<string, number>>> }>;
 
 /** Restores the votes that `stored` holds under `vote/`. */
--- a/packages/kernel/src/http.ts
+++ b/packages/kernel/src/http.ts
@@ -65,12 +65,12 @@
   );
 }
 
-/** The same mappings, and how many of their requests are without an answer. */
-function countInFlight(mappings: readonly HttpRoute[]): Readonly<{ mappings: readonly HttpRoute[]; inFlight: () => number }> {
+/** The same routes, and how many of their requests are without an answer. */
+function countInFlight(routes: readonly HttpRoute[]): Readonly<{ routes: readonly HttpRoute[]; inFlight: () => number }> {
   let count = 0;
   return {
     inFlight: () => count,
-    mappings: mappings.map((one) => ({
+    routes: routes.map((one) => ({
       ...one,
       handle: async function handle(request) {
         count += 1;
--- a/packages/lease/src/holder-state.ts
+++ b/packages/lease/src/holder-state.ts
@@ -58,17 +58,21 @@
   function coreCount(): number {
     return context.cores.length;
   }
-  const register = proposer.create(kernel, settings.node, () => registerReplicas(context, linkOf), coreCount, coreSets);
-  const watch = watcher.create(
-    kernel,
+  const register = proposer.create(kernel, {
+    name: settings.node,
+    replicas: () => registerReplicas(context, linkOf),
+    replicaCount: coreCount,
+    coreSets,
+  });
+  const watch = watcher.create(kernel, {
     register,
     coreCount,
-    function onApplied(key, entry) {
+    onApplied: function onApplied(key, entry) {
       kernel.log('lease-holder.applied', { key, version: entry.version });
       parts.onChange();
     },
-    { number: coreSets.number, includes: (core) => context.cores.some((one) => one.node === core) },
-  );
+    cores: { number: coreSets.number, includes: (core) => context.cores.some((one) => one.node === core) },
+  });
   const contents = contentFetcher.create(kernel, {
     set: coreSets.number,
     deliver: watch.receive,
--- a/packages/node/src/applied-state.ts
+++ b/packages/node/src/applied-state.ts
@@ -31,19 +31,18 @@
 /** @param onApplied - called with the key once a new version of it is applied */
 function create(context: NodeContext, { register, coreSets }: RegisterAccess, onApplied: (key: string) => void): AppliedState {
   const { kernel, registration } = context;
-  const watch = watcher.create(
-    kernel,
+  const watch = watcher.create(kernel, {
     register,
-    () => context.cores.length,
-    function apply(key, entry) {
+    coreCount: () => context.cores.length,
+    onApplied: function apply(key, entry) {
       kernel.log('node.applied', { key, version: entry.version });
       onApplied(key);
     },
-    {
+    cores: {
       number: coreSets.number,
       includes: (core) => Option.isNone(context.coreSet) || context.cores.some((one) => one.node === core),
     },
-  );
+  });
   // A core accepts nearly every configuration itself: what the others push of it needs no content (design 5.6).
   const contents = contentFetcher.create(kernel, {
     set: coreSets.number,
--- a/packages/node/src/register-access.ts
+++ b/packages/node/src/register-access.ts
@@ -51,14 +51,13 @@
     number: () => (Option.isSome(context.coreSet) ? context.coreSet.value.number : 0),
     observe: (set) => (Option.isSome(registration) ? registration.value.observeCoreSet(set) : undefined),
   };
-  const register = proposer.create(
-    kernel,
-    settings.node,
-    () => registerReplicas(context, links),
-    () => context.cores.length,
+  const register = proposer.create(kernel, {
+    name: settings.node,
+    replicas: () => registerReplicas(context, links),
+    replicaCount: () => context.cores.length,
     coreSets,
-    (key) => (Option.isSome(parts.localReplica) ? parts.localReplica.value.accepted(key) : Option.none),
-  );
+    heldEntry: (key) => (Option.isSome(parts.localReplica) ? parts.localReplica.value.accepted(key) : Option.none),
+  });
   const reports = durableReports.create(
     () => reportReplicas(context, links),
     () => context.cores.length,
--- a/packages/register/src/catch-up.ts
+++ b/packages/register/src/catch-up.ts
@@ -1,15 +1,18 @@
-// How the occupant of a seat that holds nothing yet becomes level with the others, so that it may answer (design 4.3, 4.8).
-// A core that takes over a seat and one that lost its disk are the same case.
+/**
+ * How the occupant of a seat that holds nothing yet catches up with the others, so that it may answer (design 4.3, 4.8). A core that takes
+ * over a seat and one that lost its disk are the same case.
+ */
 import * as Either from 'fp-ts/lib/Either.js';
 import { message, type Seat } from '@stallstall/message';
 import { quorum } from '@stallstall/quorum';
-import type { Acceptor, CellState } from './acceptor.js';
-import type { Register } from './proposer.js';
+import type { Acceptor } from './acceptor.js';
+import type { CellState } from './cell-state.js';
+import type { Register } from './register.js';
 
-/** Copies all that another core holds; false once `given` says that the copy is no longer wanted. */
-export type CopySource = (source: Seat, given: () => boolean) => Promise<boolean>;
+/** Copies all that another core holds; resolves to false once `isUnneeded` says that the copy is no longer wanted. */
+export type CopySource = (source: Seat, isUnneeded: () => boolean) => Promise<boolean>;
 
-/** Rounds that settle doubtful cells run so many at a time. */
+/** Rounds that complete unresolved cells run so many at a time. */
 const roundsAtOnce = 32;
 
 /**
@@ -20,27 +23,33 @@
   return seats - quorum.majority(seats) + 1;
 }
 
-/** A source must have left every set before the one that gave this core its seat: then it agrees to nothing there any more. */
+/**
+ * Whether a core may be copied: it must have left every set before the one that gave this core its seat, for then it agrees to nothing
+ * there any more.
+ *
+ * @param since - the number of the set that gave this core its seat
+ * @param told - the number of the set that the other core is in; undefined while it is in none
+ */
 function isEligibleSource(since: number, told: number | undefined): boolean {
   return told !== undefined && told >= since;
 }
 
 /** Copies from all sources at once and settles with the first that are enough: none that is out of reach is waited for. */
-function copyEnough(sources: readonly Seat[], needed: number, copy: CopySource, abandoned: () => boolean): Promise<boolean> {
+function copyEnough(sources: readonly Seat[], needed: number, copy: CopySource, isAbandoned: () => boolean): Promise<boolean> {
   return new Promise(function collect(resolve) {
     let copied = 0;
-    let left = sources.length;
-    function given(): boolean {
-      return copied >= needed || abandoned();
+    let outstanding = sources.length;
+    function isUnneeded(): boolean {
+      return copied >= needed || isAbandoned();
     }
-    async function one(source: Seat): Promise<void> {
-      if (await copy(source, given)) copied += 1;
-      left -= 1;
+    async function copyOne(source: Seat): Promise<void> {
+      if (await copy(source, isUnneeded)) copied += 1;
+      outstanding -= 1;
       if (copied >= needed) resolve(true);
-      else if (left === 0) resolve(false);
+      else if (outstanding === 0) resolve(false);
     }
-    if (left === 0) resolve(false);
-    for (const source of sources) void one(source);
+    if (outstanding === 0) resolve(false);
+    for (const source of sources) void copyOne(source);
   });
 }
 
@@ -48,19 +57,20 @@
  * A copied value may have been accepted by fewer than a majority, while a higher ballot that never saw it was promised by the former
  * occupant of this seat. Counted as accepted here, it would look chosen and could still be overtaken by that ballot.
  */
-function isDoubtful(state: CellState): boolean {
-  return state.accepted !== null && message.compareBallots(state.promised, state.accepted.ballot) > 0;
+function isUnresolved({ promised, accepted }: CellState): boolean {
+  return accepted !== null && message.compareBallots(promised, accepted.ballot) > 0;
 }
 
-/** Has the other cores choose, beyond all promises copied, what each doubtful cell holds; false when no majority of them answered. */
+/** Has the other cores choose, beyond all promises copied, what each unresolved cell holds; false when no majority of them replied. */
 async function completeUnresolved(cells: Acceptor, register: Register): Promise<boolean> {
   const keys = cells
     .cells()
-    .filter((cell) => isDoubtful(cell.state))
+    .filter((cell) => isUnresolved(cell.state))
     .map((cell) => cell.key);
   for (let first = 0; first < keys.length; first += roundsAtOnce) {
     const rounds = keys.slice(first, first + roundsAtOnce).map((key) => register.read(key));
-    if ((await Promise.all(rounds)).some(Either.isLeft)) return false;
+    const replies = await Promise.all(rounds);
+    if (replies.some(Either.isLeft)) return false;
   }
   return true;
 }
--- a/packages/register/src/compressed-difference.ts
+++ b/packages/register/src/compressed-difference.ts
@@ -54,15 +54,15 @@
 }
 
 /** The value that a difference leads to; left where the base is not the one that it was taken from. */
-function join(base: unknown, compressedDifference: ValueDifference): Either.Either<Fault, unknown> {
+function join(base: unknown, difference: ValueDifference): Either.Either<Fault, unknown> {
   try {
     const from = textOf(base);
     const text = Buffer.concat(
-      compressedDifference.pieces.map((piece, index) =>
+      difference.pieces.map((piece, index) =>
         inflateRawSync(Buffer.from(piece, 'base64'), { dictionary: stretchOf(from, index * pieceBytes), maxOutputLength: pieceBytes }),
       ),
     );
-    if (digestOf(text) !== compressedDifference.digest) return Either.left(notJoined(new Error('the digests differ')));
+    if (digestOf(text) !== difference.digest) return Either.left(notJoined(new Error('the digests differ')));
     const value: unknown = JSON.parse(text.toString());
     if (typeof value === 'object' && value !== null) texts.set(value, text);
     return Either.right(value);
--- a/packages/register/src/durable-reports.ts
+++ b/packages/register/src/durable-reports.ts
@@ -1,66 +1,85 @@
-// The asking half of the notes: told to a majority of disks, read from a majority, the highest wins (design 5.5).
+/** The reporting half: a report is on a majority of core disks before it counts; watermarks are read from a majority (design 5.5). */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { fault, kernel as kernels, type Fault } from '@stallstall/kernel';
-import { message, type Request, type DurableWatermarks, type Reply } from '@stallstall/message';
+import { message, type DurableWatermarks, type Reply, type Request } from '@stallstall/message';
 import { quorum } from '@stallstall/quorum';
-import { fixedCoreSet, type CoreSetSource } from './proposer.js';
+import { fixedCoreSet, type CoreSetSource } from './register.js';
 
+/** One disk that keeps reports; none when it does not reply in time. */
 export type ReportReplica = (body: Request<'note'>, milliseconds: number) => Promise<Option.Option<Reply<'note'>>>;
 
 export type DurableReports = Readonly<{
-  /** Right once a majority of disks has synced what was told: all floors that any majority had before are among these. */
+  /**
+   * Right once a majority of disks has synced the report: all watermarks that any majority had before are among these. Errors: `no-majority`;
+   * some disks may have it all the same.
+   */
   report: (body: Request<'note'>) => Promise<Either.Either<Fault, DurableWatermarks>>;
+  /** Up to where each service's commits are acknowledged. Errors: `no-majority`. */
   watermarks: () => Promise<Either.Either<Fault, DurableWatermarks>>;
 }>;
 
-const noteMilliseconds = 800;
-const nothing: Request<'note'> = { floors: {}, reports: [], through: {} };
+const reportMilliseconds = 800;
+const emptyReport: Request<'note'> = { floors: {}, reports: [], through: {} };
 
-function create(targets: () => readonly ReportReplica[], total: () => number, sets: CoreSetSource = fixedCoreSet): DurableReports {
-  function note(body: Request<'note'>): Promise<Either.Either<Fault, DurableWatermarks>> {
-    return new Promise(function collect(resolve) {
-      // One set from beginning to end: its disks, its majority, its number (design 4.8).
-      const asked = targets();
-      const size = total();
-      const needed = quorum.majority(size);
-      const numbered: Request<'note'> = sets.number() === 0 ? body : { ...body, set: sets.number() };
-      let left = asked.length;
-      let kept = 0;
-      let floors: DurableWatermarks = {};
-      function settle(): void {
-        if (size > 0 && kept >= needed) resolve(Either.right(floors));
-        else if (left === 0) {
-          resolve(
-            Either.left(
-              fault.create({
-                kind: 'no-majority',
-                message: `only ${kept} of ${size} core disks have noted it`,
-                remedy: 'bring cores back, or mend their disks',
-                retryAfterSeconds: 1,
-              }),
-            ),
-          );
-        }
-      }
-      async function ask(target: ReportReplica): Promise<void> {
-        const reply = await target(numbered, noteMilliseconds);
-        left -= 1;
-        if (Option.isSome(reply) && reply.value.newer !== undefined) sets.observe(reply.value.newer);
-        if (Option.isSome(reply) && reply.value.ready) {
-          kept += 1;
-          floors = message.maxWatermarks(floors, reply.value.floors);
-        }
-        settle();
+function noMajority(stored: number, size: number): Fault {
+  return fault.create({
+    kind: 'no-majority',
+    message: `only ${stored} of ${size} core disks have noted it`,
+    remedy: 'bring cores back, or mend their disks',
+    retryAfterSeconds: 1,
+  });
+}
+
+/** Sends a report to every replica; settles once a majority has stored it, or all have replied or fallen silent. */
+function sendToMajority(
+  replicas: readonly ReportReplica[],
+  size: number,
+  body: Request<'note'>,
+  observe: CoreSetSource['observe'],
+): Promise<Either.Either<Fault, DurableWatermarks>> {
+  const needed = quorum.majority(size);
+  return new Promise(function collect(resolve) {
+    let outstanding = replicas.length;
+    let stored = 0;
+    let watermarks: DurableWatermarks = {};
+    function settleIfDecided(): void {
+      if (size > 0 && stored >= needed) resolve(Either.right(watermarks));
+      else if (outstanding === 0) resolve(Either.left(noMajority(stored, size)));
+    }
+    async function send(replica: ReportReplica): Promise<void> {
+      const reply = await replica(body, reportMilliseconds);
+      outstanding -= 1;
+      if (Option.isSome(reply) && reply.value.newer !== undefined) observe(reply.value.newer);
+      if (Option.isSome(reply) && reply.value.ready) {
+        stored += 1;
+        watermarks = message.maxWatermarks(watermarks, reply.value.floors);
       }
-      if (left === 0) settle();
-      for (const target of asked) void ask(target);
-    });
-  }
+      settleIfDecided();
+    }
+    if (outstanding === 0) settleIfDecided();
+    for (const replica of replicas) void send(replica);
+  });
+}
 
-  return { report: note, watermarks: () => note(nothing) };
+/**
+ * @param replicas - the disks that are asked, looked up at each report
+ * @param replicaCount - how many disks there are
+ */
+function create(
+  replicas: () => readonly ReportReplica[],
+  replicaCount: () => number,
+  coreSets: CoreSetSource = fixedCoreSet,
+): DurableReports {
+  function report(body: Request<'note'>): Promise<Either.Either<Fault, DurableWatermarks>> {
+    // One set from beginning to end: its disks, its majority, its number (design 4.8).
+    const set = coreSets.number();
+    return sendToMajority(replicas(), replicaCount(), set === 0 ? body : { ...body, set }, coreSets.observe);
+  }
+  return { report, watermarks: () => report(emptyReport) };
 }
 
-export const durableReportsService = kernels.serviceName<DurableReports>('notes');
+/** The name under which a process's other services find its reports. */
+export const durableReportsService = kernels.serviceName<DurableReports>('durable-reports');
 
 export const durableReports = { create } as const;
--- a/packages/register/src/report-store.ts
+++ b/packages/register/src/report-store.ts
@@ -1,137 +1,178 @@
-// The disk half of the notes: what only grows, so that the highest wins and no ballot is needed (design 5.5).
+/** The disk half of durable reports: what only grows, so that the highest wins and no ballot is needed (design 5.5). */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
-import { owner, type Disk, type Kernel } from '@stallstall/kernel';
-import { message, messages, type Request, type DurableWatermarks, type Reply, type UsageReport } from '@stallstall/message';
+import { owner, type Disk, type Kernel, type Owner } from '@stallstall/kernel';
+import { message, messages, type DurableWatermarks, type Reply, type Request, type UsageReport } from '@stallstall/message';
 
 export type ReportStore = Readonly<{
-  /** Merges and syncs what is told; the reply holds all floors known here. */
-  store: (ask: Request<'note'>) => Promise<Reply<'note'>>;
+  /** Merges and syncs a report; the reply holds all watermarks known here. */
+  store: (request: Request<'note'>) => Promise<Reply<'note'>>;
+  /** What was reported of a usage window. */
   usageOf: (window: number) => Reply<'usageLook'>;
   /** All of it, for a disk that copies this one. */
   snapshot: () => Request<'note'>;
-  /** Whether all that was told is on the disk. */
+  /** Whether all that was reported is on the disk. */
   isSynced: () => boolean;
+  /** From here on reports count. */
   open: () => void;
   close: () => void;
 }>;
 
+/** The length of a usage window. Unit: milliseconds. */
 export const usageWindowMilliseconds = 5_000;
-/** Windows older than this can no longer arrive in time. */
+/** Windows older than this can no longer be sent in time. */
 export const usageWindowsKept = 6;
-/** Entries on the disk: each holds the floors and one window's reports, and a window so many later takes it over. */
+/** Entries on the disk: each holds the watermarks and one window's reports, and a window so many later takes it over. */
 export const reportStoragePrefix = 'notes/';
-const slots = 8;
+const storageSlots = 8;
 
-function sourceOf(report: UsageReport): string {
+type StoreState = {
+  readonly kernel: Kernel;
+  readonly disk: Disk;
+  readonly commands: Owner<null>;
+  watermarks: DurableWatermarks;
+  /** The reports of each window, by the process that reported. */
+  readonly reports: Map<number, Map<string, UsageReport>>;
+  /** Up to which wall time each edge has reported all it counted. */
+  readonly through: Map<string, number>;
+  /** Windows whose entry on the disk is behind. */
+  readonly unsynced: Set<number>;
+  changes: number;
+  syncedChanges: number;
+  isOpen: boolean;
+};
+
+function processOf(report: UsageReport): string {
   return `${report.node}#${report.incarnation}`;
 }
 
-/** For each process what it told last of a window; all of them added up. */
+/** Adds up reports of one window: of each process the newest counts. */
 function sumReports(reports: readonly UsageReport[]): Readonly<Record<string, number>> {
   const latest = new Map<string, UsageReport>();
-  for (const report of reports) if (report.number > (latest.get(sourceOf(report))?.number ?? -1)) latest.set(sourceOf(report), report);
+  for (const report of reports) {
+    const known = latest.get(processOf(report));
+    if (known === undefined || report.number > known.number) latest.set(processOf(report), report);
+  }
   const total: Record<string, number> = {};
-  for (const { counts } of latest.values())
+  for (const { counts } of latest.values()) {
     for (const [service, count] of Object.entries(counts)) total[service] = (total[service] ?? 0) + count;
+  }
   return total;
 }
 
-/** `dirty`: windows whose entry on the disk is behind. */
-type Table = {
-  floors: DurableWatermarks;
-  readonly reports: Map<number, Map<string, UsageReport>>;
-  readonly through: Map<string, number>;
-  readonly dirty: Set<number>;
-  changes: number;
-  synced: number;
-};
+function currentWindow({ kernel }: StoreState): number {
+  return Math.floor(kernel.clock.wall() / usageWindowMilliseconds);
+}
 
-function create(kernel: Kernel, disk: Disk, stored: ReadonlyMap<string, unknown>): ReportStore {
-  const table: Table = { floors: {}, reports: new Map(), through: new Map(), dirty: new Set(), changes: 0, synced: 0 };
-  const notes = owner.create('notes', table);
-  let open = false;
+function markChanged(store: StoreState, window: number): void {
+  store.unsynced.add(window);
+  store.changes += 1;
+}
 
-  function currentWindow(): number {
-    return Math.floor(kernel.clock.wall() / usageWindowMilliseconds);
-  }
+function mergeReport(store: StoreState, report: UsageReport): void {
+  const known = store.reports.get(report.window) ?? new Map<string, UsageReport>();
+  store.reports.set(report.window, known);
+  if ((known.get(processOf(report))?.number ?? -1) >= report.number) return;
+  known.set(processOf(report), report);
+  markChanged(store, report.window);
+}
 
-  function change(window: number): void {
-    table.dirty.add(window);
-    table.changes += 1;
+/** What is reported is in memory at once; the disk follows before anybody is answered. */
+function merge(store: StoreState, request: Request<'note'>): void {
+  if (!message.covers(store.watermarks, request.floors)) {
+    store.watermarks = message.maxWatermarks(store.watermarks, request.floors);
+    markChanged(store, currentWindow(store));
   }
-
-  /** What is told is in memory at once; the disk follows before anybody is answered. */
-  function merge(told: Request<'note'>): void {
-    if (!message.covers(table.floors, told.floors)) {
-      table.floors = message.maxWatermarks(table.floors, told.floors);
-      change(currentWindow());
-    }
-    for (const [edge, moment] of Object.entries(told.through)) table.through.set(edge, Math.max(moment, table.through.get(edge) ?? 0));
-    const oldest = currentWindow() - usageWindowsKept;
-    for (const report of told.reports) {
-      if (report.window < oldest) continue;
-      const known = table.reports.get(report.window) ?? new Map<string, UsageReport>();
-      table.reports.set(report.window, known);
-      if ((known.get(sourceOf(report))?.number ?? -1) >= report.number) continue;
-      known.set(sourceOf(report), report);
-      change(report.window);
-    }
-    for (const window of table.reports.keys()) if (window < oldest) table.reports.delete(window);
+  for (const [edge, moment] of Object.entries(request.through)) {
+    store.through.set(edge, Math.max(moment, store.through.get(edge) ?? 0));
   }
+  const oldest = currentWindow(store) - usageWindowsKept;
+  for (const report of request.reports) {
+    if (report.window < oldest) continue;
+    mergeReport(store, report);
+  }
+  for (const window of store.reports.keys()) if (window < oldest) store.reports.delete(window);
+}
 
-  function reportsOf(window: number): UsageReport[] {
-    return [...(table.reports.get(window)?.values() ?? [])];
+function reportsOf({ reports }: StoreState, window: number): UsageReport[] {
+  return [...(reports.get(window)?.values() ?? [])];
+}
+
+async function writeWindows(store: StoreState, windows: readonly number[]): Promise<boolean> {
+  for (const window of windows) {
+    const entry: Request<'note'> = {
+      floors: store.watermarks,
+      reports: reportsOf(store, window),
+      through: {},
+    };
+    const written = await store.disk.put(`${reportStoragePrefix}${window % storageSlots}`, entry);
+    if (Either.isLeft(written)) return false;
   }
+  return true;
+}
 
-  async function sync(changes: number): Promise<boolean> {
-    while (table.synced < changes) {
-      const upTo = table.changes;
-      const windows = [...table.dirty];
-      table.dirty.clear();
-      for (const window of windows) {
-        const put = await disk.put(`${reportStoragePrefix}${window % slots}`, {
-          floors: table.floors,
-          reports: reportsOf(window),
-          through: {},
-        });
-        if (Either.isRight(put)) continue;
-        for (const behind of windows) table.dirty.add(behind);
-        return false;
-      }
-      table.synced = upTo;
+/** Resolves to true once so many changes are on the disk. */
+async function sync(store: StoreState, changes: number): Promise<boolean> {
+  while (store.syncedChanges < changes) {
+    const upTo = store.changes;
+    const windows = [...store.unsynced];
+    store.unsynced.clear();
+    if (!(await writeWindows(store, windows))) {
+      for (const window of windows) store.unsynced.add(window);
+      return false;
     }
-    return true;
+    store.syncedChanges = upTo;
   }
+  return true;
+}
 
-  /** Those who come while the disk is at work share its next sync. */
-  async function keep(told: Request<'note'>): Promise<Reply<'note'>> {
-    // What could not be synced is not taken up: nobody would be answered, and it would pile up behind a disk that hangs.
-    if (Option.isSome(disk.trouble())) return { ready: false, floors: { ...table.floors } };
-    merge(told);
-    const changes = table.changes;
-    const kept = await notes.run(() => sync(changes));
-    return { ready: open && kept, floors: { ...table.floors } };
-  }
+/** Reports that arrive while the disk is at work share its next sync. */
+async function storeReport(store: StoreState, request: Request<'note'>): Promise<Reply<'note'>> {
+  // What could not be synced is not taken up: nobody would be answered, and it would pile up behind a disk that hangs.
+  if (Option.isSome(store.disk.trouble())) return { ready: false, floors: { ...store.watermarks } };
+  merge(store, request);
+  const { changes } = store;
+  const isStored = await store.commands.run(() => sync(store, changes));
+  return { ready: store.isOpen && isStored, floors: { ...store.watermarks } };
+}
 
-  for (const [key, value] of stored) if (key.startsWith(reportStoragePrefix) && message.matches(messages.note.ask, value)) merge(value);
-  table.dirty.clear();
-  table.synced = table.changes;
+function snapshot(store: StoreState): Request<'note'> {
+  return {
+    floors: { ...store.watermarks },
+    reports: [...store.reports.keys()].flatMap((window) => reportsOf(store, window)),
+    through: Object.fromEntries(store.through),
+  };
+}
 
+/** @param stored - what the disk held when the process started */
+function create(kernel: Kernel, disk: Disk, stored: ReadonlyMap<string, unknown>): ReportStore {
+  const store: StoreState = {
+    kernel,
+    disk,
+    commands: owner.create('reports', null),
+    watermarks: {},
+    reports: new Map(),
+    through: new Map(),
+    unsynced: new Set(),
+    changes: 0,
+    syncedChanges: 0,
+    isOpen: false,
+  };
+  for (const [key, value] of stored) {
+    if (key.startsWith(reportStoragePrefix) && message.matches(messages.note.ask, value)) merge(store, value);
+  }
+  store.unsynced.clear();
+  store.syncedChanges = store.changes;
   return {
-    store: keep,
-    snapshot: () => ({
-      floors: { ...table.floors },
-      reports: [...table.reports.keys()].flatMap(reportsOf),
-      through: Object.fromEntries(table.through),
-    }),
-    isSynced: () => table.synced >= table.changes,
-    usageOf: (window) => ({ ready: open, reports: reportsOf(window), through: Object.fromEntries(table.through) }),
-    open: function start() {
-      open = true;
+    store: (request) => storeReport(store, request),
+    snapshot: () => snapshot(store),
+    isSynced: () => store.syncedChanges >= store.changes,
+    usageOf: (window) => ({ ready: store.isOpen, reports: reportsOf(store, window), through: Object.fromEntries(store.through) }),
+    open: function open() {
+      store.isOpen = true;
     },
     close: function close() {
-      open = false;
+      store.isOpen = false;
     },
   };
 }
--- a/packages/register/src/watcher.ts
+++ b/packages/register/src/watcher.ts
@@ -1,121 +1,142 @@
-// What a node knows of the watched keys from the changes pushed to it: a value is obeyed once a majority of cores has
-// handed over the same ballot, never an older version than one obeyed before (design 5.2).
+/**
+ * What a node knows of the watched keys from the changes pushed to it: a value is applied once a majority of cores has pushed the same
+ * ballot, and never an older version than one applied before (design 5.2).
+ */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
-import type { Kernel } from '@stallstall/kernel';
+import { identifiers, type Instant, type Kernel } from '@stallstall/kernel';
 import { message, type Change, type Entry } from '@stallstall/message';
 import { quorum } from '@stallstall/quorum';
-import type { Register } from './proposer.js';
+import type { Register } from './register.js';
 
 export type Watcher = Readonly<{
+  /** Takes a change that a core pushed. */
   receive: (core: string, change: Change) => void;
-  /** The set of cores has changed: what was handed over is counted anew, over the cores that are left (design 4.8). */
+  /** The set of cores has changed: what was pushed is counted anew, over the cores that are left (design 4.8). */
   recount: () => void;
+  /** The entry that this node acts by; none until a majority has pushed one. */
   applied: (key: string) => Option.Option<Entry>;
   keys: () => readonly string[];
-  /** Reads what is in doubt; called at each beat, so that an interrupted round is completed by whoever meets it. */
+  /** Reads keys that are in doubt from the register, so that an interrupted round is completed; called at each heartbeat. */
   resolve: () => void;
 }>;
 
+/** Which cores are counted, and the number of their set, where it may change. */
+export type CountedCores = Readonly<{ number: () => number; includes: (core: string) => boolean }>;
+
+export type WatcherParts = Readonly<{
+  register: Register;
+  coreCount: () => number;
+  /** Called once a new version of a key is applied. */
+  onApplied: (key: string, entry: Entry) => void;
+  /** @default every core */
+  cores?: CountedCores;
+}>;
+
+type PushedEntry = Readonly<{ entry: Entry; set: number }>;
+
+type WatchedKey = {
+  readonly pushed: Map<string, PushedEntry>;
+  applied: Option.Option<Entry>;
+  /** Since when some core has pushed a newer version than the one applied. */
+  doubtSince: Option.Option<Instant>;
+  isReading: boolean;
+};
+
+type WatcherState = Readonly<{
+  kernel: Kernel;
+  register: Register;
+  coreCount: () => number;
+  onApplied: WatcherParts['onApplied'];
+  cores: CountedCores;
+  keys: Map<string, WatchedKey>;
+}>;
+
 const doubtMilliseconds = 300;
+/** After a read that did not end the doubt, so much is added before the next one. */
+const rereadMilliseconds = 700;
+const readMilliseconds = 1_000;
 
-type Handed = Readonly<{ entry: Entry; set: number }>;
-type Known = { readonly fromCore: Map<string, Handed>; obeyed: Option.Option<Entry>; doubtSince: Option.Option<number>; reading: boolean };
+const everyCore: CountedCores = { number: () => 0, includes: () => true };
 
+/** Whether changes of a key are pushed. */
 function isWatched(key: string): boolean {
   return key === 'configuration' || key === 'membership' || key.startsWith('epoch/');
 }
 
-/** Cores of which set are counted, where it may change. */
-export type CountedCores = Readonly<{ number: () => number; includes: (core: string) => boolean }>;
-const everyCore: CountedCores = { number: () => 0, includes: () => true };
-
-function create(
-  kernel: Kernel,
-  register: Register,
-  total: () => number,
-  onObeyed: (key: string, entry: Entry) => void,
-  cores: CountedCores = everyCore,
-): Watcher {
-  const known = new Map<string, Known>();
-
-  function knownOf(key: string): Known {
-    let entry = known.get(key);
-    if (entry === undefined) {
-      entry = { fromCore: new Map(), obeyed: Option.none, doubtSince: Option.none, reading: false };
-      known.set(key, entry);
-    }
-    return entry;
-  }
+function watchedKey({ keys }: WatcherState, key: string): WatchedKey {
+  const known = keys.get(key);
+  if (known !== undefined) return known;
+  const created: WatchedKey = { pushed: new Map(), applied: Option.none, doubtSince: Option.none, isReading: false };
+  keys.set(key, created);
+  return created;
+}
 
-  function obey(key: string, entry: Entry): void {
-    const knowledge = knownOf(key);
-    if (Option.isSome(knowledge.obeyed) && knowledge.obeyed.value.version >= entry.version) return;
-    knowledge.obeyed = Option.some(entry);
-    onObeyed(key, entry);
-  }
+function apply(watcher: WatcherState, key: string, entry: Entry): void {
+  const watched = watchedKey(watcher, key);
+  if (Option.isSome(watched.applied) && watched.applied.value.version >= entry.version) return;
+  watched.applied = Option.some(entry);
+  watcher.onApplied(key, entry);
+}
 
-  function inDoubt(knowledge: Known): boolean {
-    const version = Option.isSome(knowledge.obeyed) ? knowledge.obeyed.value.version : 0;
-    for (const { entry } of knowledge.fromCore.values()) if (entry.version > version) return true;
-    return false;
-  }
+function isInDoubt({ applied, pushed }: WatchedKey): boolean {
+  const version = Option.isSome(applied) ? applied.value.version : 0;
+  return [...pushed.values()].some(({ entry }) => entry.version > version);
+}
 
-  /** Only what cores handed over while they stood at this very set is counted: each hands it over anew at every set (design 4.8). */
-  function count(key: string, knowledge: Known, ballot: Entry): void {
-    let same = 0;
-    for (const [core, handed] of knowledge.fromCore) {
-      if (cores.includes(core) && handed.set === cores.number() && message.compareBallots(handed.entry.ballot, ballot.ballot) === 0)
-        same += 1;
-    }
-    if (total() > 0 && same >= quorum.majority(total())) obey(key, ballot);
-  }
+/** Only what cores pushed while they were at this very set is counted: each pushes it anew at every set (design 4.8). */
+function applyIfMajority(watcher: WatcherState, key: string, { pushed }: WatchedKey, entry: Entry): void {
+  const { cores, coreCount } = watcher;
+  const agreeing = [...pushed].filter(
+    ([core, one]) => cores.includes(core) && one.set === cores.number() && message.compareBallots(one.entry.ballot, entry.ballot) === 0,
+  );
+  if (coreCount() > 0 && agreeing.length >= quorum.majority(coreCount())) apply(watcher, key, entry);
+}
 
-  function doubt(knowledge: Known): void {
-    if (!inDoubt(knowledge)) knowledge.doubtSince = Option.none;
-    else if (Option.isNone(knowledge.doubtSince)) knowledge.doubtSince = Option.some(kernel.clock.now());
-  }
+function observeDoubt({ kernel }: WatcherState, watched: WatchedKey): void {
+  if (!isInDoubt(watched)) watched.doubtSince = Option.none;
+  else if (Option.isNone(watched.doubtSince)) watched.doubtSince = Option.some(kernel.clock.now());
+}
 
-  function changed(core: string, change: Change): void {
-    const knowledge = knownOf(change.key);
-    knowledge.fromCore.set(core, { entry: change.entry, set: change.set ?? 0 });
-    count(change.key, knowledge, change.entry);
-    doubt(knowledge);
-  }
+function receive(watcher: WatcherState, core: string, change: Change): void {
+  const watched = watchedKey(watcher, change.key);
+  watched.pushed.set(core, { entry: change.entry, set: change.set ?? 0 });
+  applyIfMajority(watcher, change.key, watched, change.entry);
+  observeDoubt(watcher, watched);
+}
 
-  function recount(): void {
-    for (const [key, knowledge] of known) {
-      for (const core of knowledge.fromCore.keys()) if (!cores.includes(core)) knowledge.fromCore.delete(core);
-      for (const { entry } of [...knowledge.fromCore.values()]) count(key, knowledge, entry);
-      doubt(knowledge);
-    }
+function recount(watcher: WatcherState): void {
+  for (const [key, watched] of watcher.keys) {
+    for (const core of watched.pushed.keys()) if (!watcher.cores.includes(core)) watched.pushed.delete(core);
+    for (const { entry } of [...watched.pushed.values()]) applyIfMajority(watcher, key, watched, entry);
+    observeDoubt(watcher, watched);
   }
+}
 
-  async function readDoubtful(key: string, knowledge: Known): Promise<void> {
-    knowledge.reading = true;
-    const read = await register.read(key, 1_000);
-    knowledge.reading = false;
-    if (Either.isRight(read) && Option.isSome(read.right)) obey(key, read.right.value);
-    knowledge.doubtSince = inDoubt(knowledge) ? Option.some(kernel.clock.now() + 700) : Option.none;
-  }
+async function readDoubtful(watcher: WatcherState, key: string, watched: WatchedKey): Promise<void> {
+  watched.isReading = true;
+  const read = await watcher.register.read(key, readMilliseconds);
+  watched.isReading = false;
+  if (Either.isRight(read) && Option.isSome(read.right)) apply(watcher, key, read.right.value);
+  const nextDoubt = identifiers.after(watcher.kernel.clock.now(), rereadMilliseconds);
+  watched.doubtSince = isInDoubt(watched) ? Option.some(nextDoubt) : Option.none;
+}
 
-  function resolve(): void {
-    for (const [key, knowledge] of known) {
-      if (knowledge.reading || Option.isNone(knowledge.doubtSince)) continue;
-      if (kernel.clock.now() - knowledge.doubtSince.value >= doubtMilliseconds) void readDoubtful(key, knowledge);
-    }
+function resolve(watcher: WatcherState): void {
+  for (const [key, watched] of watcher.keys) {
+    if (watched.isReading || Option.isNone(watched.doubtSince)) continue;
+    if (watcher.kernel.clock.now() - watched.doubtSince.value >= doubtMilliseconds) void readDoubtful(watcher, key, watched);
   }
+}
 
+function create(kernel: Kernel, { register, coreCount, onApplied, cores = everyCore }: WatcherParts): Watcher {
+  const state: WatcherState = { kernel, register, coreCount, onApplied, cores, keys: new Map() };
   return {
-    receive: changed,
-    recount,
-    resolve,
-    applied: function obeyed(key) {
-      return known.get(key)?.obeyed ?? Option.none;
-    },
-    keys: function keys() {
-      return [...known.keys()];
-    },
+    receive: (core, change) => receive(state, core, change),
+    recount: () => recount(state),
+    applied: (key) => state.keys.get(key)?.applied ?? Option.none,
+    keys: () => [...state.keys.keys()],
+    resolve: () => resolve(state),
   };
 }
 
--- a/packages/simulator/exploring-mutations.mjs
+++ b/packages/simulator/exploring-mutations.mjs
@@ -11,17 +11,17 @@
 // One with a story is a guard that the exploration does not judge: who may take a seat, and what leases lean on. `equivalent` says why
 // no test can tell the mutated code from the sound one.
 const mutations = [
-  { name: 'any-set-is-answered', file: 'register/build/acceptor.js', from: 'if (told === standing.number())', to: 'if (true)' },
+  { name: 'any-set-is-answered', file: 'register/build/core-set-view.js', from: 'if (told === view.number())', to: 'if (true)' },
   {
     name: 'earlier-sets-are-answered',
-    file: 'register/build/acceptor.js',
-    from: 'if (told === standing.number())',
-    to: 'if (told <= standing.number())',
+    file: 'register/build/core-set-view.js',
+    from: 'if (told === view.number())',
+    to: 'if (told <= view.number())',
   },
   {
     name: 'answers-before-it-is-level',
     file: 'core/build/learner.js',
-    from: 'if (!(await copy(set, epochs, set.number)))',
+    from: 'if (!(await copyOthers(learner, set, epochs, set.number)))',
     to: 'if (false)',
   },
   {
@@ -52,24 +52,24 @@
   },
   {
     name: 'round-of-two-sets',
-    file: 'register/build/proposer.js',
-    from: 'const whole = { key, entry, ...set };',
-    to: 'const whole = { key, entry, ...begin().set };',
+    file: 'register/build/ballot-round.js',
+    from: 'const complete = { key, entry, ...set };',
+    to: 'const complete = { key, entry, ...currentSet(context).set };',
     // Every core whose accept counts has itself promised this ballot and stands at the later set. As many cores as a majority of either
     // set have then promised, so that whatever a lower ballot chose under either set was seen or can be chosen no more.
     equivalent: 'the accepts that count are a majority of cores that promised, whichever of the two sets they name',
   },
   {
     name: 'former-occupant-goes-on',
-    file: 'core/build/core-set-manager.js',
-    from: 'const listed = isListed(set);',
+    file: 'core/build/core-set-membership.js',
+    from: 'const listed = isListed(given);',
     to: 'const listed = true;',
     story: 'A core that is cut off while its seat is given away',
   },
   {
     name: 'any-seat-is-vacant',
     file: 'core/build/core-set-manager.js',
-    from: 'if (!mayBeVacant(seat))',
+    from: 'if (!mayBeVacant(manager, seat))',
     to: 'if (false)',
     more: [
       { file: 'core/build/core-set-manager.js', from: 'confirmed.silent.has(core) && !confirmed.standing.includes(core)', to: 'true' },
--- a/packages/simulator/src/core-fleet.ts
+++ b/packages/simulator/src/core-fleet.ts
@@ -1,7 +1,7 @@
 // Cores alone, of a set that changes by itself, and one edge that follows them (design 4.8).
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
-import { core, type Core, type Door } from '@stallstall/core';
+import { core, type Core, type PlatformApi } from '@stallstall/core';
 import { fault, type Kernel } from '@stallstall/kernel';
 import type { PlatformCall } from '@stallstall/election';
 import { leaseHolder as lessees, type LeaseHolder } from '@stallstall/lease';
@@ -17,7 +17,7 @@
   disk: SimulatedDisk;
   process: Process | undefined;
   running: Core | undefined;
-  door: Door | undefined;
+  platformApi: PlatformApi | undefined;
 };
 
 export type FleetEdge = Readonly<{ edge: LeaseHolder; machine: string; kernel: Kernel }>;
@@ -96,7 +96,7 @@
       disk: newDisk(),
       process: undefined,
       running: undefined,
-      door: undefined,
+      platformApi: undefined,
     };
     machines.push(machine);
     return machine;
@@ -124,8 +124,8 @@
             Promise.resolve(Either.left(fault.create({ kind: 'unreachable', message: 'no member runs here', remedy: 'none is needed' }))),
           keepConnection: () => Promise.resolve(Either.right(null)),
         },
-        routes: function capture(door) {
-          machine.door = door;
+        routes: function capture(platformApi) {
+          machine.platformApi = platformApi;
           return [];
         },
         platformApiAddress: machine.outward.replace(':7001', ':7002'),
@@ -158,7 +158,7 @@
     if (machine.process !== undefined) world.kill(machine.process);
     machine.process = undefined;
     machine.running = undefined;
-    machine.door = undefined;
+    machine.platformApi = undefined;
   }
 
   function cutOff(machine: CoreMachine): void {
@@ -185,8 +185,8 @@
   );
 
   async function readAt(machine: CoreMachine): Promise<Option.Option<number>> {
-    if (machine.door === undefined || machine.process?.alive() !== true) return Option.none;
-    const reading = machine.door.source();
+    if (machine.platformApi === undefined || machine.process?.alive() !== true) return Option.none;
+    const reading = machine.platformApi.source();
     let read: Option.Option<Either.Either<unknown, string>> = Option.none;
     void reading.then((text) => {
       read = Option.some(text);
@@ -199,19 +199,19 @@
   function startOperator(everyMilliseconds = sendMilliseconds): Readonly<{ stop: () => void }> {
     let stopped = false;
     async function send(version: number, machine: CoreMachine): Promise<void> {
-      const { door, process } = machine;
-      if (door === undefined || process?.alive() !== true) return;
-      const taken = await door.configure({ version, source: String(version) }, sheet);
+      const { platformApi, process } = machine;
+      if (platformApi === undefined || process?.alive() !== true) return;
+      const taken = await platformApi.configure({ version, source: String(version) }, sheet);
       if (Either.isLeft(taken) || !process.alive()) return;
       acknowledged = Math.max(acknowledged, version);
       byCore.set(machine.name, (byCore.get(machine.name) ?? 0) + 1);
       last = machine.name;
     }
     async function check(machine: CoreMachine): Promise<void> {
-      const { door, process } = machine;
+      const { platformApi, process } = machine;
       const before = acknowledged;
-      if (door === undefined || process?.alive() !== true) return;
-      const read = await door.source();
+      if (platformApi === undefined || process?.alive() !== true) return;
+      const read = await platformApi.source();
       if (Either.isRight(read) && process.alive() && Number(read.right) < before)
         violations.push(`${machine.name} read ${read.right} after ${before} was acknowledged`);
     }
@@ -272,7 +272,7 @@
 
   if (!(await until(everyFounded, 10_000))) throw new Error('the cores did not found a fleet');
   const first = machines[0] as CoreMachine;
-  const opened = first.door?.configure({ version: 0, source: '0' }, sheet);
+  const opened = first.platformApi?.configure({ version: 0, source: '0' }, sheet);
   const register = first.process?.kernel.services.find(registerService);
   const settled = register?.change(`epoch/${service}`, () =>
     Option.some({ epoch: 1, primary: `${service}-1`, wonBy: first.name, position: 0, settledAt: 0 }),
--- a/packages/simulator/src/explored-machines.ts
+++ b/packages/simulator/src/explored-machines.ts
@@ -194,14 +194,13 @@
     set: () => CoreSet,
     learn: CoreSetSource['observe'],
   ): NumberedRegister {
-    return proposer.create(
-      kernel,
+    return proposer.create(kernel, {
       name,
-      () =>
+      replicas: () =>
         set().seats.map((seat): RegisterReplica => ({ core: seat.node, send: (kind, body, time) => call(seat.address, kind, body, time) })),
-      () => set().seats.length,
-      { number: () => set().number, observe: learn },
-    );
+      replicaCount: () => set().seats.length,
+      coreSets: { number: () => set().number, observe: learn },
+    });
   }
 
   function begin(state: State): void {
@@ -214,16 +213,16 @@
     const call = callFrom(state.name, alive);
     let between = false;
     const running = { joins: 0, fleet: Option.fromNullable(state.entries.get('fleet') as Fleet | undefined) } as Running;
-    const cells = acceptor.create(
+    const cells = acceptor.create({
       disk,
-      state.entries,
-      () => undefined,
-      () => undefined,
-      coreSetViewOf(
+      stored: state.entries,
+      onAccepted: () => undefined,
+      onDamaged: () => undefined,
+      coreSet: coreSetViewOf(
         () => running.fleet,
         () => between,
       ),
-    );
+    });
     const register = registerFrom(
       state.name,
       kernel,
@@ -231,46 +230,43 @@
       () => (Option.isSome(running.fleet) ? setOf(running.fleet.value) : { number: 0, seats: [], epochs: {} }),
       (set) => running.cores.observe(set),
     );
-    const created = coreSetManager.create(
-      kernel,
-      {
-        node: {
-          settings: {
-            node: state.name,
-            area: 'north',
-            address: `${state.name}:1`,
-            outward: `${state.name}:2`,
-            seeds: () => [],
-            platform: () => '',
-          },
-          ownSeat: () => seatOf(state.name),
-          lastHeartbeatAt: (other) => Option.some(course.isSilent(state.name, other) ? identifiers.instant(0) : now()),
-          setFleet: () => undefined,
+    const created = coreSetManager.create(kernel, {
+      node: {
+        settings: {
+          node: state.name,
+          area: 'north',
+          address: `${state.name}:1`,
+          outward: `${state.name}:2`,
+          seeds: () => [],
+          platform: () => '',
         },
-        register,
+        ownSeat: () => seatOf(state.name),
+        lastHeartbeatAt: (other) => Option.some(course.isSilent(state.name, other) ? identifiers.instant(0) : now()),
+        setFleet: () => undefined,
+      },
+      register,
+      callCore: call,
+      cells,
+      transfer: stateTransfer.create(kernel, {
         callCore: call,
         cells,
-        copying: stateTransfer.create(kernel, {
-          call,
-          cells,
-          notes: { store: () => Promise.resolve({ ready: true, floors: {} }), isSynced: () => true },
-          votes: { epochs: () => Promise.resolve({}), record: () => Promise.resolve(true) },
-          stopped: () => !alive(),
-        }),
-        fleet: () => running.fleet,
-        keepFleet: async function keepFleet(next) {
-          await disk.put('fleet', next);
-          running.fleet = Option.some(next);
-          return true;
-        },
-        open: cells.open,
-        changeSet: () => undefined,
-        close: cells.close,
+        reports: { store: () => Promise.resolve({ ready: true, floors: {} }), isSynced: () => true },
+        votes: { epochs: () => Promise.resolve({}), record: () => Promise.resolve(true) },
+        stopped: () => !alive(),
+      }),
+      fleet: () => running.fleet,
+      keepFleet: async function keepFleet(next) {
+        await disk.put('fleet', next);
+        running.fleet = Option.some(next);
+        return true;
       },
-      function change(moving) {
-        between = moving;
+      open: cells.open,
+      changeSet: () => undefined,
+      close: cells.close,
+      onBetweenSets: function onBetweenSets(isBetween) {
+        between = isBetween;
       },
-    );
+    });
     Object.assign(running, { cells, cores: created });
     state.running = running;
     if (Option.isSome(running.fleet) && running.fleet.value.stage === 'formed') cells.open();
--- a/packages/simulator/src/pooled-adapter.ts
+++ b/packages/simulator/src/pooled-adapter.ts
@@ -1,6 +1,6 @@
 // What an adapter of the users' platform is to the pooled mode, in plain words: pages of a core, calls to the platform, STATE of members.
 import * as Either from 'fp-ts/lib/Either.js';
-import type { Door } from '@stallstall/core';
+import type { PlatformApi } from '@stallstall/core';
 import type { MemberProbe, PlatformCalls } from '@stallstall/election';
 import { http, type HttpRoute, type HttpReply, type Kernel } from '@stallstall/kernel';
 import type { Registration } from '@stallstall/member-registry';
@@ -8,31 +8,31 @@
 import { prober } from '@stallstall/session-protocol';
 import { ownTenant } from './pooled-model.js';
 
-/** A member must be heard by whoever takes its beats before it counts; a door that cannot be of use turns it away. */
+/** A member must be heard by whoever takes its beats before it counts; a platformApi that cannot be of use turns it away. */
 const away: HttpReply = { status: 503, body: {} };
 
-/** The stand-ins' pages of a core's door. */
-function pages(door: Door): readonly HttpRoute[] {
+/** The stand-ins' pages of a core's platformApi. */
+function pages(platformApi: PlatformApi): readonly HttpRoute[] {
   return [
     {
       method: 'POST',
       path: '/members/:member/beat',
       handle: async function beat(request) {
         const told = request.body as Omit<Registration, 'member'>;
-        return (await door.beat({ ...told, member: request.query['member'] ?? '' })) ? { status: 200, body: {} } : away;
+        return (await platformApi.heartbeat({ ...told, member: request.query['member'] ?? '' })) ? { status: 200, body: {} } : away;
       },
     },
     {
       method: 'POST',
       path: '/members/:member/leave',
-      handle: async (request) => ((await door.leave(request.query['member'] ?? '')) ? { status: 200, body: {} } : away),
+      handle: async (request) => ((await platformApi.leave(request.query['member'] ?? '')) ? { status: 200, body: {} } : away),
     },
     {
       method: 'POST',
       path: '/configuration',
       handle: async function configure(request) {
         const { version, sheet } = request.body as Readonly<{ version: number; sheet: unknown }>;
-        const taken = await door.configure({ version, source: JSON.stringify({ version, sheet }) }, sheet);
+        const taken = await platformApi.configure({ version, source: JSON.stringify({ version, sheet }) }, sheet);
         return Either.isLeft(taken) ? http.rejected(taken.left) : { status: 200, body: {} };
       },
     },
@@ -40,7 +40,7 @@
       method: 'GET',
       path: '/configuration',
       handle: async function read() {
-        const source = await door.source();
+        const source = await platformApi.source();
         return Either.isLeft(source) ? http.rejected(source.left) : { status: 200, body: JSON.parse(source.right) as unknown };
       },
     },
--- a/packages/simulator/src/pooled-fleet.ts
+++ b/packages/simulator/src/pooled-fleet.ts
@@ -73,7 +73,7 @@
     world,
     kernel: operator,
     trouble: operatorTrouble,
-    addresses: () => cores.map((slot) => coreAddresses(slot).door),
+    addresses: () => cores.map((slot) => coreAddresses(slot).platformApiAddress),
     versions,
     orderCalls,
   });
@@ -108,8 +108,8 @@
     };
   }
 
-  function coreAddresses(slot: PooledCore): Readonly<{ address: string; outward: string; door: string }> {
-    return { address: `${slot.host}:7000`, outward: `${slot.host}:7001`, door: `${slot.host}:7002` };
+  function coreAddresses(slot: PooledCore): Readonly<{ address: string; outward: string; platformApiAddress: string }> {
+    return { address: `${slot.host}:7000`, outward: `${slot.host}:7001`, platformApiAddress: `${slot.host}:7002` };
   }
 
   function edgeAddresses(slot: PooledEdge): Readonly<{ feed: string; outward: string; senders: string }> {
@@ -119,7 +119,7 @@
 
   const founders = cores.map((slot) => coreAddresses(slot).address);
   /** Where members find cores: read anew at each beat. */
-  const doors = cores.map((slot) => coreAddresses(slot).door);
+  const platformApiAddresses = cores.map((slot) => coreAddresses(slot).platformApiAddress);
   let namedSeeds: readonly string[] = founders;
   let first = true;
 
@@ -135,19 +135,20 @@
 
   function removeCore(slot: PooledCore, successor: PooledCore): void {
     cores.splice(cores.indexOf(slot), 1);
-    doors[doors.indexOf(coreAddresses(slot).door)] = coreAddresses(successor).door;
+    platformApiAddresses[platformApiAddresses.indexOf(coreAddresses(slot).platformApiAddress)] =
+      coreAddresses(successor).platformApiAddress;
   }
 
   async function startCore(slot: PooledCore): Promise<void> {
     const spawned = world.spawn(slot.name, slot.machine, slot.disk);
     slot.process = spawned;
     readSettings(slot);
-    const { address, outward, door } = coreAddresses(slot);
+    const { address, outward, platformApiAddress } = coreAddresses(slot);
     const parts: CoreParts = {
       calls: pooledAdapter.calls,
       probe: pooledAdapter.memberProbe(spawned.kernel),
       routes: pooledAdapter.pages,
-      platformApiAddress: door,
+      platformApiAddress,
       founds: first,
       founders,
     };
@@ -217,7 +218,7 @@
         area: slot.area,
         address: slot.address,
         control: slot.control,
-        doors,
+        doors: platformApiAddresses,
         connectionLimit: options.connectionLimit ?? 60,
         slots: options.slots ?? 10,
         workMilliseconds: options.workMilliseconds ?? 8,
--- a/packages/simulator/src/schedules.ts
+++ b/packages/simulator/src/schedules.ts
@@ -74,29 +74,28 @@
 
   function reaching(names: string, set: number): NumberedRegister {
     const seats = set === 1 ? firstSeats : secondSeats;
-    return proposer.create(
-      kernelOf(),
-      'writer',
-      () =>
+    return proposer.create(kernelOf(), {
+      name: 'writer',
+      replicas: () =>
         [...seats].map((name) => ({
           core: name,
           send: async (kind, body) =>
             names.includes(name) ? Option.some((await core(name).cells[kind](body as never)) as never) : Option.none,
         })),
-      () => seats.length,
-      { number: () => set, observe: () => undefined },
-    );
+      replicaCount: () => seats.length,
+      coreSets: { number: () => set, observe: () => undefined },
+    });
   }
 
   for (const name of `${firstSeats}f`) {
     const own = { set: 1 } as Core;
-    const cells = acceptor.create(
-      diskOf(),
-      new Map(),
-      () => undefined,
-      () => undefined,
-      { number: () => own.set, newerThan: () => undefined },
-    );
+    const cells = acceptor.create({
+      disk: diskOf(),
+      stored: new Map(),
+      onAccepted: () => undefined,
+      onDamaged: () => undefined,
+      coreSet: { number: () => own.set, newerThan: () => undefined },
+    });
     cores.set(name, Object.assign(own, { cells }));
     if (name !== 'f') cells.open();
   }
