--- a/packages/acceptance/src/administration.ts
+++ b/packages/acceptance/src/administration.ts
@@ -1,4 +1,4 @@
-// Steps over the administration API, the changes pushed to nodes, and the calls to the platform.
+/** Steps over the administration API, the changes pushed to nodes, and the calls to the platform. */
 import assert from 'node:assert/strict';
 import { fileURLToPath } from 'node:url';
 import { Given, Then, When } from '@cucumber/cucumber';
--- a/packages/acceptance/src/ballots.ts
+++ b/packages/acceptance/src/ballots.ts
@@ -1,4 +1,4 @@
-// Steps of the stories of ballots.feature: what cores send one another, and the earlier versions that they keep.
+/** Steps of the stories of ballots.feature: what cores send one another, and the earlier versions that they keep. */
 import assert from 'node:assert/strict';
 import { randomBytes } from 'node:crypto';
 import { Given, Then, When } from '@cucumber/cucumber';
--- a/packages/acceptance/src/candidacies.ts
+++ b/packages/acceptance/src/candidacies.ts
@@ -1,4 +1,4 @@
-// Steps over one election alone: its register, notes, members and platform are stubs on virtual time (design 7.6).
+/** Steps over one election alone: its register, notes, members and platform are stubs on virtual time (design 7.6). */
 import assert from 'node:assert/strict';
 import { Given, Then, When } from '@cucumber/cucumber';
 import * as Either from 'fp-ts/lib/Either.js';
--- a/packages/acceptance/src/capacity.ts
+++ b/packages/acceptance/src/capacity.ts
@@ -1,4 +1,4 @@
-// Steps for what hollow runs reckon with (docs/CAPACITY.md).
+/** Steps for what hollow runs reckon with (docs/CAPACITY.md). */
 import assert from 'node:assert/strict';
 import { Given, Then, When, type DataTable } from '@cucumber/cucumber';
 import * as Option from 'fp-ts/lib/Option.js';
--- a/packages/acceptance/src/clocks.ts
+++ b/packages/acceptance/src/clocks.ts
@@ -1,4 +1,4 @@
-// Steps of the stories of clocks.feature.
+/** Steps of the stories of clocks.feature. */
 import assert from 'node:assert/strict';
 import { Then, When, type DataTable } from '@cucumber/cucumber';
 import * as Option from 'fp-ts/lib/Option.js';
--- a/packages/acceptance/src/connections.ts
+++ b/packages/acceptance/src/connections.ts
@@ -1,4 +1,4 @@
-// Steps over the pooled proxy's freshness and connections alone, over a world of their own.
+/** Steps over the pooled proxy's freshness and connections alone, over a world of their own. */
 import assert from 'node:assert/strict';
 import { Given, Then, When } from '@cucumber/cucumber';
 import * as Option from 'fp-ts/lib/Option.js';
--- a/packages/acceptance/src/contents.ts
+++ b/packages/acceptance/src/contents.ts
@@ -1,4 +1,4 @@
-// Steps of the stories of contents.feature.
+/** Steps of the stories of contents.feature. */
 import assert from 'node:assert/strict';
 import { Then, When, type DataTable } from '@cucumber/cucumber';
 import * as Option from 'fp-ts/lib/Option.js';
--- a/packages/acceptance/src/cores.ts
+++ b/packages/acceptance/src/cores.ts
@@ -1,4 +1,4 @@
-// Steps of the stories about a set of cores that changes by itself (design 4.8).
+/** Steps of the stories about a set of cores that changes by itself (design 4.8). */
 import assert from 'node:assert/strict';
 import { Given, Then, When } from '@cucumber/cucumber';
 import * as Either from 'fp-ts/lib/Either.js';
--- a/packages/acceptance/src/cut-core.ts
+++ b/packages/acceptance/src/cut-core.ts
@@ -1,4 +1,4 @@
-// Steps of cut-core.feature: what a core confirms while no majority answers it (design 7.14).
+/** Steps of cut-core.feature: what a core confirms while no majority answers it (design 7.14). */
 import assert from 'node:assert/strict';
 import { Then, When } from '@cucumber/cucumber';
 import * as Either from 'fp-ts/lib/Either.js';
--- a/packages/acceptance/src/data-folders.ts
+++ b/packages/acceptance/src/data-folders.ts
@@ -1,4 +1,4 @@
-// Steps of the stories of runtime.feature over a real data folder: syncs, full and hanging disks, and what a loss of power leaves.
+/** Steps of the stories of runtime.feature over a real data folder: syncs, full and hanging disks, and what a loss of power leaves. */
 import assert from 'node:assert/strict';
 import { execFileSync, spawn, type ChildProcess } from 'node:child_process';
 import fs from 'node:fs';
--- a/packages/acceptance/src/disks.ts
+++ b/packages/acceptance/src/disks.ts
@@ -1,4 +1,4 @@
-// Steps of the stories of disks.feature about disks that are full, hang, or hold the half of what they held.
+/** Steps of the stories of disks.feature about disks that are full, hang, or hold the half of what they held. */
 import assert from 'node:assert/strict';
 import { Then, When, type DataTable } from '@cucumber/cucumber';
 import * as Option from 'fp-ts/lib/Option.js';
--- a/packages/acceptance/src/duties.ts
+++ b/packages/acceptance/src/duties.ts
@@ -1,4 +1,4 @@
-// Steps of duties.feature: duties and candidacies over a register that is a table, on virtual time (design 7.6, 7.14).
+/** Steps of duties.feature: duties and candidacies over a register that is a table, on virtual time (design 7.6, 7.14). */
 import assert from 'node:assert/strict';
 import { Given, Then, When } from '@cucumber/cucumber';
 import * as Either from 'fp-ts/lib/Either.js';
--- a/packages/acceptance/src/full-disk-process.ts
+++ b/packages/acceptance/src/full-disk-process.ts
@@ -1,4 +1,4 @@
-// A process of its own on a disk that may be full, for runtime.feature: puts once for each line it reads, and says how that went.
+/** A process of its own on a disk that may be full, for runtime.feature: puts once for each line it reads, and says how that went. */
 import readline from 'node:readline';
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
--- a/packages/acceptance/src/guarantees.ts
+++ b/packages/acceptance/src/guarantees.ts
@@ -1,4 +1,4 @@
-// Steps of the stories of guarantees.feature: each causes one failure and looks at what senders, members and operators see.
+/** Steps of the stories of guarantees.feature: each causes one failure and looks at what senders, members and operators see. */
 import assert from 'node:assert/strict';
 import fs from 'node:fs';
 import os from 'node:os';
--- a/packages/acceptance/src/lease-ask.ts
+++ b/packages/acceptance/src/lease-ask.ts
@@ -1,4 +1,4 @@
-// What an edge asks a core's half of the leases with, for stories that stand in for edges (design 7.12).
+/** What an edge asks a core's half of the leases with, for stories that stand in for edges (design 7.12). */
 import type { Request } from '@stallstall/message';
 
 /** The ask of an edge that knows nothing of the core, has released nothing and has nothing to tell of commits. */
--- a/packages/acceptance/src/marks.ts
+++ b/packages/acceptance/src/marks.ts
@@ -1,4 +1,4 @@
-// Steps of marks.feature: one core's half of the leases, and edges that tell it what they have seen (design 8.11).
+/** Steps of marks.feature: one core's half of the leases, and edges that tell it what they have seen (design 8.11). */
 import assert from 'node:assert/strict';
 import { Given, Then, When } from '@cucumber/cucumber';
 import { leaseAgent } from '@stallstall/agent';
--- a/packages/acceptance/src/orders.ts
+++ b/packages/acceptance/src/orders.ts
@@ -1,4 +1,4 @@
-// Steps of the stories of orders.feature: numbers and send ids that stand for one text each.
+/** Steps of the stories of orders.feature: numbers and send ids that stand for one text each. */
 import assert from 'node:assert/strict';
 import { Given, Then, When } from '@cucumber/cucumber';
 import * as Either from 'fp-ts/lib/Either.js';
--- a/packages/acceptance/src/outages.ts
+++ b/packages/acceptance/src/outages.ts
@@ -1,4 +1,4 @@
-// Steps of the stories of outages.feature, on virtual time (design 8.13).
+/** Steps of the stories of outages.feature, on virtual time (design 8.13). */
 import assert from 'node:assert/strict';
 import { Given, Then, When, type DataTable } from '@cucumber/cucumber';
 import * as Either from 'fp-ts/lib/Either.js';
--- a/packages/acceptance/src/platform-settings.ts
+++ b/packages/acceptance/src/platform-settings.ts
@@ -1,4 +1,4 @@
-// Steps over the settings file that the platform hands to a process.
+/** Steps over the settings file that the platform hands to a process. */
 import assert from 'node:assert/strict';
 import fs from 'node:fs';
 import os from 'node:os';
--- a/packages/acceptance/src/platform.ts
+++ b/packages/acceptance/src/platform.ts
@@ -1,4 +1,4 @@
-// Steps of the stories of platform.feature: configurations, settings and pages in the platform's words.
+/** Steps of the stories of platform.feature: configurations, settings and pages in the platform's words. */
 import assert from 'node:assert/strict';
 import { Given, Then, When, type DataTable } from '@cucumber/cucumber';
 import * as Either from 'fp-ts/lib/Either.js';
--- a/packages/acceptance/src/pooled.ts
+++ b/packages/acceptance/src/pooled.ts
@@ -1,4 +1,4 @@
-// Steps of the stories of pooled.feature: each failure is brought about on purpose, on virtual time.
+/** Steps of the stories of pooled.feature: each failure is brought about on purpose, on virtual time. */
 import assert from 'node:assert/strict';
 import { Given, Then, When, type DataTable } from '@cucumber/cucumber';
 import * as Option from 'fp-ts/lib/Option.js';
--- a/packages/acceptance/src/product.ts
+++ b/packages/acceptance/src/product.ts
@@ -1,4 +1,4 @@
-// Steps of the stories of product.feature: settings, versions and upgrades, counts.
+/** Steps of the stories of product.feature: settings, versions and upgrades, counts. */
 import assert from 'node:assert/strict';
 import fs from 'node:fs';
 import os from 'node:os';
@@ -157,7 +157,7 @@
 
 Then('both sides log that they speak different protocols, with the remedy', function then(this: Story) {
   for (const process of ['edge-5/agent', 'core-1']) {
-    const line = this.fleet.world.logs.find((one) => one.process === process && one.event === 'peer.strange');
+    const line = this.fleet.world.logs.find((one) => one.process === process && one.event === 'peer.incompatible');
     assert.match(String(line?.fields['reason']), /protocols.*one process at a time/, process);
   }
 });
--- a/packages/acceptance/src/replies.ts
+++ b/packages/acceptance/src/replies.ts
@@ -1,4 +1,4 @@
-// Steps about whose reply it is, and what may be asked again (design 8.14).
+/** Steps about whose reply it is, and what may be asked again (design 8.14). */
 import assert from 'node:assert/strict';
 import fs from 'node:fs';
 import { Given, Then, When } from '@cucumber/cucumber';
--- a/packages/acceptance/src/runtime.ts
+++ b/packages/acceptance/src/runtime.ts
@@ -1,4 +1,4 @@
-// Steps of the stories of runtime.feature: real sockets on loopback and a real folder.
+/** Steps of the stories of runtime.feature: real sockets on loopback and a real folder. */
 import assert from 'node:assert/strict';
 import { type ChildProcess } from 'node:child_process';
 import { once } from 'node:events';
--- a/packages/acceptance/src/simulator.ts
+++ b/packages/acceptance/src/simulator.ts
@@ -1,4 +1,4 @@
-// Steps of the stories of simulator.feature: what the seeded runs lean on (design 10.4.1).
+/** Steps of the stories of simulator.feature: what the seeded runs lean on (design 10.4.1). */
 import assert from 'node:assert/strict';
 import { spawnSync } from 'node:child_process';
 import fs from 'node:fs';
--- a/packages/acceptance/src/steps.ts
+++ b/packages/acceptance/src/steps.ts
@@ -1,4 +1,4 @@
-// The steps of the stories: given-when-then over an in-memory fleet; virtual time alone passes.
+/** The steps of the stories: given-when-then over an in-memory fleet; virtual time alone passes. */
 import assert from 'node:assert/strict';
 import { Given, Then, When, setDefaultTimeout, setWorldConstructor } from '@cucumber/cucumber';
 import * as Either from 'fp-ts/lib/Either.js';
--- a/packages/acceptance/src/story.ts
+++ b/packages/acceptance/src/story.ts
@@ -1,4 +1,4 @@
-// What a story holds, and what its steps share.
+/** What a story holds, and what its steps share. */
 import assert from 'node:assert/strict';
 import type * as Either from 'fp-ts/lib/Either.js';
 import type { Fault, HttpReply } from '@stallstall/kernel';
--- a/packages/acceptance/src/units.ts
+++ b/packages/acceptance/src/units.ts
@@ -1,4 +1,4 @@
-// Steps of the stories of units.feature: roster, leases, freshness and connections, each alone on virtual time.
+/** Steps of the stories of units.feature: roster, leases, freshness and connections, each alone on virtual time. */
 import assert from 'node:assert/strict';
 import { Given, Then, When } from '@cucumber/cucumber';
 import * as Option from 'fp-ts/lib/Option.js';
--- a/packages/acceptance/src/wire.ts
+++ b/packages/acceptance/src/wire.ts
@@ -1,4 +1,4 @@
-// Steps of the stories of wire.feature: both sides of the platform's line wire, and what of it a member gets to hear.
+/** Steps of the stories of wire.feature: both sides of the platform's line wire, and what of it a member gets to hear. */
 import assert from 'node:assert/strict';
 import { Given, Then, When, type DataTable } from '@cucumber/cucumber';
 import * as Either from 'fp-ts/lib/Either.js';
--- /dev/null
+++ b/packages/agent/src/agent-routes.ts
@@ -0,0 +1,101 @@
+/** Routes that tell of an agent's own state, in the form of the cores' own (design 9.5). */
+import * as Option from 'fp-ts/lib/Option.js';
+import type { HttpReply, HttpRoute } from '@stallstall/kernel';
+import { quorum } from '@stallstall/quorum';
+import { leaseTermMilliseconds } from '@stallstall/quorum-lease';
+import { proxyQuietMilliseconds, type AgentContext } from './agent-context.js';
+import { withinTerm } from './proxy-feed.js';
+
+/** `sound` is false where an operator should act. */
+type HealthCheck = Readonly<{ check: string; sound: boolean; detail: string; remedy: string }>;
+
+/** Services for which this edge holds no lease. */
+function servicesWithoutLease({ kernel, node }: AgentContext): readonly string[] {
+  const configuration = node.configuration();
+  const services = Option.isSome(configuration) ? configuration.value.value.sheet.services.map((one) => one.service) : [];
+  return services.filter((service) => node.serviceLeaseUntil(service) <= kernel.clock.now());
+}
+
+/** How many nodes were heard within a term, this one among them. */
+function heardNodes({ kernel, node }: AgentContext): number {
+  const heard = node.membership().value.seats.filter(function isHeard(seat) {
+    const at = node.lastHeartbeatAt(seat.node);
+    return Option.isSome(at) && kernel.clock.now() - at.value < leaseTermMilliseconds;
+  });
+  return 1 + heard.length;
+}
+
+async function metrics(context: AgentContext): Promise<HttpReply> {
+  const { kernel, node, proxyMetrics } = context;
+  const configuration = node.configuration();
+  return {
+    status: 200,
+    body: {
+      nodes: node.membership().value.seats.length,
+      heard: heardNodes(context),
+      configuration: Option.isSome(configuration) ? configuration.value.version : 0,
+      membership: node.membership().version,
+      controlTermMilliseconds: Math.round(withinTerm(node.configurationLeaseUntil() - kernel.clock.now())),
+      fencedServices: servicesWithoutLease(context).length,
+      ...Object.fromEntries(Object.entries(proxyMetrics).map(([name, count]) => [`proxy.${name}`, count])),
+    },
+  };
+}
+
+function checkControl({ kernel, node }: AgentContext): HealthCheck {
+  const sound = node.configurationLeaseUntil() > kernel.clock.now();
+  return {
+    check: 'control',
+    sound,
+    detail: sound ? 'a majority of cores confirms this edge' : 'no majority of cores has confirmed this edge within its term',
+    remedy: 'see whether this machine reaches the cores',
+  };
+}
+
+function checkNodes(context: AgentContext): HealthCheck {
+  const total = context.node.membership().value.seats.length;
+  const heard = heardNodes(context);
+  return {
+    check: 'nodes',
+    sound: heard >= quorum.majority(total),
+    detail: `${heard} of ${total} heard`,
+    remedy: 'see whether this machine reaches the others',
+  };
+}
+
+function checkLeases(context: AgentContext): HealthCheck {
+  const missing = servicesWithoutLease(context);
+  return {
+    check: 'fence',
+    sound: missing.length === 0,
+    detail: missing.length === 0 ? 'open for every service' : `shut for ${missing.join(' ')}`,
+    remedy: 'see stallstall elections',
+  };
+}
+
+function checkProxy({ kernel, proxyAskedAt }: AgentContext): HealthCheck {
+  const sound = proxyAskedAt !== undefined && kernel.clock.now() - proxyAskedAt < proxyQuietMilliseconds;
+  return {
+    check: 'proxy',
+    sound,
+    detail: sound ? 'the proxy asks' : 'the proxy does not ask',
+    remedy: 'start the proxy of this edge, with the feed address of this agent',
+  };
+}
+
+/** 503 when one of the checks fails. */
+async function health(context: AgentContext): Promise<HttpReply> {
+  const checks = [checkControl(context), checkNodes(context), checkLeases(context), checkProxy(context)];
+  const isHealthy = checks.every((check) => check.sound);
+  return { status: isHealthy ? 200 : 503, body: { node: context.settings.node, checks } };
+}
+
+function create(context: AgentContext): readonly HttpRoute[] {
+  return [
+    { method: 'GET', path: '/v1/metrics', handle: () => metrics(context) },
+    { method: 'GET', path: '/v1/liveness', handle: () => health(context) },
+  ];
+}
+
+/** @internal */
+export const agentRoutes = { create } as const;
--- /dev/null
+++ b/packages/agent/src/agent.ts
@@ -0,0 +1,117 @@
+/** The agent beside each proxy: keeps the link to the control plane and feeds its proxy over loopback (design 3.4). */
+import * as Either from 'fp-ts/lib/Either.js';
+import { livenessService } from '@stallstall/election';
+import { fault, identifiers, kernel as kernels, type Fault, type Kernel, type Listening } from '@stallstall/kernel';
+import type { Reply, Request } from '@stallstall/message';
+import { node as nodes, type Node } from '@stallstall/node';
+import { peer } from '@stallstall/peer';
+import * as Option from 'fp-ts/lib/Option.js';
+import { proxyQuietMilliseconds, type AgentContext, type AgentSettings } from './agent-context.js';
+import { agentRoutes } from './agent-routes.js';
+import { connectionCaps } from './connection-caps.js';
+import { edgeVotes } from './edge-votes.js';
+import { memberFreshness } from './member-freshness.js';
+import { proxyFeed } from './proxy-feed.js';
+import { proxyReports } from './proxy-reports.js';
+
+export type { AgentSettings } from './agent-context.js';
+
+export type Agent = Readonly<{
+  node: Node;
+  /** Ends once what is being reported is stored, or after its grace. */
+  drain: () => Promise<void>;
+  /** Ends at once. */
+  stop: () => Promise<void>;
+}>;
+
+const probeMilliseconds = 250;
+const graceMilliseconds = 2_000;
+const drainPollMilliseconds = 5;
+
+function assemble(kernel: Kernel, settings: AgentSettings): AgentContext {
+  const caps = connectionCaps.create(kernel.clock, () => node);
+  const node: Node = nodes.create(kernel, settings, {
+    role: 'edge',
+    votes: (register) => edgeVotes.create(register, settings.node),
+    localReplica: Option.none,
+    connectionCaps: caps.reported,
+    onApplied: function onApplied(key) {
+      if (key === 'membership' || key === 'configuration') caps.onLayoutChanged();
+    },
+    onHelloReply: () => undefined,
+  });
+  return {
+    kernel,
+    settings,
+    node,
+    caps,
+    freshness: memberFreshness.create(kernel.clock, node, kernel.services.find(livenessService)),
+    reports: proxyReports.create(settings.node, node.durableReports),
+    proxyReportedAt: undefined,
+    proxyAskedAt: undefined,
+    proxyMetrics: {},
+    isStopped: false,
+  };
+}
+
+function tell(context: AgentContext, request: Request<'tell'>): Promise<Reply<'tell'>> {
+  context.proxyReportedAt = context.kernel.clock.now();
+  return context.reports.tell(request);
+}
+
+/** A proxy that has reported nothing for a while serves nothing more that could still be reported. */
+function reportQuietProxy({ kernel, settings, node, proxyReportedAt }: AgentContext): void {
+  const isQuiet = proxyReportedAt === undefined || kernel.clock.now() - proxyReportedAt > proxyQuietMilliseconds;
+  if (!isQuiet || node.cores().length === 0) return;
+  const through = kernel.clock.wall() - proxyQuietMilliseconds;
+  void node.durableReports.report({ floors: {}, reports: [], through: { [settings.node]: through } });
+}
+
+async function listen(context: AgentContext): Promise<readonly Listening[]> {
+  const { kernel, settings, node } = context;
+  return [
+    await peer.listen(kernel, identifiers.address(settings.address), { ...node.handlers }),
+    await peer.listen(kernel, identifiers.address(settings.feed), {
+      feed: (request) => proxyFeed.reply(context, request),
+      tell: (request) => tell(context, request),
+    }),
+    await kernel.network.serve(identifiers.address(settings.outward), { routes: [...node.routes, ...agentRoutes.create(context)] }),
+  ];
+}
+
+function startTasks(context: AgentContext): void {
+  const { kernel, node, freshness } = context;
+  function isRunning(): boolean {
+    return !context.isStopped;
+  }
+  node.start();
+  void kernels.every(kernel.clock, probeMilliseconds, freshness.probeAll, isRunning);
+  void kernels.every(kernel.clock, proxyQuietMilliseconds, () => reportQuietProxy(context), isRunning);
+}
+
+/** Right once the agent listens. Errors: `bad-settings` without a node id. */
+async function start(kernel: Kernel, settings: AgentSettings): Promise<Either.Either<Fault, Agent>> {
+  if (settings.node === '') {
+    return Either.left(fault.create({ kind: 'bad-settings', message: 'the agent has no node id', remedy: 'name one with --node' }));
+  }
+  const context = assemble(kernel, settings);
+  const listening = await listen(context);
+  startTasks(context);
+
+  async function stop(): Promise<void> {
+    context.isStopped = true;
+    context.node.stop();
+    for (const entry of listening) await entry.stop();
+  }
+
+  /** What is being reported is stored before this process ends (design 7.10). */
+  async function drain(): Promise<void> {
+    const deadline = identifiers.after(kernel.clock.now(), graceMilliseconds);
+    while (kernel.clock.now() < deadline && context.reports.underWay() > 0) await kernel.clock.sleep(drainPollMilliseconds);
+    await stop();
+  }
+
+  return Either.right({ node: context.node, stop, drain });
+}
+
+export const agent = { start } as const;
--- /dev/null
+++ b/packages/agent/src/member-freshness.ts
@@ -0,0 +1,76 @@
+/** STATE of every member, sampled by this edge: what a replica's freshness is reckoned from (design 8.4). */
+import * as Either from 'fp-ts/lib/Either.js';
+import * as Option from 'fp-ts/lib/Option.js';
+import type { Liveness } from '@stallstall/election';
+import type { Clock, Instant } from '@stallstall/kernel';
+import type { Target } from '@stallstall/message';
+import type { Node } from '@stallstall/node';
+import type { MemberPlacement } from '@stallstall/placement';
+
+/** @internal */
+export type MemberFreshness = Readonly<{
+  /** Asks every member of the applied configuration for its STATE. */
+  probeAll: () => void;
+  /** What the proxy is told of a member. */
+  targetOf: (service: string, epoch: number, member: string) => Target;
+}>;
+
+/** The primary's position at a moment. */
+type Sample = Readonly<{ at: Instant; position: number }>;
+
+const probeMilliseconds = 700;
+const samplesKept = 40;
+/** Reported where freshness is not known. */
+const unknownAgo = -1;
+
+function create(clock: Clock, node: Node, members: Liveness): MemberFreshness {
+  /** Of one epoch for each service, the oldest first. */
+  const samples = new Map<string, Readonly<{ epoch: number; kept: readonly Sample[] }>>();
+
+  function samplesOf(service: string, epoch: number): readonly Sample[] {
+    const known = samples.get(service);
+    return known?.epoch === epoch ? known.kept : [];
+  }
+
+  async function probe(service: string, { member, address }: MemberPlacement): Promise<void> {
+    const elected = node.electedPrimary(service);
+    const probed = await members.probe(member, address, probeMilliseconds);
+    if (Either.isLeft(probed) || Option.isNone(elected)) return;
+    const { epoch, primary } = elected.value;
+    const { sentAt, state } = probed.right;
+    if (primary !== member || state.epoch !== epoch) return;
+    const kept = [...samplesOf(service, epoch), { at: sentAt, position: state.received }].slice(-samplesKept);
+    samples.set(service, { epoch, kept });
+  }
+
+  function probeAll(): void {
+    const configuration = node.configuration();
+    if (Option.isNone(configuration)) return;
+    for (const { service, members: placed } of configuration.value.value.sheet.services) {
+      for (const member of placed) void probe(service, member);
+    }
+  }
+
+  /** The latest moment at which the primary was known to be at a position that this member has applied. */
+  function freshAt(service: string, epoch: number, applied: number): Instant | undefined {
+    return samplesOf(service, epoch).findLast((sample) => sample.position <= applied)?.at;
+  }
+
+  function targetOf(service: string, epoch: number, member: string): Target {
+    const state = members.state(member);
+    const applied = Option.isSome(state) ? state.value.applied : 0;
+    const fresh = freshAt(service, epoch, applied);
+    return {
+      member,
+      alive: !members.isDown(member),
+      freshAgo: fresh === undefined ? unknownAgo : clock.now() - fresh,
+      applied,
+      follows: Option.isSome(state) ? state.value.epoch : 0,
+    };
+  }
+
+  return { probeAll, targetOf };
+}
+
+/** @internal */
+export const memberFreshness = { create } as const;
--- /dev/null
+++ b/packages/agent/src/proxy-feed.ts
@@ -0,0 +1,50 @@
+/** What the agent feeds its proxy: the configuration, leases, members and connection shares (design 3.4). */
+import * as Option from 'fp-ts/lib/Option.js';
+import type { Reply, Request, ServiceFeed } from '@stallstall/message';
+import type { ServicePlacement } from '@stallstall/placement';
+import { quorum } from '@stallstall/quorum';
+import { leaseTermMilliseconds } from '@stallstall/quorum-lease';
+import type { AgentContext } from './agent-context.js';
+
+/** What is left of a term, as JSON can carry it. Unit: milliseconds. @internal */
+export function withinTerm(left: number): number {
+  return Math.max(0, Math.min(left, leaseTermMilliseconds));
+}
+
+function serviceFeed({ kernel, node, freshness }: AgentContext, { service, members }: ServicePlacement): ServiceFeed {
+  const elected = node.electedPrimary(service);
+  const epoch = Option.isSome(elected) ? elected.value.epoch : 0;
+  return {
+    service,
+    epoch,
+    primary: Option.isSome(elected) ? elected.value.primary : '',
+    fence: withinTerm(node.serviceLeaseUntil(service) - kernel.clock.now()),
+    targets: members.map((member) => freshness.targetOf(service, epoch, member.member)),
+  };
+}
+
+/** Takes what the proxy says of itself, and replies with what it is to act by. */
+function reply(context: AgentContext, request: Request<'feed'>): Reply<'feed'> {
+  const { kernel, settings, node, caps } = context;
+  caps.recordOpen(request.open);
+  context.proxyMetrics = request.metrics;
+  context.proxyAskedAt = kernel.clock.now();
+  caps.refresh();
+  const configuration = node.configuration();
+  const placement = Option.isSome(configuration) ? configuration.value.value.sheet : undefined;
+  const version = Option.isSome(configuration) ? configuration.value.version : 0;
+  const seat = quorum.seat(node.membership().value, settings.node);
+  return {
+    configuration: placement !== undefined && version !== request.configuration ? { version, sheet: placement } : null,
+    configurationVersion: version,
+    term: withinTerm(node.configurationLeaseUntil() - kernel.clock.now()),
+    services: (placement?.services ?? []).map((service) => serviceFeed(context, service)),
+    shares: { ...caps.allowed() },
+    draining: seat?.draining ?? false,
+    area: settings.area,
+    node: settings.node,
+  };
+}
+
+/** @internal */
+export const proxyFeed = { reply } as const;
--- /dev/null
+++ b/packages/agent/src/proxy-reports.ts
@@ -0,0 +1,37 @@
+/** What a proxy must have on a majority of core disks before it replies: watermarks and usage (design 7.5, 8.6). */
+import * as Either from 'fp-ts/lib/Either.js';
+import type { Reply, Request } from '@stallstall/message';
+import type { DurableReports } from '@stallstall/register';
+
+/** @internal */
+export type ProxyReports = Readonly<{
+  /** The reply says whether a majority of disks has synced the report. */
+  tell: (request: Request<'tell'>) => Promise<Reply<'tell'>>;
+  /** How many reports are under way. */
+  underWay: () => number;
+}>;
+
+function reportOf(node: string, { floors, through, usage, incarnation, number }: Request<'tell'>): Request<'note'> {
+  return {
+    floors,
+    through: { [node]: through },
+    reports: usage.map(({ window, counts }) => ({ node, incarnation, number, window, counts: { ...counts } })),
+  };
+}
+
+/** @param node - this node's id */
+function create(node: string, reports: DurableReports): ProxyReports {
+  let underWay = 0;
+  return {
+    tell: async function tell(request) {
+      underWay += 1;
+      const stored = await reports.report(reportOf(node, request));
+      underWay -= 1;
+      return { kept: Either.isRight(stored) };
+    },
+    underWay: () => underWay,
+  };
+}
+
+/** @internal */
+export const proxyReports = { create } as const;
--- /dev/null
+++ b/packages/agent/src/proxy-state.ts
@@ -0,0 +1,93 @@
+/** What the proxy of an edge reported last, and what may be concluded from it (design 8.10, 8.11). */
+import { identifiers, type Clock, type Instant } from '@stallstall/kernel';
+import type { CommitWatermarks, LogPosition, Request } from '@stallstall/message';
+
+/** @internal */
+export type ProxyState = Readonly<{
+  /** Takes the report that a proxy sends with each request; says what it tells that was not known. */
+  update: (request: Request<'placement'>) => ProxyUpdate;
+  /** A reply leaves now: numbers it, so that later reports can be told to be no older. */
+  recordReply: () => number;
+  released: () => Readonly<Record<string, number>>;
+  positions: () => Readonly<Record<string, LogPosition>>;
+  /** Aged by the time since the proxy asked. */
+  commitWatermarks: () => CommitWatermarks;
+  /** How long ago, at the most, `positions` was all there was to report. Unit: milliseconds. */
+  positionsAgo: () => number;
+  isLeaderMissing: () => boolean;
+  refusedMembers: () => readonly string[];
+  demand: () => number;
+}>;
+
+/** @internal */
+export type ProxyUpdate = Readonly<{
+  /** Another process runs as the proxy than before. */
+  isRestarted: boolean;
+  /** What it has released, or the members that refuse it, have changed. */
+  isNews: boolean;
+}>;
+
+/** A proxy that asks this often misses a leader somewhere. Unit: milliseconds. */
+export const leaderMissingHoldMilliseconds = 100;
+const repliesKept = 100;
+/** Nothing is known of what the proxy has told its clients. */
+const noPositionsMilliseconds = 3_600_000;
+
+type Report = Pick<Request<'placement'>, 'released' | 'positions' | 'marks' | 'demand' | 'notListening' | 'hold'>;
+
+const noReport: Report = { released: {}, positions: {}, marks: {}, demand: 0, notListening: [], hold: 0 };
+
+/** @param token - names this agent's process: a proxy that reports another has not heard from it */
+function create(clock: Clock, token: string): ProxyState {
+  let report = noReport;
+  let wasAsked = false;
+  let askedAt: Instant = identifiers.instant(Number.NEGATIVE_INFINITY);
+  /** What the proxy reported last was all there was at this moment or later. */
+  let positionsAt: Instant | undefined;
+  let newsBefore = '';
+  let lastReply = 0;
+  const repliedAt = new Map<number, Instant>();
+
+  function update(request: Request<'placement'>): ProxyUpdate {
+    // The process before it may have acknowledged commits that it did not live to report.
+    const isRestarted = request.token === '' && wasAsked;
+    wasAsked = true;
+    askedAt = clock.now();
+    report = request;
+    const noOlderThan = request.token === token ? repliedAt.get(request.serial) : undefined;
+    if (noOlderThan !== undefined && (positionsAt === undefined || noOlderThan > positionsAt)) positionsAt = noOlderThan;
+    const news = `${JSON.stringify(request.released)}${request.notListening.join(' ')}`;
+    const isNews = news !== newsBefore;
+    newsBefore = news;
+    return { isRestarted, isNews };
+  }
+
+  function recordReply(): number {
+    lastReply += 1;
+    repliedAt.set(lastReply, clock.now());
+    repliedAt.delete(lastReply - repliesKept);
+    return lastReply;
+  }
+
+  /** What the proxy saw so long before it asked was seen that much longer ago by now. */
+  function commitWatermarks(): CommitWatermarks {
+    const since = Math.max(0, clock.now() - askedAt);
+    const aged = Object.entries(report.marks).map(([service, mark]) => [service, { ...mark, ago: mark.ago + since }] as const);
+    return Object.fromEntries(aged);
+  }
+
+  return {
+    update,
+    recordReply,
+    released: () => report.released,
+    positions: () => report.positions,
+    commitWatermarks,
+    positionsAgo: () => (positionsAt === undefined ? noPositionsMilliseconds : Math.max(0, clock.now() - positionsAt)),
+    isLeaderMissing: () => report.hold > 0 && report.hold <= leaderMissingHoldMilliseconds,
+    refusedMembers: () => report.notListening,
+    demand: () => report.demand,
+  };
+}
+
+/** @internal */
+export const proxyStates = { create } as const;
--- a/packages/bench/src/hollow.ts
+++ b/packages/bench/src/hollow.ts
@@ -1,4 +1,4 @@
-// Slopes of the pooled mode from real processes: `hollow.js FIELD SIZE SIZE SIZE [--repeat=2] [--weigh] [FIELD=SIZE ...]`, or `--smoke` (docs/CAPACITY.md).
+/** Slopes of the pooled mode from real processes: `hollow.js FIELD SIZE SIZE SIZE [--repeat=2] [--weigh] [FIELD=SIZE ...]`, or `--smoke` (docs/CAPACITY.md). */
 import os from 'node:os';
 import * as Option from 'fp-ts/lib/Option.js';
 import { nodeRuntime } from '@stallstall/runtime';
--- a/packages/bench/src/hollow/child.ts
+++ b/packages/bench/src/hollow/child.ts
@@ -1,4 +1,4 @@
-// One process of a hollow run: plays the role it is given, and ends with the run that started it.
+/** One process of a hollow run: plays the role it is given, and ends with the run that started it. */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { leaseAgent } from '@stallstall/agent';
--- a/packages/bench/src/hollow/counts.ts
+++ b/packages/bench/src/hollow/counts.ts
@@ -1,4 +1,4 @@
-// What a process of a hollow run spends: frames counted at its network, the rest read from /proc by the run that started it.
+/** What a process of a hollow run spends: frames counted at its network, the rest read from /proc by the run that started it. */
 import fs from 'node:fs';
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
--- a/packages/bench/src/hollow/dialect.ts
+++ b/packages/bench/src/hollow/dialect.ts
@@ -1,4 +1,4 @@
-// A plain dialect of the session wire for hollow runs: words with blanks between, a message a line (design 8.10).
+/** A plain dialect of the session wire for hollow runs: words with blanks between, a message a line (design 8.10). */
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Command, Condition, Dialect, Framer, Incoming, MemberStanding, Piece, Position, Stance } from '@stallstall/session-protocol';
 
--- a/packages/bench/src/hollow/edges.ts
+++ b/packages/bench/src/hollow/edges.ts
@@ -1,4 +1,4 @@
-// Hollow edges: many in one process, each with the real lessee over links of its own, and counts of usage told each second.
+/** Hollow edges: many in one process, each with the real lessee over links of its own, and counts of usage told each second. */
 import * as Option from 'fp-ts/lib/Option.js';
 import { kernel as kernels, type Kernel } from '@stallstall/kernel';
 import { leaseHolder as lessees, type LeaseHolder } from '@stallstall/lease';
--- a/packages/bench/src/hollow/fit.ts
+++ b/packages/bench/src/hollow/fit.ts
@@ -1,4 +1,4 @@
-// A straight line through measured points, and how straight they were: three sizes at the least (docs/CAPACITY.md).
+/** A straight line through measured points, and how straight they were: three sizes at the least (docs/CAPACITY.md). */
 import * as Option from 'fp-ts/lib/Option.js';
 
 export type Point = Readonly<{ size: number; value: number }>;
--- a/packages/bench/src/hollow/members.ts
+++ b/packages/bench/src/hollow/members.ts
@@ -1,4 +1,4 @@
-// Hollow members: they beat, tell their STATE, run statements by waiting, and are promoted by a hollow platform.
+/** Hollow members: they beat, tell their STATE, run statements by waiting, and are promoted by a hollow platform. */
 import * as Option from 'fp-ts/lib/Option.js';
 import { identifiers, type HttpConnection, type Kernel, type Stream } from '@stallstall/kernel';
 import { plainDialect } from './dialect.js';
--- a/packages/bench/src/hollow/roles.ts
+++ b/packages/bench/src/hollow/roles.ts
@@ -1,4 +1,4 @@
-// What the run tells its processes, and what they say back, over the channel between a parent and its child.
+/** What the run tells its processes, and what they say back, over the channel between a parent and its child. */
 export type HollowSheet = Readonly<{ services: number; connectionLimit: number; tenants: number }>;
 
 export type HollowRole =
--- a/packages/bench/src/hollow/run.ts
+++ b/packages/bench/src/hollow/run.ts
@@ -1,4 +1,4 @@
-// One hollow run: real cores, agents and proxies beside hollow edges, members and senders, bounded in time, count and memory.
+/** One hollow run: real cores, agents and proxies beside hollow edges, members and senders, bounded in time, count and memory. */
 import { fork, type ChildProcess } from 'node:child_process';
 import fs from 'node:fs';
 import os from 'node:os';
--- a/packages/bench/src/hollow/senders.ts
+++ b/packages/bench/src/hollow/senders.ts
@@ -1,4 +1,4 @@
-// Hollow senders: sessions that stand open, and statements asked at a fixed rate over them.
+/** Hollow senders: sessions that stand open, and statements asked at a fixed rate over them. */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { identifiers, type Kernel, type Stream } from '@stallstall/kernel';
--- a/packages/bench/src/real-fleet.ts
+++ b/packages/bench/src/real-fleet.ts
@@ -1,4 +1,4 @@
-// A whole fleet of real processes on this machine, for rehearsals and measurements; no product process starts another (design 10.5).
+/** A whole fleet of real processes on this machine, for rehearsals and measurements; no product process starts another (design 10.5). */
 import { spawn, type ChildProcess } from 'node:child_process';
 import fs from 'node:fs';
 import path from 'node:path';
--- a/packages/bench/src/rehearse.ts
+++ b/packages/bench/src/rehearse.ts
@@ -1,5 +1,7 @@
-// Rehearsals with real processes: a deployment's load, failures by signal, the same checkers, ratios within one run (design 10.5).
-// `rehearse.js red-comun|brightpath load|kills|stop|turn|freeze [seconds] [base port]`
+/**
+ * Rehearsals with real processes: a deployment's load, failures by signal, the same checkers, ratios within one run (design 10.5).
+ * `rehearse.js red-comun|brightpath load|kills|stop|turn|freeze [seconds] [base port]`
+ */
 import fs from 'node:fs';
 import os from 'node:os';
 import path from 'node:path';
--- a/packages/bench/src/stand-in-main.ts
+++ b/packages/bench/src/stand-in-main.ts
@@ -1,4 +1,4 @@
-// One stand-in as a process of its own: `stand-in-main.js member|platform '<settings as JSON>'` (design 10.1).
+/** One stand-in as a process of its own: `stand-in-main.js member|platform '<settings as JSON>'` (design 10.1). */
 import * as Option from 'fp-ts/lib/Option.js';
 import { nodeRuntime } from '@stallstall/runtime';
 import { member, platform, type MemberSettings, type PlatformSettings } from '@stallstall/fakes';
--- a/packages/bench/src/up.ts
+++ b/packages/bench/src/up.ts
@@ -1,4 +1,4 @@
-// Brings a whole fleet up on this machine and keeps it until interrupted (README, quick start).
+/** Brings a whole fleet up on this machine and keeps it until interrupted (README, quick start). */
 import path from 'node:path';
 import { brightpath, redComun } from '@stallstall/fakes';
 import { realFleet } from './real-fleet.js';
--- a/packages/bench/src/weigh.ts
+++ b/packages/bench/src/weigh.ts
@@ -1,4 +1,4 @@
-// Memory and processor time of cores, agents and proxies as the fleet grows: `weigh.js [edges ...]`, read from /proc (design 10.5).
+/** Memory and processor time of cores, agents and proxies as the fleet grows: `weigh.js [edges ...]`, read from /proc (design 10.5). */
 import fs from 'node:fs';
 import os from 'node:os';
 import path from 'node:path';
--- a/packages/cli/src/node-commands.ts
+++ b/packages/cli/src/node-commands.ts
@@ -63,7 +63,7 @@
       method: 'POST',
       path: `/v1/services/${encodeURIComponent(args.service)}/accept-loss`,
       body: {},
-    })) as Readonly<{ floor: Readonly<{ epoch: number; position: number }> }>;
+    })) as Readonly<Record<'floor', Readonly<{ epoch: number; position: number }>>>;
     this.log(`${args.service} may lead on without what was acknowledged up to ${reply.floor.epoch}/${reply.floor.position}`);
     return reply;
   }
--- a/packages/cli/src/settings.ts
+++ b/packages/cli/src/settings.ts
@@ -93,12 +93,12 @@
       return;
     }
     const changed = changedColumns(current, next.right);
-    const obeyed = changed.filter((column) => changeable.has(column));
+    const applied = changed.filter((column) => changeable.has(column));
     for (const column of changed)
       if (!changeable.has(column)) kernel.log('settings.waits', { column, remedy: 'restart the process to obey it' });
-    if (obeyed.length === 0) return;
-    current = { ...current, ...Object.fromEntries(obeyed.map((column) => [column, next.right[column]])) };
-    kernel.log('settings.obeyed', { columns: obeyed.join(',') });
+    if (applied.length === 0) return;
+    current = { ...current, ...Object.fromEntries(applied.map((column) => [column, next.right[column]])) };
+    kernel.log('settings.obeyed', { columns: applied.join(',') });
   }
 
   if (file !== undefined) changes.watch(file, again);
--- a/packages/core/src/change-subscribers.ts
+++ b/packages/core/src/change-subscribers.ts
@@ -1,4 +1,4 @@
-// Numbered changes pushed to every node that asks over a held link, and the acknowledgements that come back (design 5.2).
+/** Numbered changes pushed to every node that asks over a held link, and the acknowledgements that come back (design 5.2). */
 import * as Option from 'fp-ts/lib/Option.js';
 import { differences, message, type Ballot, type Change, type Entry } from '@stallstall/message';
 import type { Configuration } from '@stallstall/node';
--- a/packages/core/src/claim-table.ts
+++ b/packages/core/src/claim-table.ts
@@ -1,6 +1,8 @@
-// The ledger of orders: which document each order number, and each send id, stands for. A claim is chosen in the register
-// before the configuration it belongs to can be chosen, so that no crash leaves a confirmed number without its digest
-// (design 6.6).
+/**
+ * The ledger of orders: which document each order number, and each send id, stands for. A claim is chosen in the register
+ * before the configuration it belongs to can be chosen, so that no crash leaves a confirmed number without its digest
+ * (design 6.6).
+ */
 import { createHash } from 'node:crypto';
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
--- a/packages/core/src/core-calls.ts
+++ b/packages/core/src/core-calls.ts
@@ -1,4 +1,4 @@
-// Calls to other cores at their own addresses, over links that are held only while they are used (design 4.8).
+/** Calls to other cores at their own addresses, over links that are held only while they are used (design 4.8). */
 import * as Option from 'fp-ts/lib/Option.js';
 import { identifiers, type Instant, type Kernel } from '@stallstall/kernel';
 import type { Request, MessageKind, Reply } from '@stallstall/message';
--- a/packages/core/src/data-folder.ts
+++ b/packages/core/src/data-folder.ts
@@ -1,4 +1,4 @@
-// What lies in a core's data folder, and what a core says of a folder that it cannot use (design 4.3, 4.6).
+/** What lies in a core's data folder, and what a core says of a folder that it cannot use (design 4.3, 4.6). */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { Type } from '@sinclair/typebox';
@@ -50,7 +50,7 @@
 function isReadable(key: string, value: unknown): boolean {
   if (key.startsWith(registerStoragePrefix)) return acceptor.isCellState(value);
   if (key.startsWith(voteStoragePrefix)) return message.matches(VoteSchema, value);
-  if (key.startsWith(reportStoragePrefix)) return message.matches(messages.note.ask, value);
+  if (key.startsWith(reportStoragePrefix)) return message.matches(messages.note.request, value);
   return true;
 }
 
--- a/packages/core/src/document-digest.ts
+++ b/packages/core/src/document-digest.ts
@@ -1,5 +1,7 @@
-// Digests of orders. Two texts are the same order when they hold the same document: the order of an object's fields and the
-// blanks between them say nothing, so a text that was written anew on its way is never taken for another (design 6.6).
+/**
+ * Digests of orders. Two texts are the same order when they hold the same document: the order of an object's fields and the
+ * blanks between them say nothing, so a text that was written anew on its way is never taken for another (design 6.6).
+ */
 import { createHash } from 'node:crypto';
 import stringify from 'safe-stable-stringify';
 
--- a/packages/core/src/fleet-record.ts
+++ b/packages/core/src/fleet-record.ts
@@ -1,4 +1,4 @@
-// What a core's disk says of the fleet it belongs to and of the set of cores it stands at (design 4.3, 4.8).
+/** What a core's disk says of the fleet it belongs to and of the set of cores it stands at (design 4.3, 4.8). */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Disk } from '@stallstall/kernel';
--- a/packages/core/src/membership-table.ts
+++ b/packages/core/src/membership-table.ts
@@ -1,4 +1,4 @@
-// The membership table where an operator runs the fleet: one change at a time, each obeyed by a majority before the next (design 4.2).
+/** The membership table where an operator runs the fleet: one change at a time, each obeyed by a majority before the next (design 4.2). */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { fault, owner, type Fault } from '@stallstall/kernel';
--- a/packages/core/src/quorum-contact.ts
+++ b/packages/core/src/quorum-contact.ts
@@ -1,4 +1,4 @@
-// A core confirms and hands out only what a majority could contradict: contact with one is part of every answer (design 7.14).
+/** A core confirms and hands out only what a majority could contradict: contact with one is part of every answer (design 7.14). */
 import * as Either from 'fp-ts/lib/Either.js';
 import { fault, http, identifiers, type Fault, type HttpRoute, type HttpReply, type Instant, type Kernel } from '@stallstall/kernel';
 
--- a/packages/fakes/src/deployment.ts
+++ b/packages/fakes/src/deployment.ts
@@ -1,4 +1,4 @@
-// The two deployments of the brief, as sheets and loads (design 10.2).
+/** The two deployments of the brief, as sheets and loads (design 10.2). */
 import type { StatementKind } from '@stallstall/placement';
 
 export type Deployment = Readonly<{
--- a/packages/fakes/src/member.ts
+++ b/packages/fakes/src/member.ts
@@ -1,4 +1,4 @@
-// A stand-in for a database member: transactions, replication with lag, STATE, promotion, a connection limit (design 10.1).
+/** A stand-in for a database member: transactions, replication with lag, STATE, promotion, a connection limit (design 10.1). */
 import * as Either from 'fp-ts/lib/Either.js';
 import {
   identifiers,
--- a/packages/fakes/src/platform.ts
+++ b/packages/fakes/src/platform.ts
@@ -1,4 +1,4 @@
-// A stand-in for the platform: promotions and usage from one holder at a time, and a record of both (design 10.1).
+/** A stand-in for the platform: promotions and usage from one holder at a time, and a record of both (design 10.1). */
 import * as Either from 'fp-ts/lib/Either.js';
 import { http, identifiers, kernel as kernels, type HttpReply, type HttpRequest, type Kernel, type Listening } from '@stallstall/kernel';
 
--- a/packages/fakes/src/session-dialect.ts
+++ b/packages/fakes/src/session-dialect.ts
@@ -1,4 +1,4 @@
-// The stand-ins' own words for the session wire: plain lines, so that the product is shown to need no platform's (design 10.1).
+/** The stand-ins' own words for the session wire: plain lines, so that the product is shown to need no platform's (design 10.1). */
 import * as Option from 'fp-ts/lib/Option.js';
 import type {
   Command,
--- a/packages/fakes/src/session-platform.ts
+++ b/packages/fakes/src/session-platform.ts
@@ -1,4 +1,4 @@
-// A stand-in for a platform that promotes members and takes usage, and checks the turn of whoever holds a duty (design 10.1).
+/** A stand-in for a platform that promotes members and takes usage, and checks the turn of whoever holds a duty (design 10.1). */
 import { identifiers, kernel as kernels, type HttpReply, type HttpRequest, type Kernel, type Listening } from '@stallstall/kernel';
 
 /** Promotion reaches members in one moment, whatever is cut off from whom. */
--- a/packages/kernel/src/disk-health.ts
+++ b/packages/kernel/src/disk-health.ts
@@ -1,4 +1,4 @@
-// Whether a disk syncs what is put on it: told to whoever must not promise anything meanwhile (design 5.1).
+/** Whether a disk syncs what is put on it: told to whoever must not promise anything meanwhile (design 5.1). */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { fault, type Fault } from './fault.js';
--- a/packages/kernel/src/fault.ts
+++ b/packages/kernel/src/fault.ts
@@ -1,4 +1,4 @@
-// Typed faults whose messages name the remedy (design 2.4).
+/** Typed faults whose messages name the remedy (design 2.4). */
 import VError from 'verror';
 
 export type FaultKind =
--- a/packages/kernel/src/http.ts
+++ b/packages/kernel/src/http.ts
@@ -1,4 +1,4 @@
-// What every HTTP boundary shares: matching a mapping, answering a fault (design 9.1).
+/** What every HTTP boundary shares: matching a mapping, answering a fault (design 9.1). */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { fault, type Fault } from './fault.js';
--- a/packages/kernel/src/identifiers.ts
+++ b/packages/kernel/src/identifiers.ts
@@ -1,4 +1,4 @@
-// Small types of their own for ids, versions and times (design 2.3).
+/** Small types of their own for ids, versions and times (design 2.3). */
 declare const brand: unique symbol;
 type Branded<Base, Name extends string> = Base & { readonly [brand]: Name };
 
--- a/packages/kernel/src/kernel.ts
+++ b/packages/kernel/src/kernel.ts
@@ -1,4 +1,4 @@
-// The micro-kernel: clock, network, disk, randomness and log are services (design 2.1, 2.2).
+/** The micro-kernel: clock, network, disk, randomness and log are services (design 2.1, 2.2). */
 import type * as Either from 'fp-ts/lib/Either.js';
 import type * as Option from 'fp-ts/lib/Option.js';
 import type { Address, Instant, WallTime } from './identifiers.js';
--- a/packages/kernel/src/owner.ts
+++ b/packages/kernel/src/owner.ts
@@ -1,4 +1,4 @@
-// One owner for each table, working through a queue of commands (design 2.5).
+/** One owner for each table, working through a queue of commands (design 2.5). */
 import Denque from 'denque';
 
 export type Owner<Table> = Readonly<{
--- a/packages/kernel/src/repeatable.ts
+++ b/packages/kernel/src/repeatable.ts
@@ -1,4 +1,4 @@
-// Whether a call whose fate is not known may be made again (design 8.14).
+/** Whether a call whose fate is not known may be made again (design 8.14). */
 
 /**
  * `freely`: it changes nothing, or what it changes is the same however often and however late it comes.
--- a/packages/kernel/src/waiters.ts
+++ b/packages/kernel/src/waiters.ts
@@ -1,4 +1,4 @@
-// Whoever asks for news and is held until there is some, or for so long at the most (design 7.12).
+/** Whoever asks for news and is held until there is some, or for so long at the most (design 7.12). */
 import type { Clock } from './kernel.js';
 
 export type Waiters = Readonly<{
--- a/packages/kernel/src/wall-clock.ts
+++ b/packages/kernel/src/wall-clock.ts
@@ -1,4 +1,4 @@
-// The time of day as this process goes by it: anchored to the steady clock, so that a step which does not last moves nothing (design 8.6).
+/** The time of day as this process goes by it: anchored to the steady clock, so that a step which does not last moves nothing (design 8.6). */
 import { identifiers, type Instant, type WallTime } from './identifiers.js';
 
 /** A difference within this is a correction, and followed at once. */
--- a/packages/message/src/differences.ts
+++ b/packages/message/src/differences.ts
@@ -1,4 +1,4 @@
-// What differs between two JSON values, small enough to be sent in place of the second to whoever holds the first (design 5.6).
+/** What differs between two JSON values, small enough to be sent in place of the second to whoever holds the first (design 5.6). */
 import { Type, type Static } from '@sinclair/typebox';
 
 const StepSchema = Type.Union([Type.String(), Type.Integer({ minimum: 0 })]);
@@ -23,7 +23,7 @@
   return typeof value === 'object' && value !== null && !Array.isArray(value);
 }
 
-/** What stands under a name itself: every object has inherited names. */
+/** The value of an object's own property: every object has inherited names. */
 function own(holder: Readonly<Record<string, unknown>>, name: string): unknown {
   return Object.hasOwn(holder, name) ? holder[name] : undefined;
 }
--- /dev/null
+++ b/packages/message/src/primitives.ts
@@ -0,0 +1,10 @@
+/** Schemas that messages share. */
+import { Type } from '@sinclair/typebox';
+
+export const Count = Type.Integer({ minimum: 0 });
+
+export const Name = Type.String({ minLength: 1, maxLength: 200 });
+
+export const Moment = Type.Number();
+
+export const ServiceCounts = Type.Record(Type.String({ maxLength: 200 }), Count);
--- /dev/null
+++ b/packages/message/src/usage-reports.ts
@@ -0,0 +1,38 @@
+/** Usage as edges report it, and durable reports (design 5.5, 8.6). */
+import { Type, type Static } from '@sinclair/typebox';
+import { NewerSet, SetNumber } from './membership.js';
+import { Count, Moment, Name, ServiceCounts } from './primitives.js';
+import { DurableWatermarks } from './watermarks.js';
+
+export const UsageReportSchema = Type.Object({
+  node: Name,
+  /** The proxy process that counted: a restart counts from nothing, under another name. */
+  incarnation: Name,
+  /** Of two reports of one process the later counts. */
+  number: Count,
+  window: Count,
+  counts: ServiceCounts,
+});
+
+export type UsageReport = Readonly<Static<typeof UsageReportSchema>>;
+
+/**
+ * What an edge has a core's disk store before it replies (design 7.5, 8.6). `floors` are durable watermarks by service; `through`: up to
+ * which wall time, in milliseconds since 1970, each edge has reported all it counted.
+ */
+export const NoteRequest = Type.Object({
+  floors: DurableWatermarks,
+  reports: Type.Array(UsageReportSchema, { maxItems: 10_000 }),
+  through: Type.Record(Type.String({ maxLength: 200 }), Moment),
+  set: SetNumber,
+});
+
+export const NoteReply = Type.Object({ ready: Type.Boolean(), floors: DurableWatermarks, newer: NewerSet });
+
+export const UsageLook = Type.Object({ window: Count });
+
+export const UsageLookReply = Type.Object({
+  ready: Type.Boolean(),
+  reports: NoteRequest.properties.reports,
+  through: NoteRequest.properties.through,
+});
--- /dev/null
+++ b/packages/peer/src/dialled-peer.ts
@@ -0,0 +1,171 @@
+/** The calling side of a link: dials, redials, and matches replies to calls (design 3.2). */
+import * as Either from 'fp-ts/lib/Either.js';
+import * as Option from 'fp-ts/lib/Option.js';
+import type { Address, Kernel, Link } from '@stallstall/kernel';
+import { ChangeSchema, FrameSchema, message, messages, type MessageKind, type Reply, type Request } from '@stallstall/message';
+import { handshake, type HandshakeOutcome } from './handshake.js';
+import type { Peer, PeerEvents } from './peer.js';
+import { pendingCalls, type PendingCalls } from './pending-calls.js';
+
+type PeerState = {
+  readonly kernel: Kernel;
+  readonly address: Address;
+  readonly events: PeerEvents;
+  readonly calls: PendingCalls;
+  link: Option.Option<Link>;
+  version: number;
+  /** Logged last, so that the same reason is logged once. */
+  lastIncompatibility: string;
+  isClosed: boolean;
+  /** Calls in a row that timed out. */
+  timedOut: number;
+};
+
+/** How long a dialler waits after a failed or broken link; jittered so that many do not return together. */
+const redialMilliseconds = 150;
+/** The first attempts come sooner: whoever is dialled may just be starting. */
+const firstRedialMilliseconds = 25;
+const redialDoublingsMost = 8;
+/** So many calls in a row without a reply, and the link is taken for half open and dialled anew. */
+const timedOutMost = 5;
+
+/** False where a frame breaks the protocol. */
+function handleReply({ calls }: PeerState, number: number, body: unknown): boolean {
+  const kind = calls.kindOf(number);
+  // A late reply is dropped once; one to a call that was never made, or was answered before, ends the link.
+  if (kind === undefined) return calls.isLate(number);
+  if (!message.matches(messages[kind].reply, body)) return false;
+  calls.settle(number, Option.some(body));
+  return true;
+}
+
+function handleRejection({ kernel, address, calls }: PeerState, number: number, reason: string): boolean {
+  if (calls.kindOf(number) === undefined) return calls.isLate(number);
+  kernel.log('peer.rejected', { address, reason });
+  calls.settle(number, Option.none);
+  return true;
+}
+
+/** False where a frame breaks the protocol. */
+function handleFrame(state: PeerState, frame: unknown): boolean {
+  if (!message.matches(FrameSchema, frame)) return false;
+  state.timedOut = 0;
+  if ('reply' in frame) return handleReply(state, frame.reply, frame.body);
+  if ('deny' in frame) return handleRejection(state, frame.deny, frame.reason);
+  if ('change' in frame && message.matches(ChangeSchema, frame.change)) {
+    state.events.changed?.(frame.change);
+    return true;
+  }
+  return false;
+}
+
+async function receiveFrames(state: PeerState, link: Link): Promise<void> {
+  for (;;) {
+    const frame = await link.receive();
+    if (Option.isNone(frame)) return;
+    if (handleFrame(state, frame.value)) continue;
+    state.kernel.log('peer.malformed', { address: state.address });
+    return;
+  }
+}
+
+function logIncompatibility(state: PeerState, outcome: HandshakeOutcome): void {
+  const reason = outcome.kind === 'incompatible' ? outcome.reason : '';
+  if (reason !== '' && reason !== state.lastIncompatibility) {
+    state.kernel.log('peer.incompatible', { address: state.address, reason });
+  }
+  state.lastIncompatibility = reason;
+}
+
+/** Uses a link until it ends; resolves to whether it was ever usable. */
+async function useLink(state: PeerState, link: Link): Promise<boolean> {
+  const outcome = await handshake.perform(state.kernel, link);
+  if (outcome.kind !== 'agreed' || state.isClosed) {
+    logIncompatibility(state, outcome);
+    link.close();
+    return false;
+  }
+  state.version = outcome.version;
+  state.link = Option.some(link);
+  state.calls.forgetGivenUp();
+  state.timedOut = 0;
+  state.events.connected?.();
+  await receiveFrames(state, link);
+  state.link = Option.none;
+  state.version = 0;
+  link.close();
+  state.calls.settleAll();
+  return true;
+}
+
+function redialDelay({ kernel }: PeerState, failures: number): number {
+  const delay = Math.min(redialMilliseconds, firstRedialMilliseconds * 2 ** Math.min(failures, redialDoublingsMost));
+  return delay * (0.5 + kernel.randomness.fraction());
+}
+
+async function keepLink(state: PeerState): Promise<void> {
+  const { kernel, address } = state;
+  let failures = 0;
+  while (!state.isClosed) {
+    const opened = await kernel.network.open(address);
+    if (state.isClosed) {
+      if (Either.isRight(opened)) opened.right.close();
+      return;
+    }
+    const wasUsable = Either.isRight(opened) && (await useLink(state, opened.right));
+    failures = wasUsable ? 0 : failures + 1;
+    if (!state.isClosed) await kernel.clock.sleep(redialDelay(state, failures));
+  }
+}
+
+function call<Kind extends MessageKind>(
+  state: PeerState,
+  kind: Kind,
+  body: Request<Kind>,
+  milliseconds: number,
+): Promise<Option.Option<Reply<Kind>>> {
+  if (Option.isNone(state.link)) return Promise.resolve(Option.none);
+  const link = state.link.value;
+  return new Promise(function sendCall(resolve) {
+    const settle = resolve as (reply: Option.Option<unknown>) => void;
+    const number = state.calls.add({ kind, settle, onTimeOut }, milliseconds);
+    function onTimeOut(): void {
+      state.timedOut += 1;
+      // By a reset, so that what has not arrived yet is not taken later, when nobody waits for it any more.
+      if (state.timedOut >= timedOutMost) link.reset();
+    }
+    link.send({ call: number, kind, body });
+  });
+}
+
+function close(state: PeerState): void {
+  state.isClosed = true;
+  if (Option.isSome(state.link)) {
+    if (state.calls.count() > 0) state.link.value.reset();
+    else state.link.value.close();
+  }
+  state.calls.settleAll();
+}
+
+/** Dials an address and keeps dialling until the peer is closed. */
+export function dial(kernel: Kernel, address: Address, events: PeerEvents = {}): Peer {
+  const state: PeerState = {
+    kernel,
+    address,
+    events,
+    calls: pendingCalls.create(kernel.clock),
+    link: Option.none,
+    version: 0,
+    lastIncompatibility: '',
+    isClosed: false,
+    timedOut: 0,
+  };
+  void keepLink(state);
+  return {
+    address,
+    call: (kind, body, milliseconds) => call(state, kind, body, milliseconds),
+    connected: () => Option.isSome(state.link),
+    protocol: () => state.version,
+    close: () => close(state),
+  };
+}
--- /dev/null
+++ b/packages/peer/src/handshake.ts
@@ -0,0 +1,38 @@
+/** The first frame of each side of a link: the protocol versions it speaks (design 3.5). */
+import * as Option from 'fp-ts/lib/Option.js';
+import type { Kernel, Link, Protocols } from '@stallstall/kernel';
+import { GreetSchema, message } from '@stallstall/message';
+
+/** What came of a handshake. @internal */
+export type HandshakeOutcome =
+  | Readonly<{ kind: 'agreed'; version: number }>
+  | Readonly<{ kind: 'incompatible'; reason: string }>
+  /** The other side sent no greeting. */
+  | Readonly<{ kind: 'silent' }>;
+
+const handshakeMilliseconds = 2_000;
+
+/** The highest version that both speak; 0 when there is none. */
+function agreedVersion(own: Protocols, other: Protocols): number {
+  const highest = Math.min(own.to, other.to);
+  return highest >= Math.max(own.from, other.from) ? highest : 0;
+}
+
+function incompatibility(own: Protocols, other: Protocols): string {
+  return `it speaks protocols ${other.from} to ${other.to}, this process ${own.from} to ${own.to}; run versions of stallstall at most one step apart, upgrading one process at a time`;
+}
+
+/** Greets the other side and waits for its greeting; a link that stays silent is closed. */
+async function perform(kernel: Kernel, link: Link): Promise<HandshakeOutcome> {
+  const timer = kernel.clock.startTimer(handshakeMilliseconds, link.close);
+  link.send({ greet: kernel.protocols });
+  const frame = await link.receive();
+  timer.cancel();
+  if (Option.isNone(frame) || !message.matches(GreetSchema, frame.value)) return { kind: 'silent' };
+  const { greet } = frame.value;
+  const version = agreedVersion(kernel.protocols, greet);
+  return version > 0 ? { kind: 'agreed', version } : { kind: 'incompatible', reason: incompatibility(kernel.protocols, greet) };
+}
+
+/** @internal */
+export const handshake = { perform } as const;
--- a/packages/peer/src/repeatable.ts
+++ b/packages/peer/src/repeatable.ts
@@ -1,5 +1,7 @@
-// Which calls between own processes may be made again once their fate is not known (design 8.14). No link ever sends one twice by itself:
-// a call made again is another call, with another number.
+/**
+ * Which calls between own processes may be made again once their fate is not known (design 8.14). No link ever sends one twice by itself:
+ * a call made again is another call, with another number.
+ */
 import type { Repeatable } from '@stallstall/kernel';
 import type { MessageKind } from '@stallstall/message';
 
--- a/packages/pooler/src/freshness.ts
+++ b/packages/pooler/src/freshness.ts
@@ -1,4 +1,4 @@
-// How far a service's commits reach as of a moment: learnt from the leader's own replies, so that nobody polls (design 8.11).
+/** How far a service's commits reach as of a moment: learnt from the leader's own replies, so that nobody polls (design 8.11). */
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Instant } from '@stallstall/kernel';
 import { positions, type Position } from '@stallstall/session-protocol';
--- a/packages/pooler/src/placement-feed.ts
+++ b/packages/pooler/src/placement-feed.ts
@@ -24,7 +24,7 @@
   freshness: Freshness;
   report: () => FeedReport;
   /** The placement has changed. */
-  onNews: (leadersChanged: boolean) => void;
+  onUpdate: (leadersChanged: boolean) => void;
   /** The agent has replied, with news or without: leases may have been renewed. */
   onFed: () => void;
   stopped: () => boolean;
@@ -83,7 +83,7 @@
 /** Takes the reply to a request sent at `sentAt` into the state; returns whether the placement has changed. */
 function accept(parts: FeedParts, state: FeedState, reply: Reply<'placement'>, sentAt: Instant): boolean {
   const { kernel, freshness } = parts;
-  const isNews = reply.token !== state.token || reply.number > state.seen;
+  const isUpdate = reply.token !== state.token || reply.number > state.seen;
   const validFrom = identifiers.after(sentAt, withClockDrift(reply.held));
   state.view = views.fed(state.view, reply, validFrom, kernel.clock.now());
   for (const [service, mark] of Object.entries(reply.marks))
@@ -91,7 +91,7 @@
   state.token = reply.token;
   state.seen = reply.number;
   state.serial = reply.serial;
-  return isNews;
+  return isUpdate;
 }
 
 function create(parts: FeedParts): PlacementFeed {
@@ -105,8 +105,8 @@
     // Overtaken by a later reply.
     if (reply.value.token === state.token && reply.value.number < state.seen) return true;
     const leadersBefore = leadersOf(state.view);
-    const isNews = accept(parts, state, reply.value, sentAt);
-    if (isNews) parts.onNews(leadersBefore !== leadersOf(state.view));
+    const isUpdate = accept(parts, state, reply.value, sentAt);
+    if (isUpdate) parts.onUpdate(leadersBefore !== leadersOf(state.view));
     parts.onFed();
     return true;
   }
--- a/packages/pooler/src/pooler.ts
+++ b/packages/pooler/src/pooler.ts
@@ -107,7 +107,7 @@
       demand: share.demand(),
       metrics: { ...requests.totals(), ...connections.describe(), sessions: clients.sessionCount() },
     }),
-    onNews: function onNews(leadersChanged) {
+    onUpdate: function onNews(leadersChanged) {
       copies.follow();
       release.follow();
       if (leadersChanged) warmUpSessions(clients, connections, feed.view());
--- a/packages/pooler/src/session-commands.ts
+++ b/packages/pooler/src/session-commands.ts
@@ -34,7 +34,7 @@
 function failTransaction(parts: CommandParts, session: Session): void {
   if (Option.isNone(session.transaction)) return;
   transactions.abandonIdle(parts.connections, session.transaction.value);
-  session.transaction.value.failureTold = true;
+  session.transaction.value.isFailureReported = true;
 }
 
 function begin(parts: CommandParts, session: Session, readOnly: boolean): StatementReply {
@@ -49,7 +49,7 @@
     startedAt: now,
     held: Option.none,
     failed: false,
-    failureTold: false,
+    isFailureReported: false,
     busy: false,
     idleSince: now,
   });
@@ -67,8 +67,8 @@
 /** A transaction that has failed accepts only its end. One that the pooler ended is told of by the first statement after. */
 function handleFailed(session: Session, transaction: Transaction, command: Command): StatementReply {
   if (command.kind !== 'rollback' && command.kind !== 'commit') {
-    if (transaction.failureTold) return replies.fault('malformed', 'the transaction has failed; end it');
-    transaction.failureTold = true;
+    if (transaction.isFailureReported) return replies.fault('malformed', 'the transaction has failed; end it');
+    transaction.isFailureReported = true;
     return replies.fault('aborted', 'the transaction was ended and nothing of it is kept; begin it again');
   }
   session.transaction = Option.none;
@@ -104,7 +104,7 @@
   parts.copies.note(request, reply);
   if (Option.isSome(transaction)) {
     transaction.value.busy = false;
-    if (reply.ending.kind === 'fault') transaction.value.failureTold = true;
+    if (reply.ending.kind === 'fault') transaction.value.isFailureReported = true;
     transaction.value.idleSince = parts.clock.now();
     if (command.kind === 'commit') session.transaction = Option.none;
   }
--- a/packages/pooler/src/sessions.ts
+++ b/packages/pooler/src/sessions.ts
@@ -20,7 +20,7 @@
   /** Only its end is accepted any more. */
   failed: boolean;
   /** The client has been told that it failed. */
-  failureTold: boolean;
+  isFailureReported: boolean;
   /** A statement of it is under way. */
   busy: boolean;
   /** Since when no statement of it is under way. */
--- a/packages/pooler/src/usage.ts
+++ b/packages/pooler/src/usage.ts
@@ -1,4 +1,4 @@
-// What each tenant has been served, by windows of the wall clock, told to the cores in batches beside the path (design 8.6).
+/** What each tenant has been served, by windows of the wall clock, told to the cores in batches beside the path (design 8.6). */
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Kernel } from '@stallstall/kernel';
 import type { Peer } from '@stallstall/peer';
@@ -37,11 +37,11 @@
     const through = kernel.clock.wall();
     const changed = [...windows].filter(([window]) => dirty.has(window));
     const usage = changed.map(([window, counts]) => ({ window, counts: Object.fromEntries(counts) }));
-    const told = [...dirty];
+    const sentWindows = [...dirty];
     dirty.clear();
     const reply = await agent.call('tell', { number, floors: {}, usage, through, incarnation }, tellMilliseconds);
     const kept = Option.isSome(reply) && reply.value.kept;
-    if (!kept) for (const window of told) dirty.add(window);
+    if (!kept) for (const window of sentWindows) dirty.add(window);
     return kept;
   }
 
--- a/packages/pooler/src/view.ts
+++ b/packages/pooler/src/view.ts
@@ -1,4 +1,4 @@
-// What the pooler knows of placement, as its agent feeds it (design 8.10).
+/** What the pooler knows of placement, as its agent feeds it (design 8.10). */
 import * as Option from 'fp-ts/lib/Option.js';
 import { identifiers, type Instant } from '@stallstall/kernel';
 import type { Reply, MemberRecord } from '@stallstall/message';
@@ -54,10 +54,10 @@
 }
 
 /**
- * When the news that a member drains was said first, at the latest. Whoever held a lease on it as the news came was in touch with a majority
- * of cores within a term, so that the news is no older than that; to anybody else it may be of any age, and its time is over.
+ * When it was first reported that a member drains, at the latest. Whoever held a lease on it as the report came was in touch with a majority
+ * of cores within a term, so that the report is no older than that; to anybody else it may be of any age, and its time is over.
  */
-function newsOfDraining(before: View, entry: MemberRecord, now: Instant): Instant {
+function drainingSinceOf(before: View, entry: MemberRecord, now: Instant): Instant {
   const known = before.drainingSince.get(entry.member);
   if (known !== undefined) return known;
   const leader = before.leaders.get(entry.service);
@@ -72,24 +72,24 @@
       : Option.some(reply.configuration.sheet as PlacementConfiguration);
   const changed = sheet !== before.sheet;
   const leaders = new Map(before.leaders);
-  for (const told of reply.services) {
-    const known = before.leaders.get(told.service);
-    const until = told.left > 0 ? identifiers.after(saidAt, told.left) : never;
-    if (known !== undefined && known.epoch > told.epoch) continue;
-    const same = known !== undefined && known.epoch === told.epoch;
-    const release = Math.max(told.release, known?.release ?? 0);
-    leaders.set(told.service, {
-      epoch: told.epoch,
-      primary: told.primary,
+  for (const placement of reply.services) {
+    const known = before.leaders.get(placement.service);
+    const until = placement.left > 0 ? identifiers.after(saidAt, placement.left) : never;
+    if (known !== undefined && known.epoch > placement.epoch) continue;
+    const same = known !== undefined && known.epoch === placement.epoch;
+    const release = Math.max(placement.release, known?.release ?? 0);
+    leaders.set(placement.service, {
+      epoch: placement.epoch,
+      primary: placement.primary,
       release,
-      until: release > told.epoch ? never : same && known.until > until ? known.until : until,
+      until: release > placement.epoch ? never : same && known.until > until ? known.until : until,
     });
   }
   const entries = reply.roster ?? [...before.members.values()];
   const drainingSince =
     reply.roster === null
       ? before.drainingSince
-      : new Map(entries.filter((entry) => entry.draining).map((entry) => [entry.member, newsOfDraining(before, entry, now)] as const));
+      : new Map(entries.filter((entry) => entry.draining).map((entry) => [entry.member, drainingSinceOf(before, entry, now)] as const));
   return {
     version: changed && reply.configuration !== null ? reply.configuration.version : before.version,
     sheet,
--- a/packages/proxy/src/passes.ts
+++ b/packages/proxy/src/passes.ts
@@ -5,7 +5,7 @@
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { placements } from '@stallstall/placement';
-import { verdicts } from '@stallstall/routing';
+import { routing } from '@stallstall/routing';
 import { fenceChecks } from './fence-check.js';
 import { requestFaults } from './request-faults.js';
 import { requestParts, type RequestParts } from './request-parts.js';
@@ -52,7 +52,7 @@
   const atLeast = request.kind === 'own-read' ? Math.max(request.atLeast, lastCommit) : 0;
   let without = record.excludedMembers;
   for (;;) {
-    const judged = verdicts.judge(known().table, request.service, request.kind, {
+    const judged = routing.judge(known().table, request.service, request.kind, {
       now: kernel.clock.now(),
       fraction: kernel.randomness.fraction(),
       atLeast,
--- a/packages/proxy/src/placement-feed.ts
+++ b/packages/proxy/src/placement-feed.ts
@@ -4,7 +4,7 @@
 import type { Reply, ServiceFeed } from '@stallstall/message';
 import type { MemberWish } from '@stallstall/pool';
 import { placements, type PlacementConfiguration } from '@stallstall/placement';
-import { verdicts, type KnownService } from '@stallstall/routing';
+import { routing, type KnownService } from '@stallstall/routing';
 import { handoverMilliseconds, lameDuckMilliseconds, openTransactionMilliseconds } from './settings.js';
 import type { Known } from './statement-request.js';
 
@@ -60,22 +60,22 @@
 /** A term that was told stays valid to its end, also when a restarted agent knows of none yet (design 3.4). */
 function fenceOf(state: State, service: KnownService, reply: Reply<'feed'>, sentAt: Instant): Readonly<{ epoch: number; until: Instant }> {
   const before = state.known.fences.get(service.service);
-  const told = reply.services.find((one) => one.service === service.service && one.epoch === service.epoch);
+  const reported = reply.services.find((one) => one.service === service.service && one.epoch === service.epoch);
   const knownUntil = before?.epoch === service.epoch ? before.until : never;
-  const toldUntil = told === undefined ? never : identifiers.after(sentAt, told.fence);
-  return { epoch: service.epoch, until: later(knownUntil, toldUntil) };
+  const reportedUntil = reported === undefined ? never : identifiers.after(sentAt, reported.fence);
+  return { epoch: service.epoch, until: later(knownUntil, reportedUntil) };
 }
 
 /** An epoch is never taken back. */
-function serviceOf(state: State, told: ServiceFeed, sentAt: Instant): KnownService {
-  const before = state.services.find((one) => one.service === told.service);
-  if (before !== undefined && before.epoch > told.epoch) return before;
+function serviceOf(state: State, reported: ServiceFeed, sentAt: Instant): KnownService {
+  const before = state.services.find((one) => one.service === reported.service);
+  if (before !== undefined && before.epoch > reported.epoch) return before;
   return {
-    service: told.service,
-    epoch: told.epoch,
-    primary: told.primary,
-    overdue: isOverdue(state, told.primary),
-    targets: told.targets.map((target) => ({
+    service: reported.service,
+    epoch: reported.epoch,
+    primary: reported.primary,
+    overdue: isOverdue(state, reported.primary),
+    targets: reported.targets.map((target) => ({
       member: target.member,
       alive: target.alive,
       applied: target.applied,
@@ -113,13 +113,13 @@
   // A restarted agent has not caught up yet: what it does not know takes nothing back, the terms told before run on.
   if (reply.configurationVersion < known.version || (changed && reply.configuration === null)) return 'ignored';
   if (changed && Option.isSome(sheet)) noteGoing(state, sheet.value);
-  state.services = reply.services.map((told) => serviceOf(state, told, sentAt));
+  state.services = reply.services.map((reported) => serviceOf(state, reported, sentAt));
   state.known = {
     ...known,
     sheet,
     version: reply.configurationVersion,
     area: reply.area,
-    table: Option.isSome(sheet) ? verdicts.compile(sheet.value, state.services, reply.area) : new Map(),
+    table: Option.isSome(sheet) ? routing.compile(sheet.value, state.services, reply.area) : new Map(),
     controlUntil: later(known.controlUntil, identifiers.after(sentAt, reply.term)),
     fences: new Map(state.services.map((service) => [service.service, fenceOf(state, service, reply, sentAt)])),
   };
--- a/packages/proxy/src/statement-request.ts
+++ b/packages/proxy/src/statement-request.ts
@@ -4,7 +4,7 @@
 import type { Fault, HttpReply, Instant } from '@stallstall/kernel';
 import type { MemberConnection } from '@stallstall/pool';
 import type { PlacementConfiguration, StatementKind } from '@stallstall/placement';
-import type { Choice, VerdictTable } from '@stallstall/routing';
+import type { Choice, RoutingTable } from '@stallstall/routing';
 
 export type Statement = Readonly<{ text: string; parameters: readonly unknown[] }>;
 
@@ -53,7 +53,7 @@
   sheet: Option.Option<PlacementConfiguration>;
   version: number;
   area: string;
-  table: VerdictTable;
+  table: RoutingTable;
   /** Until then this edge may act on its configuration. */
   controlUntil: Instant;
   /** By service: the epoch that this edge is fenced to, and until when. */
--- a/packages/register/src/compressed-difference.ts
+++ b/packages/register/src/compressed-difference.ts
@@ -1,5 +1,7 @@
-// What differs between two values of a cell, so that a ballot need not carry the whole (design 5.7). The new value's text is
-// compressed in pieces, each against the stretch of the old text around the same place.
+/**
+ * What differs between two values of a cell, so that a ballot need not carry the whole (design 5.7). The new value's text is
+ * compressed in pieces, each against the stretch of the old text around the same place.
+ */
 import { createHash } from 'node:crypto';
 import { deflateRawSync, inflateRawSync } from 'node:zlib';
 import * as Either from 'fp-ts/lib/Either.js';
--- a/packages/register/src/report-store.ts
+++ b/packages/register/src/report-store.ts
@@ -159,7 +159,7 @@
     isOpen: false,
   };
   for (const [key, value] of stored) {
-    if (key.startsWith(reportStoragePrefix) && message.matches(messages.note.ask, value)) merge(store, value);
+    if (key.startsWith(reportStoragePrefix) && message.matches(messages.note.request, value)) merge(store, value);
   }
   store.unsynced.clear();
   store.syncedChanges = store.changes;
--- a/packages/routing/src/index.ts
+++ b/packages/routing/src/index.ts
@@ -1,4 +1,4 @@
-/** The verdict table: for each service and kind of statement, which members may serve it, worked out in advance (design 8.1). */
+/** The routing table: for each service and kind of statement, which members may serve it, worked out in advance (design 8.1). */
 import * as Either from 'fp-ts/lib/Either.js';
 import { fault, type Fault, type FaultKind, type Instant } from '@stallstall/kernel';
 import {
@@ -35,12 +35,12 @@
 }>;
 
 /** `lastResort` is chosen from when none of the choices suits. */
-export type Verdict =
-  | Readonly<{ verdict: 'serve'; epoch: number; choices: readonly Choice[]; lastResort: readonly Choice[] }>
-  | Readonly<{ verdict: 'reject'; kind: FaultKind; message: string; remedy: string }>;
+export type RoutingDecision =
+  | Readonly<{ outcome: 'serve'; epoch: number; choices: readonly Choice[]; lastResort: readonly Choice[] }>
+  | Readonly<{ outcome: 'reject'; kind: FaultKind; message: string; remedy: string }>;
 
 /** By service and kind, see `keyOf`. */
-export type VerdictTable = ReadonlyMap<string, Verdict>;
+export type RoutingTable = ReadonlyMap<string, RoutingDecision>;
 
 /** Part of the allowed staleness that is left for the statement to reach its member and be read there. */
 export const stalenessMarginMilliseconds = 300;
@@ -86,15 +86,15 @@
   ];
 }
 
-type RejectVerdict = Extract<Verdict, { verdict: 'reject' }>;
+type RejectDecision = Extract<RoutingDecision, { outcome: 'reject' }>;
 
-function reject(kind: FaultKind, message: string, remedy: string): RejectVerdict {
-  return { verdict: 'reject', kind, message, remedy };
+function reject(kind: FaultKind, message: string, remedy: string): RejectDecision {
+  return { outcome: 'reject', kind, message, remedy };
 }
 
-/** The verdict on kinds that only the leader serves. */
-function judgeLeaderKind(service: ServicePlacement, known: KnownService, leader: readonly Choice[]): Verdict {
-  if (leader.length > 0) return { verdict: 'serve', epoch: known.epoch, choices: leader, lastResort: [] };
+/** The decision on kinds that only the leader serves. */
+function judgeLeaderKind(service: ServicePlacement, known: KnownService, leader: readonly Choice[]): RoutingDecision {
+  if (leader.length > 0) return { outcome: 'serve', epoch: known.epoch, choices: leader, lastResort: [] };
   const state = known.overdue ? 'to go and none has followed it' : 'down';
   return reject('read-only', `READONLY: the primary of ${service.service} is ${state}`, 'try again when an election has settled');
 }
@@ -121,7 +121,7 @@
   known: KnownService | undefined,
   kind: StatementKind,
   area: string,
-): Verdict {
+): RoutingDecision {
   const row = placements.row(sheet, service.service, area);
   const serves = row?.serves[kind];
   if (row === undefined || serves === undefined)
@@ -135,13 +135,13 @@
   const leader = leaderOf(service, known, area);
   if (serves === 'leader') return judgeLeaderKind(service, known, leader);
   const choices = choicesOf(service, known, row, serves, leader);
-  if (choices.length > 0 || leader.length > 0) return { verdict: 'serve', epoch: known.epoch, choices, lastResort: leader };
+  if (choices.length > 0 || leader.length > 0) return { outcome: 'serve', epoch: known.epoch, choices, lastResort: leader };
   return reject('no-target', `no member of ${service.service} may serve ${kind} in ${area} now`, 'try again when a member has caught up');
 }
 
 /** Works the table out anew, for an edge of the area. */
-function compile(sheet: PlacementConfiguration, services: readonly KnownService[], area: string): VerdictTable {
-  const table = new Map<string, Verdict>();
+function compile(sheet: PlacementConfiguration, services: readonly KnownService[], area: string): RoutingTable {
+  const table = new Map<string, RoutingDecision>();
   for (const service of sheet.services) {
     const known = services.find((one) => one.service === service.service);
     for (const kind of statementKinds) table.set(keyOf(service.service, kind), judgeKind(sheet, service, known, kind, area));
@@ -173,20 +173,20 @@
 
 /** The member that a statement goes to, and the epoch it is chosen under; or the fault to reject it with. A lookup; nothing here waits. */
 function judge(
-  table: VerdictTable,
+  table: RoutingTable,
   service: string,
   kind: StatementKind,
   requirement: Requirement,
 ): Either.Either<Fault, Readonly<{ choice: Choice; epoch: number }>> {
   const { now, fraction, atLeast, without } = requirement;
-  const verdict = table.get(keyOf(service, kind));
-  if (verdict === undefined) {
+  const decision = table.get(keyOf(service, kind));
+  if (decision === undefined) {
     return Either.left(fault.create({ kind: 'not-found', message: `no sheet names a service ${service}`, remedy: 'check the name' }));
   }
-  if (verdict.verdict === 'reject') return Either.left(fault.create({ ...verdict, retryAfterSeconds }));
-  const fit = verdict.choices.filter((choice) => choice.freshUntil > now && choice.applied >= atLeast && !without.has(choice.member));
-  const choice = draw(fit, fraction) ?? verdict.lastResort.find((one) => !without.has(one.member));
-  if (choice !== undefined) return Either.right({ choice, epoch: verdict.epoch });
+  if (decision.outcome === 'reject') return Either.left(fault.create({ ...decision, retryAfterSeconds }));
+  const fit = decision.choices.filter((choice) => choice.freshUntil > now && choice.applied >= atLeast && !without.has(choice.member));
+  const choice = draw(fit, fraction) ?? decision.lastResort.find((one) => !without.has(one.member));
+  if (choice !== undefined) return Either.right({ choice, epoch: decision.epoch });
   return Either.left(
     fault.create({
       kind: 'no-target',
@@ -197,4 +197,4 @@
   );
 }
 
-export const verdicts = { compile, judge, keyOf } as const;
+export const routing = { compile, judge, keyOf } as const;
--- a/packages/runtime/src/base.ts
+++ b/packages/runtime/src/base.ts
@@ -1,4 +1,4 @@
-// The kernel services of a real machine but for its network and its log's library (design 2.2).
+/** The kernel services of a real machine but for its network and its log's library (design 2.2). */
 import { randomBytes } from 'node:crypto';
 import type * as Option from 'fp-ts/lib/Option.js';
 import {
--- a/packages/runtime/src/clock.ts
+++ b/packages/runtime/src/clock.ts
@@ -1,4 +1,4 @@
-// A real machine's clocks (design 2.2).
+/** A real machine's clocks (design 2.2). */
 import { identifiers, wallClock, type Clock, type WallTime } from '@stallstall/kernel';
 
 /** Made when first asked: a program that starts from a snapshot must not go by the time at which that was built. */
--- a/packages/runtime/src/commits.ts
+++ b/packages/runtime/src/commits.ts
@@ -1,4 +1,4 @@
-// Puts on their way to the store: those that come while one commit is under way share the next (design 5.1).
+/** Puts on their way to the store: those that come while one commit is under way share the next (design 5.1). */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { diskHealth, fault, type Clock, type DiskHealth, type Fault } from '@stallstall/kernel';
--- a/packages/runtime/src/disk.ts
+++ b/packages/runtime/src/disk.ts
@@ -1,4 +1,4 @@
-// The disk of a core: lmdb with each put awaited until it is synced (design 5.1). Its file map is private to this process.
+/** The disk of a core: lmdb with each put awaited until it is synced (design 5.1). Its file map is private to this process. */
 import fs from 'node:fs';
 import path from 'node:path';
 import { open as openDatabase } from 'lmdb';
--- a/packages/runtime/src/index.ts
+++ b/packages/runtime/src/index.ts
@@ -1,4 +1,4 @@
-// A real machine's kernel, with the libraries of the command line (design 2.2).
+/** A real machine's kernel, with the libraries of the command line (design 2.2). */
 import type * as Option from 'fp-ts/lib/Option.js';
 import type { Disk, Kernel } from '@stallstall/kernel';
 import { base } from './base.js';
--- a/packages/runtime/src/links.ts
+++ b/packages/runtime/src/links.ts
@@ -1,4 +1,4 @@
-// Links and streams of a real machine: TCP by IP numbers, from the runtime alone (design 2.2).
+/** Links and streams of a real machine: TCP by IP numbers, from the runtime alone (design 2.2). */
 import net from 'node:net';
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
--- a/packages/runtime/src/minimal-runtime.ts
+++ b/packages/runtime/src/minimal-runtime.ts
@@ -1,4 +1,4 @@
-// A real machine's kernel for programs whose every start is paid for: HTTP from the runtime alone (design 2.7).
+/** A real machine's kernel for programs whose every start is paid for: HTTP from the runtime alone (design 2.7). */
 import './log-on.js';
 import type http from 'node:http';
 import type net from 'node:net';
--- a/packages/runtime/src/network.ts
+++ b/packages/runtime/src/network.ts
@@ -1,4 +1,4 @@
-// The network of a real machine: TCP by IP numbers, HTTP through fastify and undici (design 2.2).
+/** The network of a real machine: TCP by IP numbers, HTTP through fastify and undici (design 2.2). */
 import net from 'node:net';
 import fastify, { type FastifyInstance } from 'fastify';
 import { buildConnector, Client } from 'undici';
--- a/packages/runtime/src/room.ts
+++ b/packages/runtime/src/room.ts
@@ -1,7 +1,9 @@
-// Tries whether a disk takes bytes, before lmdb has to find out (design 5.1).
-//
-// lmdb 3.5 formats the error of a failed write into a buffer that may be too short for it, and so spoils the heap of the process: a disk
-// that takes nothing must be noticed before a commit is begun, not by a commit that fails.
+/**
+ * Tries whether a disk takes bytes, before lmdb has to find out (design 5.1).
+ *
+ * lmdb 3.5 formats the error of a failed write into a buffer that may be too short for it, and so spoils the heap of the process: a disk
+ * that takes nothing must be noticed before a commit is begun, not by a commit that fails.
+ */
 import fs from 'node:fs';
 import path from 'node:path';
 import { promisify } from 'node:util';
--- a/packages/runtime/src/store-file.ts
+++ b/packages/runtime/src/store-file.ts
@@ -1,4 +1,4 @@
-// The store's file in a data folder: made whole or not at all, and looked at before lmdb maps it (design 4.3).
+/** The store's file in a data folder: made whole or not at all, and looked at before lmdb maps it (design 4.3). */
 import fs from 'node:fs';
 import path from 'node:path';
 
--- a/packages/session-protocol/src/dialect.ts
+++ b/packages/session-protocol/src/dialect.ts
@@ -1,4 +1,4 @@
-// What a session says and hears, whatever the words on the wire: a dialect puts these into words and back (design 8.10).
+/** What a session says and hears, whatever the words on the wire: a dialect puts these into words and back (design 8.10). */
 import type * as Option from 'fp-ts/lib/Option.js';
 
 /** A position in a member's log: its term, and the number within it. */
--- a/packages/session-protocol/src/line.ts
+++ b/packages/session-protocol/src/line.ts
@@ -1,4 +1,4 @@
-// One connection to a member, one task that reads it: what is asked is replied in order (design 8.10).
+/** One connection to a member, one task that reads it: what is asked is replied in order (design 8.10). */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { fault, identifiers, type Fault, type Kernel, type Stream } from '@stallstall/kernel';
--- a/packages/session-protocol/src/prober.ts
+++ b/packages/session-protocol/src/prober.ts
@@ -1,4 +1,4 @@
-// STATE of members over one held line each (design 7.1).
+/** STATE of members over one held line each (design 7.1). */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { fault, type Fault, type Kernel } from '@stallstall/kernel';
--- a/packages/session-protocol/src/repeatable.ts
+++ b/packages/session-protocol/src/repeatable.ts
@@ -1,4 +1,4 @@
-// Which of a session's statements may be asked of a member again once a reply was lost (design 8.5, 8.14).
+/** Which of a session's statements may be asked of a member again once a reply was lost (design 8.5, 8.14). */
 import type { Repeatable } from '@stallstall/kernel';
 import type { Command } from './dialect.js';
 
--- a/packages/simulator/mutations.mjs
+++ b/packages/simulator/mutations.mjs
@@ -200,7 +200,7 @@
     name: 'links-not-dialled-again',
     expect: 'recovery-late',
     only: ['all-stop', 'kill-core'],
-    file: 'peer/build/index.js',
+    file: 'peer/build/dialled-peer.js',
     from: 'const redialMilliseconds = 150;',
     to: 'const redialMilliseconds = 9e9;',
   },
--- a/packages/simulator/pooled-mutations.mjs
+++ b/packages/simulator/pooled-mutations.mjs
@@ -193,14 +193,14 @@
   {
     name: 'repeated-calls-carried-out',
     wires: 'was carried out 2 times',
-    file: 'peer/build/index.js',
-    from: 'if (frame.value.call <= lastCall) {',
-    to: 'if (false) {',
+    file: 'peer/build/served-link.js',
+    from: 'frame.call <= lastCall ?',
+    to: 'false ?',
   },
   {
     name: 'replies-of-nobody-taken',
     story: 'A reply on a link that nobody waits for',
-    file: 'peer/build/index.js',
+    file: 'peer/build/pending-calls.js',
     from: 'return givenUp.delete(call);',
     to: 'return true;',
   },
@@ -644,9 +644,9 @@
   {
     name: 'proxy-that-began-anew-not-told',
     story: 'An agent whose proxy alone',
-    file: 'agent/build/lease-agent.js',
-    from: "if (ask.token === '' && wasAsked)",
-    to: 'if (false)',
+    file: 'agent/build/proxy-state.js',
+    from: "request.token === '' && wasAsked",
+    to: 'false',
   },
   {
     name: 'leave-acknowledged-before-it-is-written',
--- a/packages/simulator/src/checks.ts
+++ b/packages/simulator/src/checks.ts
@@ -1,5 +1,7 @@
-// The checkers of what must never happen. They judge by what senders, members, platform and operators saw; where one reads a
-// process's own state, another beside it does not (design 10.3).
+/**
+ * The checkers of what must never happen. They judge by what senders, members, platform and operators saw; where one reads a
+ * process's own state, another beside it does not (design 10.3).
+ */
 import type { HttpReply } from '@stallstall/kernel';
 import { placements, type PlacementConfiguration, type StatementKind } from '@stallstall/placement';
 import type { Ledger, PlatformStore, ReadRecord, WriteRecord } from '@stallstall/fakes';
--- a/packages/simulator/src/core-fleet.ts
+++ b/packages/simulator/src/core-fleet.ts
@@ -1,4 +1,4 @@
-// Cores alone, of a set that changes by itself, and one edge that follows them (design 4.8).
+/** Cores alone, of a set that changes by itself, and one edge that follows them (design 4.8). */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { core, type Core, type PlatformApi } from '@stallstall/core';
--- a/packages/simulator/src/event-queue.ts
+++ b/packages/simulator/src/event-queue.ts
@@ -1,4 +1,4 @@
-// The events of a simulated world in the order of their time, and the generator that a seed stands for.
+/** The events of a simulated world in the order of their time, and the generator that a seed stands for. */
 
 /** An event that nobody waits for any more (an timer that was cancelled, a horizon that was met) is passed over. */
 export type Event = Readonly<{ at: number; order: number; action: () => void; wanted: (() => boolean) | undefined }>;
--- a/packages/simulator/src/explore-losses.ts
+++ b/packages/simulator/src/explore-losses.ts
@@ -1,5 +1,7 @@
-// One loss at each moment in turn, while three cores repair or replace one: the course of each exploration is the same up to the
-// loss, and messages are lost and reordered by its seed (design 4.8, 10.4).
+/**
+ * One loss at each moment in turn, while three cores repair or replace one: the course of each exploration is the same up to the
+ * loss, and messages are lost and reordered by its seed (design 4.8, 10.4).
+ */
 import { explore, type ExploredTable } from './explore.js';
 import type { Machine } from './explored-machines.js';
 
--- a/packages/simulator/src/explore.ts
+++ b/packages/simulator/src/explore.ts
@@ -1,5 +1,7 @@
-// Orders of all that happens to a register while its cores are lost, replaced and lose their disks: drawn from a seed, or one loss at
-// each moment in turn. Judged by what clients were told, and by whether the register serves once all is calm (design 4.8, 10.4).
+/**
+ * Orders of all that happens to a register while its cores are lost, replaced and lose their disks: drawn from a seed, or one loss at
+ * each moment in turn. Judged by what clients were told, and by whether the register serves once all is calm (design 4.8, 10.4).
+ */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import type { CoreSet, Entry, MessageKind } from '@stallstall/message';
--- a/packages/simulator/src/exploring.ts
+++ b/packages/simulator/src/exploring.ts
@@ -1,5 +1,7 @@
-// `node build/exploring.js [first seed] [--seconds=N] [--stride=N]`: plays the written schedules, strikes one loss at one of so many
-// moments of each repair in turn, and explores seed after seed for so many seconds; ends at the first violation.
+/**
+ * `node build/exploring.js [first seed] [--seconds=N] [--stride=N]`: plays the written schedules, strikes one loss at one of so many
+ * moments of each repair in turn, and explores seed after seed for so many seconds; ends at the first violation.
+ */
 import { exploreLosses } from './explore-losses.js';
 import { explore } from './explore.js';
 import { schedules } from './schedules.js';
--- a/packages/simulator/src/faults.ts
+++ b/packages/simulator/src/faults.ts
@@ -1,4 +1,4 @@
-// The brief's failures, each as something that happens to an in-memory fleet (design 10.4).
+/** The brief's failures, each as something that happens to an in-memory fleet (design 10.4). */
 import * as Either from 'fp-ts/lib/Either.js';
 import { placements, statementKinds, type PlacementConfiguration, type StatementKind } from '@stallstall/placement';
 import type { MemberKnobs } from '@stallstall/fakes';
--- a/packages/simulator/src/faults/common.ts
+++ b/packages/simulator/src/faults/common.ts
@@ -1,4 +1,4 @@
-// What the faults of the pooled mode share: their types, who can be struck, and how a machine comes back.
+/** What the faults of the pooled mode share: their types, who can be struck, and how a machine comes back. */
 import * as Option from 'fp-ts/lib/Option.js';
 import type { DrainNote, EdgeEnd, EdgeLife, Trouble } from '../pooled-checks.js';
 import type { Back, LossBudget } from '../loss-budget.js';
--- a/packages/simulator/src/faults/cores.ts
+++ b/packages/simulator/src/faults/cores.ts
@@ -1,4 +1,4 @@
-// Losses of core machines: power, kills, freezes, cuts, restarts, and losses right after an acknowledgement.
+/** Losses of core machines: power, kills, freezes, cuts, restarts, and losses right after an acknowledgement. */
 import type { PooledCore, PooledFleet } from '../pooled-model.js';
 import {
   anyCore,
--- a/packages/simulator/src/faults/disks.ts
+++ b/packages/simulator/src/faults/disks.ts
@@ -1,4 +1,4 @@
-// Disks of cores that are slow, full, failing, hanging or lost.
+/** Disks of cores that are slow, full, failing, hanging or lost. */
 import type { PooledFleet } from '../pooled-model.js';
 import type { DiskTrouble } from '../world.js';
 import { between, pick, startCoreLater, trouble, type CoreLoss, type LoseCores, type PooledStorm } from './common.js';
--- a/packages/simulator/src/faults/edges.ts
+++ b/packages/simulator/src/faults/edges.ts
@@ -1,4 +1,4 @@
-// Losses of edges, alone and many at once: kills, power, freezes, slowness, cuts, planned ends, resets of connections, settings read again.
+/** Losses of edges, alone and many at once: kills, power, freezes, slowness, cuts, planned ends, resets of connections, settings read again. */
 import * as Option from 'fp-ts/lib/Option.js';
 import type { PooledEdge, PooledFleet } from '../pooled-model.js';
 import {
--- a/packages/simulator/src/faults/members.ts
+++ b/packages/simulator/src/faults/members.ts
@@ -1,4 +1,4 @@
-// Losses of members and of what they say: crashes, darkness, cuts, planned replacements, lag, lost replies.
+/** Losses of members and of what they say: crashes, darkness, cuts, planned replacements, lag, lost replies. */
 import * as Option from 'fp-ts/lib/Option.js';
 import type { PooledFleet, PooledMember } from '../pooled-model.js';
 import {
--- a/packages/simulator/src/faults/operators.ts
+++ b/packages/simulator/src/faults/operators.ts
@@ -1,4 +1,4 @@
-// Orders of operators: acknowledgements that are lost, pairs on one number, storms, large and invalid configurations, changes of each part.
+/** Orders of operators: acknowledgements that are lost, pairs on one number, storms, large and invalid configurations, changes of each part. */
 import { spareKey, type PooledFleet, type PooledSheet } from '../pooled-model.js';
 import type { Back } from '../loss-budget.js';
 import {
--- a/packages/simulator/src/faults/platform.ts
+++ b/packages/simulator/src/faults/platform.ts
@@ -1,4 +1,4 @@
-// Trouble of the platform that takes promotions and usage: slow, down, silent, or with its connections reset.
+/** Trouble of the platform that takes promotions and usage: slow, down, silent, or with its connections reset. */
 import type { SessionPlatformKnobs } from '@stallstall/fakes';
 import type { PooledFleet } from '../pooled-model.js';
 import { between, pick, trouble, type PooledEvent, type PooledStorm } from './common.js';
--- a/packages/simulator/src/faults/replacements.ts
+++ b/packages/simulator/src/faults/replacements.ts
@@ -1,4 +1,4 @@
-// Core machines that are replaced for good by empty ones at other addresses, and losses right after a replacement.
+/** Core machines that are replaced for good by empty ones at other addresses, and losses right after a replacement. */
 import type { Back } from '../loss-budget.js';
 import type { PooledCore, PooledFleet } from '../pooled-model.js';
 import { between, pick, startCoreLater, trouble, type CoreLoss, type LoseCores, type PooledStorm } from './common.js';
--- a/packages/simulator/src/fleet.ts
+++ b/packages/simulator/src/fleet.ts
@@ -1,4 +1,4 @@
-// An in-memory fleet: 3 cores, 6 edges in 3 areas, 3 services of 3 members, the platform, senders, operators (design 10.4).
+/** An in-memory fleet: 3 cores, 6 edges in 3 areas, 3 services of 3 members, the platform, senders, operators (design 10.4). */
 import * as Either from 'fp-ts/lib/Either.js';
 import { fault, http, identifiers, kernel as kernels, type Fault, type HttpReply, type Protocols } from '@stallstall/kernel';
 import { core, type Core } from '@stallstall/core';
--- a/packages/simulator/src/frames.ts
+++ b/packages/simulator/src/frames.ts
@@ -1,4 +1,4 @@
-// What the simulated network hands over: values copied as a wire would, and streams of text over links.
+/** What the simulated network hands over: values copied as a wire would, and streams of text over links. */
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Link, Stream } from '@stallstall/kernel';
 
--- a/packages/simulator/src/fuzz.ts
+++ b/packages/simulator/src/fuzz.ts
@@ -1,4 +1,4 @@
-// Malformed input from a seed, for every boundary (design 10.4): valid examples with one place spoilt, and plain junk.
+/** Malformed input from a seed, for every boundary (design 10.4): valid examples with one place spoilt, and plain junk. */
 import type { HttpReply } from '@stallstall/kernel';
 import { http, identifiers, type Kernel, type Link } from '@stallstall/kernel';
 import { message, messages, type MessageKind } from '@stallstall/message';
--- a/packages/simulator/src/load.ts
+++ b/packages/simulator/src/load.ts
@@ -1,4 +1,4 @@
-// Load beyond normal: `load.js`, counts in virtual time of what is served, denied, and how soon (design 8.8).
+/** Load beyond normal: `load.js`, counts in virtual time of what is served, denied, and how soon (design 8.8). */
 import { brightpath, redComun, type Deployment } from '@stallstall/fakes';
 import { fleet as fleets, type SenderWishes } from './fleet.js';
 
--- a/packages/simulator/src/loss-budget.ts
+++ b/packages/simulator/src/loss-budget.ts
@@ -1,4 +1,4 @@
-// How many cores a seeded run may lose at once: a loss beyond the tolerance waits its turn (design 10.4.1).
+/** How many cores a seeded run may lose at once: a loss beyond the tolerance waits its turn (design 10.4.1). */
 import type { World } from './world.js';
 
 /** Ends a loss: what it took is back since then, by default since now. */
--- a/packages/simulator/src/pooled-adapter.ts
+++ b/packages/simulator/src/pooled-adapter.ts
@@ -1,4 +1,4 @@
-// What an adapter of the users' platform is to the pooled mode, in plain words: pages of a core, calls to the platform, STATE of members.
+/** What an adapter of the users' platform is to the pooled mode, in plain words: pages of a core, calls to the platform, STATE of members. */
 import * as Either from 'fp-ts/lib/Either.js';
 import type { PlatformApi } from '@stallstall/core';
 import type { MemberProbe, PlatformCalls } from '@stallstall/election';
--- a/packages/simulator/src/pooled-availability.ts
+++ b/packages/simulator/src/pooled-availability.ts
@@ -1,4 +1,4 @@
-// What must work again after each loss within the tolerance, judged by operators, senders and members alone (design 10.4.1).
+/** What must work again after each loss within the tolerance, judged by operators, senders and members alone (design 10.4.1). */
 import * as Option from 'fp-ts/lib/Option.js';
 import type { SessionTry } from '@stallstall/fakes';
 import type { Violation } from './checks.js';
--- a/packages/simulator/src/pooled-checks.ts
+++ b/packages/simulator/src/pooled-checks.ts
@@ -1,4 +1,4 @@
-// What must hold of a run of the pooled mode, reckoned from what members ran and senders were told alone (design 10.5).
+/** What must hold of a run of the pooled mode, reckoned from what members ran and senders were told alone (design 10.5). */
 import * as Option from 'fp-ts/lib/Option.js';
 import { type DutyCall, type SessionAsk, type SessionCommit, type SessionRun, type SessionTry } from '@stallstall/fakes';
 import type { PooledFleet, PooledVersion } from './pooled-model.js';
--- a/packages/simulator/src/pooled-closing.ts
+++ b/packages/simulator/src/pooled-closing.ts
@@ -1,4 +1,4 @@
-// The last fault of a day of the pooled mode, right after an order was acknowledged; all is back when it ends (design 10.4.1).
+/** The last fault of a day of the pooled mode, right after an order was acknowledged; all is back when it ends (design 10.4.1). */
 import type { Violation } from './checks.js';
 import { between, lastSheet, nextVersion, pick, type PooledStorm } from './faults/common.js';
 import { cutPower } from './faults/cores.js';
--- a/packages/simulator/src/pooled-faults.ts
+++ b/packages/simulator/src/pooled-faults.ts
@@ -1,4 +1,4 @@
-// The failures of the pooled mode, gathered by theme; how each is struck, and how everything runs again (design 10.4.1).
+/** The failures of the pooled mode, gathered by theme; how each is struck, and how everything runs again (design 10.4.1). */
 import { clockFaults } from './faults/clocks.js';
 import { noteDrains, pick, between, type PooledFault, type PooledStorm } from './faults/common.js';
 import { coreFaults } from './faults/cores.js';
--- a/packages/simulator/src/pooled-fleet.ts
+++ b/packages/simulator/src/pooled-fleet.ts
@@ -1,4 +1,4 @@
-// An in-memory fleet of the pooled mode: cores that grant leases, edges that hold them, members that register, senders with sessions (design 10.4).
+/** An in-memory fleet of the pooled mode: cores that grant leases, edges that hold them, members that register, senders with sessions (design 10.4). */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { leaseAgent } from '@stallstall/agent';
--- a/packages/simulator/src/pooled-model.ts
+++ b/packages/simulator/src/pooled-model.ts
@@ -1,4 +1,4 @@
-// What an in-memory fleet of the pooled mode is made of: machines, placement configurations, and the fleet as faults and checkers see it.
+/** What an in-memory fleet of the pooled mode is made of: machines, placement configurations, and the fleet as faults and checkers see it. */
 import type * as Option from 'fp-ts/lib/Option.js';
 import type { LeaseAgent } from '@stallstall/agent';
 import type { Core } from '@stallstall/core';
--- a/packages/simulator/src/pooled-operator.ts
+++ b/packages/simulator/src/pooled-operator.ts
@@ -1,4 +1,4 @@
-// An operator of the pooled fleet: sends versions of the placement configuration until it gets a clear reply, and reads them back.
+/** An operator of the pooled fleet: sends versions of the placement configuration until it gets a clear reply, and reads them back. */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { fault, http, identifiers, type Fault, type HttpReply, type Kernel } from '@stallstall/kernel';
--- a/packages/simulator/src/pooled-orders.ts
+++ b/packages/simulator/src/pooled-orders.ts
@@ -1,4 +1,4 @@
-// What must hold of operators' orders, judged by their answers and by what is read back (design 10.4.1).
+/** What must hold of operators' orders, judged by their answers and by what is read back (design 10.4.1). */
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Violation } from './checks.js';
 import { orderChecks } from './order-checks.js';
--- a/packages/simulator/src/pooled-seeds.ts
+++ b/packages/simulator/src/pooled-seeds.ts
@@ -1,4 +1,4 @@
-// Seeded runs of the pooled mode from the command line: `pooled-seeds.js [first] [count] [--trace] [--long] [--only=fault,fault] [--workers=N]`.
+/** Seeded runs of the pooled mode from the command line: `pooled-seeds.js [first] [count] [--trace] [--long] [--only=fault,fault] [--workers=N]`. */
 import { seedWorkers, type SeedPlan } from './seed-workers.js';
 import { pooledStorm, type PooledResult, type PooledStormOptions } from './pooled-storm.js';
 
--- a/packages/simulator/src/pooled-storm.ts
+++ b/packages/simulator/src/pooled-storm.ts
@@ -1,4 +1,4 @@
-// One seeded run of the pooled mode: a load of sessions, failures mixed from the seed, and every checker at the end (design 10.4).
+/** One seeded run of the pooled mode: a load of sessions, failures mixed from the seed, and every checker at the end (design 10.4). */
 import * as Option from 'fp-ts/lib/Option.js';
 import { pooledAvailability, type AvailabilityWatch } from './pooled-availability.js';
 import { pooledChecks } from './pooled-checks.js';
--- a/packages/simulator/src/scale.ts
+++ b/packages/simulator/src/scale.ts
@@ -1,4 +1,4 @@
-// What the control plane sends as the fleet grows: `scale.js [edges ...]`, counts in virtual time (design 10.6).
+/** What the control plane sends as the fleet grows: `scale.js [edges ...]`, counts in virtual time (design 10.6). */
 import { redComun } from '@stallstall/fakes';
 import { fleet as fleets, type Fleet } from './fleet.js';
 
--- a/packages/simulator/src/schedules.ts
+++ b/packages/simulator/src/schedules.ts
@@ -1,4 +1,4 @@
-// Orders of events too rare to be drawn, written down: each shows a guard of design 4.8 at work (design 10.4).
+/** Orders of events too rare to be drawn, written down: each shows a guard of design 4.8 at work (design 10.4). */
 import { soundDisk } from './sound-disk.js';
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
--- a/packages/simulator/src/seed-workers.ts
+++ b/packages/simulator/src/seed-workers.ts
@@ -1,4 +1,4 @@
-// Plays seeds on several threads; both seeded runs use it (design 10.4).
+/** Plays seeds on several threads; both seeded runs use it (design 10.4). */
 import { Worker, isMainThread, parentPort, workerData } from 'node:worker_threads';
 import { fileURLToPath } from 'node:url';
 
--- a/packages/simulator/src/seeds.ts
+++ b/packages/simulator/src/seeds.ts
@@ -1,4 +1,4 @@
-// The seeded run from the command line: `seeds.js [first] [count] [--trace] [--long] [--only=fault,fault] [--milliseconds=N] [--workers=N]`; a failure prints its replay command.
+/** The seeded run from the command line: `seeds.js [first] [count] [--trace] [--long] [--only=fault,fault] [--milliseconds=N] [--workers=N]`; a failure prints its replay command. */
 import os from 'node:os';
 import { seedWorkers, type SeedPlan } from './seed-workers.js';
 import { storm, type StormOptions, type StormResult } from './storm.js';
--- a/packages/simulator/src/simulated-disk.ts
+++ b/packages/simulator/src/simulated-disk.ts
@@ -1,4 +1,4 @@
-// The disk of a simulated machine: what lies on it, what troubles it, and how a process sees it (design 10.4).
+/** The disk of a simulated machine: what lies on it, what troubles it, and how a process sees it (design 10.4). */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { diskHealth, fault, type Clock, type Disk, type Fault } from '@stallstall/kernel';
--- a/packages/simulator/src/sound-disk.ts
+++ b/packages/simulator/src/sound-disk.ts
@@ -1,4 +1,4 @@
-// A disk in memory that never fails, for explorations that bring no trouble of disks about.
+/** A disk in memory that never fails, for explorations that bring no trouble of disks about. */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Disk } from '@stallstall/kernel';
--- a/packages/simulator/src/storm.ts
+++ b/packages/simulator/src/storm.ts
@@ -1,4 +1,4 @@
-// One seeded run: the brief's loads, its failures mixed from the seed, and every checker at the end (design 10.4).
+/** One seeded run: the brief's loads, its failures mixed from the seed, and every checker at the end (design 10.4). */
 import { http, identifiers } from '@stallstall/kernel';
 import * as Either from 'fp-ts/lib/Either.js';
 import { statementKinds } from '@stallstall/placement';
--- a/packages/simulator/src/wire-seeds.ts
+++ b/packages/simulator/src/wire-seeds.ts
@@ -1,4 +1,4 @@
-// `npm run wire-seeds -- FIRST [--seconds=N]`: links and member lines over a network that splits, duplicates, delays, cuts and resets.
+/** `npm run wire-seeds -- FIRST [--seconds=N]`: links and member lines over a network that splits, duplicates, delays, cuts and resets. */
 import { wires, type WireReport } from './wires.js';
 
 const [first = '1'] = process.argv.slice(2).filter((word) => !word.startsWith('--'));
--- a/packages/simulator/src/wires.ts
+++ b/packages/simulator/src/wires.ts
@@ -1,5 +1,7 @@
-// A network between two processes that splits, duplicates, delays, cuts and resets, and checkers that see each answer's owner and each
-// effect's count. The production code for links and member lines runs over it (design 8.14).
+/**
+ * A network between two processes that splits, duplicates, delays, cuts and resets, and checkers that see each answer's owner and each
+ * effect's count. The production code for links and member lines runs over it (design 8.14).
+ */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { identifiers, type Kernel, type Link, type Network, type Stream } from '@stallstall/kernel';
--- a/packages/simulator/src/world.ts
+++ b/packages/simulator/src/world.ts
@@ -1,4 +1,4 @@
-// Virtual time, network, disks and randomness from one seed; the production code runs on them unchanged (design 10.4).
+/** Virtual time, network, disks and randomness from one seed; the production code runs on them unchanged (design 10.4). */
 import v8 from 'node:v8';
 import vm from 'node:vm';
 import * as Either from 'fp-ts/lib/Either.js';
