--- a/packages/acceptance/features/simulator.feature
+++ b/packages/acceptance/features/simulator.feature
@@ -15,6 +15,11 @@
     And the day ends a second later
     Then only the first was lost
 
+  Scenario: A core that is replaced does not run on beside its successor when the day ends meanwhile
+    Given a pooled fleet one of whose cores is lost and to be replaced
+    When everything is started again before its successor comes
+    Then the lost core runs no more once its successor has come
+
   Scenario: A hanging disk keeps whoever reads or writes waiting, and loses nothing
     Given a process with a disk
     When its disk hangs for 3 s, with a put under way
--- a/packages/acceptance/src/simulator.ts
+++ b/packages/acceptance/src/simulator.ts
@@ -9,9 +9,14 @@
 import { identifiers, type Disk, type Fault, type Link } from '@stallstall/kernel';
 import {
   lossBudget,
+  pooledFaults,
+  pooledFleet,
   pooledStorm,
   world as worlds,
   type LossBudget,
+  type PooledCore,
+  type PooledFleet,
+  type PooledStorm,
   type Process,
   type SimulatedDisk,
   type World,
@@ -28,6 +33,9 @@
   putAt: number;
   near: Link;
   far: Link;
+  fleet: PooledFleet;
+  storm: PooledStorm;
+  coresBefore: readonly PooledCore[];
 };
 
 const tableStart = '## What the pooled runs do';
@@ -79,6 +87,35 @@
   assert.deepEqual(this.lostAt, [0]);
 });
 
+Given('a pooled fleet one of whose cores is lost and to be replaced', async function given(this: SimulatorStory) {
+  this.fleet = pooledFleet.create(9);
+  await this.fleet.startAll();
+  await this.fleet.world.run(3_000);
+  this.storm = pooledFaults.create(this.fleet);
+  this.coresBefore = [...this.fleet.cores];
+  const fault = pooledFaults.every.find((one) => one.name === 'core-replaced-when-lost');
+  assert(fault !== undefined);
+  await pooledFaults.strike(this.fleet, this.storm, fault);
+});
+
+When('everything is started again before its successor comes', async function when(this: SimulatorStory) {
+  await this.fleet.world.run(100);
+  await this.fleet.drive(pooledFaults.restore(this.fleet, this.storm));
+});
+
+/** A successor comes within this time. */
+const successorMilliseconds = 4_000;
+
+Then('the lost core runs no more once its successor has come', async function then(this: SimulatorStory) {
+  await this.fleet.world.run(successorMilliseconds);
+  const replaced = this.coresBefore.filter((slot) => !this.fleet.cores.includes(slot));
+  assert.equal(replaced.length, 1);
+  assert.deepEqual(
+    replaced.map((slot) => slot.process?.alive()),
+    [false],
+  );
+});
+
 Given('a process with a disk', function given(this: SimulatorStory) {
   this.world = worlds.create(1);
   this.disk = this.world.disk();
--- a/packages/simulator/src/pooled-fleet.ts
+++ b/packages/simulator/src/pooled-fleet.ts
@@ -133,7 +133,12 @@
     return slot;
   }
 
+  /** The machine is gone for good, also where the end of the day had all machines started again meanwhile. */
   function removeCore(slot: PooledCore, successor: PooledCore): void {
+    if (slot.process?.alive() === true) {
+      world.darken(slot.machine);
+      slot.running = undefined;
+    }
     cores.splice(cores.indexOf(slot), 1);
     platformApiAddresses[platformApiAddresses.indexOf(coreAddresses(slot).platformApiAddress)] =
       coreAddresses(successor).platformApiAddress;
