--- a/packages/acceptance/features/wire.feature
+++ b/packages/acceptance/features/wire.feature
@@ -4,8 +4,8 @@
   Scenario: What senders say is read as the platform's pages name it
     Then these messages of senders are read so:
       | message                                 | read as                                                                                               |
-      | OPEN harbour key1                       | {"kind":"open","database":"harbour","who":"key1"}                                                     |
-      | OPEN harbour a key with blanks          | {"kind":"open","database":"harbour","who":"a key with blanks"}                                        |
+      | OPEN harbour key1                       | {"kind":"open","database":"harbour","key":"key1"}                                                     |
+      | OPEN harbour a key with blanks          | {"kind":"open","database":"harbour","key":"a key with blanks"}                                        |
       | CLOSE                                   | {"kind":"close"}                                                                                      |
       | QUERY ab12 BEGIN                        | {"kind":"query","identifier":"ab12","text":"BEGIN","command":{"kind":"begin","readOnly":false}}       |
       | QUERY ab12 BEGIN READ                   | {"kind":"query","identifier":"ab12","text":"BEGIN READ","command":{"kind":"begin","readOnly":true}}   |
@@ -15,8 +15,8 @@
       | QUERY ab12 WRITE k77 data more␠␠e       | {"kind":"query","identifier":"ab12","text":"WRITE k77 data more  e","command":{"kind":"write"}}       |
       | QUERY ab12 SET mood two words␠          | {"kind":"query","identifier":"ab12","text":"SET mood two words ","command":{"kind":"set","name":"mood","value":"two words "}} |
       | QUERY ab12 SET mood␠                    | {"kind":"query","identifier":"ab12","text":"SET mood ","command":{"kind":"set","name":"mood","value":""}} |
-      | QUERY ab12 DEFINE s1 WRITE shape and more | {"kind":"query","identifier":"ab12","text":"DEFINE s1 WRITE shape and more","command":{"kind":"prepare","name":"s1","writes":true,"shape":"shape and more"}} |
-      | QUERY ab12 DEFINE s1 READ shape           | {"kind":"query","identifier":"ab12","text":"DEFINE s1 READ shape","command":{"kind":"prepare","name":"s1","writes":false,"shape":"shape"}} |
+      | QUERY ab12 DEFINE s1 WRITE shape and more | {"kind":"query","identifier":"ab12","text":"DEFINE s1 WRITE shape and more","command":{"kind":"prepare","name":"s1","writes":true,"statement":"shape and more"}} |
+      | QUERY ab12 DEFINE s1 READ shape           | {"kind":"query","identifier":"ab12","text":"DEFINE s1 READ shape","command":{"kind":"prepare","name":"s1","writes":false,"statement":"shape"}} |
       | QUERY ab12 INVOKE s1 k77                | {"kind":"query","identifier":"ab12","text":"INVOKE s1 k77","command":{"kind":"execute","name":"s1","rest":"k77"}} |
       | QUERY ab12 INVOKE s1 k77 xk qp          | {"kind":"query","identifier":"ab12","text":"INVOKE s1 k77 xk qp","command":{"kind":"execute","name":"s1","rest":"k77 xk qp"}} |
       | QUERY ab12 UNDEFINE s1                  | {"kind":"query","identifier":"ab12","text":"UNDEFINE s1","command":{"kind":"forget","name":"s1"}}     |
@@ -73,15 +73,15 @@
       | ROW found it                   | {"kind":"row","raw":"ROW found it"}                                                      |
       | ROW a  b␠                          | {"kind":"row","raw":"ROW a  b "}                                                             |
       | ROW                                | {"kind":"row","raw":"ROW"}                                                                   |
-      | DONE 4.a2.b.31.0f   | {"kind":"ending","ending":{"kind":"done","stamp":"4.a2.b.31.0f"}}             |
-      | DONE a stamp with blanks␠          | {"kind":"ending","ending":{"kind":"done","stamp":"a stamp with blanks "}}                    |
-      | DONE -                             | {"kind":"ending","ending":{"kind":"done","stamp":"-"}}                                       |
-      | FAULT READONLY member-7          | {"kind":"ending","ending":{"kind":"fault","condition":"read-only","text":"member-7"}}      |
-      | FAULT LAGGING                      | {"kind":"ending","ending":{"kind":"fault","condition":"lagging","text":""}}                  |
-      | FAULT NEVERHEARD two words         | {"kind":"ending","ending":{"kind":"fault","condition":"failed","text":"two words"}}          |
-      | IDLE I 3.41                      | {"kind":"rest","stance":"idle","position":{"term":3,"number":41}}                          |
-      | IDLE T 3.41                      | {"kind":"rest","stance":"open","position":{"term":3,"number":41}}                          |
-      | IDLE E -                           | {"kind":"rest","stance":"failed","position":null}                                            |
+      | DONE 4.a2.b.31.0f   | {"kind":"completion","completion":{"kind":"done","stamp":"4.a2.b.31.0f"}}             |
+      | DONE a stamp with blanks␠          | {"kind":"completion","completion":{"kind":"done","stamp":"a stamp with blanks "}}                    |
+      | DONE -                             | {"kind":"completion","completion":{"kind":"done","stamp":"-"}}                                       |
+      | FAULT READONLY member-7          | {"kind":"completion","completion":{"kind":"fault","condition":"read-only","text":"member-7"}}      |
+      | FAULT LAGGING                      | {"kind":"completion","completion":{"kind":"fault","condition":"lagging","text":""}}                  |
+      | FAULT NEVERHEARD two words         | {"kind":"completion","completion":{"kind":"fault","condition":"failed","text":"two words"}}          |
+      | IDLE I 3.41                      | {"kind":"rest","transactionStatus":"idle","position":{"term":3,"number":41}}                          |
+      | IDLE T 3.41                      | {"kind":"rest","transactionStatus":"open","position":{"term":3,"number":41}}                          |
+      | IDLE E -                           | {"kind":"rest","transactionStatus":"failed","position":null}                                            |
       | IDLE X -                           | {"kind":"unreadable"}                                                                        |
       | IDLE I                             | {"kind":"unreadable"}                                                                        |
       | IDLE I 3.x                         | {"kind":"unreadable"}                                                                        |
--- a/packages/acceptance/src/capacity.ts
+++ b/packages/acceptance/src/capacity.ts
@@ -52,7 +52,12 @@
 });
 
 Given('a reply with a row at position {int}.{int}', function given(this: Story, term: number, number: number) {
-  this.reply = { rows: ['row value'], ending: { kind: 'done', stamp: '-' }, stance: 'idle', position: Option.some({ term, number }) };
+  this.reply = {
+    rows: ['row value'],
+    completion: { kind: 'done', stamp: '-' },
+    transactionStatus: 'idle',
+    position: Option.some({ term, number }),
+  };
 });
 
 Then(
@@ -61,8 +66,8 @@
     const { messages } = plainDialect.framer(1_024).push(plainDialect.reply(this.reply));
     assert.deepEqual(messages.map(plainDialect.piece), [
       { kind: 'row', raw: 'row value' },
-      { kind: 'ending', ending: { kind: 'done', stamp: '-' } },
-      { kind: 'rest', stance: 'idle', position: Option.some({ term, number }) },
+      { kind: 'completion', completion: { kind: 'done', stamp: '-' } },
+      { kind: 'rest', transactionStatus: 'idle', position: Option.some({ term, number }) },
     ]);
   },
 );
--- a/packages/acceptance/src/clocks.ts
+++ b/packages/acceptance/src/clocks.ts
@@ -57,7 +57,7 @@
     assert.ok(line !== undefined && typeof line !== 'string');
     const askedAt = fleet.world.now();
     const reply = await fleet.ask(line, 'get x1');
-    if (Option.isSome(reply) && reply.value.ending.kind === 'done') story.served.push(askedAt);
+    if (Option.isSome(reply) && reply.value.completion.kind === 'done') story.served.push(askedAt);
     await fleet.world.run(Math.max(1, askedAt + getEveryMilliseconds - fleet.world.now()));
   }
   await fleet.world.run(15_000);
--- a/packages/acceptance/src/connections.ts
+++ b/packages/acceptance/src/connections.ts
@@ -7,7 +7,7 @@
 import { connections, type PooledLine } from '@stallstall/pooler/connections';
 import { freshness } from '@stallstall/pooler/freshness';
 import { world as worlds } from '@stallstall/simulator';
-import { positions, type MemberPlace, type Position } from '@stallstall/session-protocol';
+import { positions, type MemberAddress, type Position } from '@stallstall/session-protocol';
 
 import type { UnitStory } from './units.js';
 
@@ -70,7 +70,7 @@
 
 // -- Connections.
 
-const place: MemberPlace = { service: 'ferries', member: 'member-1', address: '10.3.0.1:5000' };
+const place: MemberAddress = { service: 'ferries', member: 'member-1', address: '10.3.0.1:5000' };
 
 async function listenAsMember(story: UnitStory): Promise<void> {
   async function task(stream: Stream): Promise<void> {
--- a/packages/acceptance/src/outages.ts
+++ b/packages/acceptance/src/outages.ts
@@ -49,13 +49,13 @@
 
 function outcome(reply: Option.Option<StatementReply>): string {
   if (Option.isNone(reply)) return 'silence';
-  return reply.value.ending.kind === 'fault'
-    ? reply.value.ending.condition
+  return reply.value.completion.kind === 'fault'
+    ? reply.value.completion.condition
     : `${reply.value.rows.join(' ')}${isCopy(reply.value) ? ' copied' : ''}`;
 }
 
 function isCopy(reply: StatementReply): boolean {
-  return reply.ending.kind === 'done' && / copied \d+$/.test(reply.ending.stamp);
+  return reply.completion.kind === 'done' && / copied \d+$/.test(reply.completion.stamp);
 }
 
 async function once(story: OutageStory, database: string, name: string, texts: readonly string[], who: string = firstKey): Promise<string> {
--- a/packages/acceptance/src/pooled.ts
+++ b/packages/acceptance/src/pooled.ts
@@ -63,7 +63,7 @@
 
 function conditionOf(reply: Option.Option<StatementReply>): string {
   if (Option.isNone(reply)) return 'silence';
-  return reply.value.ending.kind === 'done' ? 'served' : reply.value.ending.condition;
+  return reply.value.completion.kind === 'done' ? 'served' : reply.value.completion.condition;
 }
 
 async function once(story: PooledStory, database: string, name: string, text: string): Promise<Option.Option<StatementReply>> {
@@ -289,11 +289,11 @@
 
 Then('it is denied as {string}, and takes nothing but its end', async function then(this: PooledStory, condition: string) {
   assert.equal(conditionOf(this.reply), condition);
-  assert.equal(Option.isSome(this.reply) ? this.reply.value.stance : '', 'failed');
+  assert.equal(Option.isSome(this.reply) ? this.reply.value.transactionStatus : '', 'failed');
   assert.equal(conditionOf(await this.pooled.ask(this.line, 'get x1')), 'malformed');
   const ended = await this.pooled.ask(this.line, 'rollback');
   assert.equal(conditionOf(ended), 'served');
-  assert.equal(Option.isSome(ended) ? ended.value.stance : '', 'idle');
+  assert.equal(Option.isSome(ended) ? ended.value.transactionStatus : '', 'idle');
 });
 
 Then('its commit is denied as {string}, and nothing was kept of it', async function then(this: PooledStory, condition: string) {
--- a/packages/acceptance/src/replies.ts
+++ b/packages/acceptance/src/replies.ts
@@ -85,7 +85,7 @@
       const piece = await stream.read();
       if (Option.isNone(piece)) return;
       for (const message of framer.push(piece.value).messages) {
-        if (message.startsWith('hello')) stream.write(plainDialect.rest('idle', Option.none));
+        if (message.startsWith('hello')) stream.write(plainDialect.idle('idle', Option.none));
         else stream.write('row replica 3 3/7 0\nyes -\nat idle 3/7\n');
       }
     }
@@ -102,10 +102,10 @@
 
 When('its line is held and it is asked for its STATE at once, and again later', async function when(this: ReplyStory) {
   const probes = prober.create(this.world.spawn('near', 'near-machine').kernel, plainDialect, 'tenant');
-  void probes.hold('ferries', 'member-1', address, callMilliseconds);
-  void probes.ask('ferries', 'member-1', address, callMilliseconds);
+  void probes.keepConnection('ferries', 'member-1', address, callMilliseconds);
+  void probes.readStatus('ferries', 'member-1', address, callMilliseconds);
   await this.world.run(callMilliseconds);
-  void probes.ask('ferries', 'member-1', address, callMilliseconds);
+  void probes.readStatus('ferries', 'member-1', address, callMilliseconds);
   await this.world.run(callMilliseconds);
 });
 
--- a/packages/acceptance/src/wire.ts
+++ b/packages/acceptance/src/wire.ts
@@ -68,15 +68,15 @@
     [wire.query('-', wire.texts.prepare('s1', false, 'shape')), 'QUERY - DEFINE s1 READ shape\r\n'],
     [wire.query('ab12', wire.texts.execute('s1', 'k77 datadata')), 'QUERY ab12 INVOKE s1 k77 datadata\r\n'],
     [wire.closing(), 'CLOSE\r\n'],
-    [wire.rest('idle', Option.none), 'IDLE I -\r\n'],
-    [wire.rest('open', Option.some(position)), 'IDLE T 3.43\r\n'],
-    [wire.rest('failed', Option.some(position)), 'IDLE E 3.43\r\n'],
+    [wire.idle('idle', Option.none), 'IDLE I -\r\n'],
+    [wire.idle('open', Option.some(position)), 'IDLE T 3.43\r\n'],
+    [wire.idle('failed', Option.some(position)), 'IDLE E 3.43\r\n'],
     [wire.fault('denied', 'not let in'), 'FAULT DENIED not let in\r\n'],
     [
       wire.reply({
         rows: ['ROW two  gaps ', 'ROW'],
-        ending: { kind: 'done', stamp: '4.a2.b.31' },
-        stance: 'idle',
+        completion: { kind: 'done', stamp: '4.a2.b.31' },
+        transactionStatus: 'idle',
         position: Option.some(position),
       }),
       'ROW two  gaps \r\nROW\r\nDONE 4.a2.b.31\r\nIDLE I 3.43\r\n',
@@ -84,8 +84,8 @@
     [
       wire.reply({
         rows: [],
-        ending: { kind: 'fault', condition: 'read-only', text: 'member-7' },
-        stance: 'failed',
+        completion: { kind: 'fault', condition: 'read-only', text: 'member-7' },
+        transactionStatus: 'failed',
         position: Option.some(position),
       }),
       'FAULT READONLY member-7\r\nIDLE E 3.43\r\n',
@@ -113,7 +113,7 @@
   };
   for (const [condition, code] of Object.entries(codes)) {
     assert.equal(wire.fault(condition as Condition, 'why'), `FAULT ${code} why\r\n`);
-    assert.deepEqual(wire.piece(`FAULT ${code} why`), { kind: 'ending', ending: { kind: 'fault', condition, text: 'why' } });
+    assert.deepEqual(wire.piece(`FAULT ${code} why`), { kind: 'completion', completion: { kind: 'fault', condition, text: 'why' } });
   }
 });
 
@@ -121,15 +121,15 @@
   '{string} tells a replica of term {int} that received {int}.{int} and lags {int} ms',
   function then(row: string, term: number, receivedTerm: number, number: number, lag: number) {
     assert.deepEqual(
-      wire.standing([row]),
+      wire.memberStatus([row]),
       Option.some({ role: 'replica', term, received: { term: receivedTerm, number }, lagMilliseconds: lag }),
     );
   },
 );
 
 Then('none of these rows tells a standing:', function then(table: DataTable) {
-  for (const row of messagesOf(table)) assert.ok(Option.isNone(wire.standing([row])), row);
-  assert.ok(Option.isNone(wire.standing([])));
+  for (const row of messagesOf(table)) assert.ok(Option.isNone(wire.memberStatus([row])), row);
+  assert.ok(Option.isNone(wire.memberStatus([])));
 });
 
 // -- Framing.
@@ -303,7 +303,7 @@
       const read = wire.piece(message);
       assert.equal(read.kind !== 'unreadable', named.test(message), JSON.stringify(message));
       if (read.kind === 'row') assert.equal(read.raw, message);
-      wire.standing([message]);
+      wire.memberStatus([message]);
     }
   },
 );
--- a/packages/bench/src/hollow/child.ts
+++ b/packages/bench/src/hollow/child.ts
@@ -65,9 +65,9 @@
         usage: ({ window, counts: told }) => ({ repeatable: 'unchanged', method: 'POST', path: '/usage', body: { window, told } }),
       },
       probe: {
-        keepConnection: probes.hold,
+        keepConnection: probes.keepConnection,
         readState: async function ask(service, member, address, milliseconds) {
-          const standing = await probes.ask(service, member, address, milliseconds);
+          const standing = await probes.readStatus(service, member, address, milliseconds);
           if (Either.isLeft(standing)) return standing;
           const { role: memberRole, term, received } = standing.right;
           return Either.right({
--- a/packages/bench/src/hollow/dialect.ts
+++ b/packages/bench/src/hollow/dialect.ts
@@ -1,8 +1,18 @@
 /** A plain dialect of the session wire for hollow runs: words with blanks between, a message a line (design 8.10). */
 import * as Option from 'fp-ts/lib/Option.js';
-import type { Command, Condition, Dialect, Framer, Incoming, MemberStanding, Piece, Position, Stance } from '@stallstall/session-protocol';
+import type {
+  Command,
+  Condition,
+  Dialect,
+  Framer,
+  Incoming,
+  MemberStatus,
+  Piece,
+  Position,
+  TransactionStatus,
+} from '@stallstall/session-protocol';
 
-const stances: readonly Stance[] = ['idle', 'open', 'failed'];
+const stances: readonly TransactionStatus[] = ['idle', 'open', 'failed'];
 
 function framer(mostBytes: number): Framer {
   let rest = '';
@@ -33,26 +43,28 @@
 
 function incoming(message: string): Incoming {
   const [word, first = '', ...others] = message.split(' ');
-  if (word === 'open') return { kind: 'open', database: first, who: others[0] ?? '' };
+  if (word === 'open') return { kind: 'open', database: first, key: others[0] ?? '' };
   if (word === 'query') return { kind: 'query', identifier: first, text: others.join(' '), command: command(others.join(' ')) };
   return word === 'close' ? { kind: 'close' } : { kind: 'unreadable' };
 }
 
-function rest(stance: Stance, at: Option.Option<Position>): string {
+function rest(stance: TransactionStatus, at: Option.Option<Position>): string {
   return `rest ${stance} ${Option.isSome(at) ? shown(at.value) : '-'}\n`;
 }
 
 function piece(message: string): Piece {
   const [word, first = '', ...others] = message.split(' ');
   if (word === 'row') return { kind: 'row', raw: message };
-  if (word === 'done') return { kind: 'ending', ending: { kind: 'done', stamp: first } };
-  if (word === 'fault') return { kind: 'ending', ending: { kind: 'fault', condition: first as Condition, text: others.join(' ') } };
+  if (word === 'done') return { kind: 'completion', completion: { kind: 'done', stamp: first } };
+  if (word === 'fault') return { kind: 'completion', completion: { kind: 'fault', condition: first as Condition, text: others.join(' ') } };
   const stance = stances.find((one) => one === first);
-  return word === 'rest' && stance !== undefined ? { kind: 'rest', stance, position: position(others[0] ?? '') } : { kind: 'unreadable' };
+  return word === 'rest' && stance !== undefined
+    ? { kind: 'rest', transactionStatus: stance, position: position(others[0] ?? '') }
+    : { kind: 'unreadable' };
 }
 
 /** row ROLE TERM RECEIVED */
-function standing(rows: readonly string[]): Option.Option<MemberStanding> {
+function standing(rows: readonly string[]): Option.Option<MemberStatus> {
   const [, role, term, received = ''] = (rows[0] ?? '').split(' ');
   const at = position(received);
   if ((role !== 'primary' && role !== 'replica') || Option.isNone(at)) return Option.none;
@@ -63,10 +75,11 @@
   framer,
   incoming,
   reply: function reply(of) {
-    const ending = of.ending.kind === 'done' ? `done ${of.ending.stamp}\n` : `fault ${of.ending.condition} ${of.ending.text}\n`;
-    return `${of.rows.map((row) => `${row}\n`).join('')}${ending}${rest(of.stance, of.position)}`;
+    const ending =
+      of.completion.kind === 'done' ? `done ${of.completion.stamp}\n` : `fault ${of.completion.condition} ${of.completion.text}\n`;
+    return `${of.rows.map((row) => `${row}\n`).join('')}${ending}${rest(of.transactionStatus, of.position)}`;
   },
-  rest,
+  idle: rest,
   fault: (condition, text) => `fault ${condition} ${text}\n`,
   opening: (service, tenant, member) => `open ${service} ${tenant} ${member}\n`,
   query: (identifier, text) => `query ${identifier} ${text}\n`,
@@ -84,5 +97,5 @@
     execute: (name, given) => `execute ${name} ${given}`,
   },
   ownIdentifier: '-',
-  standing,
+  memberStatus: standing,
 };
--- a/packages/bench/src/hollow/members.ts
+++ b/packages/bench/src/hollow/members.ts
@@ -98,10 +98,10 @@
   async function query(member: Member, text: string): Promise<string> {
     const at = Option.some({ term: member.term, number: member.number });
     if (text === 'state')
-      return `row ${member.primary ? 'primary' : 'replica'} ${member.term} ${member.term}.${member.number}\ndone -\n${plainDialect.rest('idle', at)}`;
+      return `row ${member.primary ? 'primary' : 'replica'} ${member.term} ${member.term}.${member.number}\ndone -\n${plainDialect.idle('idle', at)}`;
     if (settings.runMilliseconds > 0) await kernel.clock.sleep(settings.runMilliseconds);
     if (text.includes('write ')) write(member);
-    return `row value\ndone -\n${plainDialect.rest('idle', Option.some({ term: member.term, number: member.number }))}`;
+    return `row value\ndone -\n${plainDialect.idle('idle', Option.some({ term: member.term, number: member.number }))}`;
   }
 
   async function serve(stream: Stream): Promise<void> {
@@ -118,7 +118,7 @@
             return;
           }
           held.set(stream, member);
-          stream.write(plainDialect.rest('idle', Option.none));
+          stream.write(plainDialect.idle('idle', Option.none));
           continue;
         }
         const member = held.get(stream);
--- a/packages/core/src/membership-table.ts
+++ b/packages/core/src/membership-table.ts
@@ -1,4 +1,4 @@
-/** The membership table where an operator runs the fleet: one change at a time, each obeyed by a majority before the next (design 4.2). */
+/** The membership table where an operator runs the fleet: one change at a time, each applied by a majority before the next (design 4.2). */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { fault, owner, type Fault } from '@stallstall/kernel';
@@ -23,14 +23,14 @@
   join: (ask: Request<'join'>) => Promise<Reply<'join'>>;
 }>;
 
-type Stance = ReturnType<Node['reportedEpochs']>[number];
+type ReportedEpochs = ReturnType<Node['reportedEpochs']>[number];
 
 const reasonCharactersMost = 300;
 
-function noMajorityObeys(obeying: number, nodes: number, version: number): Fault {
+function noMajorityApplies(applying: number, nodes: number, version: number): Fault {
   return fault.create({
     kind: 'no-majority',
-    message: `only ${obeying} of ${nodes} nodes obey membership ${version} so far`,
+    message: `only ${applying} of ${nodes} nodes obey membership ${version} so far`,
     remedy: 'wait until a majority does, then try again',
     retryAfterSeconds: 1,
   });
@@ -46,10 +46,10 @@
 }
 
 /** The highest epochs that the table or any of these nodes stands at. */
-function barrierOf(table: Membership, obeying: readonly Stance[]): Record<string, number> {
+function barrierOf(table: Membership, applying: readonly ReportedEpochs[]): Record<string, number> {
   const barrier: Record<string, number> = { ...table.epochs };
-  for (const stance of obeying) {
-    for (const [service, epoch] of Object.entries(stance.epochs)) barrier[service] = Math.max(epoch, barrier[service] ?? 0);
+  for (const node of applying) {
+    for (const [service, epoch] of Object.entries(node.epochs)) barrier[service] = Math.max(epoch, barrier[service] ?? 0);
   }
   return barrier;
 }
@@ -58,10 +58,10 @@
   const { node, register } = parts;
   const commands = owner.create('membership', null);
 
-  function obeyingNodes(table: Membership, version: number): readonly Stance[] {
+  function applyingNodes(table: Membership, version: number): readonly ReportedEpochs[] {
     return node
       .reportedEpochs()
-      .filter((stance) => stance.membership === version && (version === 0 || quorum.seat(table, stance.node) !== undefined));
+      .filter((reported) => reported.membership === version && (version === 0 || quorum.seat(table, reported.node) !== undefined));
   }
 
   async function apply(next: MembershipChange): Promise<Either.Either<Fault, Membership>> {
@@ -72,11 +72,11 @@
       Option.isSome(read.right) && message.matches(MembershipSchema, read.right.value.value) ? read.right.value.value : quorum.empty;
     const wanted = next(table);
     if (wanted === table) return Either.right(table);
-    const obeying = obeyingNodes(table, version);
-    if (version > 0 && obeying.length < quorum.majority(table.seats.length)) {
-      return Either.left(noMajorityObeys(obeying.length, table.seats.length, version));
+    const applying = applyingNodes(table, version);
+    if (version > 0 && applying.length < quorum.majority(table.seats.length)) {
+      return Either.left(noMajorityApplies(applying.length, table.seats.length, version));
     }
-    const changed: Membership = { ...wanted, epochs: barrierOf(table, obeying) };
+    const changed: Membership = { ...wanted, epochs: barrierOf(table, applying) };
     const written = await register.change('membership', function put(current) {
       return (Option.isSome(current) ? current.value.version : 0) === version ? Option.some(changed) : Option.none;
     });
--- a/packages/fakes/src/session-connections.ts
+++ b/packages/fakes/src/session-connections.ts
@@ -1,7 +1,7 @@
 /** The connections of a stand-in member: one task for each, which opens it and runs its statements one after another. */
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Stream } from '@stallstall/kernel';
-import type { Condition, Stance } from '@stallstall/session-protocol';
+import type { Condition, TransactionStatus } from '@stallstall/session-protocol';
 import { nextNumber, type MemberConnection, type MemberParts, type Outcome } from './member-parts.js';
 import { plainDialect, plainWords } from './session-dialect.js';
 import { sessionStatements } from './session-statements.js';
@@ -39,7 +39,7 @@
   return count > settings.connectionLimit ? 'overloaded' : undefined;
 }
 
-function transactionStatus({ transaction }: MemberConnection): Stance {
+function transactionStatus({ transaction }: MemberConnection): TransactionStatus {
   if (Option.isNone(transaction)) return 'idle';
   return transaction.value.failed ? 'failed' : 'open';
 }
@@ -60,7 +60,7 @@
     stream.write(plainDialect.fault('saturated', settings.member));
     return false;
   }
-  stream.write(plainDialect.rest('idle', Option.some(log.applied())));
+  stream.write(plainDialect.idle('idle', Option.some(log.applied())));
   return true;
 }
 
@@ -79,11 +79,11 @@
   stream.write(
     plainDialect.reply({
       rows: 'condition' in outcome ? [] : (outcome.rows ?? []),
-      ending:
+      completion:
         'condition' in outcome
           ? { kind: 'fault', condition: outcome.condition, text: settings.member }
           : { kind: 'done', stamp: outcome.stamp },
-      stance: transactionStatus(connection),
+      transactionStatus: transactionStatus(connection),
       position: Option.some(log.applied()),
     }),
   );
--- a/packages/fakes/src/session-dialect.ts
+++ b/packages/fakes/src/session-dialect.ts
@@ -6,10 +6,10 @@
   Dialect,
   Framer,
   Incoming,
-  MemberStanding,
+  MemberStatus,
   Piece,
   Position,
-  Stance,
+  TransactionStatus,
   StatementReply,
 } from '@stallstall/session-protocol';
 
@@ -29,7 +29,7 @@
   'oversize',
   'malformed',
 ]);
-const stances: ReadonlySet<string> = new Set<Stance>(['idle', 'open', 'failed']);
+const stances: ReadonlySet<string> = new Set<TransactionStatus>(['idle', 'open', 'failed']);
 
 /** The first word and what follows it. */
 function cut(text: string): readonly [string, string] {
@@ -72,7 +72,7 @@
   if (word !== 'prepare') return Option.none;
   const [verb, shape] = cut(given);
   return (verb === 'get' || verb === 'put') && shape !== ''
-    ? Option.some({ kind: 'prepare', name, writes: verb === 'put', shape })
+    ? Option.some({ kind: 'prepare', name, writes: verb === 'put', statement: shape })
     : Option.none;
 }
 
@@ -80,13 +80,13 @@
   const [word, rest] = cut(message);
   const [first, second] = cut(rest);
   if (message === 'bye') return { kind: 'close' };
-  if (word === 'hello' && first !== '' && second !== '') return { kind: 'open', database: first, who: second };
+  if (word === 'hello' && first !== '' && second !== '') return { kind: 'open', database: first, key: second };
   if (word === 'ask' && first !== '')
     return { kind: 'query', identifier: first, text: second, command: first === ownIdentifier ? Option.none : command(second) };
   return { kind: 'unreadable' };
 }
 
-function rest(stance: Stance, at: Option.Option<Position>): string {
+function rest(stance: TransactionStatus, at: Option.Option<Position>): string {
   return `at ${stance} ${Option.isSome(at) ? shown(at.value) : 'nowhere'}\n`;
 }
 
@@ -96,25 +96,26 @@
 
 function reply(of: StatementReply): string {
   const ending =
-    of.ending.kind === 'done'
-      ? `yes ${of.ending.stamp}${of.copiedAt === undefined ? '' : ` copied ${of.copiedAt}`}\n`
-      : faultLine(of.ending.condition, of.ending.text);
-  return `${of.rows.map((row) => `${row}\n`).join('')}${ending}${rest(of.stance, of.position)}`;
+    of.completion.kind === 'done'
+      ? `yes ${of.completion.stamp}${of.copiedAt === undefined ? '' : ` copied ${of.copiedAt}`}\n`
+      : faultLine(of.completion.condition, of.completion.text);
+  return `${of.rows.map((row) => `${row}\n`).join('')}${ending}${rest(of.transactionStatus, of.position)}`;
 }
 
 function piece(message: string): Piece {
   const [word, fields] = cut(message);
   const [first, second] = cut(fields);
   if (word === 'row') return { kind: 'row', raw: message };
-  if (word === 'yes') return { kind: 'ending', ending: { kind: 'done', stamp: fields } };
+  if (word === 'yes') return { kind: 'completion', completion: { kind: 'done', stamp: fields } };
   if (word === 'no' && conditions.has(first))
-    return { kind: 'ending', ending: { kind: 'fault', condition: first as Condition, text: second } };
-  if (word === 'at' && stances.has(first)) return { kind: 'rest', stance: first as Stance, position: position(second) };
+    return { kind: 'completion', completion: { kind: 'fault', condition: first as Condition, text: second } };
+  if (word === 'at' && stances.has(first))
+    return { kind: 'rest', transactionStatus: first as TransactionStatus, position: position(second) };
   return { kind: 'unreadable' };
 }
 
 /** row role term received lag. */
-function standing(rows: readonly string[]): Option.Option<MemberStanding> {
+function standing(rows: readonly string[]): Option.Option<MemberStatus> {
   const [, role, term, received, lag] = (rows[0] ?? '').split(' ');
   const at = position(received ?? '');
   if ((role !== 'primary' && role !== 'replica') || Option.isNone(at)) return Option.none;
@@ -127,11 +128,11 @@
   framer,
   incoming,
   reply,
-  rest,
+  idle: rest,
   fault: faultLine,
   piece,
   ownIdentifier,
-  standing,
+  memberStatus: standing,
   opening: (service, tenant, member) => `hello ${service} ${tenant} ${member}\n`,
   query: (identifier, text) => `ask ${identifier} ${text}\n`,
   closing: () => 'bye\n',
--- a/packages/fakes/src/session-ledger.ts
+++ b/packages/fakes/src/session-ledger.ts
@@ -1,6 +1,6 @@
 /** The ledger of all that clients of the session wire asked and were told; the checkers read it (design 10.3). */
 import type * as Option from 'fp-ts/lib/Option.js';
-import type { Condition, Ending } from '@stallstall/session-protocol';
+import type { Condition, Completion } from '@stallstall/session-protocol';
 
 /** A statement as it was asked, and what came of it. */
 export type SessionAsk = {
@@ -13,7 +13,7 @@
   readonly sentAt: number;
   endedAt: number;
   /** None: cut, or silence. */
-  ending: Option.Option<Ending>;
+  ending: Option.Option<Completion>;
   rows: readonly string[];
 };
 
--- a/packages/fakes/src/session-line.ts
+++ b/packages/fakes/src/session-line.ts
@@ -2,7 +2,7 @@
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { identifiers, type Kernel, type Stream } from '@stallstall/kernel';
-import type { Condition, Ending, StatementReply } from '@stallstall/session-protocol';
+import type { Condition, Completion, StatementReply } from '@stallstall/session-protocol';
 import { plainDialect } from './session-dialect.js';
 
 export type SessionLine = Readonly<{
@@ -34,21 +34,26 @@
 function createReplies(): Replies {
   const replies: StatementReply[] = [];
   let rows: string[] = [];
-  let ending: Ending | undefined;
+  let ending: Completion | undefined;
 
   return {
     accept: function accept(message) {
       const piece = plainDialect.piece(message);
       if (piece.kind === 'row') rows.push(piece.raw);
-      else if (piece.kind === 'ending') ending = piece.ending;
+      else if (piece.kind === 'completion') ending = piece.completion;
       else if (piece.kind === 'rest') {
-        replies.push({ rows, ending: ending ?? { kind: 'done', stamp: '' }, stance: piece.stance, position: piece.position });
+        replies.push({
+          rows,
+          completion: ending ?? { kind: 'done', stamp: '' },
+          transactionStatus: piece.transactionStatus,
+          position: piece.position,
+        });
         rows = [];
         ending = undefined;
       }
     },
     end: function end() {
-      if (ending !== undefined) replies.push({ rows: [], ending, stance: 'idle', position: Option.none });
+      if (ending !== undefined) replies.push({ rows: [], completion: ending, transactionStatus: 'idle', position: Option.none });
     },
     shift: () => replies.shift(),
     isEmpty: () => replies.length === 0,
@@ -108,12 +113,12 @@
   const line = lineOver(kernel, stream.right);
   stream.right.write(`hello ${database} ${who}\n`);
   const reply = await line.next(openMilliseconds);
-  if (Option.isSome(reply) && reply.value.ending.kind === 'done') return { line };
+  if (Option.isSome(reply) && reply.value.completion.kind === 'done') return { line };
   const outcome = Option.isNone(reply)
     ? line.closed()
       ? 'cut'
       : 'silent'
-    : (reply.value.ending as Extract<Ending, { kind: 'fault' }>).condition;
+    : (reply.value.completion as Extract<Completion, { kind: 'fault' }>).condition;
   line.reset();
   return { outcome };
 }
--- a/packages/fakes/src/session-workload.ts
+++ b/packages/fakes/src/session-workload.ts
@@ -1,7 +1,7 @@
 /** What a client of the session wire does in an open session: single statements, transactions, values and prepared names, at random. */
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Kernel } from '@stallstall/kernel';
-import type { Ending, Stance, StatementReply } from '@stallstall/session-protocol';
+import type { Completion, TransactionStatus, StatementReply } from '@stallstall/session-protocol';
 import type { SessionAsk, SessionLedger, SessionTry } from './session-ledger.js';
 import type { SessionLine } from './session-line.js';
 
@@ -27,7 +27,7 @@
 }>;
 
 /** What came of a statement; none when the client must give the session up. */
-type Told = Option.Option<Readonly<{ ending: Ending; stance: Stance }>>;
+type Told = Option.Option<Readonly<{ ending: Completion; stance: TransactionStatus }>>;
 
 type Statement = Readonly<{ kind: SessionAsk['kind']; /** The client leaves while it waits for the reply. */ leaves?: boolean }>;
 
@@ -124,9 +124,9 @@
     if (line.closed()) of.cutAt = Option.some(asked.endedAt);
     return Option.none;
   }
-  asked.ending = Option.some(reply.value.ending);
+  asked.ending = Option.some(reply.value.completion);
   asked.rows = reply.value.rows;
-  return Option.some({ ending: reply.value.ending, stance: reply.value.stance });
+  return Option.some({ ending: reply.value.completion, stance: reply.value.transactionStatus });
 }
 
 /** Begins a transaction; false when there is none. */
@@ -137,8 +137,8 @@
     if (line.closed()) of.cutAt = Option.some(kernel.clock.now());
     return false;
   }
-  if (begun.value.ending.kind === 'done') return true;
-  of.begun = Option.some(begun.value.ending.condition);
+  if (begun.value.completion.kind === 'done') return true;
+  of.begun = Option.some(begun.value.completion.condition);
   return false;
 }
 
@@ -185,7 +185,7 @@
 }
 
 function isDone(reply: Option.Option<StatementReply>): boolean {
-  return Option.isSome(reply) && reply.value.ending.kind === 'done';
+  return Option.isSome(reply) && reply.value.completion.kind === 'done';
 }
 
 /** Sets values and prepares names; both clash between sessions on purpose. Whether the session goes on. */
--- a/packages/pooler/src/client-connection.ts
+++ b/packages/pooler/src/client-connection.ts
@@ -41,14 +41,14 @@
     stream.write(dialect.fault('saturated', 'nothing is known yet; come back in 500 ms'));
     return false;
   }
-  const admission = admissions.admit(view(), incoming.database, incoming.who);
+  const admission = admissions.admit(view(), incoming.database, incoming.key);
   if (!admission.admitted) {
     stream.write(dialect.fault(admission.condition, 'not let in'));
     return false;
   }
-  connection.client = parts.clients.opened(stream, sessions.create(nextId(), incoming.database, incoming.who));
+  connection.client = parts.clients.opened(stream, sessions.create(nextId(), incoming.database, incoming.key));
   warmUps.warmUp(connections, view(), admission.database, admission.tenant);
-  stream.write(dialect.rest('idle', Option.none));
+  stream.write(dialect.idle('idle', Option.none));
   return true;
 }
 
@@ -64,7 +64,7 @@
   const replied = await sessionCommands.handle(parts.commands, client.session, incoming);
   client.waits = false;
   client.idleSince = clock.now();
-  client.stream.write(dialect.reply({ ...replied, stance: sessions.transactionStatus(client.session) }));
+  client.stream.write(dialect.reply({ ...replied, transactionStatus: sessions.transactionStatus(client.session) }));
   return true;
 }
 
--- a/packages/pooler/src/connection-share.ts
+++ b/packages/pooler/src/connection-share.ts
@@ -1,12 +1,12 @@
 /** This edge's part of the connections that a member admits, of all edges that hold leases (design 8.3). */
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Clock, Instant } from '@stallstall/kernel';
-import type { MemberPlace } from '@stallstall/session-protocol';
+import type { MemberAddress } from '@stallstall/session-protocol';
 import type { Share } from './connections.js';
 import type { View } from './view.js';
 
 export type ConnectionShare = Readonly<{
-  share: (place: MemberPlace) => Share;
+  share: (place: MemberAddress) => Share;
   /** Statements a second that are asked of this edge, smoothed over some seconds. */
   demand: () => number;
   /** To be called at even intervals with the number of statements sent since the start. */
@@ -37,7 +37,7 @@
 }
 
 /** All edges need the leader; a replica is read in its own area, and from elsewhere only now and then. */
-function shareOf(view: View, place: MemberPlace, limit: number, demand: number): number {
+function shareOf(view: View, place: MemberAddress, limit: number, demand: number): number {
   const edges = Math.max(1, sum(view.edges));
   if (view.leaders.get(place.service)?.primary === place.member) return byDemand(limit, edges, demand, sum(view.demand));
   const area = view.members.get(place.member)?.area ?? '';
@@ -52,7 +52,7 @@
   let sentBefore = 0;
   let notedAt: Instant = clock.now();
 
-  function share(place: MemberPlace): Share {
+  function share(place: MemberAddress): Share {
     const known = view();
     const service = Option.isSome(known.sheet) ? known.sheet.value.services.find((one) => one.service === place.service) : undefined;
     const limit = Math.max(0, (service?.connectionLimit ?? 0) - reservedConnections) * usedShare;
--- a/packages/pooler/src/connections.ts
+++ b/packages/pooler/src/connections.ts
@@ -2,18 +2,18 @@
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { fault, type Fault, type Kernel } from '@stallstall/kernel';
-import { lines, type Dialect, type MemberPlace } from '@stallstall/session-protocol';
+import { memberConnection, type Dialect, type MemberAddress } from '@stallstall/session-protocol';
 import { memberConnections, saturationStepMilliseconds, type MemberConnections, type PooledLine } from './member-connections.js';
 
 export type { Image, PooledLine } from './member-connections.js';
 
 export type Connections = Readonly<{
   /** An idle connection, the one the session used last if it can be had; none when there is none idle. */
-  take: (place: MemberPlace, tenant: string, session: string) => Option.Option<PooledLine>;
+  take: (place: MemberAddress, tenant: string, session: string) => Option.Option<PooledLine>;
   /** Has one more opened for whoever waits; false when the share of that member is used up. */
-  want: (place: MemberPlace, tenant: string) => boolean;
+  want: (place: MemberAddress, tenant: string) => boolean;
   /** Opens one ahead of need, unless one stands for the tenant. */
-  warm: (place: MemberPlace, tenant: string) => void;
+  warm: (place: MemberAddress, tenant: string) => void;
   /** Whether one is being opened for a tenant. */
   opening: (member: string, tenant: string) => boolean;
   /** `sound`: nothing is left open on it; else it is broken off, and the member rolls back what is open. */
@@ -36,7 +36,7 @@
 type Table = {
   readonly kernel: Kernel;
   readonly dialect: Dialect;
-  readonly share: (place: MemberPlace) => Share;
+  readonly share: (place: MemberAddress) => Share;
   /** A connection is idle now, or an opening has failed. */
   readonly onFreed: () => void;
   readonly members: Map<string, MemberConnections>;
@@ -64,16 +64,16 @@
 
 /** The member rejected the connection because it has too many. */
 function isSaturated(error: Fault): boolean {
-  const condition = lines.conditionOf(error);
+  const condition = memberConnection.conditionOf(error);
   return Option.isSome(condition) && condition.value === 'overloaded';
 }
 
-async function open(table: Table, place: MemberPlace, tenant: string, known: MemberConnections): Promise<void> {
+async function open(table: Table, place: MemberAddress, tenant: string, known: MemberConnections): Promise<void> {
   const { kernel, dialect, onFreed } = table;
   known.opening += 1;
   known.openingFor.set(tenant, (known.openingFor.get(tenant) ?? 0) + 1);
   table.opened += 1;
-  const line = await lines.open(kernel, dialect, place, tenant, openMilliseconds);
+  const line = await memberConnection.open(kernel, dialect, place, tenant, openMilliseconds);
   known.opening -= 1;
   known.openingFor.set(tenant, (known.openingFor.get(tenant) ?? 1) - 1);
   if (Either.isLeft(line)) noteFailed(table, place, tenant, known, line.left);
@@ -86,7 +86,7 @@
   onFreed();
 }
 
-function noteFailed(table: Table, place: MemberPlace, tenant: string, known: MemberConnections, error: Fault): void {
+function noteFailed(table: Table, place: MemberAddress, tenant: string, known: MemberConnections, error: Fault): void {
   const { kernel, onFreed } = table;
   const now = kernel.clock.now();
   table.failed += 1;
@@ -101,7 +101,7 @@
   kernel.log('member.not-opened', { member: place.member, reason: error.message });
 }
 
-function want(table: Table, place: MemberPlace, tenant: string): boolean {
+function want(table: Table, place: MemberAddress, tenant: string): boolean {
   const known = of(table, place.member);
   const now = table.kernel.clock.now();
   if (now < known.failingUntil) return false;
@@ -113,7 +113,7 @@
   return true;
 }
 
-function warm(table: Table, place: MemberPlace, tenant: string): void {
+function warm(table: Table, place: MemberAddress, tenant: string): void {
   const known = of(table, place.member);
   if (memberConnections.total(known) >= table.share(place).kept || isOpening(table, place.member, tenant)) return;
   if (!memberConnections.hasFor(known, tenant)) want(table, place, tenant);
@@ -153,7 +153,7 @@
   return counts;
 }
 
-function create(kernel: Kernel, dialect: Dialect, share: (place: MemberPlace) => Share, onFreed: () => void): Connections {
+function create(kernel: Kernel, dialect: Dialect, share: (place: MemberAddress) => Share, onFreed: () => void): Connections {
   const table: Table = { kernel, dialect, share, onFreed, members: new Map(), opened: 0, failed: 0 };
 
   return {
--- a/packages/pooler/src/copies.ts
+++ b/packages/pooler/src/copies.ts
@@ -80,14 +80,14 @@
     logNotHeld(state, held, read.database.database, read.tenant, 'no-database');
     return 'tried';
   }
-  const { rows, ending, position } = replied;
-  if (ending.kind === 'done') {
-    held.copies.set(key, { rows, ending, position, service: database.service, copiedAt });
+  const { rows, completion, position } = replied;
+  if (completion.kind === 'done') {
+    held.copies.set(key, { rows, completion, position, service: database.service, copiedAt });
     if (!held.copies.has(key)) logNotHeld(state, held, read.database.database, read.tenant, 'it is larger than the bound');
     return 'tried';
   }
-  if (!permanentConditions.has(ending.condition)) return 'failed';
-  logNotHeld(state, held, read.database.database, read.tenant, ending.condition);
+  if (!permanentConditions.has(completion.condition)) return 'failed';
+  logNotHeld(state, held, read.database.database, read.tenant, completion.condition);
   return 'tried';
 }
 
@@ -179,7 +179,7 @@
 }
 
 function note({ kernel, windows }: State, request: StatementRequest, replied: StatementReply): void {
-  if (replied.ending.kind !== 'done' || replied.copiedAt !== undefined) return;
+  if (replied.completion.kind !== 'done' || replied.copiedAt !== undefined) return;
   for (const held of windows)
     if (outageCopies.covers(held, request) && kernel.clock.wall() < held.window.from) outageCopies.remember(held, request);
 }
--- a/packages/pooler/src/exchange.ts
+++ b/packages/pooler/src/exchange.ts
@@ -47,9 +47,9 @@
   const queries = texts.map((text) => dialect.query(dialect.ownIdentifier, text));
   const ran = await pooled.line.run(queries, record.deadline - kernel.clock.now());
   if (!ran.whole) return 'lost';
-  if (ran.replies.slice(0, settings.length).some((one) => one.ending.kind !== 'done')) return 'lost';
+  if (ran.replies.slice(0, settings.length).some((one) => one.completion.kind !== 'done')) return 'lost';
   const last = ran.replies.at(-1);
-  return begins && last !== undefined && last.ending.kind === 'fault' ? last : 'ready';
+  return begins && last !== undefined && last.completion.kind === 'fault' ? last : 'ready';
 }
 
 /** The text as the member is to run it: prepared names are the connection's own, and a read names the position it needs. */
@@ -82,7 +82,7 @@
   const { parts, rejection } = exchange;
   const held = passes.isHeld(record);
   if (!held) parts.connections.giveBack(pooled, Option.isSome(replied));
-  const condition = Option.isSome(replied) && replied.value.ending.kind === 'fault' ? replied.value.ending.condition : 'aborted';
+  const condition = Option.isSome(replied) && replied.value.completion.kind === 'fault' ? replied.value.completion.condition : 'aborted';
   const { transaction } = record.request;
   const wasAbandoned = Option.isSome(transaction) && transaction.value.failed;
   if (!held && mayRetry(exchange, record) && condition !== 'read-only' && !wasAbandoned)
@@ -139,14 +139,14 @@
   const { transaction } = record.request;
   exchange.table.count(`member.${condition}`);
   if (condition === 'undefined') pooled.image.prepared.clear();
-  if (Option.isNone(transaction)) connections.giveBack(pooled, replied.stance === 'idle');
+  if (Option.isNone(transaction)) connections.giveBack(pooled, replied.transactionStatus === 'idle');
   if (mayRetryAfter(exchange, record, condition)) {
     const isMembersFault = condition !== 'undefined' && Option.isSome(record.target);
     exchange.retry(record, isMembersFault ? [record.target.value.place.member] : []);
     return;
   }
   if (Option.isSome(transaction)) transactions.abandon(connections, transaction.value);
-  exchange.table.resolve(record, { rows: [], ending: replied.ending, stance: 'idle', position: replied.position });
+  exchange.table.resolve(record, { rows: [], completion: replied.completion, transactionStatus: 'idle', position: replied.position });
 }
 
 /** Where the statement ran: as its transaction was placed, else as it was placed itself. */
@@ -194,12 +194,12 @@
 }
 
 function settle(exchange: ExchangeParts, record: RequestRecord, pooled: PooledLine, replied: StatementReply, sentAt: Instant): void {
-  if (replied.ending.kind === 'fault') {
-    settleFault(exchange, record, pooled, replied, replied.ending.condition);
+  if (replied.completion.kind === 'fault') {
+    settleFault(exchange, record, pooled, replied, replied.completion.condition);
     return;
   }
   const { transaction } = record.request;
-  const idle = replied.stance === 'idle';
+  const idle = replied.transactionStatus === 'idle';
   notePosition(exchange, record, replied, sentAt);
   if (Option.isNone(transaction)) exchange.parts.connections.giveBack(pooled, idle);
   else settleTransaction(exchange, record, transaction.value, pooled, idle);
--- a/packages/pooler/src/member-connections.ts
+++ b/packages/pooler/src/member-connections.ts
@@ -1,16 +1,16 @@
 /** The connections of this edge to one member: those that are idle, those in use, and how openings have fared (design 8.3, 8.12). */
 import * as Option from 'fp-ts/lib/Option.js';
 import { identifiers, type Instant } from '@stallstall/kernel';
-import type { MemberLine, MemberPlace } from '@stallstall/session-protocol';
+import type { MemberConnection, MemberAddress } from '@stallstall/session-protocol';
 
 /** What stands on a connection: session values, and prepared statements under names of the connection's own (`p1`, `p2`, ...). */
 export type Image = { readonly values: Map<string, string>; readonly prepared: Map<string, string>; names: number };
 
 /** An open connection to a member, for one tenant. */
 export type PooledLine = Readonly<{
-  place: MemberPlace;
+  place: MemberAddress;
   tenant: string;
-  line: MemberLine;
+  line: MemberConnection;
   image: Image;
 }>;
 
@@ -80,7 +80,7 @@
 }
 
 /** The idle connection that suits the session best: its own last one, else one without values, else any; -1 when there is none. */
-function bestIdle(known: MemberConnections, place: MemberPlace, tenant: string, session: string): number {
+function bestIdle(known: MemberConnections, place: MemberAddress, tenant: string, session: string): number {
   let best = -1;
   for (let index = known.idle.length - 1; index >= 0; index -= 1) {
     const one = known.idle[index] as IdleConnection;
@@ -93,7 +93,7 @@
 }
 
 /** Takes an idle connection for a session and marks it busy. */
-function take(known: MemberConnections, place: MemberPlace, tenant: string, session: string): Option.Option<PooledLine> {
+function take(known: MemberConnections, place: MemberAddress, tenant: string, session: string): Option.Option<PooledLine> {
   dropClosed(known);
   const best = bestIdle(known, place, tenant, session);
   if (best < 0) return Option.none;
--- a/packages/pooler/src/outage-copies.ts
+++ b/packages/pooler/src/outage-copies.ts
@@ -3,7 +3,7 @@
 import { LRUCache } from 'lru-cache';
 import type { WallTime } from '@stallstall/kernel';
 import type { OutageWindow, AnnouncedOutage } from '@stallstall/placement';
-import { positions, type Ending, type Position, type StatementReply } from '@stallstall/session-protocol';
+import { positions, type Completion, type Position, type StatementReply } from '@stallstall/session-protocol';
 import { sessions } from './sessions.js';
 import type { StatementRequest } from './statement-request.js';
 
@@ -12,7 +12,7 @@
 
 export type CopiedReply = Readonly<{
   rows: readonly string[];
-  ending: Ending;
+  completion: Completion;
   position: Option.Option<Position>;
   service: string;
   copiedAt: WallTime;
@@ -125,8 +125,8 @@
   if (!held.complete || !isOpen(held, wall) || !covers(held, request)) return Option.none;
   const copied = held.copies.get(keyOf(request));
   if (copied === undefined || copied.service !== request.database.service || !coversOwnCommits(request, copied)) return Option.none;
-  const { rows, ending, position, copiedAt } = copied;
-  return Option.some({ rows, ending, stance: 'idle', position, copiedAt });
+  const { rows, completion, position, copiedAt } = copied;
+  return Option.some({ rows, completion, transactionStatus: 'idle', position, copiedAt });
 }
 
 export const outageCopies = { create, copyingRead, covers, remember, isOpen, isToBeFilled, reply } as const;
--- a/packages/pooler/src/placement.ts
+++ b/packages/pooler/src/placement.ts
@@ -2,7 +2,7 @@
 import * as Option from 'fp-ts/lib/Option.js';
 import { identifiers, type Instant } from '@stallstall/kernel';
 import type { MemberRecord } from '@stallstall/message';
-import { positions, type MemberPlace, type Position } from '@stallstall/session-protocol';
+import { positions, type MemberAddress, type Position } from '@stallstall/session-protocol';
 import type { RequestParts } from './request-parts.js';
 import type { RequestRecord, StatementRequest, Target } from './statement-request.js';
 import type { View } from './view.js';
@@ -33,7 +33,7 @@
   return Option.isSome(request.transaction) ? !request.transaction.value.readOnly : request.writes;
 }
 
-function placeOf(entry: MemberRecord): MemberPlace {
+function placeOf(entry: MemberRecord): MemberAddress {
   return { service: entry.service, member: entry.member, address: entry.address };
 }
 
--- a/packages/pooler/src/replies.ts
+++ b/packages/pooler/src/replies.ts
@@ -4,12 +4,12 @@
 
 /** The statement was carried out by the pooler alone, such as a session setting. */
 function done(): StatementReply {
-  return { rows: [], ending: { kind: 'done', stamp: '-' }, stance: 'idle', position: Option.none };
+  return { rows: [], completion: { kind: 'done', stamp: '-' }, transactionStatus: 'idle', position: Option.none };
 }
 
 /** The statement failed with this condition; the text is for people. */
 function fault(condition: Condition, text: string): StatementReply {
-  return { rows: [], ending: { kind: 'fault', condition, text }, stance: 'idle', position: Option.none };
+  return { rows: [], completion: { kind: 'fault', condition, text }, transactionStatus: 'idle', position: Option.none };
 }
 
 /** The text of a rejection that the client may retry after so many milliseconds. */
--- a/packages/pooler/src/session-commands.ts
+++ b/packages/pooler/src/session-commands.ts
@@ -104,7 +104,7 @@
   parts.copies.note(request, reply);
   if (Option.isSome(transaction)) {
     transaction.value.busy = false;
-    if (reply.ending.kind === 'fault') transaction.value.isFailureReported = true;
+    if (reply.completion.kind === 'fault') transaction.value.isFailureReported = true;
     transaction.value.idleSince = parts.clock.now();
     if (command.kind === 'commit') session.transaction = Option.none;
   }
@@ -124,7 +124,7 @@
       session.values.set(command.name, command.value);
       return replies.done();
     case 'prepare':
-      session.prepared.set(command.name, { writes: command.writes, text: command.shape });
+      session.prepared.set(command.name, { writes: command.writes, text: command.statement });
       return replies.done();
     case 'forget':
       return session.prepared.delete(command.name) ? replies.done() : replies.fault('undefined', noSuchName);
--- a/packages/pooler/src/sessions.ts
+++ b/packages/pooler/src/sessions.ts
@@ -2,7 +2,7 @@
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Instant } from '@stallstall/kernel';
 import type { DatabasePlacement } from '@stallstall/placement';
-import { positions, type Dialect, type Position, type Stance } from '@stallstall/session-protocol';
+import { positions, type Dialect, type Position, type TransactionStatus } from '@stallstall/session-protocol';
 import type { Image, PooledLine } from './connections.js';
 
 /** A statement that a session prepared under a name of its own. */
@@ -49,7 +49,7 @@
 }
 
 /** The transaction status that the client is told after each statement. */
-function transactionStatus(session: Session): Stance {
+function transactionStatus(session: Session): TransactionStatus {
   if (Option.isNone(session.transaction)) return 'idle';
   return session.transaction.value.failed ? 'failed' : 'open';
 }
--- a/packages/pooler/src/statement-request.ts
+++ b/packages/pooler/src/statement-request.ts
@@ -5,7 +5,7 @@
 import type * as Option from 'fp-ts/lib/Option.js';
 import type { Instant } from '@stallstall/kernel';
 import type { DatabasePlacement } from '@stallstall/placement';
-import type { MemberPlace, Position } from '@stallstall/session-protocol';
+import type { MemberAddress, Position } from '@stallstall/session-protocol';
 import type { PooledLine } from './connections.js';
 import type { PreparedStatement, Session, Transaction } from './sessions.js';
 
@@ -31,7 +31,7 @@
 
 /** The member that a statement is to be run on. */
 export type Target = Readonly<{
-  place: MemberPlace;
+  place: MemberAddress;
   /** The leader's epoch, 0 for a read that any member may reply to. */
   epoch: number;
   leader: boolean;
--- a/packages/pooler/src/transactions.ts
+++ b/packages/pooler/src/transactions.ts
@@ -27,7 +27,7 @@
   const { pooled } = transaction.held.value;
   transaction.held = Option.none;
   const ran = await pooled.line.run([dialect.query(dialect.ownIdentifier, dialect.texts.rollback)], rollbackMilliseconds);
-  connections.giveBack(pooled, ran.whole && ran.replies[0]?.stance === 'idle');
+  connections.giveBack(pooled, ran.whole && ran.replies[0]?.transactionStatus === 'idle');
 }
 
 export const transactions = { abandon, abandonIdle, rollback } as const;
--- a/packages/session-protocol/src/dialect.ts
+++ b/packages/session-protocol/src/dialect.ts
@@ -5,7 +5,7 @@
 export type Position = Readonly<{ term: number; number: number }>;
 
 /** Whether a session rests, is within a transaction, or within one that failed. */
-export type Stance = 'idle' | 'open' | 'failed';
+export type TransactionStatus = 'idle' | 'open' | 'failed';
 
 export type Condition =
   | 'saturated'
@@ -30,36 +30,36 @@
   | Readonly<{ kind: 'read' }>
   | Readonly<{ kind: 'write' }>
   | Readonly<{ kind: 'set'; name: string; value: string }>
-  | Readonly<{ kind: 'prepare'; name: string; writes: boolean; shape: string }>
+  | Readonly<{ kind: 'prepare'; name: string; writes: boolean; statement: string }>
   | Readonly<{ kind: 'execute'; name: string; rest: string }>
   | Readonly<{ kind: 'forget'; name: string }>;
 
 export type Incoming =
-  | Readonly<{ kind: 'open'; database: string; who: string }>
+  | Readonly<{ kind: 'open'; database: string; key: string }>
   | Readonly<{ kind: 'query'; identifier: string; text: string; command: Option.Option<Command> }>
   | Readonly<{ kind: 'close' }>
   | Readonly<{ kind: 'unreadable' }>;
 
-export type Ending = Readonly<{ kind: 'done'; stamp: string }> | Readonly<{ kind: 'fault'; condition: Condition; text: string }>;
+export type Completion = Readonly<{ kind: 'done'; stamp: string }> | Readonly<{ kind: 'fault'; condition: Condition; text: string }>;
 
 /** What a member's connection says, piece by piece; rows are handed on as they came. */
 export type Piece =
   | Readonly<{ kind: 'row'; raw: string }>
-  | Readonly<{ kind: 'ending'; ending: Ending }>
-  | Readonly<{ kind: 'rest'; stance: Stance; position: Option.Option<Position> }>
+  | Readonly<{ kind: 'completion'; completion: Completion }>
+  | Readonly<{ kind: 'rest'; transactionStatus: TransactionStatus; position: Option.Option<Position> }>
   | Readonly<{ kind: 'unreadable' }>;
 
 export type StatementReply = Readonly<{
   rows: readonly string[];
-  ending: Ending;
-  stance: Stance;
+  completion: Completion;
+  transactionStatus: TransactionStatus;
   position: Option.Option<Position>;
   /** By the wall clock: it is no member's reply but a copy of one, held through an outage; a dialect may show it (design 8.13). */
   copiedAt?: number;
 }>;
 
 /** What a member says of itself when asked for its STATE. */
-export type MemberStanding = Readonly<{ role: 'primary' | 'replica'; term: number; received: Position; lagMilliseconds: number }>;
+export type MemberStatus = Readonly<{ role: 'primary' | 'replica'; term: number; received: Position; lagMilliseconds: number }>;
 
 /** Cuts what arrives into messages; `oversize` once one is longer than may be. */
 export type Framer = Readonly<{ push: (piece: string) => Readonly<{ messages: readonly string[]; oversize: boolean }> }>;
@@ -69,7 +69,7 @@
   // Towards senders.
   incoming: (message: string) => Incoming;
   reply: (reply: StatementReply) => string;
-  rest: (stance: Stance, position: Option.Option<Position>) => string;
+  idle: (status: TransactionStatus, position: Option.Option<Position>) => string;
   fault: (condition: Condition, text: string) => string;
   // Towards members.
   opening: (service: string, tenant: string, member: string) => string;
@@ -85,12 +85,12 @@
     /** Runs the text only on a log that holds the position. */
     since: (position: Position, text: string) => string;
     set: (name: string, value: string) => string;
-    prepare: (name: string, writes: boolean, shape: string) => string;
-    execute: (name: string, rest: string) => string;
+    prepare: (name: string, writes: boolean, statement: string) => string;
+    execute: (name: string, idle: string) => string;
   }>;
   /** Statements of the pooler's own carry this. */
   ownIdentifier: string;
-  standing: (rows: readonly string[]) => Option.Option<MemberStanding>;
+  memberStatus: (rows: readonly string[]) => Option.Option<MemberStatus>;
 }>;
 
 function compare(left: Position, right: Position): number {
--- a/packages/session-protocol/src/index.ts
+++ b/packages/session-protocol/src/index.ts
@@ -1,4 +1,4 @@
 export * from './dialect.js';
-export * from './line.js';
-export * from './prober.js';
+export * from './member-connection.js';
+export * from './member-prober.js';
 export * from './repeatable.js';
--- /dev/null
+++ b/packages/session-protocol/src/member-connection.ts
@@ -0,0 +1,170 @@
+/** One connection to a member, with one task that reads it: queries are answered in their order (design 8.10). */
+import * as Either from 'fp-ts/lib/Either.js';
+import * as Option from 'fp-ts/lib/Option.js';
+import { fault, identifiers, type Fault, type Kernel, type Stream } from '@stallstall/kernel';
+import type { Condition, Dialect, StatementReply } from './dialect.js';
+import { replyAssembly, type ReplyAssembly } from './reply-assembly.js';
+
+/** Where a member is reached. */
+export type MemberAddress = Readonly<{ service: string; member: string; address: string }>;
+
+/** What came of queries: `whole` when every one was answered, else the connection is broken behind the last reply. */
+export type QueryOutcome = Readonly<{ replies: readonly StatementReply[]; whole: boolean }>;
+
+export type MemberConnection = Readonly<{
+  /** Sends the queries in one piece and waits for as many replies, for so long at the most; after that the connection is of no use. */
+  run: (queries: readonly string[], milliseconds: number) => Promise<QueryOutcome>;
+  /** Ends it in order, unless queries are in flight: then as `reset` does. */
+  close: () => void;
+  /** Breaks it off at once: the member rolls back what is open on it. */
+  reset: () => void;
+  closed: () => boolean;
+}>;
+
+/** What is in flight. */
+type Exchange = Readonly<{
+  kind: 'opening' | 'queries';
+  replies: StatementReply[];
+  expected: number;
+  settle: (whole: boolean) => void;
+}>;
+
+type ConnectionState = {
+  readonly kernel: Kernel;
+  readonly dialect: Dialect;
+  readonly stream: Stream;
+  readonly assembly: ReplyAssembly;
+  exchange: Exchange | undefined;
+  isBroken: boolean;
+};
+
+const longestMessage = 2 * 1024 * 1024;
+
+/** The condition that a member's rejection of an opening names, for those who see the fault. */
+function conditionOf(error: Fault): Option.Option<Condition> {
+  const known = fault.details(error).details as Readonly<{ condition?: Condition }> | undefined;
+  return Option.fromNullable(known?.condition);
+}
+
+function settle(connection: ConnectionState, whole: boolean): void {
+  const { exchange } = connection;
+  connection.exchange = undefined;
+  exchange?.settle(whole);
+}
+
+function reset(connection: ConnectionState): void {
+  if (connection.isBroken) return;
+  connection.isBroken = true;
+  connection.stream.reset();
+  settle(connection, false);
+}
+
+/** False when a message fits nowhere. */
+function takeMessage(connection: ConnectionState, message: string): boolean {
+  const { exchange, assembly } = connection;
+  if (exchange === undefined) return false;
+  const step = assembly.take(message, exchange.kind === 'opening');
+  if (step.kind === 'violation') return false;
+  if (step.kind === 'partial') return true;
+  exchange.replies.push(step.reply);
+  if (exchange.replies.length === exchange.expected) settle(connection, true);
+  return true;
+}
+
+async function readMessages(connection: ConnectionState): Promise<void> {
+  const framer = connection.dialect.framer(longestMessage);
+  for (;;) {
+    const piece = await connection.stream.read();
+    if (Option.isNone(piece)) return;
+    const { messages, oversize } = framer.push(piece.value);
+    if (oversize || !messages.every((message) => takeMessage(connection, message))) return;
+  }
+}
+
+async function readUntilBroken(connection: ConnectionState): Promise<void> {
+  await readMessages(connection);
+  const unfinished = connection.assembly.unfinished();
+  if (connection.exchange !== undefined && Option.isSome(unfinished)) connection.exchange.replies.push(unfinished.value);
+  reset(connection);
+}
+
+function send(
+  connection: ConnectionState,
+  kind: Exchange['kind'],
+  queries: readonly string[],
+  milliseconds: number,
+): Promise<QueryOutcome> {
+  if (connection.isBroken || connection.exchange !== undefined) return Promise.resolve({ replies: [], whole: false });
+  return new Promise(function exchangeQueries(resolve) {
+    const replies: StatementReply[] = [];
+    const timer = connection.kernel.clock.startTimer(Math.max(1, milliseconds), () => reset(connection));
+    connection.exchange = {
+      kind,
+      replies,
+      expected: queries.length,
+      settle: function settleExchange(whole) {
+        timer.cancel();
+        resolve({ replies, whole });
+      },
+    };
+    connection.stream.write(queries.join(''));
+  });
+}
+
+function close(connection: ConnectionState): void {
+  if (connection.isBroken) return;
+  // With queries in flight it is no orderly end: whoever waits is told so, and the member rolls back.
+  if (connection.exchange !== undefined) return reset(connection);
+  connection.stream.write(connection.dialect.closing());
+  connection.isBroken = true;
+  connection.stream.close();
+}
+
+function notOpened(member: string, condition: Condition | undefined): Fault {
+  return fault.create({
+    kind: 'unreachable',
+    message: `${member} opened no connection${condition === undefined ? '' : `: ${condition}`}`,
+    remedy: 'see whether it runs and can be reached',
+    details: { condition },
+  });
+}
+
+/**
+ * Opens a connection for a tenant, naming the member that is expected: addresses are used again (design 8.10). Errors: `unreachable`, with
+ * the member's condition in its details, and those of the network.
+ */
+async function open(
+  kernel: Kernel,
+  dialect: Dialect,
+  place: MemberAddress,
+  tenant: string,
+  milliseconds: number,
+): Promise<Either.Either<Fault, MemberConnection>> {
+  const deadline = kernel.clock.now() + milliseconds;
+  const stream = await kernel.network.openStream(identifiers.address(place.address), milliseconds);
+  if (Either.isLeft(stream)) return stream;
+  const connection: ConnectionState = {
+    kernel,
+    dialect,
+    stream: stream.right,
+    assembly: replyAssembly.create(dialect),
+    exchange: undefined,
+    isBroken: false,
+  };
+  void readUntilBroken(connection);
+  const opening = dialect.opening(place.service, tenant, place.member);
+  const outcome = await send(connection, 'opening', [opening], deadline - kernel.clock.now());
+  const completion = outcome.replies[0]?.completion;
+  if (!outcome.whole || completion?.kind !== 'done') {
+    reset(connection);
+    return Either.left(notOpened(place.member, completion?.kind === 'fault' ? completion.condition : undefined));
+  }
+  return Either.right({
+    run: (queries, timeout) => send(connection, 'queries', queries, timeout),
+    reset: () => reset(connection),
+    close: () => close(connection),
+    closed: () => connection.isBroken || connection.stream.closed(),
+  });
+}
+
+export const memberConnection = { open, conditionOf } as const;
--- a/packages/simulator/pooled-mutations.mjs
+++ b/packages/simulator/pooled-mutations.mjs
@@ -207,8 +207,8 @@
   {
     name: 'rest-taken-for-a-reply',
     wires: 'was given the reply of',
-    file: 'session-protocol/build/line.js',
-    from: "if ((waiting.kind === 'opening') !== (ending === undefined))",
+    file: 'session-protocol/build/reply-assembly.js',
+    from: 'if (isOpening !== (completion === undefined))',
     to: 'if (false)',
   },
   {
--- a/packages/simulator/src/pooled-adapter.ts
+++ b/packages/simulator/src/pooled-adapter.ts
@@ -68,9 +68,9 @@
 function memberProbe(kernel: Kernel): MemberProbe {
   const probes = prober.create(kernel, plainDialect, ownTenant);
   return {
-    keepConnection: probes.hold,
+    keepConnection: probes.keepConnection,
     readState: async function ask(service, member, address, milliseconds) {
-      const standing = await probes.ask(service, member, address, milliseconds);
+      const standing = await probes.readStatus(service, member, address, milliseconds);
       if (Either.isLeft(standing)) return standing;
       const { role, term, received } = standing.right;
       return Either.right({ member, role, epoch: received.term, received: received.number, applied: received.number, term });
--- a/packages/simulator/src/wires.ts
+++ b/packages/simulator/src/wires.ts
@@ -6,7 +6,7 @@
 import * as Option from 'fp-ts/lib/Option.js';
 import { identifiers, type Kernel, type Link, type Network, type Stream } from '@stallstall/kernel';
 import { peer } from '@stallstall/peer';
-import { lines, type MemberLine } from '@stallstall/session-protocol';
+import { memberConnection, type MemberConnection } from '@stallstall/session-protocol';
 import { plainDialect } from '@stallstall/fakes';
 import { world as worlds, type World } from './world.js';
 
@@ -176,16 +176,16 @@
       if (Option.isNone(piece)) return;
       for (const message of framer.push(piece.value).messages) {
         const incoming = plainDialect.incoming(message);
-        if (incoming.kind === 'open') stream.write(plainDialect.rest('idle', Option.none));
+        if (incoming.kind === 'open') stream.write(plainDialect.idle('idle', Option.none));
         if (incoming.kind === 'open' && kernel.randomness.fraction() < troubles.duplicate)
-          stream.write(plainDialect.rest('idle', Option.none));
+          stream.write(plainDialect.idle('idle', Option.none));
         if (incoming.kind !== 'query') continue;
         carriedOut(incoming.identifier);
         const { identifier } = incoming;
         const reply = plainDialect.reply({
           rows: [`row ${identifier}`],
-          ending: { kind: 'done', stamp: identifier },
-          stance: 'idle',
+          completion: { kind: 'done', stamp: identifier },
+          transactionStatus: 'idle',
           position: Option.none,
         });
         stream.write(reply);
@@ -205,12 +205,18 @@
   let replied = 0;
   await listenAsMember(far, troubles, (identifier) => done.add(`query ${identifier}`));
 
-  async function opened(): Promise<MemberLine | undefined> {
-    const line = await lines.open(near, plainDialect, { service: 'ferries', member: 'member-1', address }, 'tenant', 4 * callMilliseconds);
+  async function opened(): Promise<MemberConnection | undefined> {
+    const line = await memberConnection.open(
+      near,
+      plainDialect,
+      { service: 'ferries', member: 'member-1', address },
+      'tenant',
+      4 * callMilliseconds,
+    );
     return Either.isRight(line) ? line.right : undefined;
   }
 
-  async function ask(line: MemberLine, identifier: string): Promise<void> {
+  async function ask(line: MemberConnection, identifier: string): Promise<void> {
     const ran = await line.run([plainDialect.query(identifier, 'get x')], callMilliseconds);
     const reply = ran.replies[0];
     if (!ran.whole) {
@@ -218,13 +224,13 @@
       return;
     }
     replied += 1;
-    const owner = reply?.ending.kind === 'done' ? reply.ending.stamp : 'a fault';
+    const owner = reply?.completion.kind === 'done' ? reply.completion.stamp : 'a fault';
     if (owner !== identifier || reply?.rows.join() !== `row ${identifier}`)
       violations.push(`query ${identifier} was given the reply of ${owner}, rows ${reply?.rows.join()}`);
   }
 
   async function askAll(): Promise<void> {
-    let line: MemberLine | undefined;
+    let line: MemberConnection | undefined;
     for (let number = 1; number <= lineQueries; number += 1) {
       if (line === undefined || line.closed()) line = await opened();
       if (line !== undefined) await ask(line, `q${number}`);
