--- a/packages/agent/src/agent.ts
+++ b/packages/agent/src/agent.ts
@@ -1,11 +1,11 @@
 /** The agent beside each proxy: keeps the link to the control plane and feeds its proxy over loopback (design 3.4). */
 import * as Either from 'fp-ts/lib/Either.js';
+import * as Option from 'fp-ts/lib/Option.js';
 import { livenessService } from '@stallstall/election';
 import { fault, identifiers, kernel as kernels, type Fault, type Kernel, type Listening } from '@stallstall/kernel';
 import type { Reply, Request } from '@stallstall/message';
 import { node as nodes, type Node } from '@stallstall/node';
 import { peer } from '@stallstall/peer';
-import * as Option from 'fp-ts/lib/Option.js';
 import { proxyQuietMilliseconds, type AgentContext, type AgentSettings } from './agent-context.js';
 import { agentRoutes } from './agent-routes.js';
 import { connectionCaps } from './connection-caps.js';
--- a/packages/agent/src/placement-updates.ts
+++ b/packages/agent/src/placement-updates.ts
@@ -1,6 +1,6 @@
 /** Numbers what changes in a proxy's view, so that it is woken by changes and sent only what it has not seen (design 8.10). */
-import { waiters, type Clock } from '@stallstall/kernel';
 import * as Option from 'fp-ts/lib/Option.js';
+import { waiters, type Clock } from '@stallstall/kernel';
 import type { LeaseHolder } from '@stallstall/lease';
 import type { Placement } from '@stallstall/message';
 
--- a/packages/core/src/change-subscribers.ts
+++ b/packages/core/src/change-subscribers.ts
@@ -1,21 +1,26 @@
-/** Numbered changes pushed to every node that asks over a held link, and the acknowledgements that come back (design 5.2). */
+/** Numbered changes pushed to every node that subscribes over a link, and the acknowledgements that come back (design 5.2). */
 import * as Option from 'fp-ts/lib/Option.js';
-import { differences, message, type Ballot, type Change, type Entry } from '@stallstall/message';
+import type { Ballot, Change, Entry } from '@stallstall/message';
 import type { Configuration } from '@stallstall/node';
 import type { Caller } from '@stallstall/peer';
 import { watcher, type Acceptor } from '@stallstall/register';
+import { recentContents, type RecentContents } from './recent-contents.js';
 
 export type Subscriber = {
-  node: string;
+  readonly node: string;
+  readonly caller: Caller;
+  /** The number of the last change pushed. */
   number: number;
   acknowledged: number;
-  obeyed: number;
-  caller: Caller;
-  content: boolean;
+  /** The configuration version that the node has applied. */
+  appliedVersion: number;
+  /** Whether configurations are pushed here with their content. */
+  wantsContent: boolean;
+  /** The ballot of the newest content that the node holds. */
   holds: Ballot | undefined;
 };
 
-/** What a node said with its newest request: the change it acknowledged, the version it obeys, and whether it takes contents here. */
+/** What a node said with its newest request. The field names are those of its messages. */
 export type Acknowledgement = Readonly<{
   node: string;
   acknowledged: number;
@@ -25,124 +30,113 @@
 }>;
 
 export type ChangeSubscribers = Readonly<{
-  /** Hands an accepted entry to every open subscriber. */
+  /** Pushes an accepted entry to every open subscriber. */
   push: (key: string, entry: Entry) => void;
-  /** Hands all that is watched to every open subscriber anew, as the cells hold it. */
+  /** Pushes all that is watched to every open subscriber anew, as the cells hold it. */
   pushAll: (cells: Acceptor) => void;
-  /** Subscribes whoever asks, once the cells are open, and keeps its acknowledgement. */
+  /** Subscribes a node, once the cells are open, and keeps its acknowledgement; undefined while they are not. */
   subscribe: (cells: Acceptor, from: Acknowledgement, caller: Caller) => Subscriber | undefined;
-  /** The version that each connected node has acknowledged to obey. */
+  /** The configuration version that each connected node has applied. */
   appliedVersions: () => ReadonlyMap<string, number>;
   metrics: () => Readonly<{ watching: number; pushed: number; unacknowledged: number }>;
 }>;
 
-/** What is pushed of the configuration leaves the ids of earlier sends behind. */
+type SubscriberTable = Readonly<{
+  subscribers: Map<Caller, Subscriber>;
+  contents: RecentContents;
+  /** The number of the set of cores under which a change is pushed (design 4.8). */
+  currentSet: () => Readonly<{ set?: number }>;
+}>;
+
+/** The entry as it is pushed: a configuration without the ids of earlier sends and without its sender's own text. */
 export function withoutHistory(key: string, entry: Entry): Entry {
   if (key !== 'configuration') return entry;
   const { external: _external, ...pushed } = entry.value as Configuration;
   return { ...entry, value: { ...pushed, recent: [] } };
 }
 
-/** So many of the latest contents are kept to tell what differs from them. */
-const contentsKept = 4;
-/** Differences are sent only if they are so much shorter than the whole. */
-const worthwhileShare = 0.5;
-
-type Differs = NonNullable<Change['differs']>;
-type Content = Readonly<{ ballot: Ballot; value: unknown; characters: number }>;
-
-/** The latest contents as they were pushed, and what makes the last of each. */
-function recentContents(): Readonly<{ add: (entry: Entry) => void; differsFrom: (held: Ballot) => Differs | undefined }> {
-  let contents: readonly Content[] = [];
-  const reckoned = new Map<Ballot, Differs | undefined>();
-
-  function isSame(left: Ballot, right: Ballot): boolean {
-    return message.compareBallots(left, right) === 0;
-  }
-
-  function add(entry: Entry): void {
-    if (contents.some((one) => isSame(one.ballot, entry.ballot))) return;
-    const content = { ballot: entry.ballot, value: entry.value, characters: JSON.stringify(entry.value).length };
-    contents = [...contents, content].slice(-contentsKept);
-    reckoned.clear();
-  }
-
-  function reckon(base: Content, latest: Content): Differs | undefined {
-    const all = [...differences.between(base.value, latest.value)];
-    return JSON.stringify(all).length < worthwhileShare * latest.characters ? { from: base.ballot, all } : undefined;
-  }
-
-  /** What makes the latest of the one held, where that is still known here. */
-  function differsFrom(held: Ballot): Differs | undefined {
-    const base = contents.find((one) => isSame(one.ballot, held));
-    const latest = contents.at(-1);
-    if (base === undefined || latest === undefined) return undefined;
-    if (!reckoned.has(base.ballot)) reckoned.set(base.ballot, reckon(base, latest));
-    return reckoned.get(base.ballot);
-  }
+/**
+ * What one subscriber is sent of an entry. A configuration goes with its content to whoever wants that here, as differences from the one it
+ * holds if it can; the others learn that there is one.
+ */
+function contentFor({ contents }: SubscriberTable, to: Subscriber, key: string, entry: Entry): Pick<Change, 'entry' | 'differs'> {
+  if (key !== 'configuration') return { entry };
+  const withoutContent = { ...entry, value: null };
+  if (!to.wantsContent) return { entry: withoutContent };
+  const pushed = withoutHistory(key, entry);
+  contents.add(pushed);
+  const differs = to.holds === undefined ? undefined : contents.differencesFrom(to.holds);
+  if (to.holds !== undefined) to.holds = entry.ballot;
+  return differs === undefined ? { entry: pushed } : { entry: withoutContent, differs };
+}
 
-  return { add, differsFrom };
+function pushTo(table: SubscriberTable, to: Subscriber, key: string, entry: Entry): void {
+  to.number += 1;
+  to.caller.change({ number: to.number, key, ...contentFor(table, to, key, entry), ...table.currentSet() });
 }
 
-/** `stoodAt` tells the number of the set of cores under which a change is handed over (design 4.8). */
-function create(stoodAt: () => Readonly<{ set?: number }>): ChangeSubscribers {
-  const changeSubscribers = new Map<Caller, Subscriber>();
-  const recent = recentContents();
+function openSubscribers({ subscribers }: SubscriberTable): readonly Subscriber[] {
+  return [...subscribers.values()].filter((subscriber) => subscriber.caller.open());
+}
 
-  /** A configuration goes over to whoever asked for that here, as what differs from the one it holds if it can; the others learn that there is one. */
-  function told(to: Subscriber, key: string, entry: Entry): Pick<Change, 'entry' | 'differs'> {
-    const slim = { ...entry, value: null };
-    if (key !== 'configuration') return { entry };
-    if (!to.content) return { entry: slim };
-    const pushed = withoutHistory(key, entry);
-    recent.add(pushed);
-    const differs = to.holds === undefined ? undefined : recent.differsFrom(to.holds);
-    if (to.holds !== undefined) to.holds = entry.ballot;
-    return differs === undefined ? { entry: pushed } : { entry: slim, differs };
+function pushAllTo(table: SubscriberTable, cells: Acceptor, to: readonly Subscriber[]): void {
+  for (const key of cells.keys()) {
+    const accepted = cells.accepted(key);
+    if (!watcher.isWatched(key) || Option.isNone(accepted)) continue;
+    for (const subscriber of to) pushTo(table, subscriber, key, accepted.value);
   }
+}
 
-  function handOver(to: Subscriber, key: string, entry: Entry): void {
-    to.number += 1;
-    to.caller.change({ number: to.number, key, ...told(to, key, entry), ...stoodAt() });
-  }
+function add(table: SubscriberTable, cells: Acceptor, from: Acknowledgement, caller: Caller): Subscriber {
+  const subscriber: Subscriber = {
+    node: from.node,
+    caller,
+    number: 0,
+    acknowledged: 0,
+    appliedVersion: 0,
+    wantsContent: from.content ?? true,
+    holds: from.holds,
+  };
+  table.subscribers.set(caller, subscriber);
+  pushAllTo(table, cells, [subscriber]);
+  return subscriber;
+}
 
-  function open(): readonly Subscriber[] {
-    return [...changeSubscribers.values()].filter((subscriber) => subscriber.caller.open());
-  }
+function forgetClosed({ subscribers }: SubscriberTable): void {
+  for (const caller of subscribers.keys()) if (!caller.open()) subscribers.delete(caller);
+}
 
-  function handOverAll(cells: Acceptor, to: readonly Subscriber[]): void {
-    for (const key of cells.keys()) {
-      const accepted = cells.accepted(key);
-      if (!watcher.isWatched(key) || Option.isNone(accepted)) continue;
-      for (const subscriber of to) handOver(subscriber, key, accepted.value);
-    }
-  }
+function subscribe(table: SubscriberTable, cells: Acceptor, from: Acknowledgement, caller: Caller): Subscriber | undefined {
+  const known = table.subscribers.get(caller);
+  const subscriber = known ?? (cells.ready() ? add(table, cells, from, caller) : undefined);
+  forgetClosed(table);
+  if (subscriber === undefined) return undefined;
+  subscriber.wantsContent = from.content ?? true;
+  subscriber.acknowledged = from.acknowledged;
+  subscriber.appliedVersion = from.obeyed;
+  return subscriber;
+}
 
-  function enlist(cells: Acceptor, from: Acknowledgement, caller: Caller): Subscriber | undefined {
-    const content = from.content ?? true;
-    let subscriber = changeSubscribers.get(caller);
-    if (cells.ready() && subscriber === undefined) {
-      subscriber = { node: from.node, number: 0, acknowledged: 0, obeyed: 0, caller, content, holds: from.holds };
-      changeSubscribers.set(caller, subscriber);
-      handOverAll(cells, [subscriber]);
-    }
-    for (const known of changeSubscribers.keys()) if (!known.open()) changeSubscribers.delete(known);
-    if (subscriber !== undefined) Object.assign(subscriber, { content, acknowledged: from.acknowledged, obeyed: from.obeyed });
-    return subscriber;
-  }
+function metrics(table: SubscriberTable): ReturnType<ChangeSubscribers['metrics']> {
+  const open = openSubscribers(table);
+  return {
+    watching: open.length,
+    pushed: [...table.subscribers.values()].reduce((sum, subscriber) => sum + subscriber.number, 0),
+    unacknowledged: open.reduce((sum, subscriber) => sum + Math.max(0, subscriber.number - subscriber.acknowledged), 0),
+  };
+}
 
+/** @param currentSet - the number of the set of cores that this core is in, for its messages */
+function create(currentSet: SubscriberTable['currentSet']): ChangeSubscribers {
+  const table: SubscriberTable = { subscribers: new Map(), contents: recentContents.create(), currentSet };
   return {
-    subscribe: enlist,
     push: function push(key, entry) {
-      for (const subscriber of open()) handOver(subscriber, key, entry);
+      for (const subscriber of openSubscribers(table)) pushTo(table, subscriber, key, entry);
     },
-    pushAll: (cells) => handOverAll(cells, open()),
-    appliedVersions: () => new Map(open().map((subscriber) => [subscriber.node, subscriber.obeyed])),
-    metrics: () => ({
-      watching: open().length,
-      pushed: [...changeSubscribers.values()].reduce((sum, subscriber) => sum + subscriber.number, 0),
-      unacknowledged: open().reduce((sum, subscriber) => sum + Math.max(0, subscriber.number - subscriber.acknowledged), 0),
-    }),
+    pushAll: (cells) => pushAllTo(table, cells, openSubscribers(table)),
+    subscribe: (cells, from, caller) => subscribe(table, cells, from, caller),
+    appliedVersions: () => new Map(openSubscribers(table).map(({ node, appliedVersion }) => [node, appliedVersion])),
+    metrics: () => metrics(table),
   };
 }
 
--- a/packages/core/src/core-seat.ts
+++ b/packages/core/src/core-seat.ts
@@ -1,14 +1,12 @@
 /** This core as the occupant of a seat: it answers, answers in another set, or answers nothing any more (design 4.8). */
 import * as Option from 'fp-ts/lib/Option.js';
-import type { Entry } from '@stallstall/message';
+import type { CoreSet, Entry } from '@stallstall/message';
 import { watcher } from '@stallstall/register';
-import type { ChangeSubscribers } from './change-subscribers.js';
-import { withoutHistory } from './change-subscribers.js';
+import { withoutHistory, type ChangeSubscribers } from './change-subscribers.js';
 import type { CoreServices } from './core-context.js';
 import { setOf, type Fleet } from './fleet-record.js';
 import { currentSet } from './peer-handlers.js';
 import type { QuorumContact } from './quorum-contact.js';
-import type { CoreSet } from '@stallstall/message';
 
 /** @internal */
 export type CoreSeat = Readonly<{
--- a/packages/simulator/pooled-mutations.mjs
+++ b/packages/simulator/pooled-mutations.mjs
@@ -596,15 +596,15 @@
     name: 'contents-between-cores',
     story: 'tells what differs',
     file: 'core/build/change-subscribers.js',
-    from: 'if (!to.content)',
+    from: 'if (!to.wantsContent)',
     to: 'if (false)',
   },
   {
     name: 'differences-to-whoever-asks',
     story: 'tells what differs',
     file: 'core/build/change-subscribers.js',
-    from: 'to.holds === undefined ? undefined : recent',
-    to: 'recent',
+    from: 'to.holds === undefined ? undefined : contents',
+    to: 'contents',
   },
   {
     name: 'differences-forced',
