--- /dev/null
+++ b/packages/simulator/src/fleet-faults/outages.ts
@@ -0,0 +1,63 @@
+/** Outages of many machines: every core and edge, each core in turn, or a whole area. */
+import { type Storm, between, notePeaks, pick } from './fault-state.js';
+import { killEdge, killMember, restartCore } from './machine-faults.js';
+import type { Fleet, CoreSlot } from '../fleet.js';
+
+export function everyMachineStops(fleet: Fleet, storm: Storm, milliseconds: number): void {
+  fleet.cores.forEach((_, index) => restartCore(fleet, index, milliseconds * between(fleet, 0.8, 1.2)));
+  for (const slot of fleet.edges) {
+    killEdge(fleet, slot, 'agent', milliseconds * between(fleet, 0.8, 1.2));
+    killEdge(fleet, slot, 'proxy', milliseconds * between(fleet, 0.8, 1.2));
+  }
+  notePeaks(fleet, storm);
+}
+
+export function inTurn(fleet: Fleet): void {
+  fleet.cores.forEach((_, index) => fleet.world.at(index * 2_500, () => restartCore(fleet, index, 1_000)));
+  fleet.edges.forEach((slot, index) =>
+    fleet.world.at(7_500 + index * 1_000, () => {
+      killEdge(fleet, slot, 'agent', 700);
+      killEdge(fleet, slot, 'proxy', 700);
+    }),
+  );
+}
+
+/** An area lost whole, by machines that go dark: nobody is told, there is only silence. */
+export function areaDark(fleet: Fleet, storm: Storm): void {
+  const area = pick(fleet, ['north', 'middle', 'south']);
+  const milliseconds = between(fleet, 2_000, 9_000);
+  const cores = fleet.cores.filter((_, index) => ['north', 'middle', 'south'][index] === area && !storm.blanking);
+  const edges = fleet.edges.filter((slot) => slot.area === area);
+  const members = fleet.members.filter((slot) => slot.place.area === area && slot.gone !== true && slot.process?.alive() === true);
+  notePeaks(fleet, storm);
+  const slots: ReadonlyArray<Readonly<{ machine: string; lit: () => void }>> = [
+    ...cores
+      .filter((slot) => slot.process?.alive() === true)
+      .map((slot: CoreSlot) => ({ machine: slot.machine, lit: () => void fleet.startCore(slot) })),
+    ...edges
+      .filter((slot) => slot.agent.process?.alive() === true && slot.proxy.process?.alive() === true)
+      .map((slot) => ({
+        machine: slot.machine,
+        lit: function lit(): void {
+          void fleet.startAgent(slot);
+          void fleet.startProxy(slot);
+        },
+      })),
+    ...members.map((slot) => ({ machine: slot.machine, lit: () => void fleet.startMember(slot) })),
+  ];
+  for (const slot of members) storm.crossings += slot.running?.crossings() ?? 0;
+  for (const slot of slots) {
+    fleet.world.darken(slot.machine);
+    fleet.world.at(milliseconds * between(fleet, 0.9, 1.1), () => {
+      fleet.world.light(slot.machine);
+      slot.lit();
+    });
+  }
+}
+
+/** Every member machine among them, so that nothing but disks and stores is left. */
+export function everythingStops(fleet: Fleet, storm: Storm): void {
+  const milliseconds = between(fleet, 300, 3_000);
+  everyMachineStops(fleet, storm, milliseconds);
+  for (const slot of fleet.members) if (slot.gone !== true) killMember(fleet, storm, slot, milliseconds * between(fleet, 0.8, 1.2));
+}
--- /dev/null
+++ b/packages/simulator/src/fleet-faults/planned-changes.ts
@@ -0,0 +1,118 @@
+/** Planned work during a run: restarts, drains, a retired primary, a replaced member, an edge for a short time. */
+import type { PlannedEnd, EdgeDrain } from '../fleet-checks/check-records.js';
+import { type Storm, between, pick } from './fault-state.js';
+import { sameMomentMilliseconds, voidedByKill } from './machine-faults.js';
+import { send } from './configuration-changes.js';
+import type { Fleet } from '../fleet.js';
+import type { Process } from '../world.js';
+
+type Ending = { process: Process | undefined; running: Readonly<{ drain: () => Promise<void> }> | undefined };
+
+/** A planned restart: the process drains, ends, and another takes its place. */
+function endAsPlanned(fleet: Fleet, storm: Storm, name: string, address: string, slot: Ending, again: () => Promise<void>): void {
+  const process = slot.process;
+  if (process?.alive() !== true || slot.running === undefined || fleet.world.frozen(process)) return;
+  const end: PlannedEnd = { name, address, at: fleet.world.now(), endedAt: Number.POSITIVE_INFINITY, sound: false };
+  storm.ends.push(end);
+  void slot.running.drain().then(() => {
+    if (slot.process !== process || !process.alive()) return;
+    end.sound = (storm.struckAt.get(process) ?? Number.NEGATIVE_INFINITY) < end.at - sameMomentMilliseconds;
+    end.endedAt = fleet.world.now();
+    fleet.world.at(sameMomentMilliseconds, function look() {
+      if (voidedByKill(fleet, name, end.at)) end.sound = false;
+    });
+    fleet.stopSlot(slot);
+    fleet.world.at(between(fleet, 50, 700), () => void again());
+  });
+}
+
+export function plannedRestart(fleet: Fleet, storm: Storm): void {
+  const part = pick(fleet, ['proxy', 'proxy', 'agent', 'core'] as const);
+  if (part === 'core') {
+    const slot = pick(fleet, fleet.cores);
+    endAsPlanned(fleet, storm, slot.name, '', slot, () => fleet.startCore(slot));
+    return;
+  }
+  const slot = pick(fleet, fleet.edges);
+  endAsPlanned(fleet, storm, `${slot.name}/${part}`, fleet.edgeAddresses(slot).proxy, slot[part], () =>
+    part === 'agent' ? fleet.startAgent(slot) : fleet.startProxy(slot),
+  );
+}
+
+export function retirePrimary(fleet: Fleet, storm: Storm): void {
+  const slot = fleet.primaryOf(pick(fleet, fleet.deployment.services));
+  if (slot === undefined || storm.draining.size > 0) return;
+  storm.draining.add(slot.place.member);
+  void send(fleet, storm, 0);
+  fleet.world.at(between(fleet, 6_000, 14_000), () => {
+    storm.draining.delete(slot.place.member);
+    void send(fleet, storm, 1);
+  });
+}
+
+/**
+ * A member is replaced: another joins with an empty store and takes reads, the old one is retired, taken out of the sheet, and
+ * stopped some time after.
+ */
+export function replaceMember(fleet: Fleet, storm: Storm): void {
+  if (storm.replacing || storm.draining.size > 0) return;
+  storm.replacing = true;
+  const service = pick(fleet, fleet.deployment.services);
+  const old =
+    fleet.world.fraction() < 0.5
+      ? fleet.primaryOf(service)
+      : pick(
+          fleet,
+          fleet.members.filter((slot) => slot.place.service === service && slot.gone !== true),
+        );
+  if (old === undefined) return;
+  const slot = fleet.addMember(service, old.place.area);
+  void fleet.startMember(slot);
+  void send(fleet, storm, 0);
+  fleet.world.at(between(fleet, 3_000, 6_000), () => {
+    storm.draining.add(old.place.member);
+    void send(fleet, storm, 1);
+  });
+  fleet.world.at(between(fleet, 9_000, 14_000), () => {
+    storm.draining.delete(old.place.member);
+    old.gone = true;
+    void send(fleet, storm, 2);
+  });
+  fleet.world.at(between(fleet, 15_000, 25_000), () => fleet.stopSlot(old));
+}
+
+async function drainAndNote(fleet: Fleet, storm: Storm, edge: string): Promise<EdgeDrain> {
+  const drain: EdgeDrain = {
+    edge,
+    sentAt: fleet.world.now(),
+    acknowledgedAt: Number.POSITIVE_INFINITY,
+    undoneAt: Number.POSITIVE_INFINITY,
+  };
+  storm.drains.push(drain);
+  if ((await fleet.command('POST', `/v1/nodes/${edge}/drain`, 0)).status === 200) drain.acknowledgedAt = fleet.world.now();
+  return drain;
+}
+
+export function drainEdge(fleet: Fleet, storm: Storm): void {
+  const slot = pick(fleet, fleet.edges);
+  const drained = drainAndNote(fleet, storm, slot.name);
+  fleet.world.at(
+    between(fleet, 2_000, 12_000),
+    () =>
+      void drained.then((drain) => {
+        drain.undoneAt = fleet.world.now();
+        return fleet.command('DELETE', `/v1/nodes/${slot.name}/drain`, 1);
+      }),
+  );
+}
+
+/** A seventh edge joins under load, works, drains and is removed. */
+export function spareEdge(fleet: Fleet, storm: Storm): void {
+  const slot = fleet.spare;
+  if (slot === undefined || storm.busy) return;
+  storm.busy = true;
+  void fleet.startAgent(slot);
+  void fleet.startProxy(slot);
+  fleet.world.at(between(fleet, 5_000, 9_000), () => void drainAndNote(fleet, storm, slot.name));
+  fleet.world.at(between(fleet, 9_500, 11_000), () => void fleet.command('DELETE', `/v1/nodes/${slot.name}`, 0));
+}
--- a/packages/simulator/src/index.ts
+++ b/packages/simulator/src/index.ts
@@ -2,6 +2,7 @@
 export * from './fleet.js';
 export * from './core-fleet.js';
 export * from './checks.js';
+export * from './fleet-checks/check-records.js';
 export * from './storm.js';
 export * from './fuzz.js';
 export * from './loss-budget.js';
--- a/packages/simulator/src/order-checks.ts
+++ b/packages/simulator/src/order-checks.ts
@@ -2,7 +2,7 @@
  * Whether a history of orders and replies is one that a single register of numbers could have given: each number stands for
  * exactly one text, from its first acknowledgement on, at every core (design 6.6, 10.5).
  */
-import type { Violation } from './checks.js';
+import type { Violation } from './fleet-checks/check-records.js';
 
 export type OrderOutcome = 'acknowledged' | 'refused' | 'none';
 
--- a/packages/simulator/src/pooled-availability.ts
+++ b/packages/simulator/src/pooled-availability.ts
@@ -1,7 +1,7 @@
 /** What must work again after each loss within the tolerance, judged by operators, senders and members alone (design 10.4.1). */
 import * as Option from 'fp-ts/lib/Option.js';
 import type { SessionTry } from '@stallstall/fakes';
-import type { Violation } from './checks.js';
+import type { Violation } from './fleet-checks/check-records.js';
 import { lastSheet, nextVersion, runningEdges, type PooledStorm } from './faults/common.js';
 import { settleMilliseconds } from './loss-budget.js';
 import type { Trouble } from './pooled-checks.js';
--- a/packages/simulator/src/pooled-checks.ts
+++ b/packages/simulator/src/pooled-checks.ts
@@ -2,7 +2,7 @@
 import * as Option from 'fp-ts/lib/Option.js';
 import { type DutyCall, type SessionAsk, type SessionCommit, type SessionRun, type SessionTry } from '@stallstall/fakes';
 import type { PooledFleet, PooledVersion } from './pooled-model.js';
-import type { Violation } from './checks.js';
+import type { Violation } from './fleet-checks/check-records.js';
 import { wallStart } from './world.js';
 
 /** A span in which something is not in touch: an edge by its name, or `core`, `platform`, `member`. */
--- a/packages/simulator/src/pooled-closing.ts
+++ b/packages/simulator/src/pooled-closing.ts
@@ -1,5 +1,5 @@
 /** The last fault of a day of the pooled mode, right after an order was acknowledged; all is back when it ends (design 10.4.1). */
-import type { Violation } from './checks.js';
+import type { Violation } from './fleet-checks/check-records.js';
 import { between, lastSheet, nextVersion, pick, type PooledStorm } from './faults/common.js';
 import { cutPower } from './faults/cores.js';
 import { settleMilliseconds } from './loss-budget.js';
--- a/packages/simulator/src/pooled-orders.ts
+++ b/packages/simulator/src/pooled-orders.ts
@@ -1,6 +1,6 @@
 /** What must hold of operators' orders, judged by their answers and by what is read back (design 10.4.1). */
 import * as Option from 'fp-ts/lib/Option.js';
-import type { Violation } from './checks.js';
+import type { Violation } from './fleet-checks/check-records.js';
 import { orderChecks } from './order-checks.js';
 import type { PooledStorm } from './faults/common.js';
 import type { PooledFleet, PooledVersion } from './pooled-model.js';
--- a/packages/simulator/src/pooled-storm.ts
+++ b/packages/simulator/src/pooled-storm.ts
@@ -7,7 +7,7 @@
 import { pooledFleet } from './pooled-fleet.js';
 import type { PooledFleet } from './pooled-model.js';
 import { pooledOrders } from './pooled-orders.js';
-import type { Violation } from './checks.js';
+import type { Violation } from './fleet-checks/check-records.js';
 
 export type PooledResult = Readonly<{
   seed: number;
--- /dev/null
+++ b/packages/simulator/src/simulated-streams.ts
@@ -0,0 +1,49 @@
+/** Streams: links that carry text, so that order, cuts and darkness hold for them as well. */
+import * as Either from 'fp-ts/lib/Either.js';
+import { fault, type Fault, type Link, type Stream } from '@stallstall/kernel';
+import { streamOver } from './frames.js';
+import { openLink } from './simulated-links.js';
+import type { SimulatedNetwork } from './simulated-network.js';
+import type { SimulatedProcess } from './simulated-process.js';
+
+/** The name under which a stream listener is kept among the link listeners. */
+export function streamKey(address: string): string {
+  return `stream ${address}`;
+}
+
+/** Opens a stream of text; a fault when it took longer than the milliseconds. */
+export async function openStream(
+  network: SimulatedNetwork,
+  process: SimulatedProcess,
+  address: string,
+  milliseconds: number,
+): Promise<Either.Either<Fault, Stream>> {
+  const listener = network.listeners.get(streamKey(address));
+  const late = new Promise<Either.Either<Fault, Link>>((resolve) => {
+    network.time.at(milliseconds, () =>
+      network.inside(process, () =>
+        resolve(
+          Either.left(
+            fault.create({
+              kind: 'unreachable',
+              message: `${address} could not be reached`,
+              remedy: 'see whether it runs and can be reached',
+            }),
+          ),
+        ),
+      ),
+    );
+  });
+  const opening = openLink(network, process, streamKey(address));
+  const opened = await Promise.race([opening, late]);
+  if (Either.isRight(opened)) return Either.right(streamOver(opened.right));
+  void opening.then((link) => {
+    if (Either.isRight(link)) link.right.close();
+  });
+  const notListening = listener === undefined || (!listener.process.alive && !network.dark.has(listener.process.machine));
+  return notListening
+    ? Either.left(
+        fault.create({ kind: 'not-listening', message: `nothing listens on ${address}`, remedy: 'start it, or mend the address' }),
+      )
+    : opened;
+}
--- a/packages/simulator/src/storm.ts
+++ b/packages/simulator/src/storm.ts
@@ -3,8 +3,13 @@
 import * as Either from 'fp-ts/lib/Either.js';
 import { statementKinds } from '@stallstall/placement';
 import { brightpath, redComun } from '@stallstall/fakes';
-import { checks, windowMilliseconds, type Probe, type Violation } from './checks.js';
-import { faults, followHunt, notePeaks, pick, secondKey, send, type Storm } from './faults.js';
+import { checks } from './checks.js';
+import type { Probe, Violation } from './fleet-checks/check-records.js';
+import { windowMilliseconds } from './fleet-checks/platform-call-checks.js';
+import { faults } from './faults.js';
+import { notePeaks, pick, secondKey, type Storm } from './fleet-faults/fault-state.js';
+import { send } from './fleet-faults/configuration-changes.js';
+import { followHunt } from './fleet-faults/targeted-strike.js';
 import { fleet as fleets, type EdgeSlot, type Fleet } from './fleet.js';
 import { wallStart } from './world.js';
 
