--- a/packages/acceptance/features/simulator.feature
+++ b/packages/acceptance/features/simulator.feature
@@ -9,6 +9,11 @@
     When two cores are to be lost at once, each for 2 s
     Then the second is lost 6 s after the first
 
+  Scenario: A fault that must strike on this day goes before those that were drawn
+    Given a tolerance of one core
+    When a drawn fault of two losses strikes, then another drawn one, and then one that must strike, each loss for 2 s
+    Then what had begun is lost first, then what must strike, and then what was drawn later
+
   Scenario: Losses that still wait when the day ends do not come
     Given a tolerance of one core
     When two cores are to be lost at once, each for 2 s
--- a/packages/acceptance/src/simulator.ts
+++ b/packages/acceptance/src/simulator.ts
@@ -13,6 +13,7 @@
   pooledFleet,
   pooledStorm,
   world as worlds,
+  type Loss,
   type LossBudget,
   type PooledCore,
   type PooledFleet,
@@ -27,6 +28,7 @@
   world: World;
   losses: LossBudget;
   lostAt: number[];
+  lost: string[];
   disk: SimulatedDisk;
   process: Process;
   put: Promise<Either.Either<Fault, null>>;
@@ -66,10 +68,41 @@
 When('two cores are to be lost at once, each for {int} s', function when(this: SimulatorStory, seconds: number) {
   const { world, losses, lostAt } = this;
   for (let core = 0; core < 2; core += 1)
-    losses.take(function lose(back) {
-      lostAt.push(world.now());
-      world.at(seconds * 1_000, () => back());
-    });
+    losses.take([
+      function lose(back) {
+        lostAt.push(world.now());
+        world.at(seconds * 1_000, () => back());
+      },
+    ]);
+});
+
+When(
+  'a drawn fault of two losses strikes, then another drawn one, and then one that must strike, each loss for {int} s',
+  function when(this: SimulatorStory, seconds: number) {
+    const { world, losses } = this;
+    this.lost = [];
+    const { lost } = this;
+    function loss(name: string): Loss {
+      return function lose(back) {
+        lost.push(name);
+        world.at(seconds * 1_000, () => back());
+      };
+    }
+    losses.take([loss('drawn, its first'), loss('drawn, its second')]);
+    losses.take([loss('drawn later')]);
+    losses.take([loss('must strike, its first'), loss('must strike, its second')], true);
+  },
+);
+
+Then('what had begun is lost first, then what must strike, and then what was drawn later', async function then(this: SimulatorStory) {
+  await this.world.run(60_000);
+  assert.deepEqual(this.lost, [
+    'drawn, its first',
+    'drawn, its second',
+    'must strike, its first',
+    'must strike, its second',
+    'drawn later',
+  ]);
 });
 
 When('the day ends a second later', async function when(this: SimulatorStory) {
--- a/packages/simulator/src/faults/members.ts
+++ b/packages/simulator/src/faults/members.ts
@@ -34,9 +34,11 @@
     cutInside(fleet, storm, []);
     return;
   }
-  storm.losses.take(function allowed(back) {
-    fleet.world.at(cutInside(fleet, storm, [pick(fleet, fleet.cores).machine]), () => back());
-  });
+  storm.losses.take([
+    function allowed(back) {
+      fleet.world.at(cutInside(fleet, storm, [pick(fleet, fleet.cores).machine]), () => back());
+    },
+  ]);
 }
 
 /** For how long. */
--- a/packages/simulator/src/loss-budget.ts
+++ b/packages/simulator/src/loss-budget.ts
@@ -6,8 +6,11 @@
 export type Loss = (back: Back) => void;
 
 export type LossBudget = Readonly<{
-  /** Runs a loss as soon as no other core counts as lost, in the order in which they came. */
-  take: (loss: Loss) => void;
+  /**
+   * Runs losses one after the other, each as soon as no other core counts as lost, in the order in which they came.
+   * `first`: before all that wait and have not begun, unless they are to be first as well.
+   */
+  take: (losses: readonly Loss[], first?: boolean) => void;
   /** Moments at which a loss began or ended. */
   moments: readonly number[];
   /** How many cores may be missing now. */
@@ -23,14 +26,22 @@
 export const settleMilliseconds = 4_000;
 
 function create(world: World): LossBudget {
-  const waiting: Loss[] = [];
+  const waitingFirst: Array<readonly Loss[]> = [];
+  const waiting: Array<readonly Loss[]> = [];
   const moments: number[] = [];
+  let begun: Loss[] = [];
   let busy = false;
   let underWay = 0;
   let closed = false;
 
+  /** The rest of what has begun goes on before anything else begins. */
+  function nextLoss(): Loss | undefined {
+    if (begun.length === 0) begun = [...(waitingFirst.shift() ?? waiting.shift() ?? [])];
+    return begun.shift();
+  }
+
   function next(): void {
-    const loss = busy || closed ? undefined : waiting.shift();
+    const loss = busy || closed ? undefined : nextLoss();
     if (loss === undefined) return;
     busy = true;
     underWay += 1;
@@ -49,8 +60,8 @@
   }
 
   return {
-    take: function take(loss) {
-      waiting.push(loss);
+    take: function take(losses, first = false) {
+      (first ? waitingFirst : waiting).push(losses);
       next();
     },
     moments,
--- a/packages/simulator/src/pooled-faults.ts
+++ b/packages/simulator/src/pooled-faults.ts
@@ -8,7 +8,7 @@
 import { operatorFaults } from './faults/operators.js';
 import { calmPlatform, platformFaults } from './faults/platform.js';
 import { replacementFaults } from './faults/replacements.js';
-import { lossBudget } from './loss-budget.js';
+import { lossBudget, type Loss } from './loss-budget.js';
 import type { PooledFleet } from './pooled-model.js';
 
 export type { PooledFault, PooledStorm } from './faults/common.js';
@@ -44,18 +44,20 @@
   storm.struck.set(name, (storm.struck.get(name) ?? 0) + 1);
 }
 
-/** Strikes now, or as soon as the tolerance allows it. */
-async function strike(fleet: PooledFleet, storm: PooledStorm, fault: PooledFault): Promise<void> {
+/** Strikes now, or as soon as the tolerance allows it; `first`: before other losses that wait. */
+async function strike(fleet: PooledFleet, storm: PooledStorm, fault: PooledFault, first = false): Promise<void> {
   if ('run' in fault) {
     if ((await fault.run(fleet, storm)) !== false) note(fleet, storm, fault.name);
     return;
   }
-  fault.losses.forEach((lose, index) =>
-    storm.losses.take(function allowed(back) {
-      if (index === 0) note(fleet, storm, fault.name);
-      lose(fleet, storm, back);
-    }),
+  const losses = fault.losses.map(
+    (lose, index): Loss =>
+      function allowed(back) {
+        if (index === 0) note(fleet, storm, fault.name);
+        lose(fleet, storm, back);
+      },
   );
+  storm.losses.take(losses, first);
 }
 
 /** Everything runs again; what another fault was about to start comes now. */
--- a/packages/simulator/src/pooled-storm.ts
+++ b/packages/simulator/src/pooled-storm.ts
@@ -41,7 +41,7 @@
 const longMilliseconds = 120_000;
 const longFaultsLeast = 8;
 const longFaultsSpread = 20;
-/** Faults by turn strike early enough to take place also where they wait for others. */
+/** Faults by turn strike early enough to take place also where they wait for others; drawn ones wait for them. */
 const latestByTurn = [6_000, 10_000, 16_000];
 const faultsByTurn = latestByTurn.length;
 /** So many seeds in a row have had each of them by turn. */
@@ -84,10 +84,11 @@
 function schedule(fleet: PooledFleet, storm: PooledStorm, faults: readonly PooledFault[], milliseconds: number, byTurn: boolean): void {
   let together = 0;
   for (const [index, fault] of faults.entries()) {
-    const latest = byTurn && index < faultsByTurn ? (latestByTurn[index] as number) : milliseconds - 4_000;
+    const mustStrike = byTurn && index < faultsByTurn;
+    const latest = mustStrike ? (latestByTurn[index] as number) : milliseconds - 4_000;
     // One in four strikes at the very moment of the one before it.
     if (index < faultsByTurn || fleet.world.fraction() > 0.25) together = pooledFaults.between(fleet, 3_000, latest);
-    fleet.world.at(together, () => void pooledFaults.strike(fleet, storm, fault));
+    fleet.world.at(together, () => void pooledFaults.strike(fleet, storm, fault, mustStrike));
   }
 }
 
