--- a/packages/acceptance/features/cut-core.feature
+++ b/packages/acceptance/features/cut-core.feature
@@ -57,7 +57,7 @@
   Scenario: A leave of a member that the core has not met is not lost
     Given 3 cores that founded a fleet, an edge with its lease, and an operator who sends configurations
     When "bookings-1" and "bookings-2" beat to core-1
-    And core-3 is killed and comes back after 1 s with an empty roster
+    And core-3 is killed and comes back after 1 s with an empty member registry
     And "bookings-1" leaves at core-3
     Then within 3 s all cores know that "bookings-1" has left
 
--- a/packages/acceptance/features/units.feature
+++ b/packages/acceptance/features/units.feature
@@ -1,16 +1,16 @@
 Feature: Small parts of the platform's path, each alone on virtual time
 
-  # -- The roster (design 4.7).
+  # -- The member registry (design 4.7).
 
   Scenario: A late beat changes nothing
-    Given a roster
+    Given a member registry
     When "member-1" beats with number 7 as draining
     And "member-1" beats with number 6 as in service
     Then the beat with number 6 was not taken, and "member-1" is draining
     And only the beat with number 7 is spread
 
   Scenario: What has left is never back, whoever tells of it
-    Given a roster
+    Given a member registry
     When "member-1" beats with number 7 as in service
     And "member-1" leaves
     And "member-1" beats with number 8 as in service
@@ -18,18 +18,18 @@
     Then "member-1" is gone, of no service, and spread as gone
 
   Scenario: What left at another core is gone here too
-    Given a roster
+    Given a member registry
     When "member-1" beats with number 7 as in service
     And another core tells that "member-1" has left
     And "member-1" beats with number 8 as in service
     Then "member-1" is gone, of no service
 
   Scenario: A silent member is down, and up again with its next beat
-    Given a roster
+    Given a member registry
     When "member-1" beats with number 7 as in service
-    And 4.9 s pass and the roster looks
+    And 4.9 s pass and the registry sweeps
     Then "member-1" is up
-    When 0.3 s pass and the roster looks
+    When 0.3 s pass and the registry sweeps
     Then "member-1" is down, and its readers are told of one more change
     When "member-1" beats with number 8 as in service
     Then "member-1" is up, and its readers are told of one more change
@@ -37,19 +37,19 @@
     Then its readers are told of no change
 
   Scenario: A member that was silent for long is of no service, and is back with its next beat
-    Given a roster
+    Given a member registry
     When "member-1" beats with number 7 as in service
-    And 61 s pass and the roster looks
+    And 61 s pass and the registry sweeps
     Then "member-1" is gone, of no service
     When "member-1" beats with number 8 as in service
     Then "member-1" is up
     And "member-1" is of its service
 
   Scenario: Beats are spread once, with their age, and counted from when they were taken
-    Given a roster
-    And the roster of another core
+    Given a member registry
+    And the member registry of another core
     When "member-1" beats with number 7 as in service
-    And 3 s pass and the roster looks
+    And 3 s pass and the registry sweeps
     Then what is spread to the other core is "member-1" of 3 s ago, and nothing the next time
     And the other core spreads nothing of it, and has it down 2 s later
 
--- a/packages/acceptance/src/administration.ts
+++ b/packages/acceptance/src/administration.ts
@@ -8,8 +8,8 @@
 import { openapi } from '@stallstall/cli';
 import { watcher, type Register } from '@stallstall/register';
 import { checks, world as worlds } from '@stallstall/simulator';
-import { bringUp, edgeOf, primary, Story, within } from './story.js';
-import { readGives } from './steps.js';
+import { bringUp, edgeOf, primary, type Story, within } from './story.js';
+import { readGives } from './fleet-steps.js';
 
 const rootKey = 'root-key-of-the-story';
 
--- a/packages/acceptance/src/connections.ts
+++ b/packages/acceptance/src/connections.ts
@@ -9,7 +9,7 @@
 import { world as worlds } from '@stallstall/simulator';
 import { positions, type MemberAddress, type Position } from '@stallstall/session-protocol';
 
-import type { UnitStory } from './units.js';
+import type { UnitStory } from './unit-story.js';
 
 // -- Freshness.
 
--- a/packages/acceptance/src/cut-core.ts
+++ b/packages/acceptance/src/cut-core.ts
@@ -180,7 +180,7 @@
 });
 
 When(
-  'core-{int} is killed and comes back after {int} s with an empty roster',
+  'core-{int} is killed and comes back after {int} s with an empty member registry',
   async function when(this: CutCoreStory, index: number, seconds: number) {
     const machine = this.cores.machine(`core-${index}`);
     this.cores.kill(machine);
--- /dev/null
+++ b/packages/acceptance/src/lease-grantor-steps.ts
@@ -0,0 +1,128 @@
+/** Steps of units.feature for a core's lease grantor, alone on virtual time. */
+import assert from 'node:assert/strict';
+import { Given, When, Then } from '@cucumber/cucumber';
+import { leaseGrantor } from '@stallstall/lease';
+import type { Request } from '@stallstall/message';
+import { world as worlds } from '@stallstall/simulator';
+import * as Option from 'fp-ts/lib/Option.js';
+import { leaseAsk } from './lease-ask.js';
+import type { UnitStory } from './unit-story.js';
+import { registryOn } from './member-registry-steps.js';
+
+function leaseHoldersOf(story: UnitStory): readonly string[] {
+  const known = story.leaseGrantor.leaseHolders();
+  assert.ok(Option.isSome(known), 'it does not say');
+  return known.value;
+}
+
+async function startLeaseGrantor(story: UnitStory, ready: boolean): Promise<void> {
+  story.world = worlds.create(45);
+  story.registry = registryOn(story.world, 'core-1');
+  story.kernel = story.world.spawn('core', 'core-machine').kernel;
+  story.stance = 5;
+  story.openedAt = story.kernel.clock.now();
+  story.replied = [];
+  story.leaseGrantor = leaseGrantor.create(story.kernel, {
+    ready: () => ready,
+    openedAt: () => story.openedAt,
+    epochs: () => ({ ferries: story.stance }),
+    configuration: () => 1,
+    membership: () => 1,
+    puts: () => 1,
+    registry: story.registry,
+    isLeaderMissing: () => false,
+    onConnectionRefused: () => undefined,
+  });
+  await story.world.run(10);
+  // A process before it may have granted some: it names none until these have ended.
+  assert.ok(Option.isNone(story.leaseGrantor.leaseHolders()));
+  await story.world.run(2_600);
+}
+
+Given("a core's half of the leases, standing at 5", async function given(this: UnitStory) {
+  await startLeaseGrantor(this, true);
+});
+
+Given("a core's half of the leases, not ready", async function given(this: UnitStory) {
+  await startLeaseGrantor(this, false);
+});
+
+function askOf(node: string, released: number, change: Partial<Request<'lease'>> = {}): Request<'lease'> {
+  return leaseAsk(node, { released: released === 0 ? {} : { ferries: released }, ...change });
+}
+
+When(
+  '{string} asks, and 1 s later {string} asks, having released what is below {int}',
+  async function when(this: UnitStory, first: string, second: string, epoch: number) {
+    await this.leaseGrantor.grant(askOf(first, 0));
+    await this.world.run(1_000);
+    await this.leaseGrantor.grant(askOf(second, epoch));
+  },
+);
+
+When('{string} asks, having released what is below {int}', async function when(this: UnitStory, node: string, epoch: number) {
+  await this.leaseGrantor.grant(askOf(node, epoch));
+});
+
+Then('both count, and the epoch {int} is not released by both', function then(this: UnitStory, epoch: number) {
+  assert.deepEqual([...leaseHoldersOf(this)].sort(), ['edge-1', 'edge-2']);
+  assert.equal(this.leaseGrantor.hasReleased('ferries', epoch, ['edge-1', 'edge-2']), false);
+  assert.equal(this.leaseGrantor.hasReleased('ferries', epoch, ['edge-2']), true);
+  assert.equal(this.leaseGrantor.hasReleased('ferries', epoch, ['edge-3']), false);
+});
+
+Then('the epoch {int} is released by both, and {int} is not', function then(this: UnitStory, epoch: number, next: number) {
+  assert.equal(this.leaseGrantor.hasReleased('ferries', epoch, ['edge-1', 'edge-2']), true);
+  assert.equal(this.leaseGrantor.hasReleased('ferries', next, ['edge-1', 'edge-2']), false);
+});
+
+When('{float} s pass since the asks', async function when(this: UnitStory, seconds: number) {
+  await this.world.run(seconds * 1_000 - 200);
+  assert.deepEqual(leaseHoldersOf(this).length, 2);
+  await this.world.run(200);
+});
+
+When('its core is given a seat anew', function when(this: UnitStory) {
+  this.openedAt = this.kernel.clock.now();
+});
+
+Then(
+  "it can't say for {float} s whom leases were granted to, and names none after that",
+  async function then(this: UnitStory, seconds: number) {
+    await this.world.run(seconds * 1_000 - 20);
+    assert.ok(
+      Option.isNone(this.leaseGrantor.leaseHolders()),
+      'it names edges though another occupant of its seat may have granted leases',
+    );
+    await this.world.run(40);
+    assert.deepEqual(leaseHoldersOf(this), []);
+  },
+);
+
+Then('none counts', function then(this: UnitStory) {
+  assert.deepEqual(leaseHoldersOf(this), []);
+});
+
+Then('a reply to {string} names no stance', async function then(this: UnitStory, node: string) {
+  const reply = await this.leaseGrantor.grant(askOf(node, 0));
+  assert.deepEqual([reply.ready, reply.stances], [false, {}]);
+});
+
+When("{string} asks twice, and the core's stance changes 100 ms later", async function when(this: UnitStory, node: string) {
+  const first = await this.leaseGrantor.grant(askOf(node, 0, { hold: 450 }));
+  void this.leaseGrantor
+    .grant(askOf(node, 0, { token: first.token, seen: first.number, hold: 450 }))
+    .then((reply) => this.replied.push({ at: this.world.now(), reply }));
+  await this.world.run(100);
+  assert.deepEqual(this.replied, []);
+  this.stance = 6;
+  this.changedAt = this.world.now();
+  this.leaseGrantor.notify();
+  await this.world.run(500);
+});
+
+Then('the second ask is replied within {int} ms of the change, with the new stance', function then(this: UnitStory, milliseconds: number) {
+  const [replied] = this.replied;
+  assert.ok(replied !== undefined && replied.at - this.changedAt <= milliseconds, JSON.stringify(this.replied));
+  assert.deepEqual(replied.reply.stances, { ferries: 6 });
+});
--- a/packages/acceptance/src/lease-holder-steps.ts
+++ b/packages/acceptance/src/lease-holder-steps.ts
@@ -1,196 +1,14 @@
-/** Steps of the stories of units.feature: roster, leases, freshness and connections, each alone on virtual time. */
+/** Steps of units.feature for a lease holder beside cores that reply as they are told, alone on virtual time. */
 import assert from 'node:assert/strict';
 import { Given, Then, When } from '@cucumber/cucumber';
 import * as Option from 'fp-ts/lib/Option.js';
-import { liveness, livenessService } from '@stallstall/election';
-import { identifiers, type Instant, type Kernel, type Listening } from '@stallstall/kernel';
-import { leaseHolder, leaseGrantor, type LeaseHolder, type LeaseGrantor } from '@stallstall/lease';
-import type { Request, Reply, MemberRecord, Seat } from '@stallstall/message';
+import { identifiers } from '@stallstall/kernel';
+import { leaseHolder } from '@stallstall/lease';
+import type { Reply, MemberRecord, Seat } from '@stallstall/message';
 import { peer, type Caller } from '@stallstall/peer';
-import { type Connections, type PooledLine } from '@stallstall/pooler/connections';
-import { memberRegistry, type Registration, type MemberRegistry, type ReceivedBeat } from '@stallstall/member-registry';
-import { world as worlds, type Process, type World } from '@stallstall/simulator';
-import { leaseAsk } from './lease-ask.js';
-
-type StubCore = {
-  stance: number | undefined;
-  silent: boolean;
-  ready: boolean;
-  number: number;
-  settled: number;
-  delay: number;
-  held: number;
-  lessees: Set<Caller>;
-  reply: ((ask: Request<'lease'>) => Promise<Partial<Reply<'lease'>>>) | undefined;
-};
-
-export type UnitStory = {
-  world: World;
-  kernel: Kernel;
-  roster: MemberRegistry;
-  other: MemberRegistry;
-  taken: Map<number, boolean>;
-  changesSeen: number;
-  cores: StubCore[];
-  lessee: LeaseHolder;
-  freed: () => void;
-  lessor: LeaseGrantor;
-  stance: number;
-  openedAt: Instant;
-  ready: boolean;
-  replied: Array<Readonly<{ at: number; reply: Reply<'lease'> }>>;
-  changedAt: number;
-  connections: Connections;
-  member: Process;
-  memberListening: Listening;
-  heard: string[];
-  opening: string;
-  wanted: boolean[];
-  pooled: PooledLine;
-};
-
-// -- The roster.
-
-function registration(member: string, sequence: number, draining: boolean): Registration {
-  return { member, service: 'ferries', address: '10.3.0.1:5000', area: 'north', draining, role: 'replica', slots: 4, sequence };
-}
-
-function rosterOn(world: World, name: string): MemberRegistry {
-  const { kernel } = world.spawn(name, `${name}-machine`);
-  kernel.services.offer(livenessService, liveness.create(kernel));
-  return memberRegistry.create(kernel, () => undefined);
-}
-
-function known(of: MemberRegistry, member: string): MemberRecord {
-  const entry = of.recordOf(member);
-  assert.ok(Option.isSome(entry), `${member} is not known`);
-  return entry.value;
-}
-
-Given('a roster', function given(this: UnitStory) {
-  this.world = worlds.create(41);
-  this.roster = rosterOn(this.world, 'core-1');
-  this.taken = new Map();
-});
-
-Given('the roster of another core', function given(this: UnitStory) {
-  this.other = rosterOn(this.world, 'core-2');
-});
-
-When('{string} beats with number {int} as draining', function when(this: UnitStory, member: string, sequence: number) {
-  this.changesSeen = this.roster.version();
-  this.taken.set(sequence, this.roster.heartbeat(registration(member, sequence, true)));
-});
-
-When('{string} beats with number {int} as in service', function when(this: UnitStory, member: string, sequence: number) {
-  this.changesSeen = this.roster.version();
-  this.taken.set(sequence, this.roster.heartbeat(registration(member, sequence, false)));
-});
-
-When('{string} leaves', function when(this: UnitStory, member: string) {
-  this.roster.leave(member);
-});
-
-When('another core tells of a beat of {string} with number {int}', function when(this: UnitStory, member: string, sequence: number) {
-  this.roster.merge([{ entry: { ...registration(member, sequence, false), gone: false, down: false }, ago: 0 }]);
-});
-
-When('another core tells that {string} has left', function when(this: UnitStory, member: string) {
-  this.roster.merge([{ entry: { ...registration(member, 7, false), gone: true, down: false }, ago: 0 }]);
-});
-
-When('{float} s pass and the roster looks', async function when(this: UnitStory, seconds: number) {
-  await this.world.run(seconds * 1_000);
-  this.changesSeen = this.roster.version();
-  this.roster.sweep();
-});
-
-Then(
-  'the beat with number {int} was not taken, and {string} is draining',
-  function then(this: UnitStory, sequence: number, member: string) {
-    assert.equal(this.taken.get(sequence), false);
-    assert.equal(known(this.roster, member).draining, true);
-    assert.deepEqual(
-      this.roster.membersOf('ferries').map((one) => one.state),
-      ['draining'],
-    );
-  },
-);
-
-Then('only the beat with number {int} is spread', function then(this: UnitStory, sequence: number) {
-  assert.deepEqual(
-    this.roster.takeRecent().map((one) => one.entry.sequence),
-    [sequence],
-  );
-  this.roster.heartbeat(registration('member-1', sequence - 2, false));
-  assert.deepEqual(this.roster.takeRecent(), []);
-});
-
-Then('{string} is gone, of no service, and spread as gone', function then(this: UnitStory, member: string) {
-  assert.equal(known(this.roster, member).gone, true);
-  assert.deepEqual(this.roster.membersOf('ferries'), []);
-  assert.deepEqual(
-    this.roster.takeRecent().map((one) => [one.entry.member, one.entry.gone]),
-    [[member, true]],
-  );
-});
-
-Then('{string} is gone, of no service', function then(this: UnitStory, member: string) {
-  assert.equal(known(this.roster, member).gone, true);
-  assert.deepEqual(this.roster.membersOf('ferries'), []);
-});
-
-Then('{string} is of its service', function then(this: UnitStory, member: string) {
-  assert.deepEqual(
-    this.roster.membersOf('ferries').map((one) => one.member),
-    [member],
-  );
-});
-
-Then('{string} is up', function then(this: UnitStory, member: string) {
-  const { down, gone } = known(this.roster, member);
-  assert.deepEqual([down, gone], [false, false]);
-});
-
-Then(/^"(.+)" is (up|down), and its readers are told of one more change$/, function then(this: UnitStory, member: string, stands: string) {
-  assert.equal(known(this.roster, member).down, stands === 'down');
-  assert.equal(this.roster.version(), this.changesSeen + 1);
-  assert.deepEqual(
-    this.roster.changedSince(this.changesSeen).map((entry) => entry.member),
-    [member],
-  );
-});
-
-Then('its readers are told of no change', function then(this: UnitStory) {
-  assert.equal(this.roster.version(), this.changesSeen);
-  assert.deepEqual(this.roster.changedSince(this.changesSeen), []);
-});
-
-Then(
-  'what is spread to the other core is {string} of {int} s ago, and nothing the next time',
-  function then(this: UnitStory, member: string, seconds: number) {
-    const told: readonly ReceivedBeat[] = this.roster.takeRecent();
-    assert.deepEqual(
-      told.map((one) => one.entry.member),
-      [member],
-    );
-    // Each process has a clock of its own, and they do not go at one rate.
-    assert.ok(Math.abs((told[0]?.ago ?? 0) - seconds * 1_000) < seconds * 20, JSON.stringify(told));
-    assert.deepEqual(this.roster.takeRecent(), []);
-    this.other.merge(told);
-  },
-);
-
-Then('the other core spreads nothing of it, and has it down {int} s later', async function then(this: UnitStory, seconds: number) {
-  assert.deepEqual(this.other.takeRecent(), []);
-  this.other.sweep();
-  assert.equal(known(this.other, 'member-1').down, false);
-  await this.world.run(seconds * 1_000 + 150);
-  this.other.sweep();
-  assert.equal(known(this.other, 'member-1').down, true);
-});
-
-// -- The edge's half of the leases, over cores that say what they are told to.
+import { world as worlds } from '@stallstall/simulator';
+import { registration } from './member-registry-steps.js';
+import type { UnitStory, StubCore } from './unit-story.js';
 
 function seatOf(index: number): Seat {
   return {
@@ -233,8 +51,8 @@
         superseded: false,
       }) as Reply<'hello'>,
     lease: async function lease(ask, caller) {
-      if (!stub.lessees.has(caller)) {
-        stub.lessees.add(caller);
+      if (!stub.leaseHolders.has(caller)) {
+        stub.leaseHolders.add(caller);
         caller.change({
           number: 1,
           set: 1,
@@ -279,7 +97,7 @@
     settled: 5,
     delay: 20,
     held: 0,
-    lessees: new Set(),
+    leaseHolders: new Set(),
     reply: undefined,
     ...stub,
   }));
@@ -287,7 +105,7 @@
   for (const index of stubs.keys()) await startStub(story, index, seats);
   const { kernel } = story.world.spawn('edge-1', 'edge-machine');
   story.kernel = kernel;
-  story.lessee = leaseHolder.create(
+  story.leaseHolder = leaseHolder.create(
     kernel,
     { node: 'edge-1', area: 'north', seeds: () => seats.map((seat) => seat.address) },
     {
@@ -301,7 +119,7 @@
       onChange: () => undefined,
     },
   );
-  story.lessee.start();
+  story.leaseHolder.start();
 }
 
 Given(
@@ -315,7 +133,7 @@
 );
 
 Then(/^between ([\d.]+) s and ([\d.]+) s of it are left$/, function then(this: UnitStory, least: string, most: string) {
-  const left = this.lessee.leaseUntil('ferries') - this.kernel.clock.now();
+  const left = this.leaseHolder.leaseUntil('ferries') - this.kernel.clock.now();
   assert.ok(left >= Number(least) * 1_000 && left <= Number(most) * 1_000, `${left} ms are left`);
 });
 
@@ -376,7 +194,7 @@
     }
     const { kernel } = this.world.spawn('edge-1', 'edge-machine');
     this.kernel = kernel;
-    this.lessee = leaseHolder.create(
+    this.leaseHolder = leaseHolder.create(
       kernel,
       { node: 'edge-1', area: 'north', seeds: () => seats.map((seat) => seat.address) },
       {
@@ -390,17 +208,17 @@
         onChange: () => undefined,
       },
     );
-    this.lessee.start();
+    this.leaseHolder.start();
   },
 );
 
 Then('within 1 s the edge obeys it', async function then(this: UnitStory) {
   await this.world.run(1_000);
-  assert.deepEqual([...this.lessee.services()], ['ferries']);
+  assert.deepEqual([...this.leaseHolder.services()], ['ferries']);
 });
 
 function hasLease(story: UnitStory): boolean {
-  return story.lessee.leaseUntil('ferries') > story.kernel.clock.now();
+  return story.leaseHolder.leaseUntil('ferries') > story.kernel.clock.now();
 }
 
 /** `-` is a core that is not ready. */
@@ -411,7 +229,7 @@
 Given(/^an edge and cores that stand at ([-\d, ]+), and epoch 5 settled$/, async function given(this: UnitStory, stances: string) {
   await startEdge(this, stubsOf(stances));
   await this.world.run(3_000);
-  const settled = this.lessee.electedPrimary('ferries');
+  const settled = this.leaseHolder.electedPrimary('ferries');
   assert.ok(Option.isSome(settled) && settled.value.epoch === 5);
 });
 
@@ -432,7 +250,7 @@
 });
 
 Then('no more than {float} s of it are left', function then(this: UnitStory, seconds: number) {
-  const left = this.lessee.leaseUntil('ferries') - this.kernel.clock.now();
+  const left = this.leaseHolder.leaseUntil('ferries') - this.kernel.clock.now();
   assert.ok(left <= seconds * 1_000 && left > seconds * 1_000 - 100, `${left} ms are left`);
 });
 
@@ -462,21 +280,21 @@
 });
 
 When(/^the cores stand at ([\d, ]+) and epoch (\d+) is settled$/, async function when(this: UnitStory, stances: string, epoch: string) {
-  for (const stub of this.cores) for (const caller of stub.lessees) caller.change(settledChange(Number(epoch)));
+  for (const stub of this.cores) for (const caller of stub.leaseHolders) caller.change(settledChange(Number(epoch)));
   await standAt(this, stances);
 });
 
 Then('the edge has no lease, and lets go of what is below {int}', function then(this: UnitStory, epoch: number) {
   assert.equal(hasLease(this), false);
-  assert.equal(this.lessee.releaseEpoch('ferries'), epoch);
+  assert.equal(this.leaseHolder.releaseEpoch('ferries'), epoch);
 });
 
 Then('the edge has a lease, and lets go of nothing', function then(this: UnitStory) {
   assert.equal(hasLease(this), true);
-  assert.ok(this.lessee.releaseEpoch('ferries') <= 5);
+  assert.ok(this.leaseHolder.releaseEpoch('ferries') <= 5);
 });
 
-function rosterEntry(draining: boolean): MemberRecord {
+function memberRecord(draining: boolean): MemberRecord {
   return { ...registration('member-1', 4, draining), gone: false, down: false };
 }
 
@@ -490,24 +308,24 @@
       let asks = 0;
       stub.reply = async function reply(ask) {
         asks += 1;
-        if (asks === 1) return { number: 1, whole: true, roster: [rosterEntry(false)] };
+        if (asks === 1) return { number: 1, whole: true, roster: [memberRecord(false)] };
         if (ask.hold > 0) {
           await new Promise<void>((resolve) => held.push(resolve));
-          return { number: 2, roster: [rosterEntry(false)] };
+          return { number: 2, roster: [memberRecord(false)] };
         }
-        return { number: 3, roster: [rosterEntry(true)] };
+        return { number: 3, roster: [memberRecord(true)] };
       };
     }
     await this.world.run(400);
     assert.deepEqual(
-      this.lessee.members().map((entry) => [entry.member, entry.draining]),
+      this.leaseHolder.members().map((entry) => [entry.member, entry.draining]),
       [[member, false]],
     );
     assert.equal(held.length, 3);
-    this.lessee.reportNow();
+    this.leaseHolder.reportNow();
     await this.world.run(100);
     assert.deepEqual(
-      this.lessee.members().map((entry) => entry.draining),
+      this.leaseHolder.members().map((entry) => entry.draining),
       [true],
     );
   },
@@ -520,124 +338,7 @@
 
 Then('the edge knows {string} as draining', function then(this: UnitStory, member: string) {
   assert.deepEqual(
-    this.lessee.members().map((entry) => [entry.member, entry.draining]),
+    this.leaseHolder.members().map((entry) => [entry.member, entry.draining]),
     [[member, true]],
   );
 });
-
-// -- The core's half.
-
-function lesseesOf(story: UnitStory): readonly string[] {
-  const known = story.lessor.leaseHolders();
-  assert.ok(Option.isSome(known), 'it does not say');
-  return known.value;
-}
-
-async function startLessor(story: UnitStory, ready: boolean): Promise<void> {
-  story.world = worlds.create(45);
-  story.roster = rosterOn(story.world, 'core-1');
-  story.kernel = story.world.spawn('core', 'core-machine').kernel;
-  story.stance = 5;
-  story.openedAt = story.kernel.clock.now();
-  story.replied = [];
-  story.lessor = leaseGrantor.create(story.kernel, {
-    ready: () => ready,
-    openedAt: () => story.openedAt,
-    epochs: () => ({ ferries: story.stance }),
-    configuration: () => 1,
-    membership: () => 1,
-    puts: () => 1,
-    registry: story.roster,
-    isLeaderMissing: () => false,
-    onConnectionRefused: () => undefined,
-  });
-  await story.world.run(10);
-  // A process before it may have granted some: it names none until these have ended.
-  assert.ok(Option.isNone(story.lessor.leaseHolders()));
-  await story.world.run(2_600);
-}
-
-Given("a core's half of the leases, standing at 5", async function given(this: UnitStory) {
-  await startLessor(this, true);
-});
-
-Given("a core's half of the leases, not ready", async function given(this: UnitStory) {
-  await startLessor(this, false);
-});
-
-function askOf(node: string, released: number, change: Partial<Request<'lease'>> = {}): Request<'lease'> {
-  return leaseAsk(node, { released: released === 0 ? {} : { ferries: released }, ...change });
-}
-
-When(
-  '{string} asks, and 1 s later {string} asks, having released what is below {int}',
-  async function when(this: UnitStory, first: string, second: string, epoch: number) {
-    await this.lessor.grant(askOf(first, 0));
-    await this.world.run(1_000);
-    await this.lessor.grant(askOf(second, epoch));
-  },
-);
-
-When('{string} asks, having released what is below {int}', async function when(this: UnitStory, node: string, epoch: number) {
-  await this.lessor.grant(askOf(node, epoch));
-});
-
-Then('both count, and the epoch {int} is not released by both', function then(this: UnitStory, epoch: number) {
-  assert.deepEqual([...lesseesOf(this)].sort(), ['edge-1', 'edge-2']);
-  assert.equal(this.lessor.hasReleased('ferries', epoch, ['edge-1', 'edge-2']), false);
-  assert.equal(this.lessor.hasReleased('ferries', epoch, ['edge-2']), true);
-  assert.equal(this.lessor.hasReleased('ferries', epoch, ['edge-3']), false);
-});
-
-Then('the epoch {int} is released by both, and {int} is not', function then(this: UnitStory, epoch: number, next: number) {
-  assert.equal(this.lessor.hasReleased('ferries', epoch, ['edge-1', 'edge-2']), true);
-  assert.equal(this.lessor.hasReleased('ferries', next, ['edge-1', 'edge-2']), false);
-});
-
-When('{float} s pass since the asks', async function when(this: UnitStory, seconds: number) {
-  await this.world.run(seconds * 1_000 - 200);
-  assert.deepEqual(lesseesOf(this).length, 2);
-  await this.world.run(200);
-});
-
-When('its core is given a seat anew', function when(this: UnitStory) {
-  this.openedAt = this.kernel.clock.now();
-});
-
-Then(
-  "it can't say for {float} s whom leases were granted to, and names none after that",
-  async function then(this: UnitStory, seconds: number) {
-    await this.world.run(seconds * 1_000 - 20);
-    assert.ok(Option.isNone(this.lessor.leaseHolders()), 'it names edges though another occupant of its seat may have granted leases');
-    await this.world.run(40);
-    assert.deepEqual(lesseesOf(this), []);
-  },
-);
-
-Then('none counts', function then(this: UnitStory) {
-  assert.deepEqual(lesseesOf(this), []);
-});
-
-Then('a reply to {string} names no stance', async function then(this: UnitStory, node: string) {
-  const reply = await this.lessor.grant(askOf(node, 0));
-  assert.deepEqual([reply.ready, reply.stances], [false, {}]);
-});
-
-When("{string} asks twice, and the core's stance changes 100 ms later", async function when(this: UnitStory, node: string) {
-  const first = await this.lessor.grant(askOf(node, 0, { hold: 450 }));
-  void this.lessor
-    .grant(askOf(node, 0, { token: first.token, seen: first.number, hold: 450 }))
-    .then((reply) => this.replied.push({ at: this.world.now(), reply }));
-  await this.world.run(100);
-  assert.deepEqual(this.replied, []);
-  this.stance = 6;
-  this.changedAt = this.world.now();
-  this.lessor.notify();
-  await this.world.run(500);
-});
-
-Then('the second ask is replied within {int} ms of the change, with the new stance', function then(this: UnitStory, milliseconds: number) {
-  const [replied] = this.replied;
-  assert.ok(replied !== undefined && replied.at - this.changedAt <= milliseconds, JSON.stringify(this.replied));
-  assert.deepEqual(replied.reply.stances, { ferries: 6 });
-});
--- /dev/null
+++ b/packages/acceptance/src/planned-change-steps.ts
@@ -0,0 +1,89 @@
+/** Steps for planned changes under load: an edge removed, a proxy restarted. */
+import assert from 'node:assert/strict';
+import { Given, When, Then } from '@cucumber/cucumber';
+import { fault } from '@stallstall/kernel';
+import { checks } from '@stallstall/simulator';
+import * as Option from 'fp-ts/lib/Option.js';
+import { write } from './fleet-steps.js';
+import { type Story, primary, edgeOf, within } from './story.js';
+
+Given('its senders are at work', async function given(this: Story) {
+  this.senders = this.fleet.startSenders();
+  await this.fleet.world.run(3_000);
+});
+
+Given('every other member of {string} is killed', async function given(this: Story, service: string) {
+  const leads = primary(this, service);
+  for (const slot of this.fleet.members) if (slot.place.service === service && slot !== leads) this.fleet.stopSlot(slot);
+  await this.fleet.world.run(500);
+});
+
+When('an operator removes {word}', async function when(this: Story, edge: string) {
+  this.edge = edgeOf(this, edge);
+  this.process = this.edge.agent.process;
+  await this.fleet.world.run(2_000);
+  assert.equal((await this.fleet.operate('DELETE', `/v1/nodes/${edge}`)).status, 200);
+});
+
+When('the proxy of {word} is ended as planned and started again', function when(this: Story, edge: string) {
+  const slot = edgeOf(this, edge);
+  void slot.proxy.running?.drain().then(() => {
+    this.fleet.stopSlot(slot.proxy);
+    return this.fleet.startProxy(slot);
+  });
+});
+
+Then(
+  'a write to {string} through {word} is denied as {string} within {int} ms and says when to retry',
+  async function then(this: Story, service: string, edge: string, kind: string, milliseconds: number) {
+    const began = this.fleet.world.now();
+    const reply = await write(this, service, edge);
+    within(reply, [kind]);
+    assert.ok(this.fleet.world.now() - began <= milliseconds, `it took ${this.fleet.world.now() - began} ms`);
+    assert.equal(reply.headers?.['retry-after'], '1');
+  },
+);
+
+Then(
+  'another member of {string} leads, and no stretch of {int} s passed without a write kept',
+  function then(this: Story, service: string, seconds: number) {
+    assert.notEqual(primary(this, service).place.member, this.before.member);
+    const kept = this.fleet.ledger.writes
+      .filter((one) => one.service === service && one.fate === 'kept')
+      .map((one) => one.endedAt)
+      .sort((left, right) => left - right);
+    const longest = Math.max(...kept.map((at, index) => at - (kept[index - 1] ?? at)), this.fleet.world.now() - (kept.at(-1) ?? 0));
+    assert.ok(longest < seconds * 1_000, `${Math.round(longest)} ms passed`);
+  },
+);
+
+Then('the ledger is clean', async function then(this: Story) {
+  this.senders.stop();
+  await this.fleet.world.run(4_000);
+  assert.deepEqual(
+    [
+      ...checks.writes(this.fleet.ledger, checks.logsOf(this.fleet)),
+      ...checks.reads(this.fleet.ledger),
+      ...checks.sessions(this.fleet.ledger, 0),
+    ],
+    [],
+  );
+});
+
+Then('the agent of {word} has stopped as {string}', function then(this: Story, _edge: string, kind: string) {
+  assert.equal(this.process?.alive(), false);
+  const reason = this.process?.stoppedBy() ?? Option.none;
+  assert.ok(Option.isSome(reason) && fault.kind(reason.value) === kind);
+});
+
+Then('no reply was lost', function then(this: Story) {
+  const reasons = [...this.fleet.ledger.reasons.keys()];
+  assert.ok(
+    ['draining', 'session:draining', 'session-lost', 'unreachable'].some((reason) => reasons.includes(reason)),
+    'the restart met no sender',
+  );
+  assert.ok(
+    !reasons.includes('reply-lost') && !reasons.includes('outcome-unknown') && !reasons.includes('transaction-ended'),
+    reasons.join(' '),
+  );
+});
--- /dev/null
+++ b/packages/acceptance/src/unit-story.ts
@@ -0,0 +1,45 @@
+/** What a story of units.feature holds, and what its steps share. */
+import type { Kernel, Instant, Listening } from '@stallstall/kernel';
+import type { LeaseHolder, LeaseGrantor } from '@stallstall/lease';
+import type { MemberRegistry } from '@stallstall/member-registry';
+import type { Request, Reply } from '@stallstall/message';
+import type { Caller } from '@stallstall/peer';
+import type { Connections, PooledLine } from '@stallstall/pooler/connections';
+import type { World, Process } from '@stallstall/simulator';
+
+export type StubCore = {
+  stance: number | undefined;
+  silent: boolean;
+  ready: boolean;
+  number: number;
+  settled: number;
+  delay: number;
+  held: number;
+  leaseHolders: Set<Caller>;
+  reply: ((ask: Request<'lease'>) => Promise<Partial<Reply<'lease'>>>) | undefined;
+};
+
+export type UnitStory = {
+  world: World;
+  kernel: Kernel;
+  registry: MemberRegistry;
+  other: MemberRegistry;
+  taken: Map<number, boolean>;
+  changesSeen: number;
+  cores: StubCore[];
+  leaseHolder: LeaseHolder;
+  freed: () => void;
+  leaseGrantor: LeaseGrantor;
+  stance: number;
+  openedAt: Instant;
+  ready: boolean;
+  replied: Array<Readonly<{ at: number; reply: Reply<'lease'> }>>;
+  changedAt: number;
+  connections: Connections;
+  member: Process;
+  memberListening: Listening;
+  heard: string[];
+  opening: string;
+  wanted: boolean[];
+  pooled: PooledLine;
+};
