--- a/eslint.config.js
+++ b/eslint.config.js
@@ -3,7 +3,28 @@
 /**
  * Packages that pass the whole of the rules. The list only grows: a package that is cleaned is added, none is taken out.
  */
-const cleanPackages = ['cli', 'election', 'lease', 'node', 'placement', 'pool', 'pooler', 'proxy', 'quorum', 'quorum-lease', 'routing'];
+const cleanPackages = [
+  'agent',
+  'cli',
+  'core',
+  'election',
+  'kernel',
+  'lease',
+  'member-registry',
+  'message',
+  'node',
+  'peer',
+  'placement',
+  'pool',
+  'pooler',
+  'proxy',
+  'quorum',
+  'quorum-lease',
+  'register',
+  'routing',
+  'runtime',
+  'session-protocol',
+];
 const cleanFiles = cleanPackages.map((name) => `packages/${name}/src/**/*.ts`);
 
 const noClasses = {
@@ -66,6 +87,9 @@
   })),
 );
 
+/** The functions of these files are still to be split (docs/ROADMAP.md); the list only shrinks. */
+const filesWithLongFunctions = ['packages/core/src/core-set-membership.ts'];
+
 export default tseslint.config(
   { ignores: ['**/build/**', '**/node_modules/**', 'scratch/**', 'data/**', 'target/**'] },
   ...tseslint.configs.recommended,
@@ -97,6 +121,10 @@
       '@typescript-eslint/require-await': 'off',
     },
   },
+  {
+    files: filesWithLongFunctions,
+    rules: { 'max-lines-per-function': ['error', { max: 90, skipBlankLines: true, skipComments: true }] },
+  },
   {
     // The adapter names the platform's fields as the platform does; its own names are the house's.
     files: ['platform/src/**/*.ts'],
--- a/packages/agent/src/lease-agent.ts
+++ b/packages/agent/src/lease-agent.ts
@@ -71,9 +71,9 @@
 
 /** Takes what the proxy reports; what it releases, or is refused by, the cores hear at once. */
 function takeReport({ proxy, holder }: AgentState, request: Request<'placement'>): void {
-  const { isRestarted, isNews } = proxy.update(request);
+  const { isRestarted, isChanged } = proxy.update(request);
   if (isRestarted) holder.proxyRestarted();
-  if (isNews) holder.reportNow();
+  if (isChanged) holder.reportNow();
 }
 
 async function waitForUpdate(
--- a/packages/agent/src/proxy-state.ts
+++ b/packages/agent/src/proxy-state.ts
@@ -24,7 +24,7 @@
   /** Another process runs as the proxy than before. */
   isRestarted: boolean;
   /** What it has released, or the members that refuse it, have changed. */
-  isNews: boolean;
+  isChanged: boolean;
 }>;
 
 /** A proxy that asks this often misses a leader somewhere. Unit: milliseconds. */
@@ -44,7 +44,7 @@
   let askedAt: Instant = identifiers.instant(Number.NEGATIVE_INFINITY);
   /** What the proxy reported last was all there was at this moment or later. */
   let positionsAt: Instant | undefined;
-  let newsBefore = '';
+  let conditionBefore = '';
   let lastReply = 0;
   const repliedAt = new Map<number, Instant>();
 
@@ -56,10 +56,10 @@
     report = request;
     const noOlderThan = request.token === token ? repliedAt.get(request.serial) : undefined;
     if (noOlderThan !== undefined && (positionsAt === undefined || noOlderThan > positionsAt)) positionsAt = noOlderThan;
-    const news = `${JSON.stringify(request.released)}${request.notListening.join(' ')}`;
-    const isNews = news !== newsBefore;
-    newsBefore = news;
-    return { isRestarted, isNews };
+    const condition = `${JSON.stringify(request.released)}${request.notListening.join(' ')}`;
+    const isChanged = condition !== conditionBefore;
+    conditionBefore = condition;
+    return { isRestarted, isChanged };
   }
 
   function recordReply(): number {
--- a/packages/core/src/administration/authorization.ts
+++ b/packages/core/src/administration/authorization.ts
@@ -19,7 +19,7 @@
   return async function handleAuthorized(request) {
     const caller = await table.caller(request);
     if (Either.isLeft(caller)) return http.rejected(caller.left);
-    if (!isAllowed(caller.right.scope, permission)) return http.rejected(operators.denied(`${caller.right.operator} may not do this`));
+    if (!isAllowed(caller.right.scope, permission)) return http.rejected(operators.rejected(`${caller.right.operator} may not do this`));
     return handle(request, caller.right);
   };
 }
--- a/packages/core/src/administration/election-routes.ts
+++ b/packages/core/src/administration/election-routes.ts
@@ -35,7 +35,7 @@
       fault.create({ kind: 'not-found', message: `no sheet names a service ${service}`, remedy: 'see stallstall elections' }),
     );
   }
-  if (!operators.covers(caller.scope, service)) return Option.some(operators.denied(`${caller.operator} may not change ${service}`));
+  if (!operators.covers(caller.scope, service)) return Option.some(operators.rejected(`${caller.operator} may not change ${service}`));
   const elected = node.electedPrimary(service);
   if (Option.isNone(elected) || !members.isAlive(elected.value.primary)) return Option.none;
   return Option.some(
--- a/packages/core/src/change-subscribers.ts
+++ b/packages/core/src/change-subscribers.ts
@@ -1,6 +1,6 @@
 /** Numbered changes pushed to every node that subscribes over a link, and the acknowledgements that come back (design 5.2). */
 import * as Option from 'fp-ts/lib/Option.js';
-import type { Ballot, Change, Entry } from '@stallstall/message';
+import type { Ballot, Change, Entry, Request } from '@stallstall/message';
 import type { Configuration } from '@stallstall/node';
 import type { Caller } from '@stallstall/peer';
 import { watcher, type Acceptor } from '@stallstall/register';
@@ -21,13 +21,7 @@
 };
 
 /** What a node said with its newest request. The field names are those of its messages. */
-export type Acknowledgement = Readonly<{
-  node: string;
-  acknowledged: number;
-  obeyed: number;
-  content?: boolean | undefined;
-  holds?: Ballot | undefined;
-}>;
+export type Acknowledgement = Pick<Request<'watch'>, 'node' | 'acknowledged' | 'obeyed' | 'content' | 'holds'>;
 
 export type ChangeSubscribers = Readonly<{
   /** Pushes an accepted entry to every open subscriber. */
--- a/packages/core/src/core-set-membership.ts
+++ b/packages/core/src/core-set-membership.ts
@@ -124,8 +124,8 @@
   function observe(given: CoreSet): void {
     const known = parts.fleet();
     if (Option.isNone(known)) return;
-    const isNews = known.value.stage !== 'formed' || given.number > set().number;
-    if (isNews) void commands.run(() => adopt(known.value.fleet, given));
+    const isNewer = known.value.stage !== 'formed' || given.number > set().number;
+    if (isNewer) void commands.run(() => adopt(known.value.fleet, given));
   }
 
   async function becomeLearner(fleet: string, given: CoreSet): Promise<void> {
--- a/packages/core/src/data-folder.ts
+++ b/packages/core/src/data-folder.ts
@@ -57,15 +57,15 @@
 function stateOf(stored: ReadonlyMap<string, unknown>, node: string): FolderState {
   const fleet = stored.get('fleet');
   if (fleet === undefined) return [...stored.keys()].some((key) => key !== registryKey) ? broken('it holds entries but no fleet') : sound;
-  const told = fleet as Readonly<{ format?: unknown; node?: unknown }> | null;
-  if (typeof told?.format === 'number' && told.format > diskFormat) {
+  const record: Readonly<{ format?: unknown; node?: unknown }> | null = fleet;
+  if (typeof record?.format === 'number' && record.format > diskFormat) {
     return refused(
-      `the data folder has format ${told.format}, this version knows ${diskFormat} and those before it`,
+      `the data folder has format ${record.format}, this version knows ${diskFormat} and those before it`,
       'run the version that wrote it or a later one, or start with an empty folder, so that this core copies the others',
     );
   }
-  if (typeof told?.node === 'string' && told.node !== node) {
-    return refused(`the data folder belongs to ${told.node}`, `point --data at the folder of ${node}, or start with an empty one`);
+  if (typeof record?.node === 'string' && record.node !== node) {
+    return refused(`the data folder belongs to ${record.node}`, `point --data at the folder of ${node}, or start with an empty one`);
   }
   if (!message.matches(FleetSchema, fleet)) return broken('its fleet cannot be read');
   for (const [key, value] of stored) if (!isReadable(key, value)) return broken(`its entry ${key} cannot be read`);
--- a/packages/core/src/operators.ts
+++ b/packages/core/src/operators.ts
@@ -57,7 +57,7 @@
   return createHash('sha256').update(key).digest('hex');
 }
 
-function denied(reason: string): Fault {
+function rejected(reason: string): Fault {
   return fault.create({
     kind: 'key-denied',
     message: reason,
@@ -97,7 +97,7 @@
   const changed = changedServices(before, after);
   const forbidden = changed.filter((service) => !covers(caller.scope, service));
   if (forbidden.length === 0) return Either.right(changed);
-  return Either.left(denied(`${caller.operator} may not change ${forbidden.join(', ')}`));
+  return Either.left(rejected(`${caller.operator} may not change ${forbidden.join(', ')}`));
 }
 
 function operatorsOf(entry: Option.Option<Entry>): readonly StoredOperator[] {
@@ -115,7 +115,9 @@
   const read = await register.read(operatorsKey);
   if (Either.isLeft(read)) return read;
   const known = operatorsOf(read.right).find((one) => one.digest === digest);
-  return known === undefined ? Either.left(denied('no operator holds this key')) : Either.right({ operator: known.operator, scope: known });
+  return known === undefined
+    ? Either.left(rejected('no operator holds this key'))
+    : Either.right({ operator: known.operator, scope: known });
 }
 
 async function put(kernel: Kernel, register: Register, operator: string, scope: Scope): Promise<Either.Either<Fault, string>> {
@@ -173,4 +175,4 @@
   };
 }
 
-export const operators = { create, mayChange, covers, denied } as const;
+export const operators = { create, mayChange, covers, rejected } as const;
--- a/packages/core/src/state-transfer.ts
+++ b/packages/core/src/state-transfer.ts
@@ -31,8 +31,8 @@
 /** So long after a page that did not come, or did not sync, it is asked for again. */
 const retryMilliseconds = 50;
 
-function isEligibleSource(wanted: CopiedSet, told: number | undefined): boolean {
-  return Option.isNone(wanted) ? told === undefined : catchUp.isEligibleSource(wanted.value, told);
+function isEligibleSource(wanted: CopiedSet, reported: number | undefined): boolean {
+  return Option.isNone(wanted) ? reported === undefined : catchUp.isEligibleSource(wanted.value, reported);
 }
 
 /** A page of another core's state; none while it may not be copied. */
@@ -50,7 +50,7 @@
 /** Resolves to true once all of a page is on this core's disk. */
 async function storePage({ cells, reports }: StateTransferParts, page: Reply<'copy'>): Promise<boolean> {
   const merged = await Promise.all(
-    page.entries.map((entry) => (acceptor.isCellState(entry.state) ? cells.merge(entry.key, entry.state) : false)),
+    page.entries.map((entry) => (acceptor.isCellState(entry.state) ? cells.merge(entry.key, entry.state) : Promise.resolve(false))),
   );
   await reports.store(page.notes);
   return merged.every(Boolean) && reports.isSynced();
--- a/packages/kernel/src/identifiers.ts
+++ b/packages/kernel/src/identifiers.ts
@@ -11,7 +11,7 @@
 export type Address = Branded<string, 'Address'>;
 export type FleetId = Branded<string, 'FleetId'>;
 export type Epoch = Branded<number, 'Epoch'>;
-export type Turn = Branded<number, 'Turn'>;
+export type FencingToken = Branded<number, 'FencingToken'>;
 export type Version = Branded<number, 'Version'>;
 export type Incarnation = Branded<number, 'Incarnation'>;
 export type Position = Branded<number, 'Position'>;
@@ -43,7 +43,7 @@
   address: text<'Address'>,
   fleet: text<'FleetId'>,
   epoch: count<'Epoch'>,
-  turn: count<'Turn'>,
+  turn: count<'FencingToken'>,
   version: count<'Version'>,
   incarnation: count<'Incarnation'>,
   position: count<'Position'>,
--- a/packages/kernel/src/owner.ts
+++ b/packages/kernel/src/owner.ts
@@ -26,7 +26,8 @@
         try {
           resolve(await command(table));
         } catch (error) {
-          reject(error as Error);
+          const failure = error as Error;
+          reject(failure);
         }
       });
       void work();
--- a/packages/kernel/src/wall-clock.ts
+++ b/packages/kernel/src/wall-clock.ts
@@ -11,15 +11,19 @@
 /** The difference between the time of day and the steady clock, and since when it has been seen. */
 type Step = Readonly<{ offset: number; since: Instant }>;
 
-/** `told`: the time of day as the machine tells it, which may jump and jump back. */
-function create(steady: () => Instant, told: () => WallTime): () => WallTime {
-  let offset = told() - steady();
+/**
+ * Creates a wall clock that follows the time of day, and takes over a step of it once the step has lasted.
+ * @param steady - the steady clock
+ * @param timeOfDay - the time of day as the machine reports it, which may jump and jump back
+ */
+function create(steady: () => Instant, timeOfDay: () => WallTime): () => WallTime {
+  let offset = timeOfDay() - steady();
   let step: Step | undefined;
   let lookedAt = steady();
 
   return function wall() {
     const now = steady();
-    const current = told() - now;
+    const current = timeOfDay() - now;
     const allowed = followMilliseconds + driftShare * (now - lookedAt);
     lookedAt = now;
     if (Math.abs(current - offset) <= allowed) {
--- a/packages/register/src/catch-up.ts
+++ b/packages/register/src/catch-up.ts
@@ -28,10 +28,10 @@
  * there any more.
  *
  * @param since - the number of the set that gave this core its seat
- * @param told - the number of the set that the other core is in; undefined while it is in none
+ * @param reported - the number of the set that the other core is in; undefined while it is in none
  */
-function isEligibleSource(since: number, told: number | undefined): boolean {
-  return told !== undefined && told >= since;
+function isEligibleSource(since: number, reported: number | undefined): boolean {
+  return reported !== undefined && reported >= since;
 }
 
 /** Copies from all sources at once and settles with the first that are enough: none that is out of reach is waited for. */
--- a/packages/register/src/replica-calls.ts
+++ b/packages/register/src/replica-calls.ts
@@ -41,7 +41,7 @@
       const reply = await target.send(call, bodyFor(target), callMilliseconds);
       outstanding -= 1;
       if (Option.isSome(reply) && reply.value.newer !== undefined) observe(reply.value.newer);
-      if (Option.isSome(reply) && reply.value.ready) replies.push({ target, reply: reply.value as Reply<'prepare'>, held: false });
+      if (Option.isSome(reply) && reply.value.ready) replies.push({ target, reply: reply.value, held: false });
       if (outstanding === 0) return finish();
       if (isLingering || !isEnough(replies)) return;
       if (lingerMilliseconds === 0) return finish();
@@ -68,7 +68,7 @@
     send: async function send(call, body, milliseconds) {
       const reply = await target.send(call, body, milliseconds);
       const wantsComplete = Option.isSome(reply) && 'whole' in reply.value && reply.value.whole === true;
-      return wantsComplete ? target.send(call, complete as typeof body, milliseconds) : reply;
+      return wantsComplete ? target.send(call, complete, milliseconds) : reply;
     },
   };
 }
--- a/packages/runtime/src/index.ts
+++ b/packages/runtime/src/index.ts
@@ -6,7 +6,7 @@
 
 async function create(program: string, disk: Option.Option<Disk>): Promise<Kernel> {
   process.env['ROARR_LOG'] = 'true';
-  return base.create(base.logThrough(program, (await import('roarr')) as never), network, disk);
+  return base.create(base.logThrough(program, await import('roarr')), network, disk);
 }
 
 export const nodeRuntime = { create } as const;
--- a/packages/runtime/src/lmdb-store.ts
+++ b/packages/runtime/src/lmdb-store.ts
@@ -29,7 +29,7 @@
     overlappingSync: false,
     eventTurnBatching: false,
     noSubdir: true,
-  }) as unknown as Store;
+  });
 }
 
 /** `disk-failed` where it may pass, `foreign-disk` for an operator. */
--- a/packages/runtime/src/minimal-runtime.ts
+++ b/packages/runtime/src/minimal-runtime.ts
@@ -20,7 +20,7 @@
 
 /** @param program - the program's name, for its log */
 function create(program: string, disk: Option.Option<Disk>): Kernel {
-  return base.create(base.logThrough(program, { Roarr, ROARR } as never), minimalNetwork, disk);
+  return base.create(base.logThrough(program, { Roarr, ROARR }), minimalNetwork, disk);
 }
 
 export const minimalRuntime = { create } as const;
--- a/packages/runtime/src/undici-connection.ts
+++ b/packages/runtime/src/undici-connection.ts
@@ -40,7 +40,7 @@
   if (outgoing.leaveBefore !== undefined && performance.now() >= outgoing.leaveBefore) throw new Error('the time to leave is over');
   state.isBusy = true;
   const response = await state.client.request({
-    method: outgoing.method as 'GET',
+    method: outgoing.method,
     path: outgoing.path,
     signal: null,
     headers: { ...(outgoing.body === undefined ? {} : { 'content-type': 'application/json' }), ...outgoing.headers },
