--- a/packages/acceptance/src/administration.ts
+++ b/packages/acceptance/src/administration.ts
@@ -214,9 +214,9 @@
 );
 
 Then('that window was told more than once, always with the same counts, in time, and as they were served', function then(this: Story) {
-  const told = this.fleet.platformStore.usage.filter((call) => call.window === this.window);
-  assert.ok(told.length > 1, `it was told ${told.length} times`);
-  assert.deepEqual(checks.usage({ usage: told }, this.fleet.ledger.usageByWindow, this.window, this.window), []);
+  const reported = this.fleet.platformStore.usage.filter((call) => call.window === this.window);
+  assert.ok(reported.length > 1, `it was told ${reported.length} times`);
+  assert.deepEqual(checks.usage({ usage: reported }, this.fleet.ledger.usageByWindow, this.window, this.window), []);
 });
 
 function proposalOf(story: Story, service: string, since: number): string | undefined {
--- a/packages/acceptance/src/capacity.ts
+++ b/packages/acceptance/src/capacity.ts
@@ -5,7 +5,7 @@
 import { fit, hollowRun, plainDialect, type Fit } from '@stallstall/bench';
 import type { StatementReply } from '@stallstall/session-protocol';
 
-type Story = { fitted: Option.Option<Fit>; denial: string; reply: StatementReply };
+type Story = { fitted: Option.Option<Fit>; rejection: string; reply: StatementReply };
 
 const usual = { cores: 3, edges: 6, agents: 1, services: 2, sessions: 0, statements: 0, tenants: 8, seconds: 2 };
 
@@ -40,15 +40,15 @@
 });
 
 When('a hollow run of {int} edges is asked for', function when(this: Story, edges: number) {
-  this.denial = hollowRun.denied({ ...usual, edges });
+  this.rejection = hollowRun.denied({ ...usual, edges });
 });
 
 Then('it is denied, naming {string} and the most', function then(this: Story, field: string) {
-  assert.match(this.denial, new RegExp(`^${field} is \\d+; a run takes at most \\d+$`));
+  assert.match(this.rejection, new RegExp(`^${field} is \\d+; a run takes at most \\d+$`));
 });
 
 Then('it is not denied', function then(this: Story) {
-  assert.equal(this.denial, '');
+  assert.equal(this.rejection, '');
 });
 
 Given('a reply with a row at position {int}.{int}', function given(this: Story, term: number, number: number) {
--- a/packages/acceptance/src/clocks.ts
+++ b/packages/acceptance/src/clocks.ts
@@ -52,8 +52,8 @@
   const lines = await Promise.all(fleet.edges.map((edge) => fleet.session(edge, 'bookings-lead', firstKey)));
   story.served = [];
   story.from = fleet.world.now();
-  for (let shot = 0; fleet.world.now() - story.from < seconds * 1_000; shot += 1) {
-    const line = lines[shot % lines.length];
+  for (let attempt = 0; fleet.world.now() - story.from < seconds * 1_000; attempt += 1) {
+    const line = lines[attempt % lines.length];
     assert.ok(line !== undefined && typeof line !== 'string');
     const askedAt = fleet.world.now();
     const reply = await fleet.ask(line, 'get x1');
@@ -92,11 +92,11 @@
 }
 
 Then('each window in between was told as it was served', function then(this: ClockStory) {
-  const told = new Map<number, number>();
+  const reported = new Map<number, number>();
   for (const call of this.pooled.platformStore.calls) {
     if (call.duty !== 'usage' || !call.accepted) continue;
     const { window, counts } = call.body as Readonly<{ window: number; counts: Readonly<Record<string, number>> }>;
-    told.set(
+    reported.set(
       window,
       Object.values(counts).reduce((sum, count) => sum + count, 0),
     );
@@ -106,7 +106,7 @@
   for (let window = first; window <= last; window += 1) {
     const truth = this.served.filter((moment) => windowOf(moment) === window).length;
     assert.ok(truth > 0);
-    const off = Math.abs((told.get(window) ?? 0) - truth);
-    assert.ok(off <= truth * usageShare, `window ${window} of ${first} to ${last}: ${told.get(window)} told, ${truth} served`);
+    const off = Math.abs((reported.get(window) ?? 0) - truth);
+    assert.ok(off <= truth * usageShare, `window ${window} of ${first} to ${last}: ${reported.get(window)} told, ${truth} served`);
   }
 });
--- a/packages/acceptance/src/connections.ts
+++ b/packages/acceptance/src/connections.ts
@@ -57,13 +57,13 @@
 
 Then('of two commits the later stands', function then() {
   const table = freshness.create(() => identifiers.instant(0));
-  const told: readonly Position[] = [
+  const reported: readonly Position[] = [
     { term: 3, number: 9 },
     { term: 2, number: 40 },
     { term: 3, number: 11 },
     { term: 3, number: 10 },
   ];
-  for (const position of told) table.committed('ferries', position);
+  for (const position of reported) table.committed('ferries', position);
   assert.deepEqual(table.commits(), { ferries: { term: 3, number: 11 } });
   assert.ok(positions.compare({ term: 2, number: 40 }, { term: 3, number: 1 }) < 0);
 });
--- a/packages/acceptance/src/contents.ts
+++ b/packages/acceptance/src/contents.ts
@@ -8,8 +8,8 @@
 import { contentFetcher, type ContentLink } from '@stallstall/register';
 import { fuzz, world as worlds, type PooledFleet } from '@stallstall/simulator';
 
-type Told = Readonly<{ changes: Change[]; close: () => void }>;
-type ContentStory = { pooled: PooledFleet; told: Map<string, Told> };
+type ReportedOutcome = Readonly<{ changes: Change[]; close: () => void }>;
+type ContentStory = { pooled: PooledFleet; reported: Map<string, ReportedOutcome> };
 
 function plain(value: unknown): unknown {
   return JSON.parse(JSON.stringify(value) ?? 'null');
@@ -57,11 +57,11 @@
   'that it has the content': () => ({ content: false }),
 };
 
-function configurations(told: Told | undefined): readonly Change[] {
-  return (told?.changes ?? []).filter((change) => change.key === 'configuration');
+function configurations(reported: ReportedOutcome | undefined): readonly Change[] {
+  return (reported?.changes ?? []).filter((change) => change.key === 'configuration');
 }
 
-async function watches(fleet: PooledFleet, who: string, says: object): Promise<Told> {
+async function watches(fleet: PooledFleet, who: string, says: object): Promise<ReportedOutcome> {
   const changes: Change[] = [];
   const link = peer.dial(fleet.world.spawn(who, 'watcher-machine').kernel, identifiers.address(coreAddress), {
     changed: (change: Change) => void changes.push(change),
@@ -78,8 +78,8 @@
     const first = await watches(this.pooled, 'first', {});
     const held = configurations(first).at(-1)?.entry.ballot ?? ballotZero;
     first.close();
-    this.told = new Map();
-    for (const [who = '', says = ''] of table.rows()) this.told.set(who, await watches(this.pooled, who, saying[says]?.(held) ?? {}));
+    this.reported = new Map();
+    for (const [who = '', says = ''] of table.rows()) this.reported.set(who, await watches(this.pooled, who, saying[says]?.(held) ?? {}));
     const sheet = this.pooled.firstSheet();
     const changed = {
       ...sheet,
@@ -101,11 +101,11 @@
 }
 
 Then('they are told of that change:', function then(this: ContentStory, table: DataTable) {
-  const [base, whole] = configurations(this.told.get('an edge of before')).map((change) => change.entry.value);
+  const [base, whole] = configurations(this.reported.get('an edge of before')).map((change) => change.entry.value);
   assert.ok(whole !== undefined);
   for (const [who = '', what = ''] of table.rows()) {
-    assert.equal(kindOf(configurations(this.told.get(who)).at(-1), base, whole), what, who);
-    this.told.get(who)?.close();
+    assert.equal(kindOf(configurations(this.reported.get(who)).at(-1), base, whole), what, who);
+    this.reported.get(who)?.close();
   }
 });
 
--- a/packages/acceptance/src/cores.ts
+++ b/packages/acceptance/src/cores.ts
@@ -24,12 +24,12 @@
   );
 }
 
-function told(fleet: CoreFleet): string {
+function reported(fleet: CoreFleet): string {
   return JSON.stringify(fleet.machines.map((machine) => ({ name: machine.name, ...fleet.setOf(machine) })));
 }
 
 async function within(fleet: CoreFleet, seconds: number, holds: (cores: readonly string[]) => boolean): Promise<void> {
-  assert.ok(await fleet.until(() => standAt(fleet, holds), seconds * 1_000), told(fleet));
+  assert.ok(await fleet.until(() => standAt(fleet, holds), seconds * 1_000), reported(fleet));
 }
 
 async function readBack(fleet: CoreFleet): Promise<void> {
@@ -134,7 +134,7 @@
   // What was under way when a core was lost says nothing of those that are left.
   await this.cores.world.run(1_000);
   const before = this.cores.acknowledged();
-  assert.ok(await this.cores.until(() => this.cores.acknowledged() > before, seconds * 1_000), told(this.cores));
+  assert.ok(await this.cores.until(() => this.cores.acknowledged() > before, seconds * 1_000), reported(this.cores));
 });
 
 async function killAsItCopies(fleet: CoreFleet, index: number): Promise<CoreMachine> {
@@ -342,7 +342,7 @@
           ),
         seconds * 1_000,
       ),
-      told(this.cores),
+      reported(this.cores),
     );
   },
 );
--- a/packages/acceptance/src/disks.ts
+++ b/packages/acceptance/src/disks.ts
@@ -26,7 +26,7 @@
   '{word} takes a sheet {int} times, each within {int} s',
   async function when(this: Story, core: string, times: number, seconds: number) {
     const index = this.fleet.cores.indexOf(coreOf(this, core));
-    for (let shot = 0; shot < times; shot += 1) {
+    for (let attempt = 0; attempt < times; attempt += 1) {
       const from = this.fleet.world.now();
       const reply = await this.fleet.operate('PUT', '/v1/sheet', { sheet: this.fleet.sheet() }, {}, index);
       assert.equal(reply.status, 200, JSON.stringify(reply.body));
@@ -46,7 +46,7 @@
 /** Runs virtual time until an answer has come. */
 async function answered<Reply>(story: Story, asked: Promise<Option.Option<Reply>>): Promise<Reply> {
   let reply: Option.Option<Reply> = Option.none;
-  void asked.then((told) => (reply = told));
+  void asked.then((reported) => (reply = reported));
   await story.fleet.until(() => Option.isSome(reply), patienceMilliseconds);
   const come = reply as Option.Option<Reply>;
   assert.ok(Option.isSome(come), 'no answer came');
--- a/packages/acceptance/src/duties.ts
+++ b/packages/acceptance/src/duties.ts
@@ -15,7 +15,7 @@
   world: World;
   holder: Process;
   holding: RoleLease;
-  told: string[];
+  reported: string[];
   ended: Option.Option<Readonly<{ at: number; result: Either.Either<Fault, HttpReply> }>>;
   releasedAt: number;
 };
@@ -54,7 +54,7 @@
         method: 'POST',
         path: '/promotion',
         handle: async function promote(request): Promise<HttpReply> {
-          story.told.push(request.path);
+          story.reported.push(request.path);
           if (!speaks) await kernel.clock.sleep(2 * callMilliseconds);
           return { status: 200, body: {} };
         },
@@ -65,7 +65,7 @@
 
 async function startHolder(story: DutyStory, speaks: boolean): Promise<void> {
   story.world = worlds.create(5);
-  story.told = [];
+  story.reported = [];
   story.ended = Option.none;
   await startPlatform(story, speaks);
   story.holder = story.world.spawn('core-1', 'core-machine-1');
@@ -107,7 +107,7 @@
 });
 
 Then('the platform was told nothing, and the call is answered as one of which no byte has left', function then(this: DutyStory) {
-  assert.deepEqual(this.told, []);
+  assert.deepEqual(this.reported, []);
   assert.ok(Option.isSome(this.ended) && Either.isLeft(this.ended.value.result));
   assert.equal(fault.kind(this.ended.value.result.left), 'unreachable');
 });
@@ -121,7 +121,7 @@
 });
 
 Then('the call ends with the duty', function then(this: DutyStory) {
-  assert.equal(this.told.length, 1);
+  assert.equal(this.reported.length, 1);
   assert.ok(Option.isSome(this.ended) && Either.isLeft(this.ended.value.result));
   assert.ok(this.ended.value.at - this.releasedAt < 10, `${Math.round(this.ended.value.at - this.releasedAt)} ms later`);
 });
@@ -170,7 +170,7 @@
   'a core that stands for a service without a leader, knows of epoch {int}, and whose register has epoch {int}',
   async function given(this: DutyStory, known: number, settled: number) {
     this.world = worlds.create(6);
-    this.told = [];
+    this.reported = [];
     await startPlatform(this, true);
     const { kernel } = this.world.spawn('core-1', 'core-machine-1');
     const table = new Map<string, Entry>([['epoch/ferries', { ballot: ballotZero, version: 1, value: settledAt(settled) }]]);
@@ -183,7 +183,7 @@
       liveness.create(
         kernel,
         Option.some({
-          readState: (_service, member) => Promise.resolve(stateOf(member, this.told.length > 0)),
+          readState: (_service, member) => Promise.resolve(stateOf(member, this.reported.length > 0)),
           keepConnection: () => Promise.resolve(Either.right(null)),
         }),
       ),
@@ -220,5 +220,5 @@
 );
 
 Then('the platform was told {int} promotions or more, and at most {int}', function then(this: DutyStory, least: number, most: number) {
-  assert.ok(this.told.length >= least && this.told.length <= most, `${this.told.length} promotions`);
+  assert.ok(this.reported.length >= least && this.reported.length <= most, `${this.reported.length} promotions`);
 });
--- a/packages/acceptance/src/fleet-steps.ts
+++ b/packages/acceptance/src/fleet-steps.ts
@@ -89,9 +89,9 @@
 });
 
 When('its senders work for {int} s', async function when(this: Story, seconds: number) {
-  const senders = this.fleet.startSenders();
+  const clients = this.fleet.startClients();
   await this.fleet.world.run(seconds * 1_000);
-  senders.stop();
+  clients.stop();
   await this.fleet.world.run(3_000);
 });
 
@@ -200,7 +200,7 @@
 );
 
 Then('its own-read of {string} gives {int} at once', async function then(this: Story, name: string, value: number) {
-  for (let shot = 0; shot < 12; shot += 1)
+  for (let attempt = 0; attempt < 12; attempt += 1)
     await readGives(this, 'own-read', name, 'seats', this.edge, value, { 'x-stallstall-session': this.session });
 });
 
@@ -238,8 +238,8 @@
   function then(this: Story, kind: string, count: number) {
     const reply = this.replies[0] as HttpReply;
     within(reply, [kind]);
-    const told = (reply.body as { details?: unknown }).details;
-    const faults = Array.isArray(told) ? (told as ReadonlyArray<Record<string, string>>) : [];
+    const reported = (reply.body as { details?: unknown }).details;
+    const faults = Array.isArray(reported) ? (reported as ReadonlyArray<Record<string, string>>) : [];
     assert.equal(faults.length, count);
     for (const one of faults) assert.ok(one['row'] && one['column'] && one['message'] && one['remedy']);
   },
@@ -345,10 +345,10 @@
 Then(
   'those that waited are denied within {int} s as {string} or {string}',
   function then(this: Story, seconds: number, first: string, second: string) {
-    const denied = this.crowd.filter((one) => [first, second].includes(errorOf(one.reply)));
+    const rejected = this.crowd.filter((one) => [first, second].includes(errorOf(one.reply)));
     // Two rounds of a share of 14 connections may have left before the fence closed; all others waited.
-    assert.ok(denied.length >= 390 - 2 * 14, `${denied.length} were`);
-    for (const one of denied) assert.equal(one.reply.headers?.['retry-after'], '1');
-    assert.ok(Math.max(...denied.map((one) => one.after)) < seconds * 1_000);
+    assert.ok(rejected.length >= 390 - 2 * 14, `${rejected.length} were`);
+    for (const one of rejected) assert.equal(one.reply.headers?.['retry-after'], '1');
+    assert.ok(Math.max(...rejected.map((one) => one.after)) < seconds * 1_000);
   },
 );
--- a/packages/acceptance/src/guarantees.ts
+++ b/packages/acceptance/src/guarantees.ts
@@ -263,6 +263,6 @@
 });
 
 Then('the window of that moment was told with {int} statement of {string}', function then(this: Story, count: number, service: string) {
-  const told = this.fleet.platformStore.usage.find((call) => call.window === this.window);
-  assert.equal(told?.counts[service], count, JSON.stringify(told));
+  const reported = this.fleet.platformStore.usage.find((call) => call.window === this.window);
+  assert.equal(reported?.counts[service], count, JSON.stringify(reported));
 });
--- a/packages/acceptance/src/lease-grantor-steps.ts
+++ b/packages/acceptance/src/lease-grantor-steps.ts
@@ -19,13 +19,13 @@
   story.world = worlds.create(45);
   story.registry = registryOn(story.world, 'core-1');
   story.kernel = story.world.spawn('core', 'core-machine').kernel;
-  story.stance = 5;
+  story.epoch = 5;
   story.openedAt = story.kernel.clock.now();
   story.replied = [];
   story.leaseGrantor = leaseGrantor.create(story.kernel, {
     ready: () => ready,
     openedAt: () => story.openedAt,
-    epochs: () => ({ ferries: story.stance }),
+    epochs: () => ({ ferries: story.epoch }),
     configuration: () => 1,
     membership: () => 1,
     puts: () => 1,
@@ -115,7 +115,7 @@
     .then((reply) => this.replied.push({ at: this.world.now(), reply }));
   await this.world.run(100);
   assert.deepEqual(this.replied, []);
-  this.stance = 6;
+  this.epoch = 6;
   this.changedAt = this.world.now();
   this.leaseGrantor.notify();
   await this.world.run(500);
--- a/packages/acceptance/src/lease-holder-steps.ts
+++ b/packages/acceptance/src/lease-holder-steps.ts
@@ -62,14 +62,14 @@
         caller.change(settledChange(stub.settled));
       }
       if (stub.silent) await kernel.clock.sleep(60_000);
-      const told = stub.reply === undefined ? {} : await stub.reply(ask);
+      const reported = stub.reply === undefined ? {} : await stub.reply(ask);
       if (stub.reply === undefined) await kernel.clock.sleep(stub.delay);
       stub.number += 1;
       return {
         ready: stub.ready,
         token: `life-${index}`,
         number: stub.number,
-        stances: stub.stance === undefined ? {} : { ferries: stub.stance },
+        stances: stub.epoch === undefined ? {} : { ferries: stub.epoch },
         configuration: 1,
         membership: 1,
         puts: 1,
@@ -81,7 +81,7 @@
         marks: {},
         held: stub.held,
         set: 1,
-        ...told,
+        ...reported,
       };
     },
   });
@@ -90,7 +90,7 @@
 async function startEdge(story: UnitStory, stubs: ReadonlyArray<Partial<StubCore>>): Promise<void> {
   story.world = worlds.create(43);
   story.cores = stubs.map((stub) => ({
-    stance: 5,
+    epoch: 5,
     silent: false,
     ready: true,
     number: 0,
@@ -145,7 +145,7 @@
     const ballot = { counter: 1, node: 'core-1' };
     for (const [index, seat] of seats.entries()) {
       const { kernel } = this.world.spawn(`core-${index + 1}`, `core-machine-${index + 1}`);
-      const told = new Set<Caller>();
+      const reported = new Set<Caller>();
       await peer.listen(kernel, identifiers.address(seat.address), {
         hello: () =>
           ({
@@ -160,8 +160,8 @@
             superseded: false,
           }) as Reply<'hello'>,
         lease: async function lease(ask, caller) {
-          if (!told.has(caller)) caller.change({ number: 1, set: 1, key: 'configuration', entry: { ballot, version: 1, value: null } });
-          told.add(caller);
+          if (!reported.has(caller)) caller.change({ number: 1, set: 1, key: 'configuration', entry: { ballot, version: 1, value: null } });
+          reported.add(caller);
           await kernel.clock.sleep(Math.min(ask.hold, 300));
           return {
             ready: true,
@@ -222,12 +222,12 @@
 }
 
 /** `-` is a core that is not ready. */
-function stubsOf(stances: string): ReadonlyArray<Partial<StubCore>> {
-  return stances.split(', ').map((one) => (one === '-' ? { ready: false, stance: 5 } : { stance: Number(one) }));
+function stubsOf(epochs: string): ReadonlyArray<Partial<StubCore>> {
+  return epochs.split(', ').map((one) => (one === '-' ? { ready: false, epoch: 5 } : { epoch: Number(one) }));
 }
 
-Given(/^an edge and cores that stand at ([-\d, ]+), and epoch 5 settled$/, async function given(this: UnitStory, stances: string) {
-  await startEdge(this, stubsOf(stances));
+Given(/^an edge and cores that stand at ([-\d, ]+), and epoch 5 settled$/, async function given(this: UnitStory, epochs: string) {
+  await startEdge(this, stubsOf(epochs));
   await this.world.run(3_000);
   const settled = this.leaseHolder.electedPrimary('ferries');
   assert.ok(Option.isSome(settled) && settled.value.epoch === 5);
@@ -270,18 +270,18 @@
   }
 });
 
-async function standAt(story: UnitStory, stances: string): Promise<void> {
-  for (const [index, stub] of stubsOf(stances).entries()) Object.assign(story.cores[index] as StubCore, stub);
+async function standAt(story: UnitStory, epochs: string): Promise<void> {
+  for (const [index, stub] of stubsOf(epochs).entries()) Object.assign(story.cores[index] as StubCore, stub);
   await story.world.run(1_000);
 }
 
-When(/^the cores stand at ([\d, ]+)$/, async function when(this: UnitStory, stances: string) {
-  await standAt(this, stances);
+When(/^the cores stand at ([\d, ]+)$/, async function when(this: UnitStory, epochs: string) {
+  await standAt(this, epochs);
 });
 
-When(/^the cores stand at ([\d, ]+) and epoch (\d+) is settled$/, async function when(this: UnitStory, stances: string, epoch: string) {
+When(/^the cores stand at ([\d, ]+) and epoch (\d+) is settled$/, async function when(this: UnitStory, epochs: string, epoch: string) {
   for (const stub of this.cores) for (const caller of stub.leaseHolders) caller.change(settledChange(Number(epoch)));
-  await standAt(this, stances);
+  await standAt(this, epochs);
 });
 
 Then('the edge has no lease, and lets go of what is below {int}', function then(this: UnitStory, epoch: number) {
--- a/packages/acceptance/src/malformed-input-steps.ts
+++ b/packages/acceptance/src/malformed-input-steps.ts
@@ -64,7 +64,7 @@
   this.stops = [];
   await this.fleet.world.run(500);
   const sound = [...slot.disk.entries];
-  for (let shot = 0; shot < times; shot += 1) {
+  for (let attempt = 0; attempt < times; attempt += 1) {
     this.fleet.stopSlot(slot);
     slot.disk = this.fleet.world.disk();
     const index = Math.floor(this.fleet.world.fraction() * sound.length);
@@ -105,7 +105,7 @@
   const replies = this.spoilt.flat();
   assert.ok(replies.length > 400);
   for (const reply of replies) assert.ok(reply.status >= 200 && reply.status !== 500, JSON.stringify(reply));
-  (this.spoilt[0] ?? []).forEach((reply, shot) => assert.ok(reply.status !== 200 || shot % 3 === 0, 'a strange key was served'));
+  (this.spoilt[0] ?? []).forEach((reply, attempt) => assert.ok(reply.status !== 200 || attempt % 3 === 0, 'a strange key was served'));
 });
 
 Given('{int} spoilt sheets and settings', async function given(this: Story, count: number) {
@@ -129,7 +129,7 @@
 });
 
 Then('each is either taken as sound or denied with a remedy', function then(this: Story) {
-  const denied = this.checked.flatMap((one) => (Either.isLeft(one) ? [one.left] : []));
-  assert.ok(denied.length > this.checked.length / 2 && denied.length < this.checked.length);
-  for (const one of denied) assert.ok(fault.details(one).remedy.length > 0);
+  const rejected = this.checked.flatMap((one) => (Either.isLeft(one) ? [one.left] : []));
+  assert.ok(rejected.length > this.checked.length / 2 && rejected.length < this.checked.length);
+  for (const one of rejected) assert.ok(fault.details(one).remedy.length > 0);
 });
--- a/packages/acceptance/src/marks.ts
+++ b/packages/acceptance/src/marks.ts
@@ -13,7 +13,7 @@
 type MarkStory = {
   world: World;
   kernel: Kernel;
-  lessor: LeaseGrantor;
+  leaseGrantor: LeaseGrantor;
   openedAt: Instant;
   /** The token of the core that each edge knows; none for one that has not asked yet. */
   tokens: Map<string, string>;
@@ -28,13 +28,13 @@
 /** An edge that has not been asked for its commits says this much. */
 const untoldMilliseconds = 600_000;
 
-function emptyRoster(): MemberRegistry {
+function emptyRegistry(): MemberRegistry {
   return { version: () => 0, changedSince: () => [] } satisfies Partial<MemberRegistry> as unknown as MemberRegistry;
 }
 
 async function ask(story: MarkStory, node: string, change: Partial<Request<'lease'>>): Promise<void> {
   const known = { token: story.tokens.get(node) ?? '', positionsAgo: untoldMilliseconds };
-  story.last = await story.lessor.grant(leaseAsk(node, { ...known, ...change }));
+  story.last = await story.leaseGrantor.grant(leaseAsk(node, { ...known, ...change }));
   story.tokens.set(node, story.last.token);
 }
 
@@ -45,14 +45,14 @@
     this.kernel = this.world.spawn('core', 'core-machine').kernel;
     this.openedAt = this.kernel.clock.now();
     this.tokens = new Map();
-    this.lessor = leaseGrantor.create(this.kernel, {
+    this.leaseGrantor = leaseGrantor.create(this.kernel, {
       ready: () => true,
       openedAt: () => this.openedAt,
       epochs: () => ({ [service]: term }),
       configuration: () => 1,
       membership: () => 1,
       puts: () => 1,
-      registry: emptyRoster(),
+      registry: emptyRegistry(),
       isLeaderMissing: () => true,
       onConnectionRefused: () => undefined,
     });
--- a/packages/acceptance/src/member-registry-steps.ts
+++ b/packages/acceptance/src/member-registry-steps.ts
@@ -126,15 +126,15 @@
 Then(
   'what is spread to the other core is {string} of {int} s ago, and nothing the next time',
   function then(this: UnitStory, member: string, seconds: number) {
-    const told: readonly ReceivedBeat[] = this.registry.takeRecent();
+    const reported: readonly ReceivedBeat[] = this.registry.takeRecent();
     assert.deepEqual(
-      told.map((one) => one.entry.member),
+      reported.map((one) => one.entry.member),
       [member],
     );
     // Each process has a clock of its own, and they do not go at one rate.
-    assert.ok(Math.abs((told[0]?.ago ?? 0) - seconds * 1_000) < seconds * 20, JSON.stringify(told));
+    assert.ok(Math.abs((reported[0]?.ago ?? 0) - seconds * 1_000) < seconds * 20, JSON.stringify(reported));
     assert.deepEqual(this.registry.takeRecent(), []);
-    this.other.merge(told);
+    this.other.merge(reported);
   },
 );
 
--- a/packages/acceptance/src/orders.ts
+++ b/packages/acceptance/src/orders.ts
@@ -203,9 +203,9 @@
 
 function isRefused(reply: HttpReply | undefined, kind: string): void {
   assert.equal(reply?.status, 409, JSON.stringify(reply?.body));
-  const told = reply?.body as { error: string; remedy: string };
-  assert.equal(told.error, kind);
-  assert.ok(told.remedy.length > 0);
+  const reported = reply?.body as { error: string; remedy: string };
+  assert.equal(reported.error, kind);
+  assert.ok(reported.remedy.length > 0);
 }
 
 When(
--- a/packages/acceptance/src/outages.ts
+++ b/packages/acceptance/src/outages.ts
@@ -219,9 +219,9 @@
 );
 
 Given('the copy of {word} was made', async function given(this: OutageStory, name: string) {
-  const told = (): boolean => this.pooled.world.logs.some((line) => line.process === `${name}/proxy` && line.event === 'copy.complete');
-  assert.equal(told(), false, 'not before the hold begins');
-  assert.ok(await this.pooled.until(told, this.from - this.pooled.world.now()), 'no copy was completed before the window');
+  const reported = (): boolean => this.pooled.world.logs.some((line) => line.process === `${name}/proxy` && line.event === 'copy.complete');
+  assert.equal(reported(), false, 'not before the hold begins');
+  assert.ok(await this.pooled.until(reported, this.from - this.pooled.world.now()), 'no copy was completed before the window');
 });
 
 Given(
--- a/packages/acceptance/src/planned-change-steps.ts
+++ b/packages/acceptance/src/planned-change-steps.ts
@@ -8,7 +8,7 @@
 import { type Story, primary, edgeOf, within } from './story.js';
 
 Given('its senders are at work', async function given(this: Story) {
-  this.senders = this.fleet.startSenders();
+  this.clients = this.fleet.startClients();
   await this.fleet.world.run(3_000);
 });
 
@@ -58,7 +58,7 @@
 );
 
 Then('the ledger is clean', async function then(this: Story) {
-  this.senders.stop();
+  this.clients.stop();
   await this.fleet.world.run(4_000);
   assert.deepEqual(
     [
--- a/packages/acceptance/src/platform-settings.ts
+++ b/packages/acceptance/src/platform-settings.ts
@@ -117,7 +117,7 @@
   );
 });
 
-function deniedNaming(story: PlatformStory, lines: readonly string[], field: string): void {
+function rejectedNaming(story: PlatformStory, lines: readonly string[], field: string): void {
   const read = readLines(story, lines);
   assert.ok(Either.isLeft(read), field);
   assert.equal(fault.kind(read.left), 'bad-settings');
@@ -126,7 +126,7 @@
 
 Then('without each of these it is refused, naming the field:', function then(this: PlatformStory, table: DataTable) {
   for (const { field } of table.hashes())
-    deniedNaming(
+    rejectedNaming(
       this,
       this.lines.filter((line) => !line.startsWith(`${field} `)),
       field ?? '',
@@ -135,7 +135,7 @@
 
 Then('with each of these it is refused, naming the field:', function then(this: PlatformStory, table: DataTable) {
   for (const row of table.hashes())
-    deniedNaming(
+    rejectedNaming(
       this,
       this.lines.map((line) => (line.startsWith(`${row['field']} `) ? (row['line'] ?? '') : line)),
       row['field'] ?? '',
--- a/packages/acceptance/src/platform.ts
+++ b/packages/acceptance/src/platform.ts
@@ -633,6 +633,6 @@
 
 Then('the platform API was called only with what cores can send one another', function then(this: PlatformStory) {
   assert.ok(this.beats.length > 0);
-  for (const told of this.beats)
-    assert.ok(message.matches(MemberRecordSchema, { ...told, gone: false, down: false }), JSON.stringify(told));
+  for (const reported of this.beats)
+    assert.ok(message.matches(MemberRecordSchema, { ...reported, gone: false, down: false }), JSON.stringify(reported));
 });
--- a/packages/acceptance/src/pooled-draining-steps.ts
+++ b/packages/acceptance/src/pooled-draining-steps.ts
@@ -6,7 +6,7 @@
 import { type PooledStory, open, conditionOf, kept } from './pooled-story.js';
 
 Given('senders with sessions are at work', async function given(this: PooledStory) {
-  this.stop = this.pooled.startSenders(30, 200).stop;
+  this.stop = this.pooled.startClients(30, 200).stop;
   await this.pooled.world.run(4_000);
 });
 
--- a/packages/acceptance/src/pooled-leadership-steps.ts
+++ b/packages/acceptance/src/pooled-leadership-steps.ts
@@ -143,12 +143,12 @@
 When(
   'gets of {string} in {string} through {word} are sent until another member of {string} serves them',
   async function when(this: PooledStory, thing: string, database: string, name: string, service: string) {
-    const horizon = this.pooled.world.now() + 20_000;
+    const deadline = this.pooled.world.now() + 20_000;
     function isServedByAnother(story: PooledStory): boolean {
       const leader = primary(story, service);
       return leader !== story.old && story.pooled.runs.some((run) => run.member === leader.member && run.rest === thing);
     }
-    while (this.pooled.world.now() < horizon && !isServedByAnother(this)) {
+    while (this.pooled.world.now() < deadline && !isServedByAnother(this)) {
       await once(this, database, name, `get ${thing}`);
       await this.pooled.world.run(20);
     }
--- a/packages/acceptance/src/pooled-session-steps.ts
+++ b/packages/acceptance/src/pooled-session-steps.ts
@@ -112,7 +112,7 @@
     this.calledAt = this.pooled.world.now();
     this.read = [];
     const line = await open(this, database, name);
-    for (let shot = 0; shot < times; shot += 1) {
+    for (let attempt = 0; attempt < times; attempt += 1) {
       const sentAt = this.pooled.world.now();
       const reply = await this.pooled.ask(line, `get ${thing}`);
       assert.equal(conditionOf(reply), 'served');
--- a/packages/acceptance/src/replaced-core-steps.ts
+++ b/packages/acceptance/src/replaced-core-steps.ts
@@ -12,7 +12,7 @@
     const slot = coreOf(this, core);
     await this.fleet.world.run(1_000);
     const copy = new Map(slot.disk.entries);
-    for (let shot = 0; shot < 2; shot += 1)
+    for (let attempt = 0; attempt < 2; attempt += 1)
       assert.equal((await this.fleet.operate('PUT', '/v1/sheet', { sheet: this.fleet.sheet() })).status, 200);
     await this.fleet.world.run(1_000);
     this.fleet.stopSlot(slot);
--- a/packages/acceptance/src/runtime.ts
+++ b/packages/acceptance/src/runtime.ts
@@ -129,7 +129,7 @@
   assert.deepEqual(this.closed, [this.connections[0]]);
 });
 
-function denied(reply: Either.Either<Fault, HttpReply>, status: number, kind: string): void {
+function rejected(reply: Either.Either<Fault, HttpReply>, status: number, kind: string): void {
   assert.ok(Either.isRight(reply), Either.isLeft(reply) ? reply.left.message : '');
   assert.equal(reply.right.status, status);
   assert.equal((reply.right.body as { error?: unknown }).error, kind);
@@ -151,7 +151,7 @@
 }
 
 Then('a body of 1 MiB and more is replied 413 {string}', async function then(this: RuntimeStory, kind: string) {
-  denied(await ask(this.address, { method: 'POST', path: '/echo/long', body: 'x'.repeat(1024 * 1024) }), 413, kind);
+  rejected(await ask(this.address, { method: 'POST', path: '/echo/long', body: 'x'.repeat(1024 * 1024) }), 413, kind);
   const most = await ask(this.address, { method: 'POST', path: '/echo/long', body: 'x'.repeat(1024 * 1024 - 2) });
   assert.ok(Either.isRight(most) && most.right.status === 201);
   assert.equal(this.connections.length, 1);
@@ -167,7 +167,7 @@
 });
 
 Then('a path that no URI may hold is replied 404 {string}', async function then(this: RuntimeStory, kind: string) {
-  denied(await ask(this.address, { method: 'POST', path: '/echo/%zz', body: {} }), 404, kind);
+  rejected(await ask(this.address, { method: 'POST', path: '/echo/%zz', body: {} }), 404, kind);
 });
 
 Then('what is no HTTP is replied 400', async function then(this: RuntimeStory) {
--- a/packages/acceptance/src/story.ts
+++ b/packages/acceptance/src/story.ts
@@ -31,7 +31,7 @@
   imported: Awaited<ReturnType<typeof openapi.read>>;
   key: string;
   checked: ReadonlyArray<Either.Either<Fault, unknown>>;
-  senders: Readonly<{ stop: () => void }>;
+  clients: Readonly<{ stop: () => void }>;
   folder: string;
   followed: () => unknown;
   asked: Array<() => number>;
--- a/packages/acceptance/src/unit-story.ts
+++ b/packages/acceptance/src/unit-story.ts
@@ -8,7 +8,7 @@
 import type { World, Process } from '@stallstall/simulator';
 
 export type StubCore = {
-  stance: number | undefined;
+  epoch: number | undefined;
   silent: boolean;
   ready: boolean;
   number: number;
@@ -30,7 +30,7 @@
   leaseHolder: LeaseHolder;
   freed: () => void;
   leaseGrantor: LeaseGrantor;
-  stance: number;
+  epoch: number;
   openedAt: Instant;
   ready: boolean;
   replied: Array<Readonly<{ at: number; reply: Reply<'lease'> }>>;
--- a/packages/acceptance/src/wire.ts
+++ b/packages/acceptance/src/wire.ts
@@ -12,7 +12,7 @@
 import { world as worlds, type World } from '@stallstall/simulator';
 import type { Condition, Incoming, Piece } from '@stallstall/session-protocol';
 
-type WireStory = { world: World; sender: Kernel; heard: string[]; said: Array<readonly string[]> };
+type WireStory = { world: World; client: Kernel; heard: string[]; said: Array<readonly string[]> };
 
 const mostBytes = 1024 * 1024;
 
@@ -202,7 +202,7 @@
 
 // -- Mutated messages, against the grammar written down a second time.
 
-const ofSenders = [
+const ofClients = [
   'OPEN harbour key1',
   'QUERY ab12 BEGIN',
   'QUERY ab12 BEGIN READ',
@@ -286,7 +286,7 @@
   const random = worlds.create(seed).fraction;
   let within = 0;
   for (let round = 0; round < count; round += 1) {
-    const message = mutated(random, ofSenders);
+    const message = mutated(random, ofClients);
     assert.equal(isLetIn(message), grammar.test(message), JSON.stringify(message));
     if (grammar.test(message)) within += 1;
   }
@@ -311,7 +311,7 @@
 // -- What reaches a member.
 
 const memberAddress = '10.3.0.1:5000';
-const senderAddress = '10.2.0.1:8000';
+const clientAddress = '10.2.0.1:8000';
 const feedAddress = '10.2.0.1:7002';
 
 const entry: MemberRecord = {
@@ -330,19 +330,19 @@
 /** A member that replies to everything and keeps what it heard; statements within a transaction leave it open. */
 async function memberTask(stream: Stream, heard: string[]): Promise<void> {
   const framer = wire.framer(mostBytes * 2);
-  let stance: 'I' | 'T' = 'I';
+  let status: 'I' | 'T' = 'I';
   for (;;) {
     const piece = await stream.read();
     if (Option.isNone(piece)) return;
     for (const message of framer.push(piece.value).messages) {
       heard.push(message);
       const text = message.split(' ').slice(2).join(' ');
-      if (text.startsWith('BEGIN')) stance = 'T';
-      if (text === 'COMMIT' || text === 'REVERT') stance = 'I';
+      if (text.startsWith('BEGIN')) status = 'T';
+      if (text === 'COMMIT' || text === 'REVERT') status = 'I';
       if (message.startsWith('OPEN')) stream.write('IDLE I 3.7\r\n');
       else
         stream.write(
-          `${text.startsWith('READ') ? 'ROW found\r\n' : ''}DONE ${message.startsWith('QUERY - ') ? '-' : 'stamp.1'}\r\nIDLE ${stance} 3.7\r\n`,
+          `${text.startsWith('READ') ? 'ROW found\r\n' : ''}DONE ${message.startsWith('QUERY - ') ? '-' : 'stamp.1'}\r\nIDLE ${status} 3.7\r\n`,
         );
     }
   }
@@ -351,7 +351,7 @@
 Given('a proxy of the session wire with one member, fed with a lease', async function given(this: WireStory) {
   this.world = worlds.create(21);
   this.heard = [];
-  this.sender = this.world.spawn('sender', 'sender-machine').kernel;
+  this.client = this.world.spawn('sender', 'sender-machine').kernel;
   const checked = placements.check({
     services: [{ service: 'ferries', connectionLimit: 56, registered: true }],
     rows: [],
@@ -387,7 +387,7 @@
   const { kernel: proxyKernel } = this.world.spawn('proxy', 'edge-machine');
   const started = await pooler.start(
     proxyKernel,
-    { address: senderAddress, outward: '10.2.0.1:8001', feed: feedAddress, graceMilliseconds: 6_000 },
+    { address: clientAddress, outward: '10.2.0.1:8001', feed: feedAddress, graceMilliseconds: 6_000 },
     { dialect: wire, pages: () => [] },
   );
   await this.world.run(1_500);
@@ -396,7 +396,7 @@
 
 /** One session: the messages go out as they are, and what came back is handed over as lines. */
 async function session(story: WireStory, messages: readonly string[]): Promise<readonly string[]> {
-  const opening = story.sender.network.openStream(identifiers.address(senderAddress), 1_000);
+  const opening = story.client.network.openStream(identifiers.address(clientAddress), 1_000);
   await story.world.run(30);
   const stream = await opening;
   assert.ok(Either.isRight(stream));
@@ -448,7 +448,7 @@
   async function when(this: WireStory, count: number, seed: number) {
     const random = worlds.create(seed).fraction;
     for (let round = 0; round < count; round += 1) {
-      const messages = Array.from({ length: 1 + Math.floor(random() * 6) }, () => mutated(random, ofSenders));
+      const messages = Array.from({ length: 1 + Math.floor(random() * 6) }, () => mutated(random, ofClients));
       await session(this, random() < 0.9 ? ['OPEN harbour key1', ...messages] : messages);
     }
   },
--- a/packages/bench/src/hollow/child.ts
+++ b/packages/bench/src/hollow/child.ts
@@ -14,7 +14,7 @@
 import { hollowEdges } from './edges.js';
 import { hollowMembers } from './members.js';
 import type { HollowAsk, HollowMessage, HollowReply, HollowRole } from './roles.js';
-import { hollowSenders } from './senders.js';
+import { hollowClients } from './senders.js';
 
 type Values = Readonly<Record<string, number>>;
 type Playing = Readonly<{ reply: (ask: HollowAsk) => Values }>;
@@ -110,7 +110,7 @@
     case 'members':
       return hollowMembers.start(kernel(Option.none), role);
     case 'senders':
-      return hollowSenders.start(kernel(Option.none), role);
+      return hollowClients.start(kernel(Option.none), role);
   }
 }
 
@@ -124,8 +124,8 @@
   return { number, values: ask.kind === 'frames' ? { ...frames } : playing.reply(ask) };
 }
 
-process.on('message', (told) => {
-  const { number, ask } = told as HollowMessage;
+process.on('message', (reported) => {
+  const { number, ask } = reported as HollowMessage;
   process.send?.(reply(number, ask));
 });
 process.send?.({ number: 0, values: {} } satisfies HollowReply);
--- a/packages/bench/src/hollow/dialect.ts
+++ b/packages/bench/src/hollow/dialect.ts
@@ -12,7 +12,7 @@
   TransactionStatus,
 } from '@stallstall/session-protocol';
 
-const stances: readonly TransactionStatus[] = ['idle', 'open', 'failed'];
+const statuss: readonly TransactionStatus[] = ['idle', 'open', 'failed'];
 
 function framer(mostBytes: number): Framer {
   let rest = '';
@@ -48,8 +48,8 @@
   return word === 'close' ? { kind: 'close' } : { kind: 'unreadable' };
 }
 
-function rest(stance: TransactionStatus, at: Option.Option<Position>): string {
-  return `rest ${stance} ${Option.isSome(at) ? shown(at.value) : '-'}\n`;
+function rest(status: TransactionStatus, at: Option.Option<Position>): string {
+  return `rest ${status} ${Option.isSome(at) ? shown(at.value) : '-'}\n`;
 }
 
 function piece(message: string): Piece {
@@ -57,9 +57,9 @@
   if (word === 'row') return { kind: 'row', raw: message };
   if (word === 'done') return { kind: 'completion', completion: { kind: 'done', stamp: first } };
   if (word === 'fault') return { kind: 'completion', completion: { kind: 'fault', condition: first as Condition, text: others.join(' ') } };
-  const stance = stances.find((one) => one === first);
-  return word === 'rest' && stance !== undefined
-    ? { kind: 'rest', transactionStatus: stance, position: position(others[0] ?? '') }
+  const status = statuss.find((one) => one === first);
+  return word === 'rest' && status !== undefined
+    ? { kind: 'rest', transactionStatus: status, position: position(others[0] ?? '') }
     : { kind: 'unreadable' };
 }
 
--- a/packages/bench/src/hollow/edges.ts
+++ b/packages/bench/src/hollow/edges.ts
@@ -5,7 +5,7 @@
 import type { HollowAsk, HollowRole } from './roles.js';
 
 type EdgesRole = Extract<HollowRole, { role: 'edges' }>;
-type Edge = Readonly<{ lessee: LeaseHolder; obeyedAt: Map<number, number>; leasedAt: Map<string, number> }>;
+type Edge = Readonly<{ leaseHolder: LeaseHolder; obeyedAt: Map<number, number>; leasedAt: Map<string, number> }>;
 
 export type Edges = Readonly<{ reply: (ask: HollowAsk) => Readonly<Record<string, number>> }>;
 
@@ -20,7 +20,7 @@
   const leasedAt = new Map<string, number>();
   let released: Record<string, number> = {};
   let version = 0;
-  const lessee = lessees.create(
+  const leaseHolder = lessees.create(
     kernel,
     { node, area: settings.areas[index % settings.areas.length] as string, seeds: () => settings.seeds },
     {
@@ -32,25 +32,25 @@
       isLeaderMissing: () => false,
       demand: () => 1,
       onChange: function changed() {
-        const configuration = lessee.configuration();
+        const configuration = leaseHolder.configuration();
         if (Option.isSome(configuration) && configuration.value.version !== version) {
           version = configuration.value.version;
           obeyedAt.set(version, Date.now());
         }
         const now = kernel.clock.now();
         let lets = false;
-        for (const service of lessee.services()) {
-          const settled = lessee.electedPrimary(service);
+        for (const service of leaseHolder.services()) {
+          const settled = leaseHolder.electedPrimary(service);
           // Nothing is under way in a hollow edge: it lets go at once.
-          if (lessee.releaseEpoch(service) > (released[service] ?? 0)) {
-            released = { ...released, [service]: lessee.releaseEpoch(service) };
+          if (leaseHolder.releaseEpoch(service) > (released[service] ?? 0)) {
+            released = { ...released, [service]: leaseHolder.releaseEpoch(service) };
             lets = true;
           }
           if (Option.isNone(settled)) continue;
           const name = `${service}/${settled.value.epoch}`;
-          if (!leasedAt.has(name) && lessee.leaseUntil(service) > now) leasedAt.set(name, Date.now());
+          if (!leasedAt.has(name) && leaseHolder.leaseUntil(service) > now) leasedAt.set(name, Date.now());
         }
-        if (lets) lessee.reportNow();
+        if (lets) leaseHolder.reportNow();
       },
     },
   );
@@ -60,12 +60,12 @@
     kernel.clock,
     tellMilliseconds,
     async function tell() {
-      if (lessee.coreCount() === 0) return;
+      if (leaseHolder.coreCount() === 0) return;
       number += 1;
       const wall = kernel.clock.wall();
       const window = Math.floor(wall / windowMilliseconds);
       const counts = Object.fromEntries(Array.from({ length: settings.tenants }, (_, tenant) => [`tenant-${tenant + 1}`, served * number]));
-      await lessee.durableReports.report({
+      await leaseHolder.durableReports.report({
         floors: {},
         through: { [node]: wall },
         reports: [window - 1, window].map((one) => ({ node, incarnation, number, window: one, counts })),
@@ -73,8 +73,8 @@
     },
     () => true,
   );
-  lessee.start();
-  return { lessee, obeyedAt, leasedAt };
+  leaseHolder.start();
+  return { leaseHolder: leaseHolder, obeyedAt, leasedAt };
 }
 
 async function start(kernel: Kernel, settings: EdgesRole): Promise<Edges> {
@@ -101,15 +101,15 @@
       if (ask.kind === 'view') {
         const leased = edges.filter(
           (edge) =>
-            edge.lessee.services().length === ask.services &&
-            edge.lessee.services().every((service) => edge.lessee.leaseUntil(service) > now),
+            edge.leaseHolder.services().length === ask.services &&
+            edge.leaseHolder.services().every((service) => edge.leaseHolder.leaseUntil(service) > now),
         );
-        return { all: edges.length, leased: leased.length, roster: edges[0]?.lessee.members().length ?? 0 };
+        return { all: edges.length, leased: leased.length, roster: edges[0]?.leaseHolder.members().length ?? 0 };
       }
       if (ask.kind === 'obeyedAt') return moments(edges.map((edge) => edge.obeyedAt.get(ask.version)));
       if (ask.kind === 'leasedAt') return moments(edges.map((edge) => edge.leasedAt.get(`${ask.service}/${ask.epoch}`)));
       if (ask.kind === 'epoch') {
-        const settled = edges[0]?.lessee.electedPrimary(ask.service) ?? Option.none;
+        const settled = edges[0]?.leaseHolder.electedPrimary(ask.service) ?? Option.none;
         return { epoch: Option.isSome(settled) ? settled.value.epoch : 0 };
       }
       return {};
--- a/packages/bench/src/hollow/members.ts
+++ b/packages/bench/src/hollow/members.ts
@@ -20,14 +20,14 @@
 export type Members = Readonly<{ reply: (ask: HollowAsk) => Readonly<Record<string, number>> }>;
 
 const membersOfService = 3;
-const beatHorizonMilliseconds = 2_000;
+const beatDeadlineMilliseconds = 2_000;
 const lines = 1_048_576;
 
 async function start(kernel: Kernel, settings: MembersRole): Promise<Members> {
   const table = new Map<string, Member>();
   const held = new Map<Stream, Member>();
   const platformApiAddresses = new Map<string, HttpConnection>();
-  let deniedBeats = 0;
+  let rejectedBeats = 0;
   for (let index = 0; index < settings.services * membersOfService; index += 1) {
     const service = hollowRoles.serviceName(Math.floor(index / membersOfService));
     const member = `${service}-${(index % membersOfService) + 1}`;
@@ -71,9 +71,9 @@
           sequence: member.sequence,
         },
       },
-      beatHorizonMilliseconds,
+      beatDeadlineMilliseconds,
     );
-    if (reply._tag === 'Left' || reply.right.status !== 200) deniedBeats += 1;
+    if (reply._tag === 'Left' || reply.right.status !== 200) rejectedBeats += 1;
   }
 
   /** One task for each core's platformApiAddress, which takes one exchange at a time; beats are spread over the period. */
@@ -176,7 +176,7 @@
         primary.silent = true;
         for (const [stream, member] of held) if (member === primary) stream.reset();
       }
-      return { deniedBeats, at: Date.now() };
+      return { deniedBeats: rejectedBeats, at: Date.now() };
     },
   };
 }
--- a/packages/bench/src/hollow/run.ts
+++ b/packages/bench/src/hollow/run.ts
@@ -53,7 +53,7 @@
 const sends = 3;
 const base = 31_000;
 
-function denied(size: HollowSize): string {
+function rejected(size: HollowSize): string {
   const bounds: ReadonlyArray<readonly [keyof HollowSize, number]> = [
     ['cores', mostCores],
     ['edges', mostEdges],
@@ -71,7 +71,7 @@
 async function measure(kernel: Kernel, size: HollowSize, changes = true): Promise<HollowOutcome> {
   const folder = fs.mkdtempSync(path.join(os.tmpdir(), 'stallstall-hollow-'));
   const children: Child[] = [];
-  const horizon = identifiers.after(kernel.clock.now(), longestRunMilliseconds);
+  const deadline = identifiers.after(kernel.clock.now(), longestRunMilliseconds);
   const timings: Record<string, number> = {};
   let over = '';
 
@@ -102,8 +102,8 @@
         resolve();
       }),
     );
-    started.process.on('message', (told) => {
-      const reply = told as HollowReply;
+    started.process.on('message', (reported) => {
+      const reply = reported as HollowReply;
       started.waiting.get(reply.number)?.(reply);
       started.waiting.delete(reply.number);
     });
@@ -115,7 +115,7 @@
 
   function look(): void {
     if (over !== '') throw new Error(over);
-    if (kernel.clock.now() > horizon) throw new Error(`the run took over ${longestRunMilliseconds / 1_000} s`);
+    if (kernel.clock.now() > deadline) throw new Error(`the run took over ${longestRunMilliseconds / 1_000} s`);
     const kilobytes = children.reduce((sum, child) => sum + counts.spent(child.process.pid as number).residentKilobytes, 0);
     if (kilobytes > mostKilobytes) throw new Error(`the run's processes hold ${kilobytes} kB, over ${mostKilobytes}`);
   }
@@ -348,4 +348,4 @@
   }
 }
 
-export const hollowRun = { measure, denied } as const;
+export const hollowRun = { measure, denied: rejected } as const;
--- a/packages/bench/src/hollow/senders.ts
+++ b/packages/bench/src/hollow/senders.ts
@@ -4,17 +4,17 @@
 import { identifiers, type Kernel, type Stream } from '@stallstall/kernel';
 import type { HollowAsk, HollowRole } from './roles.js';
 
-type SendersRole = Extract<HollowRole, { role: 'senders' }>;
-type Sender = { readonly stream: Stream; busy: boolean; askedAt: number };
+type ClientsRole = Extract<HollowRole, { role: 'senders' }>;
+type Client = { readonly stream: Stream; busy: boolean; askedAt: number };
 
-export type Senders = Readonly<{ reply: (ask: HollowAsk) => Readonly<Record<string, number>> }>;
+export type Clients = Readonly<{ reply: (ask: HollowAsk) => Readonly<Record<string, number>> }>;
 
 const openMilliseconds = 2_000;
 const stepMilliseconds = 10;
 const openAtOnce = 20;
 
-async function start(kernel: Kernel, settings: SendersRole): Promise<Senders> {
-  const senders: Sender[] = [];
+async function start(kernel: Kernel, settings: ClientsRole): Promise<Clients> {
+  const clients: Client[] = [];
   const waits: number[] = [];
   let done = 0;
   let faults = 0;
@@ -22,19 +22,19 @@
   let next = 0;
   let owed = 0;
 
-  async function read(sender: Sender): Promise<void> {
+  async function read(client: Client): Promise<void> {
     let rest = '';
     for (;;) {
-      const piece = await sender.stream.read();
+      const piece = await client.stream.read();
       if (Option.isNone(piece)) break;
       const messages = (rest + piece.value).split('\n');
       rest = messages.pop() ?? '';
       for (const message of messages) {
         if (message.startsWith('done ')) done += 1;
         else if (message.startsWith('fault ')) faults += 1;
-        else if (message.startsWith('rest ') && sender.busy) {
-          sender.busy = false;
-          waits.push(kernel.clock.now() - sender.askedAt);
+        else if (message.startsWith('rest ') && client.busy) {
+          client.busy = false;
+          waits.push(kernel.clock.now() - client.askedAt);
         }
       }
     }
@@ -46,24 +46,24 @@
       openMilliseconds,
     );
     if (Either.isLeft(opened)) return;
-    const sender: Sender = { stream: opened.right, busy: false, askedAt: 0 };
-    sender.stream.write(`open database-${(index % settings.services) + 1} hollow-key-1\n`);
-    senders.push(sender);
-    void read(sender);
+    const client: Client = { stream: opened.right, busy: false, askedAt: 0 };
+    client.stream.write(`open database-${(index % settings.services) + 1} hollow-key-1\n`);
+    clients.push(client);
+    void read(client);
   }
 
   function step(): void {
     owed += (settings.statements * stepMilliseconds) / 1_000;
     for (; owed >= 1; owed -= 1) {
       next += 1;
-      const sender = senders[next % Math.max(1, senders.length)];
-      if (sender === undefined || sender.busy) {
+      const client = clients[next % Math.max(1, clients.length)];
+      if (client === undefined || client.busy) {
         skipped += 1;
         continue;
       }
-      sender.busy = true;
-      sender.askedAt = kernel.clock.now();
-      sender.stream.write(`query ${next} ${next % 4 === 0 ? 'write' : 'read'} ${next} some words of a statement\n`);
+      client.busy = true;
+      client.askedAt = kernel.clock.now();
+      client.stream.write(`query ${next} ${next % 4 === 0 ? 'write' : 'read'} ${next} some words of a statement\n`);
     }
   }
 
@@ -83,7 +83,7 @@
     reply: function reply(_ask) {
       const sorted = waits.splice(0).sort((left, right) => left - right);
       const values = {
-        sessions: senders.filter((sender) => !sender.stream.closed()).length,
+        sessions: clients.filter((client) => !client.stream.closed()).length,
         done,
         faults,
         skipped,
@@ -98,4 +98,4 @@
   };
 }
 
-export const hollowSenders = { start } as const;
+export const hollowClients = { start } as const;
--- a/packages/bench/src/real-fleet.ts
+++ b/packages/bench/src/real-fleet.ts
@@ -25,7 +25,7 @@
 const here = path.dirname(fileURLToPath(import.meta.url));
 const program = path.resolve(here, '../../operator/bin/stallstall.js');
 const standIn = path.resolve(here, 'stand-in-main.js');
-const senderKey = 'sender-key-0001';
+const clientKey = 'sender-key-0001';
 
 function create(deployment: Deployment, folder: string, base = 17_000, edgeCount = 6): RealFleet {
   fs.mkdirSync(folder, { recursive: true });
@@ -101,7 +101,7 @@
     daemon('proxy', `${edge.node}-proxy`, { address: proxy, feed: edge.feed });
   }
   const sheetFile = path.join(folder, 'sheet.json');
-  fs.writeFileSync(sheetFile, JSON.stringify(deployments.sheet(deployment, members, senderKey), null, 2));
+  fs.writeFileSync(sheetFile, JSON.stringify(deployments.sheet(deployment, members, clientKey), null, 2));
 
   function signal(name: string, sent: NodeJS.Signals): void {
     running.get(name)?.child.kill(sent);
@@ -127,7 +127,7 @@
     proxies: edges.map((edge) => edge.proxy),
     members,
     platform,
-    key: senderKey,
+    key: clientKey,
     running,
     signal,
     stop,
--- a/packages/bench/src/rehearse.ts
+++ b/packages/bench/src/rehearse.ts
@@ -10,7 +10,7 @@
 import { http, identifiers, type HttpReply, type Kernel } from '@stallstall/kernel';
 import { nodeRuntime } from '@stallstall/runtime';
 import { checks, type Violation } from '@stallstall/simulator';
-import { brightpath, redComun, sender, type Deployment, type Ledger } from '@stallstall/fakes';
+import { brightpath, redComun, client, type Deployment, type Ledger } from '@stallstall/fakes';
 import { realFleet, type RealFleet } from './real-fleet.js';
 
 const [name = 'red-comun', mode = 'load', secondsText = '20', baseText = '17000'] = process.argv.slice(2);
@@ -23,7 +23,7 @@
 }
 
 async function waitFor(kernel: Kernel, what: string, condition: () => Promise<boolean>): Promise<void> {
-  for (let shot = 0; shot < 300; shot += 1) {
+  for (let attempt = 0; attempt < 300; attempt += 1) {
     if (await condition()) return;
     await kernel.clock.sleep(100);
   }
@@ -34,8 +34,8 @@
 async function showWaits(kernel: Kernel, fleet: RealFleet): Promise<void> {
   const totals: Record<string, number> = {};
   for (const proxy of fleet.proxies) {
-    const told = ((await get(kernel, proxy, '/v1/state')).body as { totals: Record<string, number> } | null)?.totals ?? {};
-    for (const [name, count] of Object.entries(told)) totals[name] = (totals[name] ?? 0) + count;
+    const reported = ((await get(kernel, proxy, '/v1/state')).body as { totals: Record<string, number> } | null)?.totals ?? {};
+    for (const [name, count] of Object.entries(reported)) totals[name] = (totals[name] ?? 0) + count;
   }
   function each(name: string, of: string): string {
     return ((totals[name] ?? 0) / Math.max(1, totals[of] ?? 0)).toFixed(1);
@@ -107,7 +107,7 @@
 
 type Windows = Readonly<{ from: number; until: number; wallOffset: number }>;
 
-async function verdict(
+async function outcome(
   kernel: Kernel,
   fleet: RealFleet,
   ledger: Ledger,
@@ -124,11 +124,11 @@
   const peaks: string[] = [];
   let crossings = 0;
   for (const member of fleet.members) {
-    const told = (await get(kernel, member.control, '/peak')).body as { peak: number; limit: number; crossings: number } | null;
-    if (told === null) continue;
-    crossings += told.crossings;
-    peaks.push(`${member.member}=${told.peak}/${told.limit}`);
-    if (told.peak > told.limit) peaks.push('OVER');
+    const reported = (await get(kernel, member.control, '/peak')).body as { peak: number; limit: number; crossings: number } | null;
+    if (reported === null) continue;
+    crossings += reported.crossings;
+    peaks.push(`${member.member}=${reported.peak}/${reported.limit}`);
+    if (reported.peak > reported.limit) peaks.push('OVER');
   }
   const record = (await get(kernel, fleet.platform, '/v1/record')).body as { promotions: never[]; usage: never[] };
   const violations: Violation[] = [
@@ -351,8 +351,8 @@
     if (Either.isLeft(sent) || sent.right.status !== 200) throw new Error('the sheet was not taken');
     await waitFor(kernel, 'leaders', async () => (await leaders(kernel, fleet)).size === deployment.services.length);
     await kernel.clock.sleep(4_000);
-    const ledger = sender.emptyLedger();
-    const senders = sender.start(
+    const ledger = client.emptyLedger();
+    const clients = client.start(
       kernel,
       {
         deployment,
@@ -360,7 +360,7 @@
         key: fleet.key,
         sessions: deployment.sessions,
         requestsPerSecond: deployment.requestsPerSecond,
-        horizonMilliseconds: 3_000,
+        deadlineMilliseconds: 3_000,
         tag: 's',
       },
       ledger,
@@ -381,7 +381,7 @@
     sending = false;
     await operating;
     const stoppedAt = kernel.clock.wall();
-    senders.stop();
+    clients.stop();
     await kernel.clock.sleep(2_000);
     const pooled = ledger.exchanges
       .filter((one) => one.reason === 'served' && one.startedAt >= from && one.path.endsWith('/statements'))
@@ -403,7 +403,7 @@
     await kernel.clock.sleep(Math.max(0, stoppedAt + 11_000 - kernel.clock.wall()));
     const wallOffset = kernel.clock.wall() - kernel.clock.now();
     const windows = { from: Math.floor((from + wallOffset) / 5_000) + 1, until: Math.floor(stoppedAt / 5_000) - 1, wallOffset };
-    const violations = [...probed, ...(await verdict(kernel, fleet, ledger, sends, windows))];
+    const violations = [...probed, ...(await outcome(kernel, fleet, ledger, sends, windows))];
     console.log(
       violations.length === 0 ? 'checkers: clean' : `checkers: ${violations.length} violations\n  ${violations.slice(0, 8).join('\n  ')}`,
     );
--- a/packages/bench/src/weigh.ts
+++ b/packages/bench/src/weigh.ts
@@ -23,7 +23,7 @@
 }
 
 async function until(condition: () => Promise<boolean>, seconds: number): Promise<void> {
-  for (let shot = 0; shot < seconds * 4; shot += 1) {
+  for (let attempt = 0; attempt < seconds * 4; attempt += 1) {
     if (await condition()) return;
     await kernel.clock.sleep(250);
   }
--- a/packages/fakes/src/sender-ledger.ts
+++ b/packages/fakes/src/client-ledger.ts
@@ -51,10 +51,10 @@
   /** Errors by name, for reports. */
   readonly reasons: Map<string, number>;
   /** Served and denied by second, for the checks on recovery. */
-  readonly bySecond: Map<number, { served: number; denied: number; asked: number }>;
+  readonly bySecond: Map<number, { served: number; rejected: number; asked: number }>;
   readonly servedByService: Map<string, Map<number, number>>;
   readonly usageByWindow: Map<string, number>;
-  longestDenial: number;
+  longestRejection: number;
 };
 
 /** What came of an exchange. */
@@ -87,7 +87,7 @@
     bySecond: new Map(),
     servedByService: new Map(),
     usageByWindow: new Map(),
-    longestDenial: 0,
+    longestRejection: 0,
   };
 }
 
@@ -107,7 +107,7 @@
 /** Notes what came of a statement that began at `startedAt` and has ended `now`, both in milliseconds. */
 function note(ledger: Ledger, service: string, startedAt: number, now: number, reason: string): void {
   const second = Math.floor(now / 1_000);
-  const slot = ledger.bySecond.get(second) ?? { served: 0, denied: 0, asked: 0 };
+  const slot = ledger.bySecond.get(second) ?? { served: 0, rejected: 0, asked: 0 };
   ledger.bySecond.set(second, slot);
   slot.asked += 1;
   if (reason === 'served') {
@@ -116,10 +116,10 @@
     ledger.servedByService.set(service, seconds);
     seconds.set(second, (seconds.get(second) ?? 0) + 1);
   } else {
-    slot.denied += 1;
-    ledger.longestDenial = Math.max(ledger.longestDenial, now - startedAt);
+    slot.rejected += 1;
+    ledger.longestRejection = Math.max(ledger.longestRejection, now - startedAt);
   }
   ledger.reasons.set(reason, (ledger.reasons.get(reason) ?? 0) + 1);
 }
 
-export const senderLedger = { empty: emptyLedger, reasonOf, fateOf, note } as const;
+export const clientLedger = { empty: emptyLedger, reasonOf, fateOf, note } as const;
--- a/packages/fakes/src/sender-session.ts
+++ b/packages/fakes/src/client-session.ts
@@ -2,15 +2,15 @@
 import * as Either from 'fp-ts/lib/Either.js';
 import { identifiers, type HttpConnection, type Kernel } from '@stallstall/kernel';
 import type { Deployment } from './deployment.js';
-import { senderLedger, type Ledger, type Reply, type WriteRecord } from './sender-ledger.js';
+import { clientLedger, type Ledger, type Reply, type WriteRecord } from './client-ledger.js';
 
-export type SenderSettings = Readonly<{
+export type ClientSettings = Readonly<{
   deployment: Deployment;
   edges: () => readonly string[];
   key: string;
   sessions: number;
   requestsPerSecond: number;
-  horizonMilliseconds: number;
+  deadlineMilliseconds: number;
   /** The share of statements whose time limit is so short that their reply mostly comes after it. */
   hastyShare?: number;
   /** Told apart from other clients that write to the same services. */
@@ -20,7 +20,7 @@
 /** What all sessions of the settings share. */
 export type SessionParts = Readonly<{
   kernel: Kernel;
-  settings: SenderSettings;
+  settings: ClientSettings;
   ledger: Ledger;
   /** Numbers the writes to a service. */
   nextSequence: (service: string) => number;
@@ -68,9 +68,9 @@
   const headers = { 'x-stallstall-key': settings.key, ...sessionHeader };
   const reply = await (session.connection as HttpConnection).exchange(
     { method, path, body, headers },
-    settings.horizonMilliseconds + lateMilliseconds,
+    settings.deadlineMilliseconds + lateMilliseconds,
   );
-  ledger.exchanges.push({ edge, path, startedAt, endedAt: kernel.clock.now(), reason: senderLedger.reasonOf(reply), openSince });
+  ledger.exchanges.push({ edge, path, startedAt, endedAt: kernel.clock.now(), reason: clientLedger.reasonOf(reply), openSince });
   return reply;
 }
 
@@ -87,7 +87,7 @@
   const startedAt = kernel.clock.now();
   const reply = await exchange(parts, session, 'POST', `/v1/services/${service}/sessions`, {});
   if (Either.isLeft(reply) || reply.right.status !== 201) {
-    senderLedger.note(ledger, service, startedAt, kernel.clock.now(), `session:${senderLedger.reasonOf(reply)}`);
+    clientLedger.note(ledger, service, startedAt, kernel.clock.now(), `session:${clientLedger.reasonOf(reply)}`);
     return false;
   }
   session.name = String((reply.right.body as { session: unknown }).session);
@@ -101,7 +101,7 @@
   const valued = await exchange(parts, session, 'PUT', `/v1/sessions/${name}/values/owner`, { value: `${tag}-${index}` });
   const text = `get ${tag}/${service}/session-${index}`;
   const prepared = await exchange(parts, session, 'PUT', `/v1/sessions/${name}/shapes/mine`, { text });
-  if (senderLedger.reasonOf(valued) === 'served' && senderLedger.reasonOf(prepared) === 'served') return true;
+  if (clientLedger.reasonOf(valued) === 'served' && clientLedger.reasonOf(prepared) === 'served') return true;
   session.name = '';
   return false;
 }
@@ -120,9 +120,9 @@
     kind,
     statements,
     transaction,
-    horizonMilliseconds: hasty ? hastyMilliseconds : settings.horizonMilliseconds,
+    horizonMilliseconds: hasty ? hastyMilliseconds : settings.deadlineMilliseconds,
   });
-  if (senderLedger.reasonOf(reply) === 'served') {
+  if (clientLedger.reasonOf(reply) === 'served') {
     const window = `${Math.floor(kernel.clock.wall() / windowMilliseconds)}|${service}`;
     ledger.usageByWindow.set(window, (ledger.usageByWindow.get(window) ?? 0) + 1);
   }
@@ -149,7 +149,7 @@
 async function runTransaction(parts: SessionParts, session: SessionState, puts: readonly Statement[]): Promise<TransactionOutcome> {
   const { clock, randomness } = parts.kernel;
   const begun = await run(parts, session, 'write', puts.slice(0, 2), 'begin');
-  const reason = senderLedger.reasonOf(begun);
+  const reason = clientLedger.reasonOf(begun);
   if (reason !== 'served') return Either.isLeft(begun) ? { over: 'begin lost', reason } : { reply: begun };
   if (randomness.fraction() < abandonedShare) return { over: 'abandoned', reason: 'session-lost' };
   session.openSince = clock.now();
@@ -170,7 +170,7 @@
   const { kernel, ledger } = parts;
   noteWrite(parts, session, begun, 'nothing-kept', over);
   if (over === 'abandoned') await kernel.clock.sleep(abandonedMilliseconds);
-  else senderLedger.note(ledger, session.service, begun.startedAt, kernel.clock.now(), reason);
+  else clientLedger.note(ledger, session.service, begun.startedAt, kernel.clock.now(), reason);
   return reason;
 }
 
@@ -194,11 +194,11 @@
   session.openSince = none;
   const outcome = inTransaction ? await runTransaction(parts, session, puts) : { reply: await run(parts, session, 'write', puts, 'none') };
   if ('over' in outcome) return noteOver(parts, session, begun, outcome);
-  const reason = senderLedger.reasonOf(outcome.reply);
-  const fate = senderLedger.fateOf(reason);
+  const reason = clientLedger.reasonOf(outcome.reply);
+  const fate = clientLedger.fateOf(reason);
   noteWrite(parts, session, begun, fate, reason);
   if (fate === 'kept' && resultsOf(outcome.reply).at(-1) !== `${settings.tag}-${index}`) ledger.crossed += 1;
-  senderLedger.note(ledger, service, begun.startedAt, kernel.clock.now(), reason);
+  clientLedger.note(ledger, service, begun.startedAt, kernel.clock.now(), reason);
   return reason;
 }
 
@@ -210,7 +210,7 @@
   const mark = `${settings.tag}/${service}/shared-${Math.floor(kernel.randomness.fraction() * sharedMarks)}`;
   const statements = [{ text: 'shape mine' }, { text: 'get', parameters: [mark] }, { text: 'value owner' }];
   const reply = await run(parts, session, kind, statements, 'none');
-  const reason = senderLedger.reasonOf(reply);
+  const reason = clientLedger.reasonOf(reply);
   const served = reason === 'served' && Either.isRight(reply);
   const [own, seen, owner] = served ? resultsOf(reply) : [];
   if (served && owner !== `${settings.tag}-${index}`) ledger.crossed += 1;
@@ -227,7 +227,7 @@
     reason,
     through: served ? `${edge} and ${String((reply.right.body as { member: unknown }).member)}` : edge,
   });
-  senderLedger.note(ledger, service, startedAt, kernel.clock.now(), reason);
+  clientLedger.note(ledger, service, startedAt, kernel.clock.now(), reason);
   return reason;
 }
 
@@ -273,4 +273,4 @@
   session.connection?.close();
 }
 
-export const senderSessions = { run: runSession } as const;
+export const clientSessions = { run: runSession } as const;
--- a/packages/fakes/src/sender.ts
+++ b/packages/fakes/src/client.ts
@@ -1,13 +1,13 @@
 /** Clients of the HTTP wire, and the ledger that they keep (design 10.3). */
 import type { Kernel } from '@stallstall/kernel';
-import { senderLedger, type Ledger } from './sender-ledger.js';
-import { senderSessions, type SenderSettings, type SessionParts } from './sender-session.js';
+import { clientLedger, type Ledger } from './client-ledger.js';
+import { clientSessions, type ClientSettings, type SessionParts } from './client-session.js';
 
-export type { ExchangeRecord, Ledger, ReadRecord, SharedMark, WriteRecord } from './sender-ledger.js';
-export type { SenderSettings } from './sender-session.js';
+export type { ExchangeRecord, Ledger, ReadRecord, SharedMark, WriteRecord } from './client-ledger.js';
+export type { ClientSettings as SenderSettings } from './client-session.js';
 
 /** Starts as many sessions as the settings say, each a task of its own. */
-function start(kernel: Kernel, settings: SenderSettings, ledger: Ledger): Readonly<{ stop: () => void }> {
+function start(kernel: Kernel, settings: ClientSettings, ledger: Ledger): Readonly<{ stop: () => void }> {
   const sequences = new Map<string, number>();
   let stopped = false;
 
@@ -18,7 +18,7 @@
   }
 
   const parts: SessionParts = { kernel, settings, ledger, nextSequence, stopped: () => stopped };
-  for (let index = 0; index < settings.sessions; index += 1) void senderSessions.run(parts, index);
+  for (let index = 0; index < settings.sessions; index += 1) void clientSessions.run(parts, index);
   return {
     stop: function stop() {
       stopped = true;
@@ -26,4 +26,4 @@
   };
 }
 
-export const sender = { start, emptyLedger: senderLedger.empty } as const;
+export const client = { start, emptyLedger: clientLedger.empty } as const;
--- a/packages/fakes/src/member-replication.ts
+++ b/packages/fakes/src/member-replication.ts
@@ -35,9 +35,9 @@
 const cutBackMilliseconds = 150;
 
 /** Who waits for news of the log. */
-type News = Readonly<{ wait: () => Promise<void>; wake: () => void }>;
+type Updates = Readonly<{ wait: () => Promise<void>; wake: () => void }>;
 
-function createNews({ kernel }: ReplicationParts): News {
+function createUpdates({ kernel }: ReplicationParts): Updates {
   const waiting = new Set<() => void>();
   return {
     wait: () =>
@@ -67,7 +67,7 @@
 function create(parts: ReplicationParts): MemberReplication {
   const { kernel, settings, store, knobs, stopped } = parts;
   const receivedBy = new Map<string, number>();
-  const news = createNews(parts);
+  const updates = createUpdates(parts);
   let upstream: Option.Option<Upstream> = Option.none;
 
   /** The connection to a leader; one to another is closed. */
@@ -106,7 +106,7 @@
     if (store.role !== 'primary') return { status: 409, body: {} };
     const from = memberLogs.agreed(asked.ends, memberLogs.endsOf(store.log, store.log.length));
     if (from === asked.number) receivedBy.set(asked.member, asked.number);
-    if (from === asked.number && store.log.length === from) await news.wait();
+    if (from === asked.number && store.log.length === from) await updates.wait();
     if (store.role !== 'primary') return { status: 409, body: {} };
     const body: LogReply = { term: store.term, from, commits: store.log.slice(from) };
     return { status: 200, body };
@@ -115,7 +115,7 @@
   return {
     pull,
     serveLog,
-    wake: news.wake,
+    wake: updates.wake,
     receivedBy: (number) => [...receivedBy.values()].filter((received) => received >= number).length,
     forget: () => receivedBy.clear(),
     stop: function stop() {
--- a/packages/fakes/src/member.ts
+++ b/packages/fakes/src/member.ts
@@ -107,7 +107,7 @@
     for (const commit of store.log) if (commit.position <= store.applied) applyRows(commit);
   }
 
-  function deniedWith(status: number, message: string): HttpReply {
+  function rejectedWith(status: number, message: string): HttpReply {
     return { status, body: { message, position: store.applied } };
   }
 
@@ -183,7 +183,7 @@
 
   async function run(request: HttpRequest): Promise<HttpReply> {
     const state = connectionOf(request);
-    if (state === undefined) return deniedWith(503, 'too many connections');
+    if (state === undefined) return rejectedWith(503, 'too many connections');
     const body = request.body as RunBody;
     store.ran.push({
       at: kernel.clock.now(),
@@ -200,18 +200,18 @@
     }
     state.values = body.values;
     state.shapes = body.shapes;
-    if (!body.readOnly && store.role !== 'primary') return deniedWith(503, 'this member is no primary');
+    if (!body.readOnly && store.role !== 'primary') return rejectedWith(503, 'this member is no primary');
     await kernel.clock.sleep(settings.runMilliseconds * (0.5 + kernel.randomness.fraction()));
-    if (!body.readOnly && store.role !== 'primary') return deniedWith(503, 'this member is no primary');
+    if (!body.readOnly && store.role !== 'primary') return rejectedWith(503, 'this member is no primary');
     const continues = body.transaction === 'within' || body.transaction === 'commit' || body.transaction === 'rollback';
-    if (continues && state.transaction === null) return deniedWith(409, 'no transaction on this connection');
+    if (continues && state.transaction === null) return rejectedWith(409, 'no transaction on this connection');
     const changes: Change[] = [];
     const results: unknown[] = [];
     try {
       for (const one of body.statements) results.push(execute(state, one.text, one.parameters, changes, body.readOnly));
     } catch (error) {
       state.transaction = null;
-      return deniedWith(409, (error as Error).message);
+      return rejectedWith(409, (error as Error).message);
     }
     let position = store.applied;
     if (body.transaction === 'begin') state.transaction = { changes };
@@ -230,7 +230,7 @@
   }
 
   function stateReply(request: HttpRequest): HttpReply {
-    if (connectionOf(request) === undefined) return deniedWith(503, 'too many connections');
+    if (connectionOf(request) === undefined) return rejectedWith(503, 'too many connections');
     return {
       status: 200,
       body: { member: settings.member, role: store.role, epoch: store.epoch, received: received(), applied: store.applied },
@@ -252,20 +252,20 @@
       upstream = undefined;
       return;
     }
-    const told = reply.right.body as Readonly<{ epoch: number; whole: boolean; commits: readonly Commit[] }>;
-    if (told.whole) {
-      store.log = [...told.commits];
+    const reported = reply.right.body as Readonly<{ epoch: number; whole: boolean; commits: readonly Commit[] }>;
+    if (reported.whole) {
+      store.log = [...reported.commits];
       store.applied = received();
-      store.epoch = told.epoch;
+      store.epoch = reported.epoch;
       rebuild();
-    } else store.log.push(...told.commits.filter((one) => one.position > received()));
+    } else store.log.push(...reported.commits.filter((one) => one.position > received()));
     for (const one of store.log.slice(store.applied)) applyRows(one);
     store.applied = received();
   }
 
   async function replicate(request: HttpRequest): Promise<HttpReply> {
     const asked = request.body as Readonly<{ member: string; epoch: number; from: number }>;
-    if (store.role !== 'primary') return deniedWith(409, 'this member is no primary');
+    if (store.role !== 'primary') return rejectedWith(409, 'this member is no primary');
     const whole = asked.epoch !== store.epoch;
     if (!whole) receivedBy.set(asked.member, asked.from);
     return { status: 200, body: { epoch: store.epoch, whole, commits: whole ? store.log : store.log.slice(asked.from) } };
@@ -273,7 +273,7 @@
 
   async function promote(request: HttpRequest): Promise<HttpReply> {
     const asked = request.body as Readonly<{ epoch: number }>;
-    if (asked.epoch < store.epoch) return deniedWith(409, 'an older epoch');
+    if (asked.epoch < store.epoch) return rejectedWith(409, 'an older epoch');
     store.epoch = asked.epoch;
     store.role = 'primary';
     store.primary = '';
@@ -285,7 +285,7 @@
 
   async function follow(request: HttpRequest): Promise<HttpReply> {
     const asked = request.body as Readonly<{ primary: string; epoch: number }>;
-    if (asked.epoch < store.epoch || (asked.epoch === store.epoch && store.role === 'primary')) return deniedWith(409, 'an older epoch');
+    if (asked.epoch < store.epoch || (asked.epoch === store.epoch && store.role === 'primary')) return rejectedWith(409, 'an older epoch');
     store.role = 'replica';
     if (store.primary !== asked.primary) {
       store.primary = asked.primary;
@@ -323,7 +323,7 @@
           method: 'POST',
           path: '/open',
           handle: async (request) =>
-            connectionOf(request) === undefined ? deniedWith(503, 'too many connections') : { status: 200, body: { open: true } },
+            connectionOf(request) === undefined ? rejectedWith(503, 'too many connections') : { status: 200, body: { open: true } },
         },
         { method: 'POST', path: '/run', handle: run },
         { method: 'GET', path: '/state', handle: async (request) => stateReply(request) },
--- a/packages/fakes/src/session-sender.ts
+++ b/packages/fakes/src/session-client.ts
@@ -8,7 +8,7 @@
 export type { SessionLine } from './session-line.js';
 export type { SessionDatabase } from './session-workload.js';
 
-export type SessionSenderSettings = Readonly<{
+export type SessionClientSettings = Readonly<{
   sessions: number;
   /** Between two operations of a session. */
   thinkMilliseconds: number;
@@ -26,23 +26,23 @@
 const transactionShare = 0.35;
 const leavingShare = 0.02;
 
-type Sender = Readonly<{ parts: WorkloadParts; settings: SessionSenderSettings; stopped: () => boolean }>;
+type Client = Readonly<{ parts: WorkloadParts; settings: SessionClientSettings; stopped: () => boolean }>;
 
-function chance({ parts }: Sender, share: number): boolean {
+function chance({ parts }: Client, share: number): boolean {
   return parts.kernel.randomness.fraction() < share;
 }
 
-function pick<Item>({ parts }: Sender, items: readonly Item[]): Item | undefined {
+function pick<Item>({ parts }: Client, items: readonly Item[]): Item | undefined {
   return items[Math.floor(parts.kernel.randomness.fraction() * items.length)];
 }
 
 /** Opens a session at some edge, to some database, with some key; undefined when there is none. */
-async function open(sender: Sender): Promise<ClientSession | undefined> {
-  const { parts, settings } = sender;
+async function open(client: Client): Promise<ClientSession | undefined> {
+  const { parts, settings } = client;
   const { kernel, ledger } = parts;
-  const edge = pick(sender, settings.edges());
-  const database = pick(sender, settings.databases());
-  const key = pick(sender, settings.keys());
+  const edge = pick(client, settings.edges());
+  const database = pick(client, settings.databases());
+  const key = pick(client, settings.keys());
   if (edge === undefined || database === undefined || key === undefined) return undefined;
   const at = kernel.clock.now();
   const opened = await sessionLines.open(kernel, edge.address, database.database, key);
@@ -59,33 +59,33 @@
 }
 
 /** Works in one session until it ends. */
-async function runSession(sender: Sender): Promise<void> {
-  const { parts, settings, stopped } = sender;
-  const session = await open(sender);
+async function runSession(client: Client): Promise<void> {
+  const { parts, settings, stopped } = client;
+  const session = await open(client);
   if (session === undefined) return;
   const { clock, randomness } = parts.kernel;
-  const brief = chance(sender, briefShare);
+  const brief = chance(client, briefShare);
   while (!stopped() && !session.line.closed()) {
-    if (chance(sender, furnishShare) && !(await sessionWorkload.furnish(parts, session))) break;
-    const work = chance(sender, transactionShare) ? sessionWorkload.transaction : sessionWorkload.single;
+    if (chance(client, furnishShare) && !(await sessionWorkload.furnish(parts, session))) break;
+    const work = chance(client, transactionShare) ? sessionWorkload.transaction : sessionWorkload.single;
     if (!(await work(parts, session))) break;
-    if (brief || chance(sender, leavingShare)) break;
+    if (brief || chance(client, leavingShare)) break;
     await clock.sleep(settings.thinkMilliseconds * (0.2 + 1.6 * randomness.fraction()));
   }
   if (!session.line.closed()) session.line.close();
 }
 
-async function runSessions(sender: Sender): Promise<void> {
-  const { clock, randomness } = sender.parts.kernel;
-  await clock.sleep(randomness.fraction() * sender.settings.thinkMilliseconds);
-  while (!sender.stopped()) {
-    await runSession(sender);
+async function runSessions(client: Client): Promise<void> {
+  const { clock, randomness } = client.parts.kernel;
+  await clock.sleep(randomness.fraction() * client.settings.thinkMilliseconds);
+  while (!client.stopped()) {
+    await runSession(client);
     await clock.sleep(50 + randomness.fraction() * 200);
   }
 }
 
 /** Starts as many clients as the settings say. */
-function start(kernel: Kernel, settings: SessionSenderSettings, ledger: SessionLedger): Readonly<{ stop: () => void }> {
+function start(kernel: Kernel, settings: SessionClientSettings, ledger: SessionLedger): Readonly<{ stop: () => void }> {
   let stopped = false;
   let lastNumber = 0;
   const parts: WorkloadParts = {
@@ -105,4 +105,4 @@
   };
 }
 
-export const sessionSender = { start, open: sessionLines.open, emptyLedger: sessionLedger.empty } as const;
+export const sessionClient = { start, open: sessionLines.open, emptyLedger: sessionLedger.empty } as const;
--- a/packages/fakes/src/session-dialect.ts
+++ b/packages/fakes/src/session-dialect.ts
@@ -29,7 +29,7 @@
   'oversize',
   'malformed',
 ]);
-const stances: ReadonlySet<string> = new Set<TransactionStatus>(['idle', 'open', 'failed']);
+const statuss: ReadonlySet<string> = new Set<TransactionStatus>(['idle', 'open', 'failed']);
 
 /** The first word and what follows it. */
 function cut(text: string): readonly [string, string] {
@@ -86,8 +86,8 @@
   return { kind: 'unreadable' };
 }
 
-function rest(stance: TransactionStatus, at: Option.Option<Position>): string {
-  return `at ${stance} ${Option.isSome(at) ? shown(at.value) : 'nowhere'}\n`;
+function rest(status: TransactionStatus, at: Option.Option<Position>): string {
+  return `at ${status} ${Option.isSome(at) ? shown(at.value) : 'nowhere'}\n`;
 }
 
 function faultLine(condition: Condition, text: string): string {
@@ -109,7 +109,7 @@
   if (word === 'yes') return { kind: 'completion', completion: { kind: 'done', stamp: fields } };
   if (word === 'no' && conditions.has(first))
     return { kind: 'completion', completion: { kind: 'fault', condition: first as Condition, text: second } };
-  if (word === 'at' && stances.has(first))
+  if (word === 'at' && statuss.has(first))
     return { kind: 'rest', transactionStatus: first as TransactionStatus, position: position(second) };
   return { kind: 'unreadable' };
 }
--- a/packages/fakes/src/session-workload.ts
+++ b/packages/fakes/src/session-workload.ts
@@ -27,7 +27,7 @@
 }>;
 
 /** What came of a statement; none when the client must give the session up. */
-type Told = Option.Option<Readonly<{ ending: Completion; stance: TransactionStatus }>>;
+type ReportedOutcome = Option.Option<Readonly<{ ending: Completion; status: TransactionStatus }>>;
 
 type Statement = Readonly<{ kind: SessionAsk['kind']; /** The client leaves while it waits for the reply. */ leaves?: boolean }>;
 
@@ -94,7 +94,12 @@
 }
 
 /** Asks one statement; none when the client must give the session up. */
-async function ask(parts: WorkloadParts, session: ClientSession, of: SessionTry, { kind, leaves = false }: Statement): Promise<Told> {
+async function ask(
+  parts: WorkloadParts,
+  session: ClientSession,
+  of: SessionTry,
+  { kind, leaves = false }: Statement,
+): Promise<ReportedOutcome> {
   const { kernel } = parts;
   const { line, database } = session;
   const identifier = `${of.name}.${of.asks.length + 1}`;
@@ -126,7 +131,7 @@
   }
   asked.ending = Option.some(reply.value.completion);
   asked.rows = reply.value.rows;
-  return Option.some({ ending: reply.value.completion, stance: reply.value.transactionStatus });
+  return Option.some({ ending: reply.value.completion, status: reply.value.transactionStatus });
 }
 
 /** Begins a transaction; false when there is none. */
@@ -145,7 +150,7 @@
 /** Ends a transaction; whether the session goes on. */
 async function end(parts: WorkloadParts, session: ClientSession, of: SessionTry, statement: Statement): Promise<boolean> {
   const ended = await ask(parts, session, of, statement);
-  return Option.isSome(ended) && ended.value.stance === 'idle';
+  return Option.isSome(ended) && ended.value.status === 'idle';
 }
 
 function shareOf(shares: Readonly<{ leader: number; replicas: number }>, { database }: ClientSession): number {
@@ -162,9 +167,9 @@
     const pause = chance(parts, longRestShare) ? longRestMilliseconds : kernel.randomness.fraction() * pauseMilliseconds;
     await kernel.clock.sleep(pause);
     const kind = !of.readOnly && chance(parts, writeShare) ? 'put' : 'get';
-    const told = await ask(parts, session, of, { kind, leaves: chance(parts, leavingShare) });
-    if (Option.isNone(told)) return false;
-    if (told.value.ending.kind === 'fault') return told.value.stance === 'idle' || end(parts, session, of, { kind: 'rollback' });
+    const reported = await ask(parts, session, of, { kind, leaves: chance(parts, leavingShare) });
+    if (Option.isNone(reported)) return false;
+    if (reported.value.ending.kind === 'fault') return reported.value.status === 'idle' || end(parts, session, of, { kind: 'rollback' });
   }
   if (chance(parts, abandonedShare)) {
     of.left = true;
@@ -178,9 +183,9 @@
 async function single(parts: WorkloadParts, session: ClientSession): Promise<boolean> {
   const of = beginTry(parts, session, false, false);
   const kind = chance(parts, shareOf(singleWriteShare, session)) ? 'put' : 'get';
-  const told = await ask(parts, session, of, { kind, leaves: chance(parts, singleLeavingShare) });
-  if (Option.isNone(told) || told.value.stance !== 'idle') return false;
-  const { ending } = told.value;
+  const reported = await ask(parts, session, of, { kind, leaves: chance(parts, singleLeavingShare) });
+  if (Option.isNone(reported) || reported.value.status !== 'idle') return false;
+  const { ending } = reported.value;
   return ending.kind === 'done' || (ending.condition !== 'denied' && ending.condition !== 'no-database');
 }
 
--- a/packages/register/src/core-set-view.ts
+++ b/packages/register/src/core-set-view.ts
@@ -20,8 +20,8 @@
  * at the same set. @internal
  */
 export function rejectOtherSet(view: CoreSetView, setNumber: number | undefined): Option.Option<Reply<'prepare'>> {
-  const ownNumber = setNumber ?? 0;
-  if (ownNumber === view.number()) return Option.none;
-  const newer = view.newerThan(ownNumber);
+  const proposerNumber = setNumber ?? 0;
+  if (proposerNumber === view.number()) return Option.none;
+  const newer = view.newerThan(proposerNumber);
   return Option.some(newer === undefined ? notReady : { ...notReady, newer });
 }
--- a/packages/simulator/exploring-mutations.mjs
+++ b/packages/simulator/exploring-mutations.mjs
@@ -11,12 +11,12 @@
 // One with a story is a guard that the exploration does not judge: who may take a seat, and what leases lean on. `equivalent` says why
 // no test can tell the mutated code from the sound one.
 const mutations = [
-  { name: 'any-set-is-answered', file: 'register/build/core-set-view.js', from: 'if (told === view.number())', to: 'if (true)' },
+  { name: 'any-set-is-answered', file: 'register/build/core-set-view.js', from: 'if (proposerNumber === view.number())', to: 'if (true)' },
   {
     name: 'earlier-sets-are-answered',
     file: 'register/build/core-set-view.js',
-    from: 'if (told === view.number())',
-    to: 'if (told <= view.number())',
+    from: 'if (proposerNumber === view.number())',
+    to: 'if (proposerNumber <= view.number())',
   },
   {
     name: 'answers-before-it-is-level',
@@ -30,7 +30,7 @@
     from: 'seats - quorum.majority(seats) + 1',
     to: 'seats - quorum.majority(seats)',
   },
-  { name: 'copies-others-at-earlier-sets', file: 'register/build/catch-up.js', from: 'told >= since', to: 'true' },
+  { name: 'copies-others-at-earlier-sets', file: 'register/build/catch-up.js', from: 'reported >= since', to: 'true' },
   {
     name: 'doubtful-cells-not-settled',
     file: 'register/build/catch-up.js',
@@ -103,9 +103,9 @@
       : [path.join(copy, 'packages/acceptance/run.mjs'), mutation.story];
   const run = spawnSync(process.execPath, command, { encoding: 'utf8' });
   putBack();
-  const told = /^(seed|schedule|scenario) .{0,150}|AssertionError.{0,110}/m.exec(run.stdout)?.[0];
-  if (told === undefined) blind += 1;
-  console.log(`${mutation.name}: ${told === undefined ? `NOT CAUGHT ${run.stderr.slice(0, 300)}` : `caught by ${told}`}`);
+  const caughtBy = /^(seed|schedule|scenario) .{0,150}|AssertionError.{0,110}/m.exec(run.stdout)?.[0];
+  if (caughtBy === undefined) blind += 1;
+  console.log(`${mutation.name}: ${caughtBy === undefined ? `NOT CAUGHT ${run.stderr.slice(0, 300)}` : `caught by ${caughtBy}`}`);
 }
 fs.rmSync(copy, { recursive: true, force: true });
 console.log(`exploring-mutations: ${blind} not caught`);
--- a/packages/simulator/src/explore-losses.ts
+++ b/packages/simulator/src/explore-losses.ts
@@ -39,18 +39,18 @@
   explore.gone.add(lost);
 }
 
-function comeBack(table: ExploredTable, plan: Plan, name: string): void {
+function startAgain(table: ExploredTable, plan: Plan, name: string): void {
   plan.push({ at: table.now() + backAfter, act: () => machine(table, name).start() });
 }
 
 function losePower(table: ExploredTable, plan: Plan, name: string): void {
   machine(table, name).crash(false);
-  comeBack(table, plan, name);
+  startAgain(table, plan, name);
 }
 
 function loseDisk(table: ExploredTable, plan: Plan, name: string): void {
   machine(table, name).crash(true);
-  comeBack(table, plan, name);
+  startAgain(table, plan, name);
 }
 
 /** The successor comes first, then the old machine is told to end; it ends by itself some time later. */
--- a/packages/simulator/src/explore.ts
+++ b/packages/simulator/src/explore.ts
@@ -15,13 +15,13 @@
 export type Explored = Readonly<{ violations: readonly string[]; happenings: number; steps: number; losses: number; results: number }>;
 
 const writers = 3;
-const shots = 8;
+const attempts = 8;
 const mostHappenings = 6_000;
 /** Once all is calm the register must serve within so many happenings. */
 const calmHappenings = 8_000;
 /** Four seconds: the shortest time in which machines are said to settle. */
 const settleHappenings = 400;
-const horizonMilliseconds = 3_000;
+const deadlineMilliseconds = 3_000;
 
 function generator(seed: number): () => number {
   let state = (seed * 2_654_435_761 + 1) >>> 0;
@@ -48,9 +48,9 @@
   for (const one of results) {
     for (const other of results) {
       if (one === other || one.key !== other.key) continue;
-      const told = `${one.what} [${one.list.join(' ')}] ${one.begun}-${one.ended}, ${other.what} [${other.list.join(' ')}] ${other.begun}-${other.ended}`;
-      if (one.list.length <= other.list.length && !isPrefix(one.list, other.list)) violations.push(`two histories: ${told}`);
-      else if (one.ended < other.begun && one.list.length > other.list.length) violations.push(`forgotten: ${told}`);
+      const reported = `${one.what} [${one.list.join(' ')}] ${one.begun}-${one.ended}, ${other.what} [${other.list.join(' ')}] ${other.begun}-${other.ended}`;
+      if (one.list.length <= other.list.length && !isPrefix(one.list, other.list)) violations.push(`two histories: ${reported}`);
+      else if (one.ended < other.begun && one.list.length > other.list.length) violations.push(`forgotten: ${reported}`);
     }
   }
   return violations;
@@ -136,7 +136,7 @@
 
   async function read(name: string, key: string): Promise<boolean> {
     const begun = now;
-    const found = await machines.client(name, calm ? machines.newest() : first).read(key, horizonMilliseconds);
+    const found = await machines.client(name, calm ? machines.newest() : first).read(key, deadlineMilliseconds);
     if (Either.isRight(found)) results.push({ key, what: `${name} read`, begun, ended: now, list: listOf(found.right) });
     return Either.isRight(found);
   }
@@ -146,7 +146,7 @@
     const changed = await register.change(
       key,
       (current) => (listOf(current).includes(token) ? Option.none : Option.some([...listOf(current), token])),
-      horizonMilliseconds,
+      deadlineMilliseconds,
     );
     if (Either.isLeft(changed)) return false;
     const list = listOf(changed.right.entry);
@@ -171,11 +171,11 @@
     void proof();
     const until = now + calmHappenings;
     while (now < until && !(served && machines.short() === 0)) await tick();
-    if (!served) return `serves no more: ${told()}`;
-    return machines.short() === 0 ? undefined : `a seat stays short: ${told()}`;
+    if (!served) return `serves no more: ${reported()}`;
+    return machines.short() === 0 ? undefined : `a seat stays short: ${reported()}`;
   }
 
-  function told(): string {
+  function reported(): string {
     const set = machines.newest();
     const states = machines.all().map((machine) => {
       const level = machine.level();
@@ -225,12 +225,13 @@
   const reads = random() * 0.6;
   // Ballots far beyond those of the others: what this one leaves on a minority may outlast a set.
   const ahead = random() < 0.5 ? Math.floor(random() * 8) : 0;
-  for (let shot = 0; shot < ahead; shot += 1) await register.change(`own-${name}`, () => Option.some([String(shot)]), horizonMilliseconds);
-  for (let shot = 0; shot < shots; shot += 1) {
+  for (let attempt = 0; attempt < ahead; attempt += 1)
+    await register.change(`own-${name}`, () => Option.some([String(attempt)]), deadlineMilliseconds);
+  for (let attempt = 0; attempt < attempts; attempt += 1) {
     await table.idle(Math.floor(random() * idleMost));
     const key = keys[Math.floor(random() * keys.length)] as string;
-    if (random() < reads) await table.read(`${name}${shot}`, key);
-    else await table.put(register, `${name}${shot}`, key);
+    if (random() < reads) await table.read(`${name}${attempt}`, key);
+    else await table.put(register, `${name}${attempt}`, key);
   }
 }
 
@@ -292,7 +293,7 @@
   for (let index = 0; index < writers; index += 1) void writer(table, `x${index}`, sparse).then(() => (working -= 1));
 
   /** A machine that was lost comes back, unless it was lost for good. */
-  function comeBack(): void {
+  function startAgain(): void {
     for (const machine of machines.all()) if (!machine.isUp() && !gone.has(machine) && random() < 0.01) machine.start();
     for (const name of table.cut) if (random() < 0.005) table.cut.delete(name);
     for (const [machine, at] of leavers) {
@@ -304,7 +305,7 @@
   }
 
   while (working > 0 && table.now() < mostHappenings) {
-    comeBack();
+    startAgain();
     if (random() < lossShare && mayLose(table, tolerance, leavers.size)) {
       const listed = machines.newest().seats.map((seat) => seat.node);
       const victims = machines.all().filter((machine) => listed.includes(machine.name) && runs(machine, table) && !leavers.has(machine));
--- a/packages/simulator/src/faults/common.ts
+++ b/packages/simulator/src/faults/common.ts
@@ -9,7 +9,7 @@
 export type InvalidOrder = Readonly<{ variant: string; at: number; status: number }>;
 
 export type PooledStorm = Readonly<{
-  told: string[];
+  reported: string[];
   /** How often each fault took place. */
   struck: Map<string, number>;
   troubles: Trouble[];
--- a/packages/simulator/src/faults/cores.ts
+++ b/packages/simulator/src/faults/cores.ts
@@ -29,7 +29,7 @@
 const wipedAfterMilliseconds = 2_000;
 const acknowledgedWithinMilliseconds = 4;
 const orderLookMilliseconds = 1;
-const orderHorizonMilliseconds = 5_000;
+const orderDeadlineMilliseconds = 5_000;
 const coreGraceMilliseconds = 7_000;
 
 /** Nothing is told to whoever was connected. */
@@ -179,7 +179,7 @@
 /** Strikes the core that acknowledged an order, within so little time that others may not have heard of it. */
 function afterAcknowledgement(strike: Struck): LoseCores {
   return function send(fleet, storm, back) {
-    const until = fleet.world.now() + orderHorizonMilliseconds;
+    const until = fleet.world.now() + orderDeadlineMilliseconds;
     const index = fleet.cores.indexOf(pick(fleet, runningCores(fleet)) ?? pick(fleet, fleet.cores));
     const version = nextVersion(fleet);
     void fleet.configure(version, lastSheet(fleet), index);
--- a/packages/simulator/src/faults/edges.ts
+++ b/packages/simulator/src/faults/edges.ts
@@ -30,7 +30,7 @@
 const staleSeed = '10.1.9.9:7000';
 const staleSeedShare = 0.3;
 const replyLookMilliseconds = 1;
-const replyHorizonMilliseconds = 2_000;
+const replyDeadlineMilliseconds = 2_000;
 
 function kill(fleet: PooledFleet, storm: PooledStorm, slot: PooledEdge, milliseconds = returnMilliseconds): void {
   trouble(fleet, storm, slot.name, milliseconds);
@@ -140,7 +140,7 @@
       .find((of) => of.asks.some((ask) => ask.kind !== 'get' && ask.endedAt >= from && Option.isSome(ask.ending)));
     const slot = runningEdges(fleet).find((one) => one.name === committed?.edge);
     if (slot !== undefined) kill(fleet, storm, slot);
-    else if (fleet.world.now() < from + replyHorizonMilliseconds) fleet.world.at(replyLookMilliseconds, look);
+    else if (fleet.world.now() < from + replyDeadlineMilliseconds) fleet.world.at(replyLookMilliseconds, look);
   }
   look();
 }
--- a/packages/simulator/src/faults/operators.ts
+++ b/packages/simulator/src/faults/operators.ts
@@ -156,8 +156,8 @@
     run: function sendThem(fleet, storm) {
       const make = invalidOrders[variant];
       if (make === undefined) return false;
-      for (let shot = 0; shot < 2; shot += 1)
-        fleet.world.at(shot * invalidAnswerMilliseconds, () => void sendInvalid(fleet, storm, variant, make(fleet, lastSheet(fleet))));
+      for (let attempt = 0; attempt < 2; attempt += 1)
+        fleet.world.at(attempt * invalidAnswerMilliseconds, () => void sendInvalid(fleet, storm, variant, make(fleet, lastSheet(fleet))));
       return undefined;
     },
   };
--- a/packages/simulator/src/fleet-checks/placement-checks.ts
+++ b/packages/simulator/src/fleet-checks/placement-checks.ts
@@ -99,11 +99,12 @@
   const known = spans(sends);
   return probes.flatMap((probe): readonly Violation[] => {
     const sheetsThen = obeyable(known, probe.startedAt, probe.endedAt);
-    const told = `${probe.kind} on ${probe.service} under ${probe.key} at ${probe.edge}, ${Math.round(probe.startedAt)}-${Math.round(probe.endedAt)} ms: ${probe.reason}`;
-    if (probe.reason === 'served' && !sheetsThen.some((sheet) => letsIn(sheet, probe))) return [{ check: 'never-allowed', detail: told }];
+    const reported = `${probe.kind} on ${probe.service} under ${probe.key} at ${probe.edge}, ${Math.round(probe.startedAt)}-${Math.round(probe.endedAt)} ms: ${probe.reason}`;
+    if (probe.reason === 'served' && !sheetsThen.some((sheet) => letsIn(sheet, probe)))
+      return [{ check: 'never-allowed', detail: reported }];
     const forbidden = probe.reason === 'key-denied' || probe.reason === 'statement-denied' || probe.reason === 'not-found';
     if (forbidden && sheetsThen.length > 0 && sheetsThen.every((sheet) => letsIn(sheet, probe)))
-      return [{ check: 'configuration-unobeyed', detail: told }];
+      return [{ check: 'configuration-unobeyed', detail: reported }];
     return [];
   });
 }
--- a/packages/simulator/src/fleet-checks/platform-call-checks.ts
+++ b/packages/simulator/src/fleet-checks/platform-call-checks.ts
@@ -122,13 +122,13 @@
     const asked = [...served].filter(([key]) => key.startsWith(`${window}|`)).reduce((sum, [, count]) => sum + count, 0);
     const call = first.get(window);
     if (call === undefined && excused.has(window)) continue;
-    const told = Object.values(call?.counts ?? {}).reduce((sum, count) => sum + count, 0);
+    const reported = Object.values(call?.counts ?? {}).reduce((sum, count) => sum + count, 0);
     const slack = Math.max(3, usageTolerance * asked) + (unsure.near.get(window) ?? 0);
     const most = asked + (unsure.fates.get(window) ?? 0);
-    if (told < asked - slack || told > most + slack)
+    if (reported < asked - slack || reported > most + slack)
       violations.push({
         check: 'usage-off',
-        detail: `window ${window}: ${call === undefined ? 'nothing' : told} told, ${asked} served and ${most - asked} of unknown fate`,
+        detail: `window ${window}: ${call === undefined ? 'nothing' : reported} told, ${asked} served and ${most - asked} of unknown fate`,
       });
   }
   return violations;
--- a/packages/simulator/src/fleet-checks/statement-checks.ts
+++ b/packages/simulator/src/fleet-checks/statement-checks.ts
@@ -8,10 +8,10 @@
 export function writes(ledger: Pick<Ledger, 'writes'>, logs: ReadonlyMap<string, ReadonlyMap<string, number>>): readonly Violation[] {
   return ledger.writes.flatMap(function check(write): readonly Violation[] {
     const times = logs.get(write.service)?.get(write.name) ?? 0;
-    const told = `${write.name} (${write.fate}: ${write.reason}, ${Math.round(write.startedAt)}-${Math.round(write.endedAt)} ms) stands ${times} times`;
-    if (times > 1) return [{ check: 'write-doubled', detail: told }];
-    if (write.fate === 'kept' && times === 0) return [{ check: 'write-vanished', detail: told }];
-    if (write.fate === 'nothing-kept' && times > 0) return [{ check: 'write-kept-after-denial', detail: told }];
+    const reported = `${write.name} (${write.fate}: ${write.reason}, ${Math.round(write.startedAt)}-${Math.round(write.endedAt)} ms) stands ${times} times`;
+    if (times > 1) return [{ check: 'write-doubled', detail: reported }];
+    if (write.fate === 'kept' && times === 0) return [{ check: 'write-vanished', detail: reported }];
+    if (write.fate === 'nothing-kept' && times > 0) return [{ check: 'write-kept-after-denial', detail: reported }];
     return [];
   });
 }
--- a/packages/simulator/src/fleet-faults/configuration-changes.ts
+++ b/packages/simulator/src/fleet-faults/configuration-changes.ts
@@ -55,7 +55,8 @@
 
 /** An operator who goes on, through one core after another, until the sheet is taken. */
 export async function sendUntilTaken(fleet: Fleet, storm: Storm): Promise<void> {
-  for (let shot = 0; !(await send(fleet, storm, shot % 3)); shot += 1) await new Promise<void>((resolve) => fleet.world.at(500, resolve));
+  for (let attempt = 0; !(await send(fleet, storm, attempt % 3)); attempt += 1)
+    await new Promise<void>((resolve) => fleet.world.at(500, resolve));
 }
 
 /** Draws anew what probes and members can see: who the second key may reach, own reads by row, weights of nought, the limit. */
--- a/packages/simulator/src/fleet-faults/fault-state.ts
+++ b/packages/simulator/src/fleet-faults/fault-state.ts
@@ -9,7 +9,7 @@
 
 export type Storm = {
   readonly sends: Sent[];
-  readonly told: string[];
+  readonly reported: string[];
   readonly peaks: Map<string, number>;
   readonly drains: EdgeDrain[];
   readonly ends: PlannedEnd[];
@@ -35,7 +35,7 @@
 export function create(fleet: Fleet): Storm {
   return {
     sends: [],
-    told: [],
+    reported: [],
     peaks: new Map(),
     drains: [],
     ends: [],
--- a/packages/simulator/src/fleet-faults/targeted-strike.ts
+++ b/packages/simulator/src/fleet-faults/targeted-strike.ts
@@ -30,7 +30,7 @@
   if (actor === undefined) return;
   const process = 'agent' in actor ? actor.agent.process : actor.process;
   const milliseconds = between(fleet, 500, 6_000);
-  storm.told.push(`${Math.round(fleet.world.now())} ${hunt.how} of ${actor.name}, which acted last for ${hunt.duty}`);
+  storm.reported.push(`${Math.round(fleet.world.now())} ${hunt.how} of ${actor.name}, which acted last for ${hunt.duty}`);
   if (hunt.how === 'cut') cutMachine(fleet, actor.machine, 'both', milliseconds);
   else if (hunt.how === 'freeze' && process?.alive() === true) freeze(fleet, storm, process, milliseconds);
   else if ('agent' in actor) killEdge(fleet, actor, 'agent', milliseconds);
--- a/packages/simulator/src/fleet.ts
+++ b/packages/simulator/src/fleet.ts
@@ -9,7 +9,7 @@
   deployments,
   member,
   platform,
-  sender,
+  client,
   type Deployment,
   type Ledger,
   type Member,
@@ -37,7 +37,7 @@
 export type MemberSlot = Slot<Member> & { readonly place: MemberPlace; readonly machine: string; store: MemberStore; gone?: boolean };
 
 /** `factor` times the deployment's sessions and rate; `crowded`: the share of sessions that all go to one edge. */
-export type SenderWishes = Readonly<{ hastyShare?: number; factor?: number; crowded?: number }>;
+export type ClientWishes = Readonly<{ hastyShare?: number; factor?: number; crowded?: number }>;
 
 export type FleetOptions = Readonly<{
   edges?: number;
@@ -91,7 +91,7 @@
   /** A sender's POST without waiting for virtual time to pass. */
   post: (edge: EdgeSlot, path: string, body: unknown) => Promise<HttpReply>;
   ask: (edge: EdgeSlot, method: string, path: string, body?: unknown, headers?: Readonly<Record<string, string>>) => Promise<HttpReply>;
-  startSenders: (wishes?: SenderWishes) => Readonly<{ stop: () => void }>;
+  startClients: (wishes?: ClientWishes) => Readonly<{ stop: () => void }>;
   primaryOf: (service: string) => MemberSlot | undefined;
   /** Runs until a condition holds; false when it has not within so many virtual milliseconds. */
   until: (condition: () => boolean, milliseconds: number) => Promise<boolean>;
@@ -99,7 +99,7 @@
   edgeAddresses: (slot: EdgeSlot) => { address: string; outward: string; feed: string; proxy: string };
 }>;
 
-const senderKey = 'sender-key-0001';
+const clientKey = 'sender-key-0001';
 const readyMilliseconds = 400;
 
 function create(seed: number, deployment: Deployment, options: FleetOptions = {}): Fleet {
@@ -143,9 +143,9 @@
   const platformStore = platform.emptyStore();
   const platformAddress = '10.4.0.1:9000';
   const platformMachine = 'platform-machine';
-  const ledger = sender.emptyLedger();
+  const ledger = client.emptyLedger();
   const operator = world.spawn('operator', 'operator-machine');
-  const senders = world.spawn('senders', 'sender-machine');
+  const clients = world.spawn('senders', 'sender-machine');
   const chooser = world.spawn('chooser', 'platform-chooser-machine');
   let platformSlot: Platform | undefined;
 
@@ -311,7 +311,7 @@
   async function post(edge: EdgeSlot, path: string, body: unknown): Promise<HttpReply> {
     const address = identifiers.address(edgeAddresses(edge).proxy);
     return exchanged(
-      await http.once(senders.kernel, address, { method: 'POST', path, body, headers: { 'x-stallstall-key': senderKey } }, 30_000),
+      await http.once(clients.kernel, address, { method: 'POST', path, body, headers: { 'x-stallstall-key': clientKey } }, 30_000),
     );
   }
 
@@ -325,7 +325,7 @@
     const address = identifiers.address(edgeAddresses(edge).proxy);
     return exchanged(
       await drive(
-        http.once(senders.kernel, address, { method, path, body, headers: { 'x-stallstall-key': senderKey, ...headers } }, 10_000),
+        http.once(clients.kernel, address, { method, path, body, headers: { 'x-stallstall-key': clientKey, ...headers } }, 10_000),
       ),
     );
   }
@@ -344,7 +344,7 @@
     else ready.delete(edge);
   }
 
-  function startSenders(wishes: SenderWishes = {}): Readonly<{ stop: () => void }> {
+  function startClients(wishes: ClientWishes = {}): Readonly<{ stop: () => void }> {
     for (const edge of everyEdge)
       void kernels.every(
         chooser.kernel.clock,
@@ -352,15 +352,15 @@
         () => probeReadiness(edge),
         () => true,
       );
-    return sender.start(
-      senders.kernel,
+    return client.start(
+      clients.kernel,
       {
         deployment,
-        key: senderKey,
+        key: clientKey,
         sessions: deployment.sessions * (wishes.factor ?? 1),
         requestsPerSecond: deployment.requestsPerSecond * (wishes.factor ?? 1),
         hastyShare: wishes.hastyShare ?? 0,
-        horizonMilliseconds: 3_000,
+        deadlineMilliseconds: 3_000,
         tag: 's',
         edges: function edgesReady() {
           const known = [...ready].map((slot) => edgeAddresses(slot).proxy);
@@ -441,7 +441,7 @@
     platformStore,
     platform: () => platformSlot as Platform,
     ledger,
-    key: senderKey,
+    key: clientKey,
     startAll,
     startCore,
     startAgent,
@@ -453,7 +453,7 @@
     command,
     post,
     ask,
-    startSenders,
+    startClients,
     primaryOf,
     until,
     place,
@@ -463,7 +463,7 @@
         deployments.sheet(
           deployment,
           members.filter((slot) => slot.gone !== true).map((slot) => slot.place),
-          senderKey,
+          clientKey,
         ),
       ) as Record<string, unknown>,
   };
--- a/packages/simulator/src/fuzz.ts
+++ b/packages/simulator/src/fuzz.ts
@@ -218,11 +218,11 @@
   method: string,
   path: string,
   example: unknown,
-  shots: number,
+  attempts: number,
 ): Promise<readonly HttpReply[]> {
   const stranger = fleet.world.spawn('stranger', 'stranger-machine').kernel;
   const replies: HttpReply[] = [];
-  for (let shot = 0; shot < shots; shot += 1) {
+  for (let attempt = 0; attempt < attempts; attempt += 1) {
     const reply = await http.once(
       stranger,
       identifiers.address(address),
@@ -230,7 +230,7 @@
         method,
         path,
         body: spoil(example, fleet.world.fraction),
-        headers: { 'x-stallstall-key': shot % 3 === 0 ? fleet.key : `${fleet.key.slice(0, shot % fleet.key.length)}${shot}` },
+        headers: { 'x-stallstall-key': attempt % 3 === 0 ? fleet.key : `${fleet.key.slice(0, attempt % fleet.key.length)}${attempt}` },
       },
       4_000,
     );
--- a/packages/simulator/src/load.ts
+++ b/packages/simulator/src/load.ts
@@ -1,6 +1,6 @@
 /** Load beyond normal: `load.js`, counts in virtual time of what is served, denied, and how soon (design 8.8). */
 import { brightpath, redComun, type Deployment } from '@stallstall/fakes';
-import { fleet as fleets, type SenderWishes } from './fleet.js';
+import { fleet as fleets, type ClientWishes } from './fleet.js';
 
 const warmMilliseconds = 6_000;
 const countMilliseconds = 10_000;
@@ -10,29 +10,29 @@
   return (sorted[Math.min(sorted.length - 1, Math.floor(share * sorted.length))] ?? 0).toFixed(0);
 }
 
-async function measure(deployment: Deployment, title: string, wishes: SenderWishes): Promise<string> {
+async function measure(deployment: Deployment, title: string, wishes: ClientWishes): Promise<string> {
   const fleet = fleets.create(5, deployment, { runMilliseconds: 30 });
   await fleet.startAll();
   await fleet.until(() => fleet.cores.every((slot) => slot.running?.node.membership().value.seats.length === 9), 20_000);
   await fleet.operate('PUT', '/v1/sheet', { sheet: fleet.sheet() });
   await fleet.until(() => deployment.services.every((service) => fleet.primaryOf(service) !== undefined), 20_000);
   await fleet.world.run(4_000);
-  const senders = fleet.startSenders(wishes);
+  const clients = fleet.startClients(wishes);
   await fleet.world.run(warmMilliseconds);
   const from = fleet.world.now();
   await fleet.world.run(countMilliseconds);
-  senders.stop();
+  clients.stop();
   const statements = fleet.ledger.exchanges.filter((one) => one.startedAt >= from && one.path.endsWith('/statements'));
   const served = statements.filter((one) => one.reason === 'served').map((one) => one.endedAt - one.startedAt);
-  const denied = statements.filter((one) => one.reason !== 'served');
-  const reasons = [...new Set(denied.map((one) => one.reason))]
-    .map((reason) => `${reason}=${denied.filter((one) => one.reason === reason).length}`)
+  const rejected = statements.filter((one) => one.reason !== 'served');
+  const reasons = [...new Set(rejected.map((one) => one.reason))]
+    .map((reason) => `${reason}=${rejected.filter((one) => one.reason === reason).length}`)
     .join(' ');
   const peak = Math.max(...fleet.members.map((slot) => slot.running?.peakConnections() ?? 0));
   return (
-    `${deployment.name} ${title}: served ${(served.length / (countMilliseconds / 1_000)).toFixed(0)}/s p50=${percentile(served, 0.5)} p99=${percentile(served, 0.99)} ms; denied ${(denied.length / (countMilliseconds / 1_000)).toFixed(0)}/s ` +
+    `${deployment.name} ${title}: served ${(served.length / (countMilliseconds / 1_000)).toFixed(0)}/s p50=${percentile(served, 0.5)} p99=${percentile(served, 0.99)} ms; denied ${(rejected.length / (countMilliseconds / 1_000)).toFixed(0)}/s ` +
     `p50=${percentile(
-      denied.map((one) => one.endedAt - one.startedAt),
+      rejected.map((one) => one.endedAt - one.startedAt),
       0.5,
     )} ms ${reasons}; most connections ${peak} of ${deployment.connectionLimit}`
   );
--- a/packages/simulator/src/pooled-adapter.ts
+++ b/packages/simulator/src/pooled-adapter.ts
@@ -18,8 +18,8 @@
       method: 'POST',
       path: '/members/:member/beat',
       handle: async function beat(request) {
-        const told = request.body as Omit<Registration, 'member'>;
-        return (await platformApi.heartbeat({ ...told, member: request.query['member'] ?? '' })) ? { status: 200, body: {} } : away;
+        const reported = request.body as Omit<Registration, 'member'>;
+        return (await platformApi.heartbeat({ ...reported, member: request.query['member'] ?? '' })) ? { status: 200, body: {} } : away;
       },
     },
     {
--- a/packages/simulator/src/pooled-checks.ts
+++ b/packages/simulator/src/pooled-checks.ts
@@ -106,8 +106,8 @@
 /** Senders ask nothing malformed and prepare what they execute: neither is ever said of a single statement or a beginning. */
 function wellAsked({ fleet }: Read): readonly Violation[] {
   return fleet.ledger.tries.flatMap((of) => {
-    const told = [...of.asks.map(conditionOf), ...(Option.isSome(of.begun) ? [of.begun.value] : [])];
-    const strange = told.filter(
+    const reported = [...of.asks.map(conditionOf), ...(Option.isSome(of.begun) ? [of.begun.value] : [])];
+    const strange = reported.filter(
       (condition) => condition === 'undefined' || (condition === 'malformed' && (!of.transaction || Option.isSome(of.begun))),
     );
     return strange.map((condition) => ({ check: 'pinned', detail: `${of.name} was told ${condition}` }));
@@ -392,14 +392,14 @@
     begun.set(window, counts);
     counts.set(first.tenant, (counts.get(first.tenant) ?? 0) + 1);
   }
-  const told = new Map<number, Readonly<Record<string, number>>>();
+  const reported = new Map<number, Readonly<Record<string, number>>>();
   for (const call of fleet.platformStore.calls) {
     if (call.duty !== 'usage' || !call.accepted) continue;
     const { window, counts } = call.body as Readonly<{ window: number; counts: Readonly<Record<string, number>> }>;
-    const before = told.get(window);
+    const before = reported.get(window);
     if (before !== undefined && JSON.stringify(Object.entries(before).sort()) !== JSON.stringify(Object.entries(counts).sort()))
       found.push({ check: 'one-report', detail: `window ${window} was told twice, and differently` });
-    told.set(window, counts);
+    reported.set(window, counts);
   }
   let judged = 0;
   const edges = fleet.edges.map((slot) => slot.name);
@@ -411,7 +411,7 @@
     const start = window * windowMilliseconds - wallStart;
     if (!isCalm(troubles, [...edges, 'core', 'platform', 'member'], start - quietMilliseconds, start + 16_000)) continue;
     judged += 1;
-    const counts = told.get(window);
+    const counts = reported.get(window);
     if (counts === undefined) {
       found.push({ check: 'usage', detail: `window ${window} was never told` });
       continue;
--- a/packages/simulator/src/pooled-closing.ts
+++ b/packages/simulator/src/pooled-closing.ts
@@ -19,7 +19,7 @@
 /** An order is confirmed within this time where all is calm. */
 const orderMilliseconds = 5_000;
 /** Whoever was lost last has been back for long enough by then. */
-const idleHorizonMilliseconds = 30_000;
+const idleDeadlineMilliseconds = 30_000;
 
 function wipe(fleet: PooledFleet, slot: PooledCore): void {
   cutPower(fleet, slot);
@@ -81,7 +81,7 @@
 /** Strikes in turn from seed to seed; what was wrong before it. */
 async function run(fleet: PooledFleet, storm: PooledStorm, seed: number): Promise<readonly Violation[]> {
   const closing = closings[seed % closings.length] as Closing;
-  await fleet.until(storm.losses.idle, idleHorizonMilliseconds);
+  await fleet.until(storm.losses.idle, idleDeadlineMilliseconds);
   await fleet.world.run(settleMilliseconds);
   // Chosen only now: a core may be replaced for good while the losses of the day are waited for.
   const acknowledger = pick(fleet, fleet.cores);
@@ -94,7 +94,7 @@
   });
   for (let spent = 0; !taken && spent < orderMilliseconds; spent += 1) await fleet.world.run(1);
   await fleet.world.run(between(fleet, 0, acknowledgedWithinMilliseconds));
-  storm.told.push(`${Math.round(fleet.world.now())} ${closing.name}`);
+  storm.reported.push(`${Math.round(fleet.world.now())} ${closing.name}`);
   storm.struck.set(closing.name, 1);
   const struck = closing.strike(fleet, acknowledger);
   stopEdges(fleet, closing);
--- a/packages/simulator/src/pooled-faults.ts
+++ b/packages/simulator/src/pooled-faults.ts
@@ -27,7 +27,7 @@
 
 function create(fleet: PooledFleet): PooledStorm {
   return {
-    told: [],
+    reported: [],
     struck: new Map(),
     troubles: [],
     lives: fleet.edges.map((slot) => ({ edge: slot.name, life: 1, from: 0 })),
@@ -40,7 +40,7 @@
 }
 
 function note(fleet: PooledFleet, storm: PooledStorm, name: string): void {
-  storm.told.push(`${Math.round(fleet.world.now())} ${name}`);
+  storm.reported.push(`${Math.round(fleet.world.now())} ${name}`);
   storm.struck.set(name, (storm.struck.get(name) ?? 0) + 1);
 }
 
--- a/packages/simulator/src/pooled-fleet.ts
+++ b/packages/simulator/src/pooled-fleet.ts
@@ -11,7 +11,7 @@
   plainDialect,
   sessionMember,
   sessionPlatform,
-  sessionSender,
+  sessionClient,
   type SessionDatabase,
   type SessionLine,
   type SessionPlatform,
@@ -36,7 +36,7 @@
 
 const graceMilliseconds = 6_000;
 const readinessMilliseconds = 1_000;
-const readinessHorizonMilliseconds = 500;
+const readinessDeadlineMilliseconds = 500;
 
 function create(seed: number, options: PooledOptions = {}): PooledFleet {
   const world = worlds.create(seed, options.weighing);
@@ -58,12 +58,12 @@
     areas.map((area, index): PooledMember => memberSlot(service, serviceIndex, area, index + 1)),
   );
   const platformStore = sessionPlatform.emptyStore();
-  const ledger = sessionSender.emptyLedger();
+  const ledger = sessionClient.emptyLedger();
   const runs: SessionRun[] = [];
   const versions: PooledVersion[] = [];
   const orderCalls: OrderCall[] = [];
   const operator = world.spawn('operator', 'operator-machine').kernel;
-  const senders = world.spawn('senders', 'sender-machine').kernel;
+  const clients = world.spawn('senders', 'sender-machine').kernel;
   const chooser = world.spawn('chooser', 'chooser-machine').kernel;
   const platformAddress = '10.4.0.1:9000';
   let platformSlot: SessionPlatform | undefined;
@@ -112,9 +112,9 @@
     return { address: `${slot.host}:7000`, outward: `${slot.host}:7001`, platformApiAddress: `${slot.host}:7002` };
   }
 
-  function edgeAddresses(slot: PooledEdge): Readonly<{ feed: string; outward: string; senders: string }> {
+  function edgeAddresses(slot: PooledEdge): Readonly<{ feed: string; outward: string; clients: string }> {
     const host = `10.2.0.${edges.indexOf(slot) + 1}`;
-    return { feed: `${host}:7000`, outward: `${host}:7001`, senders: `${host}:8000` };
+    return { feed: `${host}:7000`, outward: `${host}:7001`, clients: `${host}:8000` };
   }
 
   const founders = cores.map((slot) => coreAddresses(slot).address);
@@ -180,7 +180,7 @@
   }
 
   async function startEdge(slot: PooledEdge): Promise<void> {
-    const { feed, outward, senders: address } = edgeAddresses(slot);
+    const { feed, outward, clients: address } = edgeAddresses(slot);
     slot.life += 1;
     readSettings(slot);
     slot.agentProcess = world.spawn(`${slot.name}/agent`, slot.machine);
@@ -331,7 +331,7 @@
   }
 
   async function session(slot: PooledEdge, database: string, who: string): Promise<SessionLine | Condition | 'cut' | 'silent'> {
-    const opened = await drive(sessionSender.open(senders, edgeAddresses(slot).senders, database, who));
+    const opened = await drive(sessionClient.open(clients, edgeAddresses(slot).clients, database, who));
     return 'line' in opened ? opened.line : opened.outcome;
   }
 
@@ -342,7 +342,7 @@
   }
 
   async function rawTo(address: string, pieces: readonly string[], milliseconds: number): Promise<string> {
-    const opened = await drive(senders.network.openStream(identifiers.address(address), 2_000));
+    const opened = await drive(clients.network.openStream(identifiers.address(address), 2_000));
     if (Either.isLeft(opened)) return '';
     let heard = '';
     let over = false;
@@ -370,12 +370,12 @@
       chooser,
       identifiers.address(edgeAddresses(slot).outward),
       { method: 'GET', path: '/ready' },
-      readinessHorizonMilliseconds,
+      readinessDeadlineMilliseconds,
     );
     missed.set(slot, Either.isRight(reply) && reply.right.status === 200 ? 0 : (missed.get(slot) ?? 2) + 1);
   }
 
-  function startSenders(sessions: number, thinkMilliseconds: number): Readonly<{ stop: () => void }> {
+  function startClients(sessions: number, thinkMilliseconds: number): Readonly<{ stop: () => void }> {
     for (const slot of edges)
       void kernels.every(
         chooser.clock,
@@ -383,15 +383,15 @@
         () => readiness(slot),
         () => true,
       );
-    return sessionSender.start(
-      senders,
+    return sessionClient.start(
+      clients,
       {
         sessions,
         thinkMilliseconds,
         longRestMilliseconds: (options.restMilliseconds ?? 1_500) + 1_200,
         edges: function chosen() {
           const ready = edges.filter((slot) => (missed.get(slot) ?? 2) < 2);
-          return (ready.length > 0 ? ready : edges).map((slot) => ({ edge: slot.name, address: edgeAddresses(slot).senders }));
+          return (ready.length > 0 ? ready : edges).map((slot) => ({ edge: slot.name, address: edgeAddresses(slot).clients }));
         },
         databases: (): readonly SessionDatabase[] => known().databases,
         keys: () => known().tenants.flatMap((tenant) => tenant.keys),
@@ -453,11 +453,11 @@
     session,
     ask,
     rawTo,
-    startSenders,
+    startClients,
     primaryOf,
     until,
     drive,
-    raw: (slot, pieces, milliseconds) => rawTo(edgeAddresses(slot).senders, pieces, milliseconds),
+    raw: (slot, pieces, milliseconds) => rawTo(edgeAddresses(slot).clients, pieces, milliseconds),
     freezeEdge: function freezeEdge(slot, milliseconds) {
       for (const process of [slot.agentProcess, slot.proxyProcess]) if (process !== undefined) world.freeze(process, milliseconds);
     },
--- a/packages/simulator/src/pooled-storm.ts
+++ b/packages/simulator/src/pooled-storm.ts
@@ -185,7 +185,7 @@
   const violations = [...(await begin(fleet))];
   fleet.platform().knobs.effectAfterReplyMilliseconds = effectDelay(seed);
   const startedAt = fleet.world.now();
-  const senders = fleet.startSenders(options.sessions ?? 50, thinkMilliseconds);
+  const clients = fleet.startClients(options.sessions ?? 50, thinkMilliseconds);
   const milliseconds = options.milliseconds ?? (options.long === true ? longMilliseconds : dayMilliseconds);
   schedule(fleet, storm, drawFaults(fleet, seed, options), milliseconds, options.only === undefined);
   const stopLooking = lookForDrains(fleet, storm);
@@ -198,21 +198,21 @@
   violations.push(...(await pooledClosing.run(fleet, storm, seed)));
   const backAt = fleet.world.now();
   await fleet.world.run(settleMilliseconds);
-  senders.stop();
+  clients.stop();
   const until = fleet.world.now();
   await fleet.world.run(4_000);
   stopLooking();
   const judgement = await judge(fleet, storm, { startedAt, faultsEndAt, backAt, until }, available);
   if (options.trace === true)
     for (const line of fleet.world.logs) console.log(line.at.toFixed(1), line.process, line.event, JSON.stringify(line.fields));
-  const told = outcomes(fleet);
+  const reported = outcomes(fleet);
   return {
     seed,
     violations: [...violations, ...judgement.violations],
-    faults: storm.told,
+    faults: storm.reported,
     struck: Object.fromEntries(storm.struck),
-    served: told['served'] ?? 0,
-    outcomes: told,
+    served: reported['served'] ?? 0,
+    outcomes: reported,
     promotions: fleet.platformStore.calls.filter((call) => call.duty === 'promotion' && call.accepted).length,
     judged: judgement.judged,
   };
--- a/packages/simulator/src/seeds.ts
+++ b/packages/simulator/src/seeds.ts
@@ -29,9 +29,9 @@
 }
 
 function tell(result: StormResult): void {
-  const verdict = result.violations.length === 0 ? 'passed' : 'FAILED';
+  const outcome = result.violations.length === 0 ? 'passed' : 'FAILED';
   console.log(
-    `seed=${result.seed} ${verdict} deployment=${result.deployment} served=${result.served} elections=${result.elections} longestDenial=${result.longestDenial} judged=${JSON.stringify(result.judged)} reasons=${JSON.stringify(result.reasons)}`,
+    `seed=${result.seed} ${outcome} deployment=${result.deployment} served=${result.served} elections=${result.elections} longestDenial=${result.longestRejection} judged=${JSON.stringify(result.judged)} reasons=${JSON.stringify(result.reasons)}`,
   );
   if (result.violations.length === 0) return;
   for (const violation of result.violations.slice(0, shownMost)) console.log(`  ${violation.check}: ${violation.detail}`);
@@ -50,7 +50,7 @@
     reasons: {},
     events: 0,
     elections: 0,
-    longestDenial: 0,
+    longestRejection: 0,
     judged: {},
   };
 }
--- a/packages/simulator/src/simulated-http.ts
+++ b/packages/simulator/src/simulated-http.ts
@@ -156,9 +156,9 @@
               })
               .then((reply) => {
                 if (!far.alive) return;
-                const told = { ...reply, body: copied(reply.body) };
+                const reported = { ...reply, body: copied(reply.body) };
                 network.carry(far, process, network.latency(), () => {
-                  settle(Either.right(told));
+                  settle(Either.right(reported));
                   if (reply.headers?.['connection'] === 'close') close();
                 });
               });
--- a/packages/simulator/src/storm.ts
+++ b/packages/simulator/src/storm.ts
@@ -22,7 +22,7 @@
   reasons: Readonly<Record<string, number>>;
   events: number;
   elections: number;
-  longestDenial: number;
+  longestRejection: number;
   /** What the checkers had to look at: a check with nothing to judge shows as nought. */
   judged: Readonly<Record<string, number>>;
 }>;
@@ -44,9 +44,9 @@
 /** Asks now and then at one edge under a key, for a service and a kind that it may or may not have been given. */
 async function probeEdge(fleet: Fleet, storm: Storm, edge: EdgeSlot, probes: Probe[], goesOn: () => boolean): Promise<void> {
   const prober = fleet.world.spawn('prober', 'prober-machine').kernel;
-  for (let shot = 0; goesOn(); shot += 1) {
+  for (let attempt = 0; goesOn(); attempt += 1) {
     const marks = storm.sends.map((sent) => sent.mark);
-    const key = [marks.at(-1) ?? secondKey, secondKey, pick(fleet, [...marks, 'never-given-key', fleet.key])][shot % 3] as string;
+    const key = [marks.at(-1) ?? secondKey, secondKey, pick(fleet, [...marks, 'never-given-key', fleet.key])][attempt % 3] as string;
     const service = key === marks.at(-1) ? (fleet.deployment.services[0] as string) : pick(fleet, fleet.deployment.services);
     const kind = key === marks.at(-1) ? 'leader-read' : pick(fleet, statementKinds);
     const startedAt = fleet.world.now();
@@ -59,7 +59,7 @@
         headers: { 'x-stallstall-key': key },
         body: {
           kind,
-          statements: [kind === 'write' ? { text: 'put', parameters: ['probe', shot] } : { text: 'get any' }],
+          statements: [kind === 'write' ? { text: 'put', parameters: ['probe', attempt] } : { text: 'get any' }],
           horizonMilliseconds: 1_000,
         },
       },
@@ -81,9 +81,9 @@
 
 /** Until everything is back and has been for so long as the checks need; how long ago the last came back is what they count from. */
 async function settle(fleet: Fleet): Promise<number> {
-  const horizon = fleet.world.now() + longestReturnMilliseconds;
+  const deadline = fleet.world.now() + longestReturnMilliseconds;
   let backAt = fleet.world.now();
-  while (fleet.world.now() - backAt < settleMilliseconds && fleet.world.now() < horizon) {
+  while (fleet.world.now() - backAt < settleMilliseconds && fleet.world.now() < deadline) {
     await fleet.world.run(100);
     if (!fleet.sound()) backAt = fleet.world.now();
   }
@@ -93,7 +93,7 @@
 /** The day's last fault, after which every acknowledged version is read. */
 async function closingFault(fleet: Fleet, storm: Storm): Promise<void> {
   const kind = pick(fleet, ['disk', 'core', 'all', 'cut', 'none'] as const);
-  storm.told.push(`${Math.round(fleet.world.now())} closing ${kind}`);
+  storm.reported.push(`${Math.round(fleet.world.now())} closing ${kind}`);
   const slot = pick(fleet, fleet.cores);
   if (kind === 'disk') {
     fleet.stopSlot(slot);
@@ -136,7 +136,7 @@
   if (seed % 5 === 0) fleet.platform().knobs.slowMilliseconds = 1_000 + fleet.world.fraction() * 1_500;
   await fleet.until(() => fleet.deployment.services.every((service) => fleet.primaryOf(service) !== undefined), 20_000);
   await fleet.world.run(3_000);
-  const senders = fleet.startSenders({ hastyShare });
+  const clients = fleet.startClients({ hastyShare });
   const startedAt = fleet.world.now();
   const watch = checks.watch(fleet, storm.sends);
   const count = options.faults ?? (options.long === true ? 2 + Math.floor(fleet.world.fraction() * 24) : 8);
@@ -147,7 +147,7 @@
     // One in four strikes at the very moment of the one before it.
     if (index === 0 || fleet.world.fraction() > 0.25) together = 3_000 + fleet.world.fraction() * (milliseconds - 12_000);
     fleet.world.at(together, () => {
-      storm.told.push(`${Math.round(fleet.world.now())} ${chosen.name}`);
+      storm.reported.push(`${Math.round(fleet.world.now())} ${chosen.name}`);
       chosen.run(fleet, storm);
     });
   }
@@ -171,7 +171,7 @@
   storm.hunt = undefined;
   const backAt = await settle(fleet);
   const until = fleet.world.now();
-  senders.stop();
+  clients.stop();
   sampling = false;
   // What is under way ends before the members' logs are read.
   await fleet.world.run(5_000);
@@ -210,12 +210,12 @@
     seed,
     deployment: fleet.deployment.name,
     violations,
-    faults: storm.told,
+    faults: storm.reported,
     served: fleet.ledger.reasons.get('served') ?? 0,
     reasons: Object.fromEntries(fleet.ledger.reasons),
     events: fleet.world.events(),
     elections: fleet.platformStore.promotions.filter((call) => call.accepted).length,
-    longestDenial: Math.round(fleet.ledger.longestDenial),
+    longestRejection: Math.round(fleet.ledger.longestRejection),
     judged: {
       writes: fleet.ledger.writes.length,
       reads: fleet.ledger.reads.length,
