--- a/packages/acceptance/src/lease-holder-steps.ts
+++ b/packages/acceptance/src/lease-holder-steps.ts
@@ -87,22 +87,8 @@
   });
 }
 
-async function startEdge(story: UnitStory, stubs: ReadonlyArray<Partial<StubCore>>): Promise<void> {
-  story.world = worlds.create(43);
-  story.cores = stubs.map((stub) => ({
-    epoch: 5,
-    silent: false,
-    ready: true,
-    number: 0,
-    settled: 5,
-    delay: 20,
-    held: 0,
-    leaseHolders: new Set(),
-    reply: undefined,
-    ...stub,
-  }));
-  const seats = stubs.map((_stub, index) => seatOf(index));
-  for (const index of stubs.keys()) await startStub(story, index, seats);
+/** Starts the lease holder of an edge that has nothing to report. */
+function startLeaseHolder(story: UnitStory, seats: readonly Seat[]): void {
   const { kernel } = story.world.spawn('edge-1', 'edge-machine');
   story.kernel = kernel;
   story.leaseHolder = leaseHolder.create(
@@ -122,6 +108,25 @@
   story.leaseHolder.start();
 }
 
+async function startEdge(story: UnitStory, stubs: ReadonlyArray<Partial<StubCore>>): Promise<void> {
+  story.world = worlds.create(43);
+  story.cores = stubs.map((stub) => ({
+    epoch: 5,
+    silent: false,
+    ready: true,
+    number: 0,
+    settled: 5,
+    delay: 20,
+    held: 0,
+    leaseHolders: new Set(),
+    reply: undefined,
+    ...stub,
+  }));
+  const seats = stubs.map((_stub, index) => seatOf(index));
+  for (const index of stubs.keys()) await startStub(story, index, seats);
+  startLeaseHolder(story, seats);
+}
+
 Given(
   /^an edge and cores that hold each question for (\d+) ms and say so, standing at 5, with epoch 5 settled$/,
   async function given(this: UnitStory, milliseconds: string) {
@@ -192,23 +197,7 @@
             : { ready: false, agreed: false, promised: ballot, accepted: null },
       });
     }
-    const { kernel } = this.world.spawn('edge-1', 'edge-machine');
-    this.kernel = kernel;
-    this.leaseHolder = leaseHolder.create(
-      kernel,
-      { node: 'edge-1', area: 'north', seeds: () => seats.map((seat) => seat.address) },
-      {
-        released: () => ({}),
-        positions: () => ({}),
-        commitWatermarks: () => ({}),
-        positionsAgo: () => 0,
-        isLeaderMissing: () => false,
-        demand: () => 0,
-        refusedMembers: () => [],
-        onChange: () => undefined,
-      },
-    );
-    this.leaseHolder.start();
+    startLeaseHolder(this, seats);
   },
 );
 
