--- a/packages/acceptance/src/lease-holder-steps.ts
+++ b/packages/acceptance/src/lease-holder-steps.ts
@@ -34,22 +34,47 @@
   };
 }
 
+/** A core's reply to a hello, where all seats are those of the first set. */
+function helloOf({ node }: Seat, seats: readonly Seat[]): Reply<'hello'> {
+  return {
+    node,
+    role: 'core',
+    incarnation: 1,
+    fleet: 'fleet',
+    founding: '',
+    cores: [...seats],
+    set: { number: 1, seats: [...seats], epochs: {} },
+    knownPuts: 0,
+    superseded: false,
+  } as Reply<'hello'>;
+}
+
+/** A core's reply to a lease request that nothing is known of but its own token. */
+function leaseReplyOf(index: number): Reply<'lease'> {
+  return {
+    ready: true,
+    token: `life-${index}`,
+    number: 1,
+    stances: {},
+    configuration: 1,
+    membership: 1,
+    puts: 1,
+    roster: [],
+    whole: false,
+    edges: { north: 1 },
+    demand: {},
+    wants: false,
+    marks: {},
+    held: 0,
+    set: 1,
+  };
+}
+
 async function startStub(story: UnitStory, index: number, seats: readonly Seat[]): Promise<void> {
   const { kernel } = story.world.spawn(`core-${index + 1}`, `core-machine-${index + 1}`);
   const stub = story.cores[index] as StubCore;
   await peer.listen(kernel, identifiers.address((seats[index] as Seat).address), {
-    hello: () =>
-      ({
-        node: `core-${index + 1}`,
-        role: 'core',
-        incarnation: 1,
-        fleet: 'fleet',
-        founding: '',
-        cores: [...seats],
-        set: { number: 1, seats: [...seats], epochs: {} },
-        knownPuts: 0,
-        superseded: false,
-      }) as Reply<'hello'>,
+    hello: () => helloOf(seats[index] as Seat, seats),
     lease: async function lease(ask, caller) {
       if (!stub.leaseHolders.has(caller)) {
         stub.leaseHolders.add(caller);
@@ -66,21 +91,11 @@
       if (stub.reply === undefined) await kernel.clock.sleep(stub.delay);
       stub.number += 1;
       return {
+        ...leaseReplyOf(index),
         ready: stub.ready,
-        token: `life-${index}`,
         number: stub.number,
         stances: stub.epoch === undefined ? {} : { ferries: stub.epoch },
-        configuration: 1,
-        membership: 1,
-        puts: 1,
-        roster: [],
-        whole: false,
-        edges: { north: 1 },
-        demand: {},
-        wants: false,
-        marks: {},
         held: stub.held,
-        set: 1,
         ...reported,
       };
     },
@@ -152,39 +167,12 @@
       const { kernel } = this.world.spawn(`core-${index + 1}`, `core-machine-${index + 1}`);
       const reported = new Set<Caller>();
       await peer.listen(kernel, identifiers.address(seat.address), {
-        hello: () =>
-          ({
-            node: seat.node,
-            role: 'core',
-            incarnation: 1,
-            fleet: 'fleet',
-            founding: '',
-            cores: [...seats],
-            set: { number: 1, seats: [...seats], epochs: {} },
-            knownPuts: 0,
-            superseded: false,
-          }) as Reply<'hello'>,
+        hello: () => helloOf(seat, seats),
         lease: async function lease(ask, caller) {
           if (!reported.has(caller)) caller.change({ number: 1, set: 1, key: 'configuration', entry: { ballot, version: 1, value: null } });
           reported.add(caller);
           await kernel.clock.sleep(Math.min(ask.hold, 300));
-          return {
-            ready: true,
-            held: 0,
-            token: `life-${index}`,
-            number: 1,
-            stances: {},
-            configuration: 1,
-            membership: 1,
-            puts: 1,
-            roster: [],
-            whole: false,
-            edges: { north: 1 },
-            demand: {},
-            wants: false,
-            marks: {},
-            set: 1,
-          };
+          return leaseReplyOf(index);
         },
         look: (ask) =>
           ask.set === 1
--- a/packages/acceptance/src/outages.ts
+++ b/packages/acceptance/src/outages.ts
@@ -5,20 +5,12 @@
 import * as Option from 'fp-ts/lib/Option.js';
 import { fault } from '@stallstall/kernel';
 import { placements } from '@stallstall/placement';
-import {
-  firstKey,
-  pooledFleet,
-  wallStart,
-  type PooledEdge,
-  type PooledFleet,
-  type PooledMember,
-  type PooledSheet,
-} from '@stallstall/simulator';
+import { firstKey, pooledFleet, wallStart, type PooledMember, type PooledSheet } from '@stallstall/simulator';
 import type { SessionLine } from '@stallstall/fakes';
 import type { StatementReply } from '@stallstall/session-protocol';
+import { edge, open, type WithPooledFleet } from './pooled-story.js';
 
-type OutageStory = {
-  pooled: PooledFleet;
+type OutageStory = WithPooledFleet & {
   line: SessionLine;
   sheet: PooledSheet;
   /** By the world's own time. */
@@ -31,22 +23,12 @@
 const windowMilliseconds = 90_000;
 const graceMilliseconds = 30_000;
 
-function edge(story: OutageStory, name: string): PooledEdge {
-  return story.pooled.edges.find((slot) => slot.name === name) as PooledEdge;
-}
-
 function copied(story: OutageStory, name: string): Readonly<{ remembered: number; held: number; bytes: number }> {
   const proxy = edge(story, name).proxy;
   assert.ok(proxy !== undefined);
   return proxy.copied();
 }
 
-async function open(story: OutageStory, database: string, name: string, who: string = firstKey): Promise<SessionLine> {
-  const line = await story.pooled.session(edge(story, name), database, who);
-  assert.ok(typeof line !== 'string', `the session was not let in: ${String(line)}`);
-  return line;
-}
-
 function outcome(reply: Option.Option<StatementReply>): string {
   if (Option.isNone(reply)) return 'silence';
   return reply.value.completion.kind === 'fault'
--- a/packages/acceptance/src/pooled-story.ts
+++ b/packages/acceptance/src/pooled-story.ts
@@ -5,8 +5,10 @@
 import { type PooledFleet, type PooledMember, type PooledOptions, pooledFleet, type PooledEdge, firstKey } from '@stallstall/simulator';
 import * as Option from 'fp-ts/lib/Option.js';
 
-export type PooledStory = {
-  pooled: PooledFleet;
+/** What the steps of every story on a pooled fleet share. */
+export type WithPooledFleet = { pooled: PooledFleet };
+
+export type PooledStory = WithPooledFleet & {
   old: PooledMember;
   line: SessionLine;
   other: SessionLine;
@@ -37,7 +39,7 @@
   return pooled;
 }
 
-export function edge(story: PooledStory, name: string): PooledEdge {
+export function edge(story: WithPooledFleet, name: string): PooledEdge {
   return story.pooled.edges.find((slot) => slot.name === name) as PooledEdge;
 }
 
@@ -45,7 +47,7 @@
   return story.pooled.primaryOf(service) as PooledMember;
 }
 
-export async function open(story: PooledStory, database: string, name: string, who: string = firstKey): Promise<SessionLine> {
+export async function open(story: WithPooledFleet, database: string, name: string, who: string = firstKey): Promise<SessionLine> {
   const line = await story.pooled.session(edge(story, name), database, who);
   assert.ok(typeof line !== 'string', `the session was not let in: ${String(line)}`);
   return line;
--- a/packages/runtime/src/minimal-http-connection.ts
+++ b/packages/runtime/src/minimal-http-connection.ts
@@ -2,7 +2,7 @@
 import type http from 'node:http';
 import type net from 'node:net';
 import * as Either from 'fp-ts/lib/Either.js';
-import { fault, type Address, type Fault, type HttpConnection, type HttpReply, type OutgoingHttpRequest } from '@stallstall/kernel';
+import { type Address, type Fault, type HttpConnection, type HttpReply, type OutgoingHttpRequest } from '@stallstall/kernel';
 import { readBody } from './minimal-http-body.js';
 import { runtimeHttp } from './minimal-http-server.js';
 import { connectMilliseconds, sockets } from './sockets.js';
@@ -22,15 +22,6 @@
 
 const socketKeepAliveMilliseconds = 3_000;
 
-function replyLost(address: Address, cause: Error): Fault {
-  return fault.create({
-    kind: 'reply-lost',
-    message: `the reply of ${address} was lost`,
-    remedy: 'see whether it runs and can be reached',
-    cause,
-  });
-}
-
 /** While an exchange is under way by a reset, so that what the machine has not sent yet is not sent any more. */
 function close(state: ConnectionState): void {
   if (state.isClosed) return;
@@ -78,7 +69,7 @@
 
     function fail(error: Error): void {
       close(state);
-      settle(Either.left(hasLeft ? replyLost(address, error) : sockets.unreachable(address, error)));
+      settle(Either.left(hasLeft ? sockets.replyLost(address, error) : sockets.unreachable(address, error)));
     }
 
     async function onResponse(response: http.IncomingMessage): Promise<void> {
--- a/packages/runtime/src/sockets.ts
+++ b/packages/runtime/src/sockets.ts
@@ -26,6 +26,15 @@
   });
 }
 
+function replyLost(address: Address, cause: Error): Fault {
+  return fault.create({
+    kind: 'reply-lost',
+    message: `the reply of ${address} was lost`,
+    remedy: 'see whether it runs and can be reached',
+    cause,
+  });
+}
+
 function notListening(address: Address, cause: Error): Fault {
   return fault.create({
     kind: 'not-listening',
@@ -93,4 +102,4 @@
 }
 
 /** @internal */
-export const sockets = { hostAndPort, unreachable, notListening, connect, listen } as const;
+export const sockets = { hostAndPort, unreachable, replyLost, notListening, connect, listen } as const;
--- a/packages/runtime/src/undici-connection.ts
+++ b/packages/runtime/src/undici-connection.ts
@@ -1,7 +1,7 @@
 /** One outward HTTP connection through undici, one exchange at a time (design 2.2). */
 import type net from 'node:net';
 import * as Either from 'fp-ts/lib/Either.js';
-import { fault, type Address, type Fault, type HttpConnection, type HttpReply, type OutgoingHttpRequest } from '@stallstall/kernel';
+import { type Address, type Fault, type HttpConnection, type HttpReply, type OutgoingHttpRequest } from '@stallstall/kernel';
 import { buildConnector, Client } from 'undici';
 import { sockets } from './sockets.js';
 
@@ -18,15 +18,6 @@
 const connectMilliseconds = 3_000;
 const keepAliveMilliseconds = 600_000;
 
-function replyLost(address: Address, cause: Error): Fault {
-  return fault.create({
-    kind: 'reply-lost',
-    message: `the reply of ${address} was lost`,
-    remedy: 'see whether it runs and can be reached',
-    cause,
-  });
-}
-
 /** While an exchange is under way by a reset, so that what the machine has not sent yet is not sent any more. */
 function close(state: ConnectionState): void {
   if (state.isClosed) return;
@@ -62,7 +53,7 @@
   } catch (error) {
     close(state);
     const cause = error as Error;
-    return Either.left(state.isConnected ? replyLost(state.address, cause) : sockets.unreachable(state.address, cause));
+    return Either.left(state.isConnected ? sockets.replyLost(state.address, cause) : sockets.unreachable(state.address, cause));
   } finally {
     state.isBusy = false;
     clearTimeout(timer);
--- a/packages/simulator/src/explore.ts
+++ b/packages/simulator/src/explore.ts
@@ -6,6 +6,7 @@
 import * as Option from 'fp-ts/lib/Option.js';
 import type { CoreSet, Entry, MessageKind } from '@stallstall/message';
 import { quorum } from '@stallstall/quorum';
+import { generator } from './event-queue.js';
 import { exploredMachines, type Machine, type Machines } from './explored-machines.js';
 
 type Result = Readonly<{ key: string; what: string; begun: number; ended: number; list: readonly string[] }>;
@@ -23,17 +24,6 @@
 const settleHappenings = 400;
 const deadlineMilliseconds = 3_000;
 
-function generator(seed: number): () => number {
-  let state = (seed * 2_654_435_761 + 1) >>> 0;
-  return function next() {
-    state = (state + 0x6d2b79f5) >>> 0;
-    let mixed = state;
-    mixed = Math.imul(mixed ^ (mixed >>> 15), mixed | 1);
-    mixed ^= mixed + Math.imul(mixed ^ (mixed >>> 7), mixed | 61);
-    return ((mixed ^ (mixed >>> 14)) >>> 0) / 4_294_967_296;
-  };
-}
-
 function listOf(entry: Option.Option<Entry>): readonly string[] {
   return Option.isSome(entry) ? (entry.value.value as readonly string[]) : [];
 }
@@ -341,5 +331,5 @@
   for (const until = table.now() + happenings; table.now() < until;) await table.tick();
 }
 
-export const explore = { run, generator, judge, tableOf, advance, writer, gone } as const;
+export const explore = { run, judge, tableOf, writer, gone } as const;
 export type { Table as ExploredTable };
--- a/packages/simulator/src/explored-machines.ts
+++ b/packages/simulator/src/explored-machines.ts
@@ -74,7 +74,8 @@
 /** Clocks of explorations: so that a call and its answer, or a few syncs, take some tenths of a second. */
 const millisecondsEach = 10;
 
-function seatOf(name: string): Seat {
+/** The seat of a core that is known by its name alone. */
+export function seatOf(name: string): Seat {
   return { node: name, role: 'core', area: 'north', address: `${name}:1`, outward: `${name}:2`, draining: false };
 }
 
--- a/packages/simulator/src/faults.ts
+++ b/packages/simulator/src/faults.ts
@@ -5,7 +5,8 @@
 import { plannedRestart, retirePrimary, replaceMember, drainEdge, spareEdge } from './fleet-faults/planned-changes.js';
 import { redraw, send, spoiltSends, sendUntilTaken } from './fleet-faults/configuration-changes.js';
 import { killMember, turnKnob, cutMachine, restartCore, killEdge } from './fleet-faults/machine-faults.js';
-import { create, type Storm, pick, between } from './fleet-faults/fault-state.js';
+import { create, type Storm } from './fleet-faults/fault-state.js';
+import { between, pick } from './draws.js';
 
 /** One fault that can strike at a drawn moment. */
 type Fault = Readonly<{ name: string; run: (fleet: Fleet, storm: Storm) => void }>;
--- a/packages/simulator/src/faults/clocks.ts
+++ b/packages/simulator/src/faults/clocks.ts
@@ -1,7 +1,8 @@
 /** Clocks of the time of day that are set ahead or back, on a share of the machines, and right again later. */
 import type { PooledFleet } from '../pooled-model.js';
 import type { Process } from '../world.js';
-import { between, processesOf, runningCores, runningEdges, trouble, type PooledEvent, type PooledStorm } from './common.js';
+import { processesOf, runningCores, runningEdges, trouble, type PooledEvent, type PooledStorm } from './common.js';
+import { between } from '../draws.js';
 
 const steppedShare = 0.3;
 const mostOfMachines = 0.9;
--- a/packages/simulator/src/faults/common.ts
+++ b/packages/simulator/src/faults/common.ts
@@ -4,6 +4,7 @@
 import type { Back, LossBudget } from '../loss-budget.js';
 import type { PooledCore, PooledEdge, PooledFleet, PooledMember, PooledSheet } from '../pooled-model.js';
 import type { Process } from '../world.js';
+import { pick } from '../draws.js';
 
 /** An order that must change nothing, and how it was answered. */
 export type InvalidOrder = Readonly<{ variant: string; at: number; status: number }>;
@@ -32,14 +33,6 @@
 export const returnMilliseconds = 1_000;
 const newVersionSteps = 5;
 
-export function pick<Item>(fleet: PooledFleet, items: readonly Item[]): Item {
-  return items[Math.floor(fleet.world.fraction() * items.length)] as Item;
-}
-
-export function between(fleet: PooledFleet, least: number, most: number): number {
-  return least + fleet.world.fraction() * (most - least);
-}
-
 /** Some of the items, at least one of them. */
 export function some<Item>(fleet: PooledFleet, items: readonly Item[], share: number): readonly Item[] {
   const first = pick(fleet, items);
--- a/packages/simulator/src/faults/cores.ts
+++ b/packages/simulator/src/faults/cores.ts
@@ -2,13 +2,11 @@
 import type { PooledCore, PooledFleet } from '../pooled-model.js';
 import {
   anyCore,
-  between,
   coreMachines,
   cutOff,
   everyMachine,
   lastSheet,
   nextVersion,
-  pick,
   runningCores,
   runningEdges,
   startCoreLater,
@@ -19,6 +17,7 @@
   type PooledStorm,
 } from './common.js';
 import { loseDisk } from './disks.js';
+import { between, pick } from '../draws.js';
 
 const leastDownMilliseconds = 500;
 const mostDownMilliseconds = 9_000;
--- a/packages/simulator/src/faults/disks.ts
+++ b/packages/simulator/src/faults/disks.ts
@@ -1,7 +1,8 @@
 /** Disks of cores that are slow, full, failing, hanging or lost. */
 import type { PooledFleet } from '../pooled-model.js';
 import type { DiskTrouble } from '../world.js';
-import { between, pick, startCoreLater, trouble, type CoreLoss, type LoseCores, type PooledStorm } from './common.js';
+import { startCoreLater, trouble, type CoreLoss, type LoseCores, type PooledStorm } from './common.js';
+import { between, pick } from '../draws.js';
 
 const leastMilliseconds = 2_000;
 const mostMilliseconds = 9_000;
--- a/packages/simulator/src/faults/edges.ts
+++ b/packages/simulator/src/faults/edges.ts
@@ -2,10 +2,8 @@
 import * as Option from 'fp-ts/lib/Option.js';
 import type { PooledEdge, PooledFleet } from '../pooled-model.js';
 import {
-  between,
   coreMachines,
   cutOff,
-  pick,
   processesOf,
   returnMilliseconds,
   runningCores,
@@ -19,6 +17,7 @@
   type PooledStorm,
 } from './common.js';
 import { cutPower } from './cores.js';
+import { between, pick } from '../draws.js';
 
 const manyShare = 0.6;
 const resetShare = 0.5;
--- a/packages/simulator/src/faults/members.ts
+++ b/packages/simulator/src/faults/members.ts
@@ -2,12 +2,10 @@
 import * as Option from 'fp-ts/lib/Option.js';
 import type { PooledFleet, PooledMember } from '../pooled-model.js';
 import {
-  between,
   coreMachines,
   cutOff,
   everyMachine,
   noteDrains,
-  pick,
   runningEdges,
   runningPrimary,
   startMemberLater,
@@ -15,6 +13,7 @@
   type PooledEvent,
   type PooledStorm,
 } from './common.js';
+import { between, pick } from '../draws.js';
 
 const freshMemberMilliseconds = 1_000;
 
--- a/packages/simulator/src/faults/operators.ts
+++ b/packages/simulator/src/faults/operators.ts
@@ -1,18 +1,9 @@
 /** Orders of operators: acknowledgements that are lost, pairs on one number, storms, large and invalid configurations, changes of each part. */
 import { spareKey, type PooledFleet, type PooledSheet } from '../pooled-model.js';
 import type { Back } from '../loss-budget.js';
-import {
-  anyCore,
-  between,
-  everyMachine,
-  lastSheet,
-  nextVersion,
-  pick,
-  type PooledEvent,
-  type PooledFault,
-  type PooledStorm,
-} from './common.js';
+import { anyCore, everyMachine, lastSheet, nextVersion, type PooledEvent, type PooledFault, type PooledStorm } from './common.js';
 import { cut, kill } from './cores.js';
+import { between, pick } from '../draws.js';
 
 const underWayMost = 8;
 const lostShare = 0.7;
--- a/packages/simulator/src/faults/platform.ts
+++ b/packages/simulator/src/faults/platform.ts
@@ -1,7 +1,8 @@
 /** Trouble of the platform that takes promotions and usage: slow, down, silent, or with its connections reset. */
 import type { SessionPlatformKnobs } from '@stallstall/fakes';
 import type { PooledFleet } from '../pooled-model.js';
-import { between, pick, trouble, type PooledEvent, type PooledStorm } from './common.js';
+import { trouble, type PooledEvent, type PooledStorm } from './common.js';
+import { between, pick } from '../draws.js';
 
 /** How late a promotion takes effect is the platform's own way, and no trouble. */
 export const calmPlatform: Omit<SessionPlatformKnobs, 'effectAfterReplyMilliseconds'> = {
--- a/packages/simulator/src/faults/replacements.ts
+++ b/packages/simulator/src/faults/replacements.ts
@@ -1,9 +1,10 @@
 /** Core machines that are replaced for good by empty ones at other addresses, and losses right after a replacement. */
 import type { Back } from '../loss-budget.js';
 import type { PooledCore, PooledFleet } from '../pooled-model.js';
-import { between, pick, startCoreLater, trouble, type CoreLoss, type LoseCores, type PooledStorm } from './common.js';
+import { startCoreLater, trouble, type CoreLoss, type LoseCores, type PooledStorm } from './common.js';
 import { cutPower, endAsPlanned } from './cores.js';
 import { loseDisk } from './disks.js';
+import { between, pick } from '../draws.js';
 
 const successorMilliseconds = 1_000;
 /** Long enough for what must work without the core to be judged. */
--- a/packages/simulator/src/fleet-faults/configuration-changes.ts
+++ b/packages/simulator/src/fleet-faults/configuration-changes.ts
@@ -2,8 +2,9 @@
 import { type PlacementConfiguration, placements, statementKinds } from '@stallstall/placement';
 import * as Either from 'fp-ts/lib/Either.js';
 import type { Sent } from '../fleet-checks/check-records.js';
-import { type Storm, between, secondKey } from './fault-state.js';
+import { type Storm, secondKey } from './fault-state.js';
 import type { Fleet } from '../fleet.js';
+import { between } from '../draws.js';
 
 /** The sheet as the storm now wants it: the second key in or out, members that go, weights, limits and rows drawn anew. */
 function wanted(fleet: Fleet, storm: Storm): Readonly<{ sheet: PlacementConfiguration; mark: string }> {
--- a/packages/simulator/src/fleet-faults/fault-state.ts
+++ b/packages/simulator/src/fleet-faults/fault-state.ts
@@ -54,14 +54,6 @@
   };
 }
 
-export function pick<Item>(fleet: Fleet, items: readonly Item[]): Item {
-  return items[Math.floor(fleet.world.fraction() * items.length)] as Item;
-}
-
-export function between(fleet: Fleet, least: number, most: number): number {
-  return least + fleet.world.fraction() * (most - least);
-}
-
 export function everyMachine(fleet: Fleet): readonly string[] {
   return [
     ...fleet.cores.map((slot) => slot.machine),
--- a/packages/simulator/src/fleet-faults/outages.ts
+++ b/packages/simulator/src/fleet-faults/outages.ts
@@ -1,7 +1,8 @@
 /** Outages of many machines: every core and edge, each core in turn, or a whole area. */
-import { type Storm, between, notePeaks, pick } from './fault-state.js';
+import { type Storm, notePeaks } from './fault-state.js';
 import { killEdge, killMember, restartCore } from './machine-faults.js';
 import type { Fleet, CoreSlot } from '../fleet.js';
+import { between, pick } from '../draws.js';
 
 export function everyMachineStops(fleet: Fleet, storm: Storm, milliseconds: number): void {
   fleet.cores.forEach((_, index) => restartCore(fleet, index, milliseconds * between(fleet, 0.8, 1.2)));
--- a/packages/simulator/src/fleet-faults/planned-changes.ts
+++ b/packages/simulator/src/fleet-faults/planned-changes.ts
@@ -1,10 +1,11 @@
 /** Planned work during a run: restarts, drains, a retired primary, a replaced member, an edge for a short time. */
 import type { PlannedEnd, EdgeDrain } from '../fleet-checks/check-records.js';
-import { type Storm, between, pick } from './fault-state.js';
+import type { Storm } from './fault-state.js';
 import { sameMomentMilliseconds, voidedByKill } from './machine-faults.js';
 import { send } from './configuration-changes.js';
 import type { Fleet } from '../fleet.js';
 import type { Process } from '../world.js';
+import { between, pick } from '../draws.js';
 
 type Ending = { process: Process | undefined; running: Readonly<{ drain: () => Promise<void> }> | undefined };
 
--- a/packages/simulator/src/fleet-faults/targeted-strike.ts
+++ b/packages/simulator/src/fleet-faults/targeted-strike.ts
@@ -1,8 +1,9 @@
 /** A fault that strikes the node that acted last for the fleet. */
-import { type Hunt, type Storm, between } from './fault-state.js';
+import type { Hunt, Storm } from './fault-state.js';
 import { cutMachine, killEdge, restartCore } from './machine-faults.js';
 import type { Fleet, CoreSlot, EdgeSlot } from '../fleet.js';
 import type { Process } from '../world.js';
+import { between } from '../draws.js';
 
 export function callsOf(fleet: Fleet, duty: Hunt['duty']): number {
   return duty === 'usage' ? fleet.platformStore.usage.length : fleet.platformStore.promotions.length;
--- a/packages/simulator/src/fleet.ts
+++ b/packages/simulator/src/fleet.ts
@@ -1,6 +1,6 @@
 /** An in-memory fleet: 3 cores, 6 edges in 3 areas, 3 services of 3 members, the platform, senders, operators (design 10.4). */
 import * as Either from 'fp-ts/lib/Either.js';
-import { fault, http, identifiers, kernel as kernels, type Fault, type HttpReply, type Protocols } from '@stallstall/kernel';
+import { http, identifiers, kernel as kernels, type HttpReply, type Protocols } from '@stallstall/kernel';
 import { core, type Core } from '@stallstall/core';
 import { agent, type Agent } from '@stallstall/agent';
 import { proxy, type Proxy } from '@stallstall/proxy';
@@ -19,6 +19,7 @@
   type PlatformStore,
 } from '@stallstall/fakes';
 import { world as worlds, type Process, type SimulatedDisk, type World } from './world.js';
+import { replyOf } from './http-replies.js';
 
 type Slot<Running> = { process: Process | undefined; running: Running | undefined };
 
@@ -276,10 +277,6 @@
     return work;
   }
 
-  function exchanged(reply: Either.Either<Fault, HttpReply>): HttpReply {
-    return Either.isRight(reply) ? reply.right : { status: 0, body: fault.body(reply.left) };
-  }
-
   async function operate(
     method: string,
     path: string,
@@ -288,12 +285,12 @@
     coreIndex = 0,
   ): Promise<HttpReply> {
     const address = identifiers.address(place(cores[coreIndex] as CoreSlot).outward);
-    return exchanged(await drive(http.once(operator.kernel, address, { method, path, body, headers }, 10_000)));
+    return replyOf(await drive(http.once(operator.kernel, address, { method, path, body, headers }, 10_000)));
   }
 
   async function send(sheet: unknown, coreIndex: number): Promise<HttpReply> {
     const address = identifiers.address(place(cores[coreIndex] as CoreSlot).outward);
-    return exchanged(
+    return replyOf(
       await http.once(
         operator.kernel,
         address,
@@ -305,12 +302,12 @@
 
   async function command(method: string, path: string, coreIndex: number): Promise<HttpReply> {
     const address = identifiers.address(place(cores[coreIndex] as CoreSlot).outward);
-    return exchanged(await http.once(operator.kernel, address, { method, path, body: {} }, 8_000));
+    return replyOf(await http.once(operator.kernel, address, { method, path, body: {} }, 8_000));
   }
 
   async function post(edge: EdgeSlot, path: string, body: unknown): Promise<HttpReply> {
     const address = identifiers.address(edgeAddresses(edge).proxy);
-    return exchanged(
+    return replyOf(
       await http.once(clients.kernel, address, { method: 'POST', path, body, headers: { 'x-stallstall-key': clientKey } }, 30_000),
     );
   }
@@ -323,7 +320,7 @@
     headers: Readonly<Record<string, string>> = {},
   ): Promise<HttpReply> {
     const address = identifiers.address(edgeAddresses(edge).proxy);
-    return exchanged(
+    return replyOf(
       await drive(
         http.once(clients.kernel, address, { method, path, body, headers: { 'x-stallstall-key': clientKey, ...headers } }, 10_000),
       ),
--- a/packages/simulator/src/pooled-closing.ts
+++ b/packages/simulator/src/pooled-closing.ts
@@ -1,10 +1,11 @@
 /** The last fault of a day of the pooled mode, right after an order was acknowledged; all is back when it ends (design 10.4.1). */
 import type { Violation } from './fleet-checks/check-records.js';
-import { between, lastSheet, nextVersion, pick, type PooledStorm } from './faults/common.js';
+import { lastSheet, nextVersion, type PooledStorm } from './faults/common.js';
 import { cutPower } from './faults/cores.js';
 import { settleMilliseconds } from './loss-budget.js';
 import { pooledOrders } from './pooled-orders.js';
 import type { PooledCore, PooledFleet } from './pooled-model.js';
+import { between, pick } from './draws.js';
 
 /** What strikes once the order is acknowledged; the machines that it takes away. */
 type Closing = Readonly<{
--- a/packages/simulator/src/pooled-faults.ts
+++ b/packages/simulator/src/pooled-faults.ts
@@ -1,6 +1,6 @@
 /** The failures of the pooled mode, gathered by theme; how each is struck, and how everything runs again (design 10.4.1). */
 import { clockFaults } from './faults/clocks.js';
-import { noteDrains, pick, between, type PooledFault, type PooledStorm } from './faults/common.js';
+import { noteDrains, type PooledFault, type PooledStorm } from './faults/common.js';
 import { coreFaults } from './faults/cores.js';
 import { diskFaults } from './faults/disks.js';
 import { edgeFaults, fleetFaults } from './faults/edges.js';
@@ -10,6 +10,7 @@
 import { replacementFaults } from './faults/replacements.js';
 import { lossBudget, type Loss } from './loss-budget.js';
 import type { PooledFleet } from './pooled-model.js';
+import { between, pick } from './draws.js';
 
 export type { PooledFault, PooledStorm } from './faults/common.js';
 
--- a/packages/simulator/src/pooled-operator.ts
+++ b/packages/simulator/src/pooled-operator.ts
@@ -1,10 +1,10 @@
 /** An operator of the pooled fleet: sends versions of the placement configuration until it gets a clear reply, and reads them back. */
-import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
-import { fault, http, identifiers, type Fault, type HttpReply, type Kernel } from '@stallstall/kernel';
+import { http, identifiers, type HttpReply, type Kernel } from '@stallstall/kernel';
 import type { OrderCall } from './order-checks.js';
 import type { OperatorTrouble, PooledFleet, PooledSheet, PooledVersion } from './pooled-model.js';
 import type { World } from './world.js';
+import { replyOf } from './http-replies.js';
 
 export type PooledOperatorParts = Readonly<{
   world: Pick<World, 'fraction'>;
@@ -24,10 +24,6 @@
 /** A version that got no clear reply after so many attempts is given up. */
 const attemptsMost = 40;
 
-function exchanged(reply: Either.Either<Fault, HttpReply>): HttpReply {
-  return Either.isRight(reply) ? reply.right : { status: 0, body: fault.body(reply.left) };
-}
-
 function outcomeOf({ status }: HttpReply): OrderCall['outcome'] {
   if (status === 200) return 'acknowledged';
   return status >= 400 && status < 500 ? 'refused' : 'none';
@@ -38,7 +34,7 @@
     const address = addresses()[coreIndex];
     if (address === undefined) throw new Error(`there is no core ${coreIndex} in use`);
     const method = body === undefined ? 'GET' : 'POST';
-    return exchanged(await http.once(kernel, identifiers.address(address), { method, path, body }, callMilliseconds));
+    return replyOf(await http.once(kernel, identifiers.address(address), { method, path, body }, callMilliseconds));
   }
 
   /** The reply as the operator hears it: one that is lost on the way is silence. */
--- a/packages/simulator/src/schedules.ts
+++ b/packages/simulator/src/schedules.ts
@@ -1,9 +1,10 @@
 /** Orders of events too rare to be drawn, written down: each shows a guard of design 4.8 at work (design 10.4). */
+import { seatOf } from './explored-machines.js';
 import { soundDisk } from './sound-disk.js';
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { identifiers, type Disk, type Kernel } from '@stallstall/kernel';
-import type { Ballot, Entry, Seat } from '@stallstall/message';
+import type { Ballot, Entry } from '@stallstall/message';
 import { acceptor, catchUp, proposer, type Acceptor, type NumberedRegister } from '@stallstall/register';
 
 type Core = { set: number; readonly cells: Acceptor };
@@ -15,10 +16,6 @@
 
 let token = 0;
 
-function seatOf(name: string): Seat {
-  return { node: name, role: 'core', area: 'north', address: `${name}:1`, outward: `${name}:2`, draining: false };
-}
-
 function diskOf(): Disk {
   const entries = new Map<string, unknown>();
   return soundDisk.create(
--- a/packages/simulator/src/storm.ts
+++ b/packages/simulator/src/storm.ts
@@ -7,11 +7,12 @@
 import type { Probe, Violation } from './fleet-checks/check-records.js';
 import { windowMilliseconds } from './fleet-checks/platform-call-checks.js';
 import { faults } from './faults.js';
-import { notePeaks, pick, secondKey, type Storm } from './fleet-faults/fault-state.js';
+import { notePeaks, secondKey, type Storm } from './fleet-faults/fault-state.js';
 import { send } from './fleet-faults/configuration-changes.js';
 import { followHunt } from './fleet-faults/targeted-strike.js';
 import { fleet as fleets, type EdgeSlot, type Fleet } from './fleet.js';
 import { wallStart } from './world.js';
+import { pick } from './draws.js';
 
 export type StormResult = Readonly<{
   seed: number;
