--- a/packages/acceptance/src/administration.ts
+++ b/packages/acceptance/src/administration.ts
@@ -160,12 +160,12 @@
 
 Given('a node that is handed changes by three cores', function given(this: Story) {
   this.world = worlds.create(4);
-  const { kernel } = this.world.spawn('node', 'node-machine');
+  const { runtime } = this.world.spawn('node', 'node-machine');
   const silent: Register = {
     read: () => Promise.resolve(Either.right(Option.none)),
     change: () => Promise.resolve(Either.right({ wrote: false, entry: Option.none })),
   };
-  this.watcher = watcher.create(kernel, { register: silent, coreCount: () => 3, onApplied: () => undefined });
+  this.watcher = watcher.create(runtime, { register: silent, coreCount: () => 3, onApplied: () => undefined });
 });
 
 When(
--- a/packages/acceptance/src/ballots.ts
+++ b/packages/acceptance/src/ballots.ts
@@ -162,9 +162,9 @@
 });
 
 async function readVersion(fleet: PooledFleet, core: number, version: number): Promise<unknown> {
-  const { kernel } = fleet.world.spawn('reader', 'operator-machine');
+  const { runtime } = fleet.world.spawn('reader', 'operator-machine');
   const address = identifiers.address(`10.1.0.${core + 1}:7001`);
-  const reply = await fleet.drive(http.once(kernel, address, { method: 'GET', path: `/v1/sheet?version=${version}` }, 2_000));
+  const reply = await fleet.drive(http.once(runtime, address, { method: 'GET', path: `/v1/sheet?version=${version}` }, 2_000));
   assert.ok(Either.isRight(reply) && reply.right.status === 200, `version ${version} at core ${core + 1}`);
   return (reply.right.body as { sheet: PooledSheet }).sheet.databases.filter((one) => one.database.startsWith('route-'));
 }
@@ -216,15 +216,15 @@
 Given('a store of versions whose contents do not compress', async function given(this: BallotStory) {
   this.world = worlds.create(23);
   const spawned = this.world.spawn('keeper', 'keeper-machine', this.world.disk());
-  assert.ok(Option.isSome(spawned.kernel.disk));
-  this.disk = spawned.kernel.disk.value;
+  assert.ok(Option.isSome(spawned.runtime.disk));
+  this.disk = spawned.runtime.disk.value;
   this.kept = 0;
   this.store = await startStore(this);
 });
 
 async function startStore(story: BallotStory): Promise<VersionStore> {
-  const { kernel } = story.world.spawn('keeper', 'keeper-machine');
-  const store = versionStore.create(kernel, {
+  const { runtime } = story.world.spawn('keeper', 'keeper-machine');
+  const store = versionStore.create(runtime, {
     disk: story.disk,
     newest: () => story.kept + 1,
     node: {
--- a/packages/acceptance/src/candidacies.ts
+++ b/packages/acceptance/src/candidacies.ts
@@ -90,9 +90,9 @@
 async function startCandidate(story: CandidacyStory, synchronousReplicas: number, received: ReadonlyMap<string, number>): Promise<void> {
   const world = worlds.create(71);
   Object.assign(story, { world, values: new Map(), writes: [], promoted: [], synchronousReplicas, received, onWrite: () => undefined });
-  const { kernel } = world.spawn('core-1', 'core-machine-1');
+  const { runtime } = world.spawn('core-1', 'core-machine-1');
   const platform = world.spawn('platform', 'platform-machine');
-  await platform.kernel.network.serve(identifiers.address(platformAddress), {
+  await platform.runtime.network.serve(identifiers.address(platformAddress), {
     routes: [
       {
         method: 'POST',
@@ -104,15 +104,15 @@
       },
     ],
   });
-  kernel.services.offer(registerService, stubRegister(story));
-  kernel.services.offer(durableReportsService, {
+  runtime.services.offer(registerService, stubRegister(story));
+  runtime.services.offer(durableReportsService, {
     report: () => Promise.resolve(Either.right({})),
     watermarks: () => Promise.resolve(Either.right({})),
   } as DurableReports);
-  kernel.services.offer(livenessService, stubLiveness(story));
-  kernel.services.offer(quorumLeaseService, quorumLease.create());
+  runtime.services.offer(livenessService, stubLiveness(story));
+  runtime.services.offer(quorumLeaseService, quorumLease.create());
   story.election = election.create(
-    kernel,
+    runtime,
     {
       calls: Option.some({
         promotion: ({ member }) => ({ method: 'POST', path: '/promotion', body: { member }, repeatable: 'unchanged' }),
--- a/packages/acceptance/src/connections.ts
+++ b/packages/acceptance/src/connections.ts
@@ -84,7 +84,10 @@
       }
     }
   }
-  story.memberListening = await story.member.kernel.network.listenStream(identifiers.address(place.address), (stream) => void task(stream));
+  story.memberListening = await story.member.runtime.network.listenStream(
+    identifiers.address(place.address),
+    (stream) => void task(stream),
+  );
 }
 
 Given('connections to a member, with a share of {int}', async function given(this: UnitStory, share: number) {
@@ -93,9 +96,9 @@
   this.opening = 'IDLE I 3.1\r\n';
   this.member = this.world.spawn('member-1', 'member-machine');
   await listenAsMember(this);
-  this.kernel = this.world.spawn('proxy', 'edge-machine').kernel;
+  this.runtime = this.world.spawn('proxy', 'edge-machine').runtime;
   this.connections = connections.create(
-    this.kernel,
+    this.runtime,
     wire,
     () => ({ most: share, kept: share }),
     () => undefined,
--- a/packages/acceptance/src/contents.ts
+++ b/packages/acceptance/src/contents.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { Then, When, type DataTable } from '@cucumber/cucumber';
 import * as Option from 'fp-ts/lib/Option.js';
-import { identifiers, type Clock, type Kernel } from '@stallstall/kernel';
+import { identifiers, type Clock, type Runtime } from '@stallstall/kernel';
 import { ballotZero, differences, type Ballot, type Change } from '@stallstall/message';
 import { peer } from '@stallstall/peer';
 import { contentFetcher, type ContentLink } from '@stallstall/register';
@@ -63,7 +63,7 @@
 
 async function watches(fleet: PooledFleet, who: string, says: object): Promise<ReportedOutcome> {
   const changes: Change[] = [];
-  const link = peer.dial(fleet.world.spawn(who, 'watcher-machine').kernel, identifiers.address(coreAddress), {
+  const link = peer.dial(fleet.world.spawn(who, 'watcher-machine').runtime, identifiers.address(coreAddress), {
     changed: (change: Change) => void changes.push(change),
   });
   assert.ok(await fleet.until(link.connected, 5_000));
@@ -150,7 +150,7 @@
 /** How a change from core-1 is taken, and when. */
 async function takenLike(coming: string): Promise<string> {
   const simulated = worlds.create(5);
-  const { clock }: Readonly<{ clock: Clock }> = simulated.spawn('watcher', 'machine').kernel;
+  const { clock }: Readonly<{ clock: Clock }> = simulated.spawn('watcher', 'machine').runtime;
   const taken: Array<Readonly<{ core: string; value: unknown; at: number }>> = [];
   let asked = 0;
   const link: ContentLink = {
@@ -161,7 +161,7 @@
       );
     },
   };
-  const held = contentFetcher.create({ clock } as Kernel, {
+  const held = contentFetcher.create({ clock } as Runtime, {
     set: () => 0,
     deliver: (core, change) => void taken.push({ core, value: change.entry.value, at: simulated.now() }),
     stopped: () => false,
@@ -192,7 +192,7 @@
 /** What becomes of changes that come so far apart, while their contents can only be fetched. */
 async function fetchedStream(milliseconds: number, interval: number): Promise<FetchedStream> {
   const simulated = worlds.create(6);
-  const { clock }: Readonly<{ clock: Clock }> = simulated.spawn('watcher', 'machine').kernel;
+  const { clock }: Readonly<{ clock: Clock }> = simulated.spawn('watcher', 'machine').runtime;
   let [newest, asked, deliveredAt, longest] = [1, 0, simulated.now(), 0];
   const versions: number[] = [];
   const link: ContentLink = {
@@ -202,7 +202,7 @@
       return Promise.resolve(Option.some({ ready: true, agreed: true, promised: entry.ballot, accepted: entry }));
     },
   };
-  const fetcher = contentFetcher.create({ clock } as Kernel, {
+  const fetcher = contentFetcher.create({ clock } as Runtime, {
     set: () => 0,
     deliver: function deliver(_core, change) {
       versions.push(change.entry.version);
@@ -233,13 +233,13 @@
 
 Then('differences that came behind a missing content are applied as soon as it has been fetched', async function then() {
   const simulated = worlds.create(7);
-  const { clock }: Readonly<{ clock: Clock }> = simulated.spawn('watcher', 'machine').kernel;
+  const { clock }: Readonly<{ clock: Clock }> = simulated.spawn('watcher', 'machine').runtime;
   const taken: unknown[] = [];
   const second = { ballot: ballot(2), version: 2, value: { a: [1, 2, 3], b: 2 } };
   const link: ContentLink = {
     call: () => Promise.resolve(Option.some({ ready: true, agreed: true, promised: ballot(2), accepted: second })),
   };
-  const fetcher = contentFetcher.create({ clock } as Kernel, {
+  const fetcher = contentFetcher.create({ clock } as Runtime, {
     set: () => 0,
     deliver: (_core, change) => void taken.push([change.entry.version, change.entry.value]),
     stopped: () => false,
--- a/packages/acceptance/src/cut-core.ts
+++ b/packages/acceptance/src/cut-core.ts
@@ -107,7 +107,7 @@
 
 /** The longest time within so many seconds in which the edge applied no newer configuration. */
 async function longestStandstill(fleet: CoreFleet, seconds: number): Promise<number> {
-  const { clock } = fleet.operatorKernel;
+  const { clock } = fleet.operatorRuntime;
   const until = clock.now() + seconds * 1_000;
   let [applied, appliedAt, longest] = [0, clock.now(), 0];
   while (clock.now() < until) {
@@ -169,7 +169,7 @@
 async function page(fleet: CoreFleet, machine: CoreMachine, path: string): Promise<Readonly<{ reply: HttpReply; after: number }>> {
   const asked = fleet.world.now();
   let found: HttpReply | undefined;
-  const asking = http.once(fleet.operatorKernel, identifiers.address(machine.outward), { method: 'GET', path }, patienceMilliseconds);
+  const asking = http.once(fleet.operatorRuntime, identifiers.address(machine.outward), { method: 'GET', path }, patienceMilliseconds);
   void asking.then((reply) => {
     found = Either.isRight(reply) ? reply.right : { status: 0, body: null };
   });
@@ -239,7 +239,7 @@
 );
 
 function hasLeft(machine: CoreMachine, member: string): boolean {
-  const entry = machine.process?.kernel.services.find(memberRegistryService).recordOf(member);
+  const entry = machine.process?.runtime.services.find(memberRegistryService).recordOf(member);
   return entry !== undefined && Option.isSome(entry) && entry.value.gone;
 }
 
@@ -270,19 +270,19 @@
 });
 
 Then('that edge obeys no configuration and holds no lease, and that machine is of no set', function then(this: CutCoreStory) {
-  const { edge, kernel } = this.lostEdge;
+  const { edge, runtime } = this.lostEdge;
   assert.ok(Option.isNone(edge.configuration()));
-  assert.ok(edge.leaseUntil(this.cores.service) <= kernel.clock.now());
+  assert.ok(edge.leaseUntil(this.cores.service) <= runtime.clock.now());
   assert.deepEqual(this.cores.setOf(this.lostCore).cores, []);
 });
 
 Then(
   'within {int} s that edge obeys the newest configuration and holds its lease',
   async function then(this: CutCoreStory, seconds: number) {
-    const { edge, kernel } = this.lostEdge;
+    const { edge, runtime } = this.lostEdge;
     assert.ok(
       await this.cores.until(
-        () => Option.isSome(edge.configuration()) && edge.leaseUntil(this.cores.service) > kernel.clock.now(),
+        () => Option.isSome(edge.configuration()) && edge.leaseUntil(this.cores.service) > runtime.clock.now(),
         seconds * 1_000,
       ),
     );
@@ -383,7 +383,7 @@
 
 Then('a majority of cores knows that it has left', function then(this: CutCoreStory) {
   const knowing = this.cores.machines.filter(function knows(machine) {
-    const entry = machine.process?.kernel.services.find(memberRegistryService).recordOf(leaver);
+    const entry = machine.process?.runtime.services.find(memberRegistryService).recordOf(leaver);
     return entry !== undefined && Option.isSome(entry) && entry.value.gone;
   });
   assert.ok(knowing.length > this.cores.machines.length / 2, `${knowing.length} cores know it`);
--- a/packages/acceptance/src/disks.ts
+++ b/packages/acceptance/src/disks.ts
@@ -37,8 +37,8 @@
 
 /** A link to a core, as another node holds one. */
 async function dialled(story: Story, core: string): Promise<ReturnType<typeof peer.dial>> {
-  const { kernel } = story.fleet.world.spawn(`asker of ${core}`, 'asker-machine');
-  const link = peer.dial(kernel, identifiers.address(story.fleet.place(coreOf(story, core)).address));
+  const { runtime } = story.fleet.world.spawn(`asker of ${core}`, 'asker-machine');
+  const link = peer.dial(runtime, identifiers.address(story.fleet.place(coreOf(story, core)).address));
   assert.ok(await story.fleet.until(link.connected, patienceMilliseconds));
   return link;
 }
--- a/packages/acceptance/src/duties.ts
+++ b/packages/acceptance/src/duties.ts
@@ -5,7 +5,7 @@
 import * as Option from 'fp-ts/lib/Option.js';
 import { singletonRole, election, liveness, livenessService, type RoleLease, type MemberState, type VoteStore } from '@stallstall/election';
 import { quorumLease, quorumLeaseService } from '@stallstall/quorum-lease';
-import { fault, identifiers, kernel as kernels, type Fault, type HttpReply, type Kernel } from '@stallstall/kernel';
+import { fault, identifiers, runtimeUtilities, type Fault, type HttpReply, type Runtime } from '@stallstall/kernel';
 import { ballotZero, type Entry, type Membership, type ElectedPrimary } from '@stallstall/message';
 import { durableReportsService, registerService, type DurableReports, type NumberedRegister, type Register } from '@stallstall/register';
 import type { PlacementConfiguration } from '@stallstall/placement';
@@ -26,14 +26,14 @@
 const beatMilliseconds = 200;
 
 /** A register that a majority always answers: one table, a round long. */
-function tableRegister(kernel: Kernel, table: Map<string, Entry>): NumberedRegister {
+function tableRegister(runtime: Runtime, table: Map<string, Entry>): NumberedRegister {
   const register: Register = {
     read: async function read(key) {
-      await kernel.clock.sleep(roundMilliseconds);
+      await runtime.clock.sleep(roundMilliseconds);
       return Either.right(Option.fromNullable(table.get(key)));
     },
     change: async function change(key, decide) {
-      await kernel.clock.sleep(roundMilliseconds);
+      await runtime.clock.sleep(roundMilliseconds);
       const current = Option.fromNullable(table.get(key));
       const decided = decide(current);
       if (Option.isNone(decided)) return Either.right({ wrote: false, entry: current });
@@ -47,15 +47,15 @@
 }
 
 async function startPlatform(story: DutyStory, speaks: boolean): Promise<void> {
-  const { kernel } = story.world.spawn('platform', 'platform-machine');
-  await kernel.network.serve(platformAddress, {
+  const { runtime } = story.world.spawn('platform', 'platform-machine');
+  await runtime.network.serve(platformAddress, {
     routes: [
       {
         method: 'POST',
         path: '/promotion',
         handle: async function promote(request): Promise<HttpReply> {
           story.reported.push(request.path);
-          if (!speaks) await kernel.clock.sleep(2 * callMilliseconds);
+          if (!speaks) await runtime.clock.sleep(2 * callMilliseconds);
           return { status: 200, body: {} };
         },
       },
@@ -69,9 +69,9 @@
   story.ended = Option.none;
   await startPlatform(story, speaks);
   story.holder = story.world.spawn('core-1', 'core-machine-1');
-  const { kernel } = story.holder;
-  kernel.services.offer(registerService, tableRegister(kernel, new Map()));
-  const sought = singletonRole.create(kernel, 'promotion/ferries', 'core-1').tryAcquire();
+  const { runtime } = story.holder;
+  runtime.services.offer(registerService, tableRegister(runtime, new Map()));
+  const sought = singletonRole.create(runtime, 'promotion/ferries', 'core-1').tryAcquire();
   await story.world.run(10);
   const holding = await sought;
   assert.ok(Option.isSome(holding));
@@ -172,30 +172,30 @@
     this.world = worlds.create(6);
     this.reported = [];
     await startPlatform(this, true);
-    const { kernel } = this.world.spawn('core-1', 'core-machine-1');
+    const { runtime } = this.world.spawn('core-1', 'core-machine-1');
     const table = new Map<string, Entry>([['epoch/ferries', { ballot: ballotZero, version: 1, value: settledAt(settled) }]]);
-    kernel.services.offer(registerService, tableRegister(kernel, table));
-    kernel.services.offer(durableReportsService, {
+    runtime.services.offer(registerService, tableRegister(runtime, table));
+    runtime.services.offer(durableReportsService, {
       watermarks: () => Promise.resolve(Either.right({})),
     } satisfies Partial<DurableReports> as unknown as DurableReports);
-    kernel.services.offer(
+    runtime.services.offer(
       livenessService,
       liveness.create(
-        kernel,
+        runtime,
         Option.some({
           readState: (_service, member) => Promise.resolve(stateOf(member, this.reported.length > 0)),
           keepConnection: () => Promise.resolve(Either.right(null)),
         }),
       ),
     );
-    kernel.services.offer(quorumLeaseService, { ...quorumLease.create(), reachableCount: () => seats.length });
+    runtime.services.offer(quorumLeaseService, { ...quorumLease.create(), reachableCount: () => seats.length });
     /** What was settled by others has not been told here; what this core settles itself is. */
     function settledHere(): ElectedPrimary {
       const own = table.get('epoch/ferries')?.value as ElectedPrimary;
       return own.wonBy === 'core-1' ? own : settledAt(known);
     }
     const elections = election.create(
-      kernel,
+      runtime,
       {
         self: 'core-1',
         calls: Option.some({
@@ -215,7 +215,7 @@
       },
       votesInMemory(),
     );
-    void kernels.every(kernel.clock, beatMilliseconds, elections.tick, () => true);
+    void runtimeUtilities.every(runtime.clock, beatMilliseconds, elections.tick, () => true);
   },
 );
 
--- a/packages/acceptance/src/guarantees.ts
+++ b/packages/acceptance/src/guarantees.ts
@@ -242,7 +242,9 @@
     this.fleet.stopSlot(edgeOf(this, edge).agent);
     this.asked = [];
     for (const place of places)
-      this.asked.push(await fuzz.impostor(this.fleet.world.spawn('impostor', 'impostor-machine').kernel, place, this.fleet.world.fraction));
+      this.asked.push(
+        await fuzz.impostor(this.fleet.world.spawn('impostor', 'impostor-machine').runtime, place, this.fleet.world.fraction),
+      );
     await this.fleet.world.run(seconds * 1_000);
   },
 );
--- a/packages/acceptance/src/lease-grantor-steps.ts
+++ b/packages/acceptance/src/lease-grantor-steps.ts
@@ -18,11 +18,11 @@
 async function startLeaseGrantor(story: UnitStory, ready: boolean): Promise<void> {
   story.world = worlds.create(45);
   story.registry = registryOn(story.world, 'core-1');
-  story.kernel = story.world.spawn('core', 'core-machine').kernel;
+  story.runtime = story.world.spawn('core', 'core-machine').runtime;
   story.epoch = 5;
-  story.openedAt = story.kernel.clock.now();
+  story.openedAt = story.runtime.clock.now();
   story.replied = [];
-  story.leaseGrantor = leaseGrantor.create(story.kernel, {
+  story.leaseGrantor = leaseGrantor.create(story.runtime, {
     ready: () => ready,
     openedAt: () => story.openedAt,
     epochs: () => ({ ferries: story.epoch }),
@@ -83,7 +83,7 @@
 });
 
 When('its core is given a seat anew', function when(this: UnitStory) {
-  this.openedAt = this.kernel.clock.now();
+  this.openedAt = this.runtime.clock.now();
 });
 
 Then(
--- a/packages/acceptance/src/lease-holder-steps.ts
+++ b/packages/acceptance/src/lease-holder-steps.ts
@@ -71,9 +71,9 @@
 }
 
 async function startStub(story: UnitStory, index: number, seats: readonly Seat[]): Promise<void> {
-  const { kernel } = story.world.spawn(`core-${index + 1}`, `core-machine-${index + 1}`);
+  const { runtime } = story.world.spawn(`core-${index + 1}`, `core-machine-${index + 1}`);
   const stub = story.cores[index] as StubCore;
-  await peer.listen(kernel, identifiers.address((seats[index] as Seat).address), {
+  await peer.listen(runtime, identifiers.address((seats[index] as Seat).address), {
     hello: () => helloOf(seats[index] as Seat, seats),
     lease: async function lease(ask, caller) {
       if (!stub.leaseHolders.has(caller)) {
@@ -86,9 +86,9 @@
         });
         caller.change(settledChange(stub.settled));
       }
-      if (stub.silent) await kernel.clock.sleep(60_000);
+      if (stub.silent) await runtime.clock.sleep(60_000);
       const reported = stub.reply === undefined ? {} : await stub.reply(ask);
-      if (stub.reply === undefined) await kernel.clock.sleep(stub.delay);
+      if (stub.reply === undefined) await runtime.clock.sleep(stub.delay);
       stub.number += 1;
       return {
         ...leaseReplyOf(index),
@@ -104,10 +104,10 @@
 
 /** Starts the lease holder of an edge that has nothing to report. */
 function startLeaseHolder(story: UnitStory, seats: readonly Seat[]): void {
-  const { kernel } = story.world.spawn('edge-1', 'edge-machine');
-  story.kernel = kernel;
+  const { runtime } = story.world.spawn('edge-1', 'edge-machine');
+  story.runtime = runtime;
   story.leaseHolder = leaseHolder.create(
-    kernel,
+    runtime,
     { node: 'edge-1', area: 'north', seeds: () => seats.map((seat) => seat.address) },
     {
       released: () => ({}),
@@ -153,7 +153,7 @@
 );
 
 Then(/^between ([\d.]+) s and ([\d.]+) s of it are left$/, function then(this: UnitStory, least: string, most: string) {
-  const left = this.leaseHolder.leaseUntil('ferries') - this.kernel.clock.now();
+  const left = this.leaseHolder.leaseUntil('ferries') - this.runtime.clock.now();
   assert.ok(left >= Number(least) * 1_000 && left <= Number(most) * 1_000, `${left} ms are left`);
 });
 
@@ -164,14 +164,14 @@
     const seats = [0, 1, 2].map(seatOf);
     const ballot = { counter: 1, node: 'core-1' };
     for (const [index, seat] of seats.entries()) {
-      const { kernel } = this.world.spawn(`core-${index + 1}`, `core-machine-${index + 1}`);
+      const { runtime } = this.world.spawn(`core-${index + 1}`, `core-machine-${index + 1}`);
       const reported = new Set<Caller>();
-      await peer.listen(kernel, identifiers.address(seat.address), {
+      await peer.listen(runtime, identifiers.address(seat.address), {
         hello: () => helloOf(seat, seats),
         lease: async function lease(ask, caller) {
           if (!reported.has(caller)) caller.change({ number: 1, set: 1, key: 'configuration', entry: { ballot, version: 1, value: null } });
           reported.add(caller);
-          await kernel.clock.sleep(Math.min(ask.hold, 300));
+          await runtime.clock.sleep(Math.min(ask.hold, 300));
           return leaseReplyOf(index);
         },
         look: (ask) =>
@@ -195,7 +195,7 @@
 });
 
 function hasLease(story: UnitStory): boolean {
-  return story.leaseHolder.leaseUntil('ferries') > story.kernel.clock.now();
+  return story.leaseHolder.leaseUntil('ferries') > story.runtime.clock.now();
 }
 
 /** `-` is a core that is not ready. */
@@ -227,7 +227,7 @@
 });
 
 Then('no more than {float} s of it are left', function then(this: UnitStory, seconds: number) {
-  const left = this.leaseHolder.leaseUntil('ferries') - this.kernel.clock.now();
+  const left = this.leaseHolder.leaseUntil('ferries') - this.runtime.clock.now();
   assert.ok(left <= seconds * 1_000 && left > seconds * 1_000 - 100, `${left} ms are left`);
 });
 
--- a/packages/acceptance/src/malformed-input-steps.ts
+++ b/packages/acceptance/src/malformed-input-steps.ts
@@ -38,7 +38,7 @@
   const leads = primary(this, service);
   for (const slot of this.fleet.members.filter((one) => one.place.service === service && one !== leads).slice(0, 1)) {
     this.fleet.stopSlot(slot);
-    const nonsense = this.fleet.world.spawn('nonsense', slot.machine).kernel;
+    const nonsense = this.fleet.world.spawn('nonsense', slot.machine).runtime;
     const random = this.fleet.world.fraction;
     async function handle(): Promise<HttpReply> {
       return {
--- a/packages/acceptance/src/marks.ts
+++ b/packages/acceptance/src/marks.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { Given, Then, When } from '@cucumber/cucumber';
 import { leaseAgent } from '@stallstall/agent';
-import { identifiers, type Instant, type Kernel } from '@stallstall/kernel';
+import { identifiers, type Instant, type Runtime } from '@stallstall/kernel';
 import { leaseGrantor, type LeaseGrantor } from '@stallstall/lease';
 import type { Request, Reply, Seat } from '@stallstall/message';
 import { peer, type Peer } from '@stallstall/peer';
@@ -12,7 +12,7 @@
 
 type MarkStory = {
   world: World;
-  kernel: Kernel;
+  runtime: Runtime;
   leaseGrantor: LeaseGrantor;
   openedAt: Instant;
   /** The token of the core that each edge knows; none for one that has not asked yet. */
@@ -42,10 +42,10 @@
   'a core that has answered in its seat for {int} s, while a leader is missing',
   async function given(this: MarkStory, seconds: number) {
     this.world = worlds.create(46);
-    this.kernel = this.world.spawn('core', 'core-machine').kernel;
-    this.openedAt = this.kernel.clock.now();
+    this.runtime = this.world.spawn('core', 'core-machine').runtime;
+    this.openedAt = this.runtime.clock.now();
     this.tokens = new Map();
-    this.leaseGrantor = leaseGrantor.create(this.kernel, {
+    this.leaseGrantor = leaseGrantor.create(this.runtime, {
       ready: () => true,
       openedAt: () => this.openedAt,
       epochs: () => ({ [service]: term }),
@@ -61,7 +61,7 @@
 );
 
 When('the core is given its seat anew', function when(this: MarkStory) {
-  this.openedAt = this.kernel.clock.now();
+  this.openedAt = this.runtime.clock.now();
 });
 
 When('{string} begins anew', function when(this: MarkStory, node: string) {
@@ -126,10 +126,10 @@
 
 /** A core that is asked for leases and grants none; what it is asked with is kept. */
 async function startAskedCore(story: MarkStory, index: number, seats: readonly Seat[]): Promise<void> {
-  const { kernel } = story.world.spawn(`core-${index + 1}`, `core-machine-${index + 1}`);
+  const { runtime } = story.world.spawn(`core-${index + 1}`, `core-machine-${index + 1}`);
   const set = { number: 1, seats: [...seats], epochs: {} };
   const own = seats[index] as Seat;
-  await peer.listen(kernel, identifiers.address(own.address), {
+  await peer.listen(runtime, identifiers.address(own.address), {
     hello: () =>
       ({
         node: own.node,
@@ -144,7 +144,7 @@
       }) as never,
     lease: async function lease({ token }) {
       (story.asked[index] as string[]).push(token);
-      await kernel.clock.sleep(agentLeaseMilliseconds);
+      await runtime.clock.sleep(agentLeaseMilliseconds);
       const untold = { stances: {}, roster: [], edges: {}, demand: {}, marks: {}, wants: false, held: 0 };
       return {
         ...untold,
@@ -163,8 +163,8 @@
 
 /** One process of a proxy: it asks its agent once without a token, as one does that knows nothing of it, and then with it. */
 async function askAsProxy(story: MarkStory, name: string): Promise<void> {
-  const { kernel } = story.world.spawn(name, 'edge-machine');
-  story.proxy = peer.dial(kernel, identifiers.address(feedAddress));
+  const { runtime } = story.world.spawn(name, 'edge-machine');
+  story.proxy = peer.dial(runtime, identifiers.address(feedAddress));
   await story.world.run(100);
   const untold = {
     serial: 0,
@@ -192,8 +192,8 @@
   const seats = Array.from({ length: count }, (_, index) => seatOf(index));
   this.asked = seats.map(() => []);
   for (const index of seats.keys()) await startAskedCore(this, index, seats);
-  const { kernel } = this.world.spawn('agent', 'edge-machine');
-  await leaseAgent.start(kernel, { node: 'edge-1', area: 'north', feed: feedAddress, seeds: () => seats.map((seat) => seat.address) });
+  const { runtime } = this.world.spawn('agent', 'edge-machine');
+  await leaseAgent.start(runtime, { node: 'edge-1', area: 'north', feed: feedAddress, seeds: () => seats.map((seat) => seat.address) });
   await this.world.run(1_000);
   await askAsProxy(this, 'proxy');
 });
--- a/packages/acceptance/src/member-registry-steps.ts
+++ b/packages/acceptance/src/member-registry-steps.ts
@@ -13,9 +13,9 @@
 }
 
 export function registryOn(world: World, name: string): MemberRegistry {
-  const { kernel } = world.spawn(name, `${name}-machine`);
-  kernel.services.offer(livenessService, liveness.create(kernel));
-  return memberRegistry.create(kernel, () => undefined);
+  const { runtime } = world.spawn(name, `${name}-machine`);
+  runtime.services.offer(livenessService, liveness.create(runtime));
+  return memberRegistry.create(runtime, () => undefined);
 }
 
 function known(of: MemberRegistry, member: string): MemberRecord {
--- a/packages/acceptance/src/member-state-steps.ts
+++ b/packages/acceptance/src/member-state-steps.ts
@@ -10,13 +10,13 @@
 Given('a member that answers STATE after {int} ms', async function given(this: Story, milliseconds: number) {
   this.world = worlds.create(3);
   const served = this.world.spawn('member', 'member-machine');
-  await served.kernel.network.serve(identifiers.address('10.3.0.1:5000'), {
+  await served.runtime.network.serve(identifiers.address('10.3.0.1:5000'), {
     routes: [
       {
         method: 'GET',
         path: '/state',
         handle: async function state() {
-          await served.kernel.clock.sleep(milliseconds);
+          await served.runtime.clock.sleep(milliseconds);
           return { status: 200, body: { member: 'one', role: 'primary', epoch: 1, received: 5, applied: 5 } };
         },
       },
@@ -26,11 +26,11 @@
 
 When('a node asks it, and asks again {int} ms later', async function when(this: Story, milliseconds: number) {
   const asker = this.world.spawn('node', 'node-machine');
-  const asked = liveness.create(asker.kernel);
+  const asked = liveness.create(asker.runtime);
   const probes: Story['probes'] = [];
   this.probes = probes;
   async function ask(): Promise<void> {
-    const moment = asker.kernel.clock.now();
+    const moment = asker.runtime.clock.now();
     const reply = await asked.probe('one', '10.3.0.1:5000', 900);
     if (Either.isRight(reply)) probes.push({ asked: moment, sentAt: reply.right.sentAt });
   }
--- a/packages/acceptance/src/platform-settings.ts
+++ b/packages/acceptance/src/platform-settings.ts
@@ -162,7 +162,7 @@
   assert.ok(Either.isRight(read));
   this.before = read.right;
   this.world = worlds.create(33);
-  this.current = platformSettings.follow(this.world.spawn('agent', 'edge-machine').kernel, fileOf(this), read.right);
+  this.current = platformSettings.follow(this.world.spawn('agent', 'edge-machine').runtime, fileOf(this), read.right);
 });
 
 function withOtherSeeds(story: PlatformStory): readonly string[] {
@@ -240,7 +240,7 @@
   this.world = worlds.create(33);
   const changed = this.lines.map((line) => (line.startsWith('SeedNodes') ? 'SeedNodes = ["10.9.9.9:8089"]' : line));
   fs.writeFileSync(fileOf(this), `${changed.join('\n')}\n`);
-  this.current = platformSettings.follow(this.world.spawn('agent', 'edge-machine').kernel, fileOf(this), read.right);
+  this.current = platformSettings.follow(this.world.spawn('agent', 'edge-machine').runtime, fileOf(this), read.right);
 });
 
 Then('the process knows the changed seeds at once', function then(this: PlatformStory) {
--- a/packages/acceptance/src/platform.ts
+++ b/packages/acceptance/src/platform.ts
@@ -4,7 +4,7 @@
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { core, type PlatformApi } from '@stallstall/core';
-import { fault, http, identifiers, type Fault, type HttpReply, type Kernel } from '@stallstall/kernel';
+import { fault, http, identifiers, type Fault, type HttpReply, type Runtime } from '@stallstall/kernel';
 import { message, MemberRecordSchema } from '@stallstall/message';
 import { configuration, pages, platformCalls, type PlatformSettings } from '@stallstall/platform';
 import type { Registration } from '@stallstall/member-registry';
@@ -15,7 +15,7 @@
 type Sent = Fields & { Channels: Fields[]; Plants: Fields[]; Accounts: Fields[] };
 export type PlatformStory = {
   world: World;
-  operator: Kernel;
+  operator: Runtime;
   replies: HttpReply[];
   standing: unknown;
   sent: ReadonlyArray<readonly [number, readonly HttpReply[], unknown]>;
@@ -270,7 +270,7 @@
   const spawned = world.spawn(`core-${index}`, `core-machine-${index}`, world.disk());
   const host = `10.1.0.${index}`;
   const started = await core.start(
-    spawned.kernel,
+    spawned.runtime,
     {
       node: `core-${index}`,
       area: 'north',
@@ -282,7 +282,7 @@
     },
     Option.some({
       calls: platformCalls.calls(3_300),
-      probe: platformCalls.memberProbe(spawned.kernel),
+      probe: platformCalls.memberProbe(spawned.runtime),
       routes: pages.control,
       platformApiAddress: `${host}:7003`,
       founds: !alone,
@@ -294,7 +294,7 @@
 
 Given("three cores that speak the platform's words", async function given(this: PlatformStory) {
   this.world = worlds.create(31);
-  this.operator = this.world.spawn('operator', 'operator-machine').kernel;
+  this.operator = this.world.spawn('operator', 'operator-machine').runtime;
   for (const index of [1, 2, 3]) await startCore(this.world, index, false);
   await this.world.run(5_000);
 });
--- a/packages/acceptance/src/product.ts
+++ b/packages/acceptance/src/product.ts
@@ -31,7 +31,7 @@
   const first = settings.read(agentSettings, file, {});
   assert.ok(Either.isRight(first));
   this.followed = settings.follow(
-    this.process.kernel,
+    this.process.runtime,
     {
       watch: (_file, again) => {
         this.again = again;
@@ -218,8 +218,8 @@
 });
 
 async function page(story: Story, edge: EdgeSlot, path: string): Promise<HttpReply> {
-  const { kernel } = story.fleet.world.spawn('reader', 'operator-machine');
-  const asked = http.once(kernel, identifiers.address(story.fleet.edgeAddresses(edge).outward), { method: 'GET', path }, 2_000);
+  const { runtime } = story.fleet.world.spawn('reader', 'operator-machine');
+  const asked = http.once(runtime, identifiers.address(story.fleet.edgeAddresses(edge).outward), { method: 'GET', path }, 2_000);
   await story.fleet.world.run(100);
   const reply = await asked;
   assert.ok(Either.isRight(reply));
--- a/packages/acceptance/src/replaced-core-steps.ts
+++ b/packages/acceptance/src/replaced-core-steps.ts
@@ -36,8 +36,8 @@
 });
 
 async function proposeTo(story: Story, address: string, proposer: string, epoch: number): Promise<boolean> {
-  const kernel = story.fleet.world.spawn(proposer, 'proposer-machine').kernel;
-  const dialled = peer.dial(kernel, identifiers.address(address));
+  const runtime = story.fleet.world.spawn(proposer, 'proposer-machine').runtime;
+  const dialled = peer.dial(runtime, identifiers.address(address));
   await story.fleet.world.run(50);
   const membership = story.fleet.cores[1]?.running?.node.membership().version ?? 0;
   const asked = dialled.call(
--- a/packages/acceptance/src/replies.ts
+++ b/packages/acceptance/src/replies.ts
@@ -17,7 +17,7 @@
 Given('a far end on a link that replies once more to each call', async function given(this: ReplyStory) {
   this.world = worlds.create(8);
   this.links = 0;
-  const { kernel } = this.world.spawn('far', 'far-machine');
+  const { runtime } = this.world.spawn('far', 'far-machine');
 
   async function serve(link: Link): Promise<void> {
     link.send({ greet: protocolsSpoken });
@@ -28,18 +28,18 @@
       const { call, body } = frame.value as Readonly<{ call: number; body: Readonly<{ window: number }> }>;
       const reply = { reply: call, body: { ready: true, reports: [], through: { owner: body.window } } };
       link.send(reply);
-      kernel.clock.startTimer(callMilliseconds / 4, () => link.send(reply));
+      runtime.clock.startTimer(callMilliseconds / 4, () => link.send(reply));
     }
   }
 
-  await kernel.network.listen(address, (link) => {
+  await runtime.network.listen(address, (link) => {
     this.links += 1;
     void serve(link);
   });
 });
 
 Then('the link is dialled anew after the reply, and no call is given the reply to another', async function then(this: ReplyStory) {
-  const dialled = peer.dial(this.world.spawn('near', 'near-machine').kernel, address);
+  const dialled = peer.dial(this.world.spawn('near', 'near-machine').runtime, address);
   const owners: unknown[] = [];
   for (const window of [1, 2, 3]) {
     await this.world.run(2 * callMilliseconds);
@@ -77,7 +77,7 @@
   this.world = worlds.create(9);
   this.links = 0;
   this.openLines = 0;
-  const { kernel } = this.world.spawn('member', 'member-machine');
+  const { runtime } = this.world.spawn('member', 'member-machine');
 
   async function serve(stream: Stream): Promise<void> {
     const framer = plainDialect.framer(1_000);
@@ -91,7 +91,7 @@
     }
   }
 
-  await kernel.network.listenStream(address, (stream) => {
+  await runtime.network.listenStream(address, (stream) => {
     this.links += 1;
     this.openLines += 1;
     void serve(stream).then(() => {
@@ -101,7 +101,7 @@
 });
 
 When('its line is held and it is asked for its STATE at once, and again later', async function when(this: ReplyStory) {
-  const probes = prober.create(this.world.spawn('near', 'near-machine').kernel, plainDialect, 'tenant');
+  const probes = prober.create(this.world.spawn('near', 'near-machine').runtime, plainDialect, 'tenant');
   void probes.keepConnection('ferries', 'member-1', address, callMilliseconds);
   void probes.readStatus('ferries', 'member-1', address, callMilliseconds);
   await this.world.run(callMilliseconds);
--- a/packages/acceptance/src/simulator.ts
+++ b/packages/acceptance/src/simulator.ts
@@ -44,8 +44,8 @@
 const tableStart = '## What the pooled runs do';
 
 function diskOf(process: Process): Disk {
-  assert(Option.isSome(process.kernel.disk));
-  return process.kernel.disk.value;
+  assert(Option.isSome(process.runtime.disk));
+  return process.runtime.disk.value;
 }
 
 Given('the faults of the pooled runs', function given(this: SimulatorStory) {
@@ -202,10 +202,10 @@
   const address = identifiers.address('10.0.0.1:7000');
   this.process = this.world.spawn('core-1', 'machine-1');
   const other = this.world.spawn('core-2', 'machine-2');
-  await other.kernel.network.listen(address, (link) => {
+  await other.runtime.network.listen(address, (link) => {
     this.far = link;
   });
-  const opening = this.process.kernel.network.open(address);
+  const opening = this.process.runtime.network.open(address);
   await this.world.run(100);
   const opened = await opening;
   assert(Either.isRight(opened));
--- a/packages/acceptance/src/unit-story.ts
+++ b/packages/acceptance/src/unit-story.ts
@@ -1,5 +1,5 @@
 /** What a story of units.feature holds, and what its steps share. */
-import type { Kernel, Instant, Listening } from '@stallstall/kernel';
+import type { Runtime, Instant, Listening } from '@stallstall/kernel';
 import type { LeaseHolder, LeaseGrantor } from '@stallstall/lease';
 import type { MemberRegistry } from '@stallstall/member-registry';
 import type { Request, Reply } from '@stallstall/message';
@@ -21,7 +21,7 @@
 
 export type UnitStory = {
   world: World;
-  kernel: Kernel;
+  runtime: Runtime;
   registry: MemberRegistry;
   other: MemberRegistry;
   taken: Map<number, boolean>;
--- a/packages/acceptance/src/watcher-steps.ts
+++ b/packages/acceptance/src/watcher-steps.ts
@@ -18,7 +18,7 @@
   const world = worlds.create(8);
   const applied: number[] = [];
   let setNumber = 1;
-  const watch = watcher.create(world.spawn('watcher', 'machine').kernel, {
+  const watch = watcher.create(world.spawn('watcher', 'machine').runtime, {
     register: unreachable,
     coreCount: () => 3,
     onApplied: (_key, entry) => void applied.push(entry.version),
--- a/packages/acceptance/src/wire.ts
+++ b/packages/acceptance/src/wire.ts
@@ -3,7 +3,7 @@
 import { Given, Then, When, type DataTable } from '@cucumber/cucumber';
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
-import { identifiers, type Kernel, type Stream } from '@stallstall/kernel';
+import { identifiers, type Runtime, type Stream } from '@stallstall/kernel';
 import type { MemberRecord } from '@stallstall/message';
 import { peer } from '@stallstall/peer';
 import { wire } from '@stallstall/platform';
@@ -12,7 +12,7 @@
 import { world as worlds, type World } from '@stallstall/simulator';
 import type { Condition, Incoming, Piece } from '@stallstall/session-protocol';
 
-type WireStory = { world: World; client: Kernel; heard: string[]; said: Array<readonly string[]> };
+type WireStory = { world: World; client: Runtime; heard: string[]; said: Array<readonly string[]> };
 
 const mostBytes = 1024 * 1024;
 
@@ -351,7 +351,7 @@
 Given('a proxy of the session wire with one member, fed with a lease', async function given(this: WireStory) {
   this.world = worlds.create(21);
   this.heard = [];
-  this.client = this.world.spawn('sender', 'sender-machine').kernel;
+  this.client = this.world.spawn('sender', 'sender-machine').runtime;
   const checked = placements.check({
     services: [{ service: 'ferries', connectionLimit: 56, registered: true }],
     rows: [],
@@ -360,12 +360,12 @@
     databases: [{ database: 'harbour', service: 'ferries', reads: 'leader', horizonMilliseconds: 800, aimMilliseconds: 100 }],
   });
   assert.ok(Either.isRight(checked));
-  const { kernel: memberKernel } = this.world.spawn('member', 'member-machine');
-  await memberKernel.network.listenStream(identifiers.address(memberAddress), (stream) => void memberTask(stream, this.heard));
-  const { kernel: agentKernel } = this.world.spawn('agent', 'edge-machine');
-  await peer.listen(agentKernel, identifiers.address(feedAddress), {
+  const { runtime: memberRuntime } = this.world.spawn('member', 'member-machine');
+  await memberRuntime.network.listenStream(identifiers.address(memberAddress), (stream) => void memberTask(stream, this.heard));
+  const { runtime: agentRuntime } = this.world.spawn('agent', 'edge-machine');
+  await peer.listen(agentRuntime, identifiers.address(feedAddress), {
     placement: async function placement(ask) {
-      if (ask.hold > 0) await agentKernel.clock.sleep(ask.hold);
+      if (ask.hold > 0) await agentRuntime.clock.sleep(ask.hold);
       return {
         token: 'agent',
         number: 1,
@@ -384,9 +384,9 @@
     },
     tell: () => ({ kept: true }),
   });
-  const { kernel: proxyKernel } = this.world.spawn('proxy', 'edge-machine');
+  const { runtime: proxyRuntime } = this.world.spawn('proxy', 'edge-machine');
   const started = await pooler.start(
-    proxyKernel,
+    proxyRuntime,
     { address: clientAddress, outward: '10.2.0.1:8001', feed: feedAddress, graceMilliseconds: 6_000 },
     { dialect: wire, pages: () => [] },
   );
--- a/packages/agent/src/agent-context.ts
+++ b/packages/agent/src/agent-context.ts
@@ -1,5 +1,5 @@
 /** What the modules of an agent share. */
-import type { Instant, Kernel } from '@stallstall/kernel';
+import type { Instant, Runtime } from '@stallstall/kernel';
 import type { Node, NodeSettings } from '@stallstall/node';
 import type { ConnectionCaps } from './connection-caps.js';
 import type { MemberFreshness } from './member-freshness.js';
@@ -16,7 +16,7 @@
 
 /** @internal */
 export type AgentContext = {
-  readonly kernel: Kernel;
+  readonly runtime: Runtime;
   readonly settings: AgentSettings;
   readonly node: Node;
   readonly caps: ConnectionCaps;
--- a/packages/agent/src/agent-routes.ts
+++ b/packages/agent/src/agent-routes.ts
@@ -10,23 +10,23 @@
 type HealthCheck = Readonly<{ check: string; sound: boolean; detail: string; remedy: string }>;
 
 /** Services for which this edge holds no lease. */
-function servicesWithoutLease({ kernel, node }: AgentContext): readonly string[] {
+function servicesWithoutLease({ runtime, node }: AgentContext): readonly string[] {
   const configuration = node.configuration();
   const services = Option.isSome(configuration) ? configuration.value.value.sheet.services.map((one) => one.service) : [];
-  return services.filter((service) => node.serviceLeaseUntil(service) <= kernel.clock.now());
+  return services.filter((service) => node.serviceLeaseUntil(service) <= runtime.clock.now());
 }
 
 /** How many nodes were heard within a term, this one among them. */
-function heardNodes({ kernel, node }: AgentContext): number {
+function heardNodes({ runtime, node }: AgentContext): number {
   const heard = node.membership().value.seats.filter(function isHeard(seat) {
     const at = node.lastHeartbeatAt(seat.node);
-    return Option.isSome(at) && kernel.clock.now() - at.value < leaseTermMilliseconds;
+    return Option.isSome(at) && runtime.clock.now() - at.value < leaseTermMilliseconds;
   });
   return 1 + heard.length;
 }
 
 async function metrics(context: AgentContext): Promise<HttpReply> {
-  const { kernel, node, proxyMetrics } = context;
+  const { runtime, node, proxyMetrics } = context;
   const configuration = node.configuration();
   return {
     status: 200,
@@ -35,15 +35,15 @@
       heard: heardNodes(context),
       configuration: Option.isSome(configuration) ? configuration.value.version : 0,
       membership: node.membership().version,
-      controlTermMilliseconds: Math.round(withinTerm(node.configurationLeaseUntil() - kernel.clock.now())),
+      controlTermMilliseconds: Math.round(withinTerm(node.configurationLeaseUntil() - runtime.clock.now())),
       fencedServices: servicesWithoutLease(context).length,
       ...Object.fromEntries(Object.entries(proxyMetrics).map(([name, count]) => [`proxy.${name}`, count])),
     },
   };
 }
 
-function checkControl({ kernel, node }: AgentContext): HealthCheck {
-  const sound = node.configurationLeaseUntil() > kernel.clock.now();
+function checkControl({ runtime, node }: AgentContext): HealthCheck {
+  const sound = node.configurationLeaseUntil() > runtime.clock.now();
   return {
     check: 'control',
     sound,
@@ -73,8 +73,8 @@
   };
 }
 
-function checkProxy({ kernel, proxyAskedAt }: AgentContext): HealthCheck {
-  const sound = proxyAskedAt !== undefined && kernel.clock.now() - proxyAskedAt < proxyQuietMilliseconds;
+function checkProxy({ runtime, proxyAskedAt }: AgentContext): HealthCheck {
+  const sound = proxyAskedAt !== undefined && runtime.clock.now() - proxyAskedAt < proxyQuietMilliseconds;
   return {
     check: 'proxy',
     sound,
--- a/packages/agent/src/agent.ts
+++ b/packages/agent/src/agent.ts
@@ -2,7 +2,7 @@
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { livenessService } from '@stallstall/election';
-import { fault, identifiers, kernel as kernels, type Fault, type Kernel, type Listening } from '@stallstall/kernel';
+import { fault, identifiers, runtimeUtilities, type Fault, type Runtime, type Listening } from '@stallstall/kernel';
 import type { Reply, Request } from '@stallstall/message';
 import { node as nodes, type Node } from '@stallstall/node';
 import { peer } from '@stallstall/peer';
@@ -28,9 +28,9 @@
 const graceMilliseconds = 2_000;
 const drainPollMilliseconds = 5;
 
-function assemble(kernel: Kernel, settings: AgentSettings): AgentContext {
-  const caps = connectionCaps.create(kernel.clock, () => node);
-  const node: Node = nodes.create(kernel, settings, {
+function assemble(runtime: Runtime, settings: AgentSettings): AgentContext {
+  const caps = connectionCaps.create(runtime.clock, () => node);
+  const node: Node = nodes.create(runtime, settings, {
     role: 'edge',
     votes: (register) => edgeVotes.create(register, settings.node),
     localReplica: Option.none,
@@ -41,11 +41,11 @@
     onHelloReply: () => undefined,
   });
   return {
-    kernel,
+    runtime,
     settings,
     node,
     caps,
-    freshness: memberFreshness.create(kernel.clock, node, kernel.services.find(livenessService)),
+    freshness: memberFreshness.create(runtime.clock, node, runtime.services.find(livenessService)),
     reports: proxyReports.create(settings.node, node.durableReports),
     proxyReportedAt: undefined,
     proxyAskedAt: undefined,
@@ -55,46 +55,46 @@
 }
 
 function tell(context: AgentContext, request: Request<'tell'>): Promise<Reply<'tell'>> {
-  context.proxyReportedAt = context.kernel.clock.now();
+  context.proxyReportedAt = context.runtime.clock.now();
   return context.reports.tell(request);
 }
 
 /** A proxy that has reported nothing for a while serves nothing more that could still be reported. */
-function reportQuietProxy({ kernel, settings, node, proxyReportedAt }: AgentContext): void {
-  const isQuiet = proxyReportedAt === undefined || kernel.clock.now() - proxyReportedAt > proxyQuietMilliseconds;
+function reportQuietProxy({ runtime, settings, node, proxyReportedAt }: AgentContext): void {
+  const isQuiet = proxyReportedAt === undefined || runtime.clock.now() - proxyReportedAt > proxyQuietMilliseconds;
   if (!isQuiet || node.cores().length === 0) return;
-  const through = kernel.clock.wall() - proxyQuietMilliseconds;
+  const through = runtime.clock.wall() - proxyQuietMilliseconds;
   void node.durableReports.report({ floors: {}, reports: [], through: { [settings.node]: through } });
 }
 
 async function listen(context: AgentContext): Promise<readonly Listening[]> {
-  const { kernel, settings, node } = context;
+  const { runtime, settings, node } = context;
   return [
-    await peer.listen(kernel, identifiers.address(settings.address), { ...node.handlers }),
-    await peer.listen(kernel, identifiers.address(settings.feed), {
+    await peer.listen(runtime, identifiers.address(settings.address), { ...node.handlers }),
+    await peer.listen(runtime, identifiers.address(settings.feed), {
       feed: (request) => proxyFeed.reply(context, request),
       tell: (request) => tell(context, request),
     }),
-    await kernel.network.serve(identifiers.address(settings.outward), { routes: [...node.routes, ...agentRoutes.create(context)] }),
+    await runtime.network.serve(identifiers.address(settings.outward), { routes: [...node.routes, ...agentRoutes.create(context)] }),
   ];
 }
 
 function startTasks(context: AgentContext): void {
-  const { kernel, node, freshness } = context;
+  const { runtime, node, freshness } = context;
   function isRunning(): boolean {
     return !context.isStopped;
   }
   node.start();
-  void kernels.every(kernel.clock, probeMilliseconds, freshness.probeAll, isRunning);
-  void kernels.every(kernel.clock, proxyQuietMilliseconds, () => reportQuietProxy(context), isRunning);
+  void runtimeUtilities.every(runtime.clock, probeMilliseconds, freshness.probeAll, isRunning);
+  void runtimeUtilities.every(runtime.clock, proxyQuietMilliseconds, () => reportQuietProxy(context), isRunning);
 }
 
 /** Right once the agent listens. Errors: `bad-settings` without a node id. */
-async function start(kernel: Kernel, settings: AgentSettings): Promise<Either.Either<Fault, Agent>> {
+async function start(runtime: Runtime, settings: AgentSettings): Promise<Either.Either<Fault, Agent>> {
   if (settings.node === '') {
     return Either.left(fault.create({ kind: 'bad-settings', message: 'the agent has no node id', remedy: 'name one with --node' }));
   }
-  const context = assemble(kernel, settings);
+  const context = assemble(runtime, settings);
   const listening = await listen(context);
   startTasks(context);
 
@@ -106,8 +106,8 @@
 
   /** What is being reported is stored before this process ends (design 7.10). */
   async function drain(): Promise<void> {
-    const deadline = identifiers.after(kernel.clock.now(), graceMilliseconds);
-    while (kernel.clock.now() < deadline && context.reports.underWay() > 0) await kernel.clock.sleep(drainPollMilliseconds);
+    const deadline = identifiers.after(runtime.clock.now(), graceMilliseconds);
+    while (runtime.clock.now() < deadline && context.reports.underWay() > 0) await runtime.clock.sleep(drainPollMilliseconds);
     await stop();
   }
 
--- a/packages/agent/src/lease-agent.ts
+++ b/packages/agent/src/lease-agent.ts
@@ -1,6 +1,6 @@
 /** The agent of an edge that holds leases: no vote, no seat in the table; it feeds its proxy with placement (design 7.12, 8.10). */
 import * as Option from 'fp-ts/lib/Option.js';
-import { identifiers, type Kernel, type Listening } from '@stallstall/kernel';
+import { identifiers, type Runtime, type Listening } from '@stallstall/kernel';
 import { leaseHolder, type LeaseHolder } from '@stallstall/lease';
 import type { CommitWatermarks, Placement, Reply, Request } from '@stallstall/message';
 import { peer, type Caller } from '@stallstall/peer';
@@ -27,7 +27,7 @@
 }>;
 
 type AgentState = {
-  readonly kernel: Kernel;
+  readonly runtime: Runtime;
   readonly settings: LeaseAgentSettings;
   /** Names this process: a proxy that reports another token has seen nothing of it. */
   readonly token: string;
@@ -47,8 +47,8 @@
 /** A proxy that has just begun gets so long to ask. */
 const drainLeastMilliseconds = 300;
 
-function placementsOf(kernel: Kernel, holder: LeaseHolder): readonly Placement[] {
-  const now = kernel.clock.now();
+function placementsOf(runtime: Runtime, holder: LeaseHolder): readonly Placement[] {
+  const now = runtime.clock.now();
   return holder.services().map(function placementOf(service): Placement {
     const elected = holder.electedPrimary(service);
     return {
@@ -61,8 +61,8 @@
   });
 }
 
-function commitWatermarksOf({ kernel, holder }: AgentState): CommitWatermarks {
-  const now = kernel.clock.now();
+function commitWatermarksOf({ runtime, holder }: AgentState): CommitWatermarks {
+  const now = runtime.clock.now();
   const rows = [...holder.commitWatermarks()].map(
     ([service, { position, at }]) => [service, { ...position, ago: Math.max(0, now - at) }] as const,
   );
@@ -86,9 +86,9 @@
 
 /** Replies at once with an update, or at the latest after the request's `hold`. */
 async function placement(state: AgentState, request: Request<'placement'>, caller: Caller): Promise<Reply<'placement'>> {
-  const { kernel, settings, token, proxy, holder, updates } = state;
+  const { runtime, settings, token, proxy, holder, updates } = state;
   state.proxyLink = caller;
-  const arrivedAt = kernel.clock.now();
+  const arrivedAt = runtime.clock.now();
   takeReport(state, request);
   await waitForUpdate(state, request);
   const configuration = holder.configuration();
@@ -98,11 +98,11 @@
     token,
     number: updates.current(),
     serial: proxy.recordReply(),
-    held: Math.max(0, kernel.clock.now() - arrivedAt),
+    held: Math.max(0, runtime.clock.now() - arrivedAt),
     configuration:
       Option.isSome(configuration) && version !== request.configuration ? { version, sheet: configuration.value.value.sheet } : null,
     configurationVersion: version,
-    services: [...placementsOf(kernel, holder)],
+    services: [...placementsOf(runtime, holder)],
     roster: isKnown ? null : [...holder.members()],
     edges: { ...holder.edges() },
     demand: { ...holder.demand() },
@@ -114,7 +114,7 @@
 
 /** Stays for as long as the proxy does: one that ends needs its leases for what is in flight; the next one's agent is the next (design 7.10). */
 async function waitForProxy(state: AgentState): Promise<void> {
-  const { clock } = state.kernel;
+  const { clock } = state.runtime;
   state.isDraining = true;
   const startedAt = clock.now();
   const deadline = identifiers.after(startedAt, graceMilliseconds);
@@ -124,24 +124,24 @@
   while (clock.now() < deadline && isNeeded()) await clock.sleep(drainPollMilliseconds);
 }
 
-function assemble(kernel: Kernel, settings: LeaseAgentSettings): AgentState {
+function assemble(runtime: Runtime, settings: LeaseAgentSettings): AgentState {
   const { node, area, seeds } = settings;
-  const token = kernel.randomness.token();
-  const proxy = proxyStates.create(kernel.clock, token);
+  const token = runtime.randomness.token();
+  const proxy = proxyStates.create(runtime.clock, token);
   const updates: PlacementUpdates = placementUpdates.create(
-    kernel.clock,
+    runtime.clock,
     () => holder,
-    () => placementsOf(kernel, holder),
+    () => placementsOf(runtime, holder),
   );
-  const holder: LeaseHolder = leaseHolder.create(kernel, { node, area, seeds }, { ...proxy, onChange: updates.observe });
+  const holder: LeaseHolder = leaseHolder.create(runtime, { node, area, seeds }, { ...proxy, onChange: updates.observe });
   const reports = proxyReports.create(node, holder.durableReports);
-  return { kernel, settings, token, proxy, holder, updates, reports, proxyLink: undefined, isDraining: false };
+  return { runtime, settings, token, proxy, holder, updates, reports, proxyLink: undefined, isDraining: false };
 }
 
 /** Resolves once the proxy can connect. */
-async function start(kernel: Kernel, settings: LeaseAgentSettings): Promise<LeaseAgent> {
-  const state = assemble(kernel, settings);
-  const listening: Listening = await peer.listen(kernel, identifiers.address(settings.feed), {
+async function start(runtime: Runtime, settings: LeaseAgentSettings): Promise<LeaseAgent> {
+  const state = assemble(runtime, settings);
+  const listening: Listening = await peer.listen(runtime, identifiers.address(settings.feed), {
     placement: (request, caller) => placement(state, request, caller),
     tell: state.reports.tell,
   });
--- a/packages/agent/src/proxy-feed.ts
+++ b/packages/agent/src/proxy-feed.ts
@@ -11,24 +11,24 @@
   return Math.max(0, Math.min(left, leaseTermMilliseconds));
 }
 
-function serviceFeed({ kernel, node, freshness }: AgentContext, { service, members }: ServicePlacement): ServiceFeed {
+function serviceFeed({ runtime, node, freshness }: AgentContext, { service, members }: ServicePlacement): ServiceFeed {
   const elected = node.electedPrimary(service);
   const epoch = Option.isSome(elected) ? elected.value.epoch : 0;
   return {
     service,
     epoch,
     primary: Option.isSome(elected) ? elected.value.primary : '',
-    fence: withinTerm(node.serviceLeaseUntil(service) - kernel.clock.now()),
+    fence: withinTerm(node.serviceLeaseUntil(service) - runtime.clock.now()),
     targets: members.map((member) => freshness.targetOf(service, epoch, member.member)),
   };
 }
 
 /** Takes what the proxy says of itself, and replies with what it is to act by. */
 function reply(context: AgentContext, request: Request<'feed'>): Reply<'feed'> {
-  const { kernel, settings, node, caps } = context;
+  const { runtime, settings, node, caps } = context;
   caps.recordOpen(request.open);
   context.proxyMetrics = request.metrics;
-  context.proxyAskedAt = kernel.clock.now();
+  context.proxyAskedAt = runtime.clock.now();
   caps.refresh();
   const configuration = node.configuration();
   const placement = Option.isSome(configuration) ? configuration.value.value.sheet : undefined;
@@ -37,7 +37,7 @@
   return {
     configuration: placement !== undefined && version !== request.configuration ? { version, sheet: placement } : null,
     configurationVersion: version,
-    term: withinTerm(node.configurationLeaseUntil() - kernel.clock.now()),
+    term: withinTerm(node.configurationLeaseUntil() - runtime.clock.now()),
     services: (placement?.services ?? []).map((service) => serviceFeed(context, service)),
     shares: { ...caps.allowed() },
     draining: seat?.draining ?? false,
--- a/packages/bench/soak-mutations.mjs
+++ b/packages/bench/soak-mutations.mjs
@@ -42,7 +42,7 @@
     name: 'end-of-a-lease-not-looked-at',
     expect: /stale|configuration|refused/,
     file: 'pooler/build/placement.js',
-    from: '|| kernel.clock.now() >= leader.until',
+    from: '|| runtime.clock.now() >= leader.until',
     to: '',
   },
 ];
--- a/packages/bench/src/soak.ts
+++ b/packages/bench/src/soak.ts
@@ -113,9 +113,9 @@
 async function soak(words: readonly string[], seed: number, deployment: Deployment): Promise<TestOutcome> {
   const folder = fs.mkdtempSync(path.join(os.tmpdir(), `stallstall-soak-${seed}-`));
   const log = fs.createWriteStream(path.join(folder, 'soak.log'));
-  const kernel = { ...minimalRuntime.create('soak', Option.none), log: () => undefined };
+  const runtime = { ...minimalRuntime.create('soak', Option.none), log: () => undefined };
   const result = await soakRun.run(
-    kernel,
+    runtime,
     optionsFrom(words, seed, deployment, folder),
     (line) => void log.write(`at=${new Date().toISOString()} ${line}\n`),
   );
--- a/packages/bench/src/soak/soak-actions.ts
+++ b/packages/bench/src/soak/soak-actions.ts
@@ -32,7 +32,7 @@
 const databasesKept = 4;
 
 function now({ fleet }: Soak): number {
-  return fleet.kernel.clock.now();
+  return fleet.runtime.clock.now();
 }
 
 function trouble(soak: Soak, who: string, milliseconds: number): void {
@@ -75,7 +75,7 @@
 async function freezeEdge(soak: Soak, edge: SoakEdge, { parts, milliseconds }: Action<'edge-frozen'>): Promise<void> {
   trouble(soak, edge.name, milliseconds);
   for (const process of processesOf(edge, parts)) process.signal('SIGSTOP');
-  await soak.fleet.kernel.clock.sleep(milliseconds);
+  await soak.fleet.runtime.clock.sleep(milliseconds);
   for (const process of processesOf(edge, parts)) process.signal('SIGCONT');
   moment(soak, edge.name);
 }
@@ -95,7 +95,7 @@
 async function killCore(soak: Soak, core: SoakCore, milliseconds: number): Promise<void> {
   moment(soak, 'core');
   await core.process.kill();
-  await soak.fleet.kernel.clock.sleep(milliseconds);
+  await soak.fleet.runtime.clock.sleep(milliseconds);
   moment(soak, 'core');
   await startCore(soak, core);
 }
@@ -104,7 +104,7 @@
   moment(soak, 'core');
   await core.process.terminate(coreGraceMilliseconds);
   moment(soak, 'core');
-  await soak.fleet.kernel.clock.sleep(milliseconds);
+  await soak.fleet.runtime.clock.sleep(milliseconds);
   moment(soak, 'core');
   await startCore(soak, core);
 }
@@ -112,7 +112,7 @@
 async function freezeCore(soak: Soak, core: SoakCore, milliseconds: number): Promise<void> {
   moment(soak, 'core');
   core.process.signal('SIGSTOP');
-  await soak.fleet.kernel.clock.sleep(milliseconds);
+  await soak.fleet.runtime.clock.sleep(milliseconds);
   core.process.signal('SIGCONT');
   moment(soak, 'core');
 }
@@ -124,29 +124,29 @@
   const successor = fleet.addCore(core.area);
   await fleet.startCore(successor);
   moment(soak, 'core');
-  await fleet.kernel.clock.sleep(successorMilliseconds);
+  await fleet.runtime.clock.sleep(successorMilliseconds);
   moment(soak, 'core');
   await core.process.terminate(coreGraceMilliseconds);
   fleet.cores.splice(fleet.cores.indexOf(core), 1);
   moment(soak, 'core');
-  await fleet.kernel.clock.sleep(seedLagMilliseconds);
+  await fleet.runtime.clock.sleep(seedLagMilliseconds);
   fleet.writeSeeds();
 }
 
 async function troubleDisk(soak: Soak, core: SoakCore, { fault, milliseconds }: Action<'core-disk'>): Promise<void> {
   trouble(soak, 'core', milliseconds);
   core.process.send({ kind: 'disk', fault });
-  await soak.fleet.kernel.clock.sleep(milliseconds);
+  await soak.fleet.runtime.clock.sleep(milliseconds);
   core.process.send({ kind: 'disk', fault: 'none' });
   moment(soak, 'core');
 }
 
 async function killAllCores(soak: Soak, milliseconds: number): Promise<void> {
-  const { cores, kernel } = soak.fleet;
+  const { cores, runtime } = soak.fleet;
   trouble(soak, 'all', milliseconds + startMilliseconds);
   const lost = [...cores];
   await Promise.all(lost.map((core) => core.process.kill()));
-  await kernel.clock.sleep(milliseconds);
+  await runtime.clock.sleep(milliseconds);
   await Promise.all(lost.map((core) => startCore(soak, core)));
   moment(soak, 'all');
 }
@@ -164,7 +164,7 @@
   trouble(soak, 'member', milliseconds);
   noteDrain(soak, member);
   await soak.fleet.stopMember(member);
-  await soak.fleet.kernel.clock.sleep(milliseconds);
+  await soak.fleet.runtime.clock.sleep(milliseconds);
   moment(soak, 'member');
   await soak.fleet.startMember(member);
 }
@@ -223,7 +223,7 @@
 
 async function loseReplies(soak: Soak, { share, milliseconds }: Action<'replies-lost'>): Promise<void> {
   soak.fleet.operatorTrouble.lostShare = share;
-  await soak.fleet.kernel.clock.sleep(milliseconds);
+  await soak.fleet.runtime.clock.sleep(milliseconds);
   soak.fleet.operatorTrouble.lostShare = 0;
 }
 
--- a/packages/bench/src/soak/soak-clients.ts
+++ b/packages/bench/src/soak/soak-clients.ts
@@ -1,5 +1,5 @@
 /** Clients of a soak: sessions that stay on their edge until its process is gone; new ones go to edges that answer as ready. */
-import { kernel as kernels, type Kernel } from '@stallstall/kernel';
+import { runtimeUtilities, type Runtime } from '@stallstall/kernel';
 import { sessionClient, type SessionLedger } from '@stallstall/fakes';
 import type { PooledSheet } from '@stallstall/simulator';
 import { restMilliseconds } from './soak-sheet.js';
@@ -7,7 +7,7 @@
 export type ClientEdge = Readonly<{ edge: string; address: string; isReady: () => Promise<boolean> }>;
 
 export type SoakClientParts = Readonly<{
-  kernel: Kernel;
+  runtime: Runtime;
   ledger: SessionLedger;
   edges: readonly ClientEdge[];
   /** The configuration that clients have been told of. */
@@ -19,7 +19,7 @@
 const missedMost = 2;
 const thinkMilliseconds = 500;
 
-function start({ kernel, ledger, edges, known }: SoakClientParts, sessions: number): Readonly<{ stop: () => void }> {
+function start({ runtime, ledger, edges, known }: SoakClientParts, sessions: number): Readonly<{ stop: () => void }> {
   const missed = new Map<ClientEdge, number>();
   let isStopped = false;
 
@@ -28,14 +28,14 @@
   }
 
   for (const edge of edges)
-    void kernels.every(
-      kernel.clock,
+    void runtimeUtilities.every(
+      runtime.clock,
       readinessMilliseconds,
       () => look(edge),
       () => !isStopped,
     );
   const clients = sessionClient.start(
-    kernel,
+    runtime,
     {
       sessions,
       thinkMilliseconds,
--- a/packages/bench/src/soak/soak-fleet.ts
+++ b/packages/bench/src/soak/soak-fleet.ts
@@ -1,7 +1,7 @@
 /** The fleet of a soak: cores, agents and proxies as processes of their own; members, platform, operator and clients as stand-ins here. */
 import fs from 'node:fs';
 import * as Either from 'fp-ts/lib/Either.js';
-import { http, identifiers, type Kernel } from '@stallstall/kernel';
+import { http, identifiers, type Runtime } from '@stallstall/kernel';
 import { sessionClient } from '@stallstall/fakes';
 import { pooledOperator, type OperatorTrouble, type PooledFleet, type PooledSheet } from '@stallstall/simulator';
 import { soakClients } from './soak-clients.js';
@@ -23,7 +23,7 @@
   Pick<PooledFleet, 'ledger' | 'runs' | 'versions' | 'orderCalls' | 'platformStore' | 'services' | 'firstSheet'> &
   Pick<PooledFleet, 'configure' | 'resend' | 'readBack' | 'call'> &
   Readonly<{
-    kernel: Kernel;
+    runtime: Runtime;
     members: SoakMember[];
     operatorTrouble: OperatorTrouble;
     primaryOf: (service: string) => SoakMember | undefined;
@@ -43,7 +43,7 @@
 /** Of openings: clients that have not heard of the newest configuration. */
 const lateClientShare = 0.15;
 
-function create(kernel: Kernel, options: SoakFleetOptions, events: SoakEvents): SoakFleet {
+function create(runtime: Runtime, options: SoakFleetOptions, events: SoakEvents): SoakFleet {
   const { folder, basePort, services } = options;
   const platformAddress = loopback(basePort + platformPort);
   const nodes = soakNodes.create({ folder, basePort, edges: options.edges, platformAddress, events });
@@ -58,7 +58,7 @@
 
   const members = soakMembers.create({
     ...options,
-    kernel,
+    runtime,
     platformAddress,
     addressesOf: function addressesOf(place) {
       const base = basePort + firstMemberPort + place * portsOfMember;
@@ -67,8 +67,8 @@
     platformApiAddresses,
   });
   const operator = pooledOperator.create({
-    world: { fraction: kernel.randomness.fraction },
-    kernel,
+    world: { fraction: runtime.randomness.fraction },
+    runtime,
     trouble: operatorTrouble,
     addresses: platformApiAddresses,
     versions,
@@ -77,12 +77,12 @@
 
   async function isReady({ base }: SoakEdge): Promise<boolean> {
     const address = identifiers.address(loopback(base + 1));
-    const reply = await http.once(kernel, address, { method: 'GET', path: '/ready' }, readinessDeadlineMilliseconds);
+    const reply = await http.once(runtime, address, { method: 'GET', path: '/ready' }, readinessDeadlineMilliseconds);
     return Either.isRight(reply) && reply.right.status === 200;
   }
 
   function known(): PooledSheet {
-    const isLate = versions.length > 1 && kernel.randomness.fraction() < lateClientShare;
+    const isLate = versions.length > 1 && runtime.randomness.fraction() < lateClientShare;
     return versions.at(isLate ? -2 : -1)?.sheet ?? soakSheets.first(options);
   }
 
@@ -97,7 +97,7 @@
   return {
     ...nodes,
     ...operator,
-    kernel,
+    runtime,
     ledger,
     runs: members.runs,
     versions,
@@ -114,7 +114,7 @@
     addMember: members.add,
     startClients: function startClients(sessions) {
       const edges = nodes.edges.map((edge) => ({ edge: edge.name, address: loopback(edge.base + 2), isReady: () => isReady(edge) }));
-      return soakClients.start({ kernel, ledger, edges, known }, sessions);
+      return soakClients.start({ runtime, ledger, edges, known }, sessions);
     },
     isReady,
     stop: async function stop() {
--- a/packages/bench/src/soak/soak-members.ts
+++ b/packages/bench/src/soak/soak-members.ts
@@ -1,5 +1,5 @@
 /** The stand-in members of a soak and the platform that promotes them; each member on a host that can be stopped. */
-import type { Kernel } from '@stallstall/kernel';
+import type { Runtime } from '@stallstall/kernel';
 import {
   areas,
   sessionMember,
@@ -37,7 +37,7 @@
 }>;
 
 export type SoakMemberParts = Readonly<{
-  kernel: Kernel;
+  runtime: Runtime;
   services: readonly string[];
   connectionLimit: number;
   synchronousReplicas: number;
@@ -56,7 +56,7 @@
 const drainMilliseconds = 7_000;
 
 function create(parts: SoakMemberParts): SoakMembers {
-  const { kernel, services, connectionLimit, synchronousReplicas, platformAddress, addressesOf, platformApiAddresses } = parts;
+  const { runtime, services, connectionLimit, synchronousReplicas, platformAddress, addressesOf, platformApiAddresses } = parts;
   const list: SoakMember[] = [];
   const runs: SessionRun[] = [];
   const platformStore = sessionPlatform.emptyStore();
@@ -82,9 +82,9 @@
   async function start(slot: SoakMember): Promise<void> {
     if (slot.running !== undefined || slot.gone) return;
     const { service, member, area, address, control } = slot;
-    slot.host = standInHost.create(kernel);
+    slot.host = standInHost.create(runtime);
     slot.running = await sessionMember.start(
-      slot.host.kernel,
+      slot.host.runtime,
       {
         service,
         member,
@@ -114,7 +114,7 @@
 
   async function startPlatform(): Promise<void> {
     platform = await sessionPlatform.start(
-      kernel,
+      runtime,
       {
         address: platformAddress,
         promoteMilliseconds,
--- a/packages/bench/src/soak/soak-roles.ts
+++ b/packages/bench/src/soak/soak-roles.ts
@@ -4,7 +4,7 @@
 import * as Option from 'fp-ts/lib/Option.js';
 import { leaseAgent } from '@stallstall/agent';
 import { core } from '@stallstall/core';
-import { fault, type Disk, type Kernel } from '@stallstall/kernel';
+import { fault, type Disk, type Runtime } from '@stallstall/kernel';
 import { minimalRuntime } from '@stallstall/runtime/minimal-runtime';
 import { pooler, type Pooler } from '@stallstall/pooler';
 import { plainDialect } from '@stallstall/fakes';
@@ -29,11 +29,11 @@
 }
 
 /** A disk that is slow or takes no bytes for as long as the soak says so. */
-function troubled(kernel: Kernel, disk: Disk): Disk {
+function troubled(runtime: Runtime, disk: Disk): Disk {
   return {
     ...disk,
     put: async function put(key, value) {
-      if (diskFault.current === 'slow') await kernel.clock.sleep(slowDiskMilliseconds);
+      if (diskFault.current === 'slow') await runtime.clock.sleep(slowDiskMilliseconds);
       if (diskFault.current !== 'full') return disk.put(key, value);
       return Either.left(fault.create({ kind: 'disk-failed', message: 'the disk takes no bytes', remedy: 'make room' }));
     },
@@ -45,19 +45,19 @@
   const opened = await disk.open(first.data);
   if (Either.isLeft(opened)) throw opened.left;
   const plain = minimalRuntime.create(first.node, Option.none);
-  const kernel: Kernel = { ...plain, disk: Option.some(troubled(plain, opened.right)) };
+  const runtime: Runtime = { ...plain, disk: Option.some(troubled(plain, opened.right)) };
   let { seeds } = first;
   process.on('SIGHUP', function reread() {
     ({ seeds } = readSettings() as Settings<'core'>);
-    kernel.log('settings.read', {});
+    runtime.log('settings.read', {});
   });
   const { node, area, address, outward, platformApiAddress, founders, founds, platform } = first;
   const started = await core.start(
-    kernel,
+    runtime,
     { node, area, address, outward, seeds: () => seeds, platform: () => platform, cores: founders.length },
     Option.some({
       calls: pooledAdapter.calls,
-      probe: pooledAdapter.memberProbe(kernel),
+      probe: pooledAdapter.memberProbe(runtime),
       routes: pooledAdapter.pages,
       platformApiAddress,
       founds,
@@ -69,14 +69,14 @@
 }
 
 async function runAgent(first: Settings<'agent'>): Promise<Running> {
-  const kernel = minimalRuntime.create(first.node, Option.none);
+  const runtime = minimalRuntime.create(first.node, Option.none);
   let { seeds } = first;
   process.on('SIGHUP', function reread() {
     ({ seeds } = readSettings() as Settings<'agent'>);
-    kernel.log('settings.read', {});
+    runtime.log('settings.read', {});
   });
   const { node, area, feed } = first;
-  return leaseAgent.start(kernel, { node, area, feed, seeds: () => seeds });
+  return leaseAgent.start(runtime, { node, area, feed, seeds: () => seeds });
 }
 
 /** Tells the soak the newest order whose database the proxy knows, as often as that changes. */
@@ -94,10 +94,10 @@
 }
 
 async function runProxy({ node, address, outward, feed }: Settings<'proxy'>): Promise<Running> {
-  const kernel = minimalRuntime.create(node, Option.none);
-  process.on('SIGHUP', () => kernel.log('settings.kept', {}));
+  const runtime = minimalRuntime.create(node, Option.none);
+  process.on('SIGHUP', () => runtime.log('settings.kept', {}));
   const started = await pooler.start(
-    kernel,
+    runtime,
     { address, outward, feed, graceMilliseconds },
     {
       dialect: plainDialect,
--- a/packages/bench/src/soak/soak-run.ts
+++ b/packages/bench/src/soak/soak-run.ts
@@ -1,6 +1,6 @@
 /** One soak: a fleet of real processes, its schedule, clients that stay, and every checker at the end (design 10.6). */
 import * as Option from 'fp-ts/lib/Option.js';
-import type { Kernel } from '@stallstall/kernel';
+import type { Runtime } from '@stallstall/kernel';
 import { pooledChecks, pooledOrders, type JudgedFleet, type PooledFleet, type Violation } from '@stallstall/simulator';
 import { orderLag, type AppliedOrder, type EdgeLag } from './order-lag.js';
 import { resourceGrowth, type Growth, type UseSample } from './resource-growth.js';
@@ -45,11 +45,11 @@
 
 type Watch = Readonly<{ samples: UseSample[]; stop: () => void; peakBytes: () => number }>;
 
-async function until(kernel: Kernel, condition: () => boolean | Promise<boolean>, milliseconds: number): Promise<boolean> {
-  const deadline = kernel.clock.now() + milliseconds;
-  while (kernel.clock.now() < deadline) {
+async function until(runtime: Runtime, condition: () => boolean | Promise<boolean>, milliseconds: number): Promise<boolean> {
+  const deadline = runtime.clock.now() + milliseconds;
+  while (runtime.clock.now() < deadline) {
     if (await condition()) return true;
-    await kernel.clock.sleep(100);
+    await runtime.clock.sleep(100);
   }
   return condition();
 }
@@ -60,7 +60,7 @@
   let peak = 0;
   async function look(): Promise<void> {
     const uses = await Promise.all(fleet.processes().map(async (process) => ({ process, use: await process.use() })));
-    const at = fleet.kernel.clock.now();
+    const at = fleet.runtime.clock.now();
     for (const { process, use } of uses) if (use !== undefined) samples.push({ process: `${process.name}#${process.lives()}`, at, use });
     peak = Math.max(
       peak,
@@ -70,7 +70,7 @@
   async function lookAgain(): Promise<void> {
     while (!isStopped) {
       await look();
-      await fleet.kernel.clock.sleep(sampleMilliseconds);
+      await fleet.runtime.clock.sleep(sampleMilliseconds);
     }
   }
   void lookAgain();
@@ -85,15 +85,15 @@
 
 /** Carries the schedule out; each action at its moment, whatever others are under way. */
 async function play(fleet: SoakFleet, record: SoakRecord, events: readonly SoakEvent[], log: (line: string) => void): Promise<void> {
-  const startedAt = fleet.kernel.clock.now();
+  const startedAt = fleet.runtime.clock.now();
   const underWay: Array<Promise<void>> = [];
   for (const event of events) {
-    const pause = startedAt + event.at - fleet.kernel.clock.now();
-    if (pause > 0) await fleet.kernel.clock.sleep(pause);
+    const pause = startedAt + event.at - fleet.runtime.clock.now();
+    if (pause > 0) await fleet.runtime.clock.sleep(pause);
     log(soakSchedule.describe(event));
     underWay.push(soakActions.perform({ fleet, record }, event.action));
   }
-  await Promise.race([Promise.all(underWay), fleet.kernel.clock.sleep(lastActionsMilliseconds)]);
+  await Promise.race([Promise.all(underWay), fleet.runtime.clock.sleep(lastActionsMilliseconds)]);
 }
 
 /** Everything runs again. */
@@ -103,7 +103,7 @@
   await Promise.all(fleet.cores.map((core) => fleet.startCore(core)));
   await Promise.all(fleet.edges.map((edge) => fleet.startEdge(edge)));
   for (const member of fleet.members) await fleet.startMember(member);
-  const at = fleet.kernel.clock.now();
+  const at = fleet.runtime.clock.now();
   record.troubles.push({ who: 'all', from: at, to: at });
 }
 
@@ -111,7 +111,7 @@
 
 /** Asks a core again and again, as operators do at the end of a day: one silence or refusal among them is allowed, and counted. */
 function readBackAgain(fleet: SoakFleet): ReadBack {
-  const { clock } = fleet.kernel;
+  const { clock } = fleet.runtime;
   let unanswered = 0;
   return {
     read: async function read(coreIndex) {
@@ -131,7 +131,7 @@
 type Spans = Readonly<{ startedAt: number; backAt: number; until: number }>;
 
 async function judge(fleet: SoakFleet, record: SoakRecord, { startedAt, backAt, until: end }: Spans) {
-  const wallOffset = fleet.kernel.clock.wall() - fleet.kernel.clock.now();
+  const wallOffset = fleet.runtime.clock.wall() - fleet.runtime.clock.now();
   // Of edges and members the checkers read what a fleet of processes has as well: names, and the leader's log.
   const judged = fleet as unknown as JudgedFleet;
   const read = pooledChecks.read(judged, record.troubles, wallOffset);
@@ -184,7 +184,7 @@
   async function areReady(): Promise<boolean> {
     return (await Promise.all(fleet.edges.map(fleet.isReady))).every(Boolean);
   }
-  const isReady = await until(fleet.kernel, areReady, readyMilliseconds);
+  const isReady = await until(fleet.runtime, areReady, readyMilliseconds);
   return isReady ? [] : [{ check: 'run-broke', detail: 'the edges were never ready' }];
 }
 
@@ -201,13 +201,13 @@
 }
 
 /** @param log - called with each event as it is carried out */
-async function run(kernel: Kernel, options: SoakOptions, log: (line: string) => void): Promise<SoakResult> {
+async function run(runtime: Runtime, options: SoakOptions, log: (line: string) => void): Promise<SoakResult> {
   const { seed, seconds, edges, services, sessions } = options;
   const applied: AppliedOrder[] = [];
   const violations: Violation[] = [];
   const record: SoakRecord = { troubles: [], lives: [], ends: [], drains: [], invalidOrders: [], pendingOrders: new Set() };
-  const fleet = soakFleet.create(kernel, options, {
-    onApplied: (edge, order) => void applied.push({ edge, order, at: kernel.clock.now() }),
+  const fleet = soakFleet.create(runtime, options, {
+    onApplied: (edge, order) => void applied.push({ edge, order, at: runtime.clock.now() }),
     onUnexpectedEnd: (detail) => void violations.push({ check: 'process-ended', detail }),
   });
   const events = soakSchedule.draw(seed, {
@@ -222,17 +222,17 @@
     violations.push(...(await begin(fleet)));
     const processes = fleet.processes().length;
     const watch = watchUse(fleet);
-    const startedAt = kernel.clock.now();
+    const startedAt = runtime.clock.now();
     const clients = fleet.startClients(sessions);
     if (violations.length === 0) await play(fleet, record, events, log);
     await restore(fleet, record);
-    const backAt = kernel.clock.now();
-    await kernel.clock.sleep(settleMilliseconds);
+    const backAt = runtime.clock.now();
+    await runtime.clock.sleep(settleMilliseconds);
     clients.stop();
-    const end = kernel.clock.now();
+    const end = runtime.clock.now();
     await Promise.all(record.pendingOrders);
-    const restAt = kernel.clock.now();
-    await kernel.clock.sleep(usageMilliseconds);
+    const restAt = runtime.clock.now();
+    await runtime.clock.sleep(usageMilliseconds);
     watch.stop();
     const judged = await judge(fleet, record, { startedAt, backAt, until: end });
     const lags = lagsOf(fleet, record, applied, end);
--- a/packages/bench/src/soak/stand-in-host.ts
+++ b/packages/bench/src/soak/stand-in-host.ts
@@ -1,13 +1,13 @@
 /** A host of stand-ins within the soak's own process: one that is stopped does, hears and says nothing any more, as a killed process does. */
 import * as Either from 'fp-ts/lib/Either.js';
-import { fault, type Kernel, type Listening, type Stream } from '@stallstall/kernel';
+import { fault, type Runtime, type Listening, type Stream } from '@stallstall/kernel';
 
-export type StandInHost = Readonly<{ kernel: Kernel; stop: () => Promise<void> }>;
+export type StandInHost = Readonly<{ runtime: Runtime; stop: () => Promise<void> }>;
 
 /** Closed ones are forgotten once there are more. */
 const streamsKept = 1_000;
 
-function create(base: Kernel): StandInHost {
+function create(base: Runtime): StandInHost {
   const listening = new Set<Listening>();
   const streams = new Set<Stream>();
   let isStopped = false;
@@ -25,7 +25,7 @@
     return opened;
   }
 
-  const kernel: Kernel = {
+  const runtime: Runtime = {
     ...base,
     clock: {
       ...base.clock,
@@ -46,7 +46,7 @@
   };
 
   return {
-    kernel,
+    runtime,
     stop: async function stop() {
       isStopped = true;
       for (const stream of streams) stream.reset();
--- a/packages/bench/src/stand-in-main.ts
+++ b/packages/bench/src/stand-in-main.ts
@@ -4,8 +4,8 @@
 import { member, platform, type MemberSettings, type PlatformSettings } from '@stallstall/fakes';
 
 const [kind, text] = process.argv.slice(2);
-const kernel = await nodeRuntime.create(`stand-in-${kind}`, Option.none);
-if (kind === 'member') await member.start(kernel, JSON.parse(text ?? '{}') as MemberSettings, member.emptyStore(false));
-else if (kind === 'platform') await platform.start(kernel, JSON.parse(text ?? '{}') as PlatformSettings, platform.emptyStore());
+const runtime = await nodeRuntime.create(`stand-in-${kind}`, Option.none);
+if (kind === 'member') await member.start(runtime, JSON.parse(text ?? '{}') as MemberSettings, member.emptyStore(false));
+else if (kind === 'platform') await platform.start(runtime, JSON.parse(text ?? '{}') as PlatformSettings, platform.emptyStore());
 else throw new Error('name a stand-in: member or platform');
-kernel.log('stand-in.runs', { kind });
+runtime.log('stand-in.runs', { kind });
--- a/packages/bench/src/weigh.ts
+++ b/packages/bench/src/weigh.ts
@@ -11,7 +11,7 @@
 
 const countMilliseconds = 10_000;
 const ticksPerSecond = 100;
-const kernel = await nodeRuntime.create('weigh', Option.none);
+const runtime = await nodeRuntime.create('weigh', Option.none);
 
 type Weight = Readonly<{ ticks: number; kilobytes: number }>;
 
@@ -25,7 +25,7 @@
 async function until(condition: () => Promise<boolean>, seconds: number): Promise<void> {
   for (let attempt = 0; attempt < seconds * 4; attempt += 1) {
     if (await condition()) return;
-    await kernel.clock.sleep(250);
+    await runtime.clock.sleep(250);
   }
   throw new Error(`it did not come about within ${seconds} s`);
 }
@@ -36,14 +36,14 @@
   const core = identifiers.address(fleet.cores[0] as string);
   try {
     await until(async () => {
-      const reply = await http.once(kernel, core, { method: 'GET', path: '/v1/fleet' }, 5_000);
+      const reply = await http.once(runtime, core, { method: 'GET', path: '/v1/fleet' }, 5_000);
       return Either.isRight(reply) && (reply.right.body as { heard?: number } | null)?.heard === edges + 3;
     }, 120);
     const sheet: unknown = JSON.parse(fs.readFileSync(fleet.sheetFile, 'utf8'));
-    await http.once(kernel, core, { method: 'PUT', path: '/v1/sheet', body: { sheet } }, 8_000);
-    await kernel.clock.sleep(10_000);
+    await http.once(runtime, core, { method: 'PUT', path: '/v1/sheet', body: { sheet } }, 8_000);
+    await runtime.clock.sleep(10_000);
     const before = new Map([...fleet.running].map(([name, entry]) => [name, weigh(entry.child.pid as number)]));
-    await kernel.clock.sleep(countMilliseconds);
+    await runtime.clock.sleep(countMilliseconds);
     for (const [kind, pattern] of [
       ['core', /^core-\d+$/],
       ['agent', /^edge-\d+$/],
--- a/packages/cli/src/daemons.ts
+++ b/packages/cli/src/daemons.ts
@@ -3,7 +3,7 @@
 import { Command, Flags } from '@oclif/core';
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
-import type { Fault, Kernel } from '@stallstall/kernel';
+import type { Fault, Runtime } from '@stallstall/kernel';
 import { disk, nodeRuntime } from '@stallstall/runtime';
 import { core } from '@stallstall/core';
 import { agent } from '@stallstall/agent';
@@ -36,12 +36,12 @@
   return { ...rest, ...(typeof seeds === 'string' ? { seeds: seeds.split(',') } : {}) };
 }
 
-function endWith(kernel: Kernel, stop: () => Promise<void>): void {
+function endWith(runtime: Runtime, stop: () => Promise<void>): void {
   let stopping = false;
   async function end(): Promise<void> {
     if (stopping) return;
     stopping = true;
-    kernel.log('process.ends', {});
+    runtime.log('process.ends', {});
     await stop();
     process.exit(0);
   }
@@ -66,14 +66,14 @@
   async run(): Promise<void> {
     const { flags } = await this.parse(RunCore);
     const first = orFail(this, settings.read(coreSettings, flags.settings, given(flags)));
-    const kernel = await nodeRuntime.create(
+    const runtime = await nodeRuntime.create(
       'core',
       Option.some(orFail(this, await disk.openWhenWorking(first.data, (reason) => this.warn(reason.message)))),
     );
-    const current = settings.follow(kernel, changes, { schema: coreSettings, file: flags.settings, flags: given(flags) }, first);
-    const started = orFail(this, await core.start(kernel, { ...first, seeds: () => current().seeds, platform: () => current().platform }));
-    endWith(kernel, started.drain);
-    kernel.log('process.runs', { node: first.node, address: first.address, outward: first.outward });
+    const current = settings.follow(runtime, changes, { schema: coreSettings, file: flags.settings, flags: given(flags) }, first);
+    const started = orFail(this, await core.start(runtime, { ...first, seeds: () => current().seeds, platform: () => current().platform }));
+    endWith(runtime, started.drain);
+    runtime.log('process.runs', { node: first.node, address: first.address, outward: first.outward });
   }
 }
 
@@ -84,11 +84,14 @@
   async run(): Promise<void> {
     const { flags } = await this.parse(RunAgent);
     const first = orFail(this, settings.read(agentSettings, flags.settings, given(flags)));
-    const kernel = await nodeRuntime.create('agent', Option.none);
-    const current = settings.follow(kernel, changes, { schema: agentSettings, file: flags.settings, flags: given(flags) }, first);
-    const started = orFail(this, await agent.start(kernel, { ...first, seeds: () => current().seeds, platform: () => current().platform }));
-    endWith(kernel, started.drain);
-    kernel.log('process.runs', { node: first.node, address: first.address, outward: first.outward });
+    const runtime = await nodeRuntime.create('agent', Option.none);
+    const current = settings.follow(runtime, changes, { schema: agentSettings, file: flags.settings, flags: given(flags) }, first);
+    const started = orFail(
+      this,
+      await agent.start(runtime, { ...first, seeds: () => current().seeds, platform: () => current().platform }),
+    );
+    endWith(runtime, started.drain);
+    runtime.log('process.runs', { node: first.node, address: first.address, outward: first.outward });
   }
 }
 
@@ -103,10 +106,10 @@
   async run(): Promise<void> {
     const { flags } = await this.parse(RunProxy);
     const first = orFail(this, settings.read(proxySettings, flags.settings, given(flags)));
-    const kernel = await nodeRuntime.create('proxy', Option.none);
-    settings.follow(kernel, changes, { schema: proxySettings, file: flags.settings, flags: given(flags) }, first);
-    const started = await proxy.start(kernel, first);
-    endWith(kernel, started.drain);
-    kernel.log('process.runs', { address: first.address });
+    const runtime = await nodeRuntime.create('proxy', Option.none);
+    settings.follow(runtime, changes, { schema: proxySettings, file: flags.settings, flags: given(flags) }, first);
+    const started = await proxy.start(runtime, first);
+    endWith(runtime, started.drain);
+    runtime.log('process.runs', { address: first.address });
   }
 }
--- a/packages/cli/src/settings.ts
+++ b/packages/cli/src/settings.ts
@@ -2,7 +2,7 @@
 import fs from 'node:fs';
 import * as Either from 'fp-ts/lib/Either.js';
 import { z } from 'zod';
-import { fault, type Fault, type Kernel } from '@stallstall/kernel';
+import { fault, type Fault, type Runtime } from '@stallstall/kernel';
 
 const address = z.string().regex(/^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$/, 'give an IP number and a port, as in 127.0.0.1:7000');
 const name = z.string().regex(/^[a-z0-9][a-z0-9._-]{0,62}$/i, 'use letters, digits, dot, dash and underscore, at most 63');
@@ -78,7 +78,7 @@
  * process was started with. Returns a function that gives the current settings.
  */
 function follow<Schema extends z.ZodType<Values>>(
-  kernel: Kernel,
+  runtime: Runtime,
   changes: Changes,
   source: SettingsSource<Schema>,
   first: z.infer<Schema>,
@@ -89,16 +89,16 @@
   function again(): void {
     const next = read(schema, file, flags);
     if (Either.isLeft(next)) {
-      kernel.log('settings.denied', { reason: next.left.message });
+      runtime.log('settings.denied', { reason: next.left.message });
       return;
     }
     const changed = changedColumns(current, next.right);
     const applied = changed.filter((column) => changeable.has(column));
     for (const column of changed)
-      if (!changeable.has(column)) kernel.log('settings.waits', { column, remedy: 'restart the process to obey it' });
+      if (!changeable.has(column)) runtime.log('settings.waits', { column, remedy: 'restart the process to obey it' });
     if (applied.length === 0) return;
     current = { ...current, ...Object.fromEntries(applied.map((column) => [column, next.right[column]])) };
-    kernel.log('settings.obeyed', { columns: applied.join(',') });
+    runtime.log('settings.obeyed', { columns: applied.join(',') });
   }
 
   if (file !== undefined) changes.watch(file, again);
--- a/packages/core/src/administration/administration-context.ts
+++ b/packages/core/src/administration/administration-context.ts
@@ -2,7 +2,7 @@
 import type * as Either from 'fp-ts/lib/Either.js';
 import type * as Option from 'fp-ts/lib/Option.js';
 import type { Election, Liveness } from '@stallstall/election';
-import type { Fault, Kernel } from '@stallstall/kernel';
+import type { Fault, Runtime } from '@stallstall/kernel';
 import type { Entry, Membership } from '@stallstall/message';
 import type { Node } from '@stallstall/node';
 import type { DurableReports, Register } from '@stallstall/register';
@@ -37,7 +37,7 @@
 
 /** @internal */
 export type AdministrationContext = Readonly<{
-  kernel: Kernel;
+  runtime: Runtime;
   parts: AdministrationParts;
   node: Node;
   register: Register;
--- a/packages/core/src/administration/administration.ts
+++ b/packages/core/src/administration/administration.ts
@@ -1,7 +1,7 @@
 /** The administration API: routes for operators of many teams, on every core (design 9.2, 9.4). */
 import type * as Either from 'fp-ts/lib/Either.js';
 import { electionService, livenessService } from '@stallstall/election';
-import type { Fault, HttpRoute, Kernel } from '@stallstall/kernel';
+import type { Fault, HttpRoute, Runtime } from '@stallstall/kernel';
 import { durableReportsService, registerService } from '@stallstall/register';
 import { configurationUpdates, type ConfigurationUpdates } from '../configuration-updates.js';
 import { configurationVersions } from '../configuration-versions.js';
@@ -21,19 +21,19 @@
   source: () => Promise<Either.Either<Fault, string>>;
 }>;
 
-function create(kernel: Kernel, parts: AdministrationParts): Administration {
-  const register = kernel.services.find(registerService);
+function create(runtime: Runtime, parts: AdministrationParts): Administration {
+  const register = runtime.services.find(registerService);
   const versions = configurationVersions.create(register, parts.versions);
-  const updates = configurationUpdates.create(kernel, { register, versions, accepted: () => parts.accepted('configuration') });
+  const updates = configurationUpdates.create(runtime, { register, versions, accepted: () => parts.accepted('configuration') });
   const context: AdministrationContext = {
-    kernel,
+    runtime,
     parts,
     node: parts.node,
     register,
-    durableReports: kernel.services.find(durableReportsService),
-    members: kernel.services.find(livenessService),
-    elections: kernel.services.find(electionService),
-    operators: operators.create(kernel, parts.rootKey),
+    durableReports: runtime.services.find(durableReportsService),
+    members: runtime.services.find(livenessService),
+    elections: runtime.services.find(electionService),
+    operators: operators.create(runtime, parts.rootKey),
     versions,
     updates,
   };
--- a/packages/core/src/administration/fleet-view.ts
+++ b/packages/core/src/administration/fleet-view.ts
@@ -13,11 +13,11 @@
 const unknown = -1;
 
 /** The nodes heard within a term, this one among them. */
-function reachableNodes({ kernel, node }: AdministrationContext): readonly string[] {
+function reachableNodes({ runtime, node }: AdministrationContext): readonly string[] {
   const names = node.membership().value.seats.map((seat) => seat.node);
   return names.filter(function isReachable(name) {
     const heardAt = node.lastHeartbeatAt(name);
-    return name === node.settings.node || (Option.isSome(heardAt) && kernel.clock.now() - heardAt.value < leaseTermMilliseconds);
+    return name === node.settings.node || (Option.isSome(heardAt) && runtime.clock.now() - heardAt.value < leaseTermMilliseconds);
   });
 }
 
@@ -31,10 +31,10 @@
 }
 
 function nodeRow(context: AdministrationContext, seat: Seat, appliedVersions: ReadonlyMap<string, number>): Row {
-  const { kernel, node } = context;
+  const { runtime, node } = context;
   const isOwn = seat.node === node.settings.node;
   const heardAt = node.lastHeartbeatAt(seat.node);
-  const heardMilliseconds = Option.isSome(heardAt) ? Math.round(kernel.clock.now() - heardAt.value) : unknown;
+  const heardMilliseconds = Option.isSome(heardAt) ? Math.round(runtime.clock.now() - heardAt.value) : unknown;
   return {
     node: seat.node,
     role: seat.role,
@@ -43,7 +43,7 @@
     outward: seat.outward,
     draining: seat.draining,
     heardMilliseconds: isOwn ? 0 : heardMilliseconds,
-    protocol: isOwn ? kernel.protocols.to : protocolOf(context, seat.node),
+    protocol: isOwn ? runtime.protocols.to : protocolOf(context, seat.node),
     obeys: isOwn ? appliedVersion(context) : (appliedVersions.get(seat.node) ?? unknown),
   };
 }
@@ -69,7 +69,7 @@
   };
 }
 
-function memberRow({ kernel, node, members }: AdministrationContext, service: string, member: MemberPlacement): Row {
+function memberRow({ runtime, node, members }: AdministrationContext, service: string, member: MemberPlacement): Row {
   const elected = node.electedPrimary(service);
   const state = members.state(member.member);
   const heardAt = members.lastHeartbeatAt(member.member);
@@ -80,7 +80,7 @@
     address: member.address,
     state: member.state,
     alive: members.isAlive(member.member),
-    heardMilliseconds: Option.isSome(heardAt) ? Math.round(kernel.clock.now() - heardAt.value) : unknown,
+    heardMilliseconds: Option.isSome(heardAt) ? Math.round(runtime.clock.now() - heardAt.value) : unknown,
     leads: Option.isSome(elected) && elected.value.primary === member.member,
     epoch: Option.isSome(state) ? state.value.epoch : 0,
     received: Option.isSome(state) ? state.value.received : 0,
--- a/packages/core/src/administration/health-checks.ts
+++ b/packages/core/src/administration/health-checks.ts
@@ -71,10 +71,10 @@
   };
 }
 
-async function checkUsage({ kernel, parts }: AdministrationContext): Promise<HealthCheck> {
+async function checkUsage({ runtime, parts }: AdministrationContext): Promise<HealthCheck> {
   const windows = await parts.usage.windows();
   const late = (Either.isRight(windows) ? windows.right : [])
-    .filter(({ window, sent }) => !sent && (window + 1) * usageWindowMilliseconds + usageLateMilliseconds < kernel.clock.wall())
+    .filter(({ window, sent }) => !sent && (window + 1) * usageWindowMilliseconds + usageLateMilliseconds < runtime.clock.wall())
     .map(({ window }) => window);
   return {
     check: 'usage',
--- a/packages/core/src/administration/node-routes.ts
+++ b/packages/core/src/administration/node-routes.ts
@@ -45,9 +45,9 @@
 
 /** Why an edge may not be removed now; none where it may. */
 function removalRisk(context: AdministrationContext, edge: Seat, isForced: boolean): Option.Option<Fault> {
-  const { kernel, node } = context;
+  const { runtime, node } = context;
   const heardAt = node.lastHeartbeatAt(edge.node);
-  const isRunning = Option.isSome(heardAt) && kernel.clock.now() - heardAt.value < runningMilliseconds;
+  const isRunning = Option.isSome(heardAt) && runtime.clock.now() - heardAt.value < runningMilliseconds;
   if (!edge.draining && isRunning) {
     return Option.some(unsafeStep(`${edge.node} still runs and is not drained`, `run stallstall drain ${edge.node} first`));
   }
--- a/packages/core/src/administration/placement-routes.ts
+++ b/packages/core/src/administration/placement-routes.ts
@@ -43,7 +43,7 @@
   return Either.right(Option.some(Number(header.replaceAll('"', ''))));
 }
 
-async function send({ kernel, updates, operators }: AdministrationContext, request: HttpRequest, caller: Caller): Promise<HttpReply> {
+async function send({ runtime, updates, operators }: AdministrationContext, request: HttpRequest, caller: Caller): Promise<HttpReply> {
   const { body } = request;
   if (!message.matches(SendSchema, body)) {
     return badRequest('a sheet is sent as {"sheet": {...}, "sentBy": "..."}', 'send that shape, or use stallstall sheet send');
@@ -57,7 +57,7 @@
     caller,
     placement: checked.right,
     document: body.sheet,
-    sendId: body.sendId ?? kernel.randomness.token(),
+    sendId: body.sendId ?? runtime.randomness.token(),
     isNamed: body.sendId !== undefined,
     sentBy,
     expected: expected.right,
--- a/packages/core/src/configuration-updates.ts
+++ b/packages/core/src/configuration-updates.ts
@@ -1,7 +1,7 @@
 /** Configurations that operators send, each taken exactly once however often it arrives (design 6.2, 6.5, 6.6). */
 import type * as Either from 'fp-ts/lib/Either.js';
 import type * as Option from 'fp-ts/lib/Option.js';
-import type { Fault, Kernel } from '@stallstall/kernel';
+import type { Fault, Runtime } from '@stallstall/kernel';
 import type { Entry } from '@stallstall/message';
 import type { PlacementConfiguration } from '@stallstall/placement';
 import type { Register } from '@stallstall/register';
@@ -30,12 +30,12 @@
   accepted: () => Option.Option<Entry>;
 }>;
 
-function create(kernel: Kernel, { register, versions, accepted }: ConfigurationUpdateParts): ConfigurationUpdates {
+function create(runtime: Runtime, { register, versions, accepted }: ConfigurationUpdateParts): ConfigurationUpdates {
   const claims = claimTable.create(register);
   return {
-    replace: (update) => placementUpdates.replace({ kernel, register, claims, versions }, update),
+    replace: (update) => placementUpdates.replace({ runtime, register, claims, versions }, update),
     replaceExternal: (external, placement) =>
-      externalUpdates.replace({ kernel, register, claims, versions, accepted }, external, placement),
+      externalUpdates.replace({ runtime, register, claims, versions, accepted }, external, placement),
   };
 }
 
--- a/packages/core/src/core-calls.ts
+++ b/packages/core/src/core-calls.ts
@@ -1,6 +1,6 @@
 /** Calls to other cores at their own addresses, over links that are held only while they are used (design 4.8). */
 import * as Option from 'fp-ts/lib/Option.js';
-import { identifiers, type Instant, type Kernel } from '@stallstall/kernel';
+import { identifiers, type Instant, type Runtime } from '@stallstall/kernel';
 import type { Request, MessageKind, Reply } from '@stallstall/message';
 import { peer, type Peer } from '@stallstall/peer';
 
@@ -20,11 +20,11 @@
 const dialLookMilliseconds = 20;
 const dialLooks = 10;
 
-function create(kernel: Kernel): CoreCalls {
+function create(runtime: Runtime): CoreCalls {
   const links = new Map<string, Held>();
 
   function closeIdle(): void {
-    const now = kernel.clock.now();
+    const now = runtime.clock.now();
     for (const [address, held] of links) {
       if (held.open > 0 || now - held.usedAt < idleMilliseconds) continue;
       held.peer.close();
@@ -34,7 +34,7 @@
 
   function linkTo(address: string): Held {
     closeIdle();
-    const held = links.get(address) ?? { peer: peer.dial(kernel, identifiers.address(address)), usedAt: kernel.clock.now(), open: 0 };
+    const held = links.get(address) ?? { peer: peer.dial(runtime, identifiers.address(address)), usedAt: runtime.clock.now(), open: 0 };
     links.set(address, held);
     return held;
   }
@@ -47,11 +47,11 @@
   ): Promise<Option.Option<Reply<Kind>>> {
     const held = linkTo(address);
     held.open += 1;
-    for (let looks = 0; looks < dialLooks && !held.peer.connected(); looks += 1) await kernel.clock.sleep(dialLookMilliseconds);
+    for (let looks = 0; looks < dialLooks && !held.peer.connected(); looks += 1) await runtime.clock.sleep(dialLookMilliseconds);
     const reply = await held.peer.call(kind, body, milliseconds);
     held.open -= 1;
-    held.usedAt = kernel.clock.now();
-    kernel.clock.startTimer(idleMilliseconds, closeIdle);
+    held.usedAt = runtime.clock.now();
+    runtime.clock.startTimer(idleMilliseconds, closeIdle);
     return reply;
   }
 
--- a/packages/core/src/core-context.ts
+++ b/packages/core/src/core-context.ts
@@ -1,6 +1,6 @@
 /** What the modules of a core share while it runs. */
 import type * as Option from 'fp-ts/lib/Option.js';
-import type { Disk, Instant, Kernel } from '@stallstall/kernel';
+import type { Disk, Instant, Runtime } from '@stallstall/kernel';
 import type { Node } from '@stallstall/node';
 import type { Acceptor, CoreSetView, ReportStore } from '@stallstall/register';
 import type { CoreCalls } from './core-calls.js';
@@ -13,7 +13,7 @@
 
 /** @internal */
 export type CoreContext = {
-  readonly kernel: Kernel;
+  readonly runtime: Runtime;
   readonly settings: CoreSettings;
   /** None where an operator runs the fleet. */
   readonly parts: Option.Option<CoreParts>;
--- a/packages/core/src/core-node.ts
+++ b/packages/core/src/core-node.ts
@@ -51,9 +51,9 @@
 }
 
 function create(context: CoreContext, storage: CoreStorage, events: CoreNodeEvents): Node {
-  const { parts, kernel } = context;
+  const { parts, runtime } = context;
   const { cells, reports, votes, coreSetView } = storage;
-  return nodes.create(kernel, withKnownCores(context, storage), {
+  return nodes.create(runtime, withKnownCores(context, storage), {
     role: 'core',
     votes: () => votes,
     localReplica: Option.some({
--- a/packages/core/src/core-routes.ts
+++ b/packages/core/src/core-routes.ts
@@ -27,7 +27,7 @@
 
 async function serve({ services, administration, contact, platformApi }: CoreRouteParts): Promise<CoreRoutes> {
   const { context, node } = services;
-  const { kernel, settings, parts } = context;
+  const { runtime, settings, parts } = context;
   const platformRoutes = Option.isSome(parts) ? parts.value.routes(platformApi) : [];
   const platformNames = new Set(platformRoutes.map(nameOf));
   const counted = http.countInFlight([...node.routes, ...administration.routes.map(contact.guard), ...platformRoutes]);
@@ -36,11 +36,11 @@
     return platformNames.has(nameOf(route));
   }
 
-  const outward = await kernel.network.serve(identifiers.address(settings.outward), {
+  const outward = await runtime.network.serve(identifiers.address(settings.outward), {
     routes: counted.routes.filter((route) => !isPlatformRoute(route)),
   });
   if (Option.isNone(parts)) return { listening: [outward], inFlight: counted.inFlight };
-  const forPlatform = await kernel.network.serve(identifiers.address(parts.value.platformApiAddress), {
+  const forPlatform = await runtime.network.serve(identifiers.address(parts.value.platformApiAddress), {
     routes: counted.routes.filter(isPlatformRoute),
   });
   return { listening: [outward, forPlatform], inFlight: counted.inFlight };
--- a/packages/core/src/core-seat.ts
+++ b/packages/core/src/core-seat.ts
@@ -52,13 +52,13 @@
     node.setFleet(known.fleet);
     if (Option.isNone(context.parts)) node.setCores(known.cores);
     else node.followCoreSet(setOf(known));
-    context.openedAt = context.kernel.clock.now();
+    context.openedAt = context.runtime.clock.now();
     cells.open();
     reports.open();
     contact.opened();
     pushToOwnNode();
     notifyLeaseHolders();
-    context.kernel.log('core.open', { fleet: known.fleet, cores: known.cores.length });
+    context.runtime.log('core.open', { fleet: known.fleet, cores: known.cores.length });
   }
 
   function changeSet(known: Fleet): void {
--- a/packages/core/src/core-set-manager.ts
+++ b/packages/core/src/core-set-manager.ts
@@ -1,7 +1,7 @@
 /** The set of cores that changes by itself: which set this core is in, and whom it gives a seat to (design 4.8). */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
-import { identifiers, kernel as kernels, owner, type Instant, type Kernel } from '@stallstall/kernel';
+import { identifiers, runtimeUtilities, owner, type Instant, type Runtime } from '@stallstall/kernel';
 import type { CoreSet, Reply, Request, Seat } from '@stallstall/message';
 import { quorum } from '@stallstall/quorum';
 import { coreSetChanges, coreSetKey, isSameOccupant, type ConfirmedCores, type CoreSetChanges } from '@stallstall/register';
@@ -40,8 +40,8 @@
 const reasonLength = 300;
 
 /** Cores that were not heard for long; one that has just begun to listen reports none. */
-function silentCores({ kernel, parts, inSetSince }: CoreSetState, set: CoreSet): readonly string[] {
-  const now = kernel.clock.now();
+function silentCores({ runtime, parts, inSetSince }: CoreSetState, set: CoreSet): readonly string[] {
+  const now = runtime.clock.now();
   return set.seats
     .map((seat) => seat.node)
     .filter(function isSilent(core) {
@@ -92,21 +92,21 @@
 
 async function join(manager: Manager, { seat }: Request<'join'>): Promise<Reply<'join'>> {
   const { state, membership, changes } = manager;
-  const { kernel, parts } = state;
+  const { runtime, parts } = state;
   if (!parts.cells.ready()) return { joined: false, reason: 'this core is not open yet' };
   const listed = membership.set().seats.find((one) => isSameOccupant(one, seat));
   if (listed?.address === seat.address) return { joined: true, reason: '', set: membership.set() };
-  if (listed === undefined) state.learnerAskedAt = kernel.clock.now();
+  if (listed === undefined) state.learnerAskedAt = runtime.clock.now();
   if (!mayBeVacant(manager, seat)) return { joined: false, reason: 'no seat is vacant', set: membership.set() };
-  kernel.log('core.proposes', { node: seat.node, set: membership.set().number + 1 });
+  runtime.log('core.proposes', { node: seat.node, set: membership.set().number + 1 });
   const changed = await changes.replaceOccupant(seat, (set, confirmed) => vacancies(state, seat, set, confirmed));
   if (Either.isLeft(changed)) return { joined: false, reason: changed.left.message.slice(0, reasonLength), set: membership.set() };
-  kernel.log('core.seated', { node: seat.node, set: changed.right.number });
+  runtime.log('core.seated', { node: seat.node, set: changed.right.number });
   return { joined: true, reason: '', set: changed.right };
 }
 
 async function handOverSeat({ state }: Manager, deadline: Instant): Promise<void> {
-  const { clock } = state.kernel;
+  const { clock } = state.runtime;
   state.isLeaving = true;
   function isLearnerWaiting(): boolean {
     return clock.now() - state.learnerAskedAt < learnerMilliseconds;
@@ -137,15 +137,15 @@
     await completeInterruptedStep(manager);
     await correctAddress(manager);
   }
-  void kernels.every(manager.state.kernel.clock, roundMilliseconds, runRound, () => !manager.state.isStopped);
+  void runtimeUtilities.every(manager.state.runtime.clock, roundMilliseconds, runRound, () => !manager.state.isStopped);
 }
 
-function assemble(kernel: Kernel, parts: CoreSetManagerParts): Manager {
+function assemble(runtime: Runtime, parts: CoreSetManagerParts): Manager {
   const state: CoreSetState = {
-    kernel,
+    runtime,
     parts,
     commands: owner.create('core set', null),
-    inSetSince: kernel.clock.now(),
+    inSetSince: runtime.clock.now(),
     learnerAskedAt: identifiers.instant(Number.NEGATIVE_INFINITY),
     isLeaving: false,
     isStopped: false,
@@ -161,8 +161,8 @@
   return manager;
 }
 
-function create(kernel: Kernel, parts: CoreSetManagerParts): CoreSetManager {
-  const manager = assemble(kernel, parts);
+function create(runtime: Runtime, parts: CoreSetManagerParts): CoreSetManager {
+  const manager = assemble(runtime, parts);
   const { state, membership } = manager;
   return {
     adopt: (request) => adopt(manager, request),
--- a/packages/core/src/core-set-membership.ts
+++ b/packages/core/src/core-set-membership.ts
@@ -30,7 +30,7 @@
 }
 
 /** The record of a core that promised nothing to anybody: it has a disk of its own name, which no set lists yet. */
-function learnerRecord({ kernel, parts }: CoreSetState, fleet: string, set: CoreSet): Fleet {
+function learnerRecord({ runtime, parts }: CoreSetState, fleet: string, set: CoreSet): Fleet {
   return {
     fleet,
     node: parts.node.settings.node,
@@ -38,12 +38,12 @@
     number: set.number,
     epochs: set.epochs,
     stage: 'joining',
-    disk: kernel.randomness.token(),
+    disk: runtime.randomness.token(),
   };
 }
 
 function create(state: CoreSetState): CoreSetMembership {
-  const { kernel, parts, commands } = state;
+  const { runtime, parts, commands } = state;
   const { node, cells } = parts;
 
   function set(): CoreSet {
@@ -61,7 +61,7 @@
     return given.seats.some((seat) => isSameOccupant(seat, ownSeat()));
   }
 
-  const learning = learner.create(kernel, {
+  const learning = learner.create(runtime, {
     callCore: parts.callCore,
     cells,
     transfer: parts.transfer,
@@ -72,8 +72,8 @@
   });
 
   function enter(given: CoreSet): void {
-    state.inSetSince = kernel.clock.now();
-    kernel.log('core.set', { number: given.number, cores: given.seats.length });
+    state.inSetSince = runtime.clock.now();
+    runtime.log('core.set', { number: given.number, cores: given.seats.length });
   }
 
   async function openIn(given: CoreSet): Promise<boolean> {
@@ -87,8 +87,8 @@
   }
 
   function leaveSet(given: CoreSet): void {
-    state.inSetSince = kernel.clock.now();
-    kernel.log('core.departed', { set: given.number });
+    state.inSetSince = runtime.clock.now();
+    runtime.log('core.departed', { set: given.number });
     parts.close(given);
     learning.observe(given);
   }
--- a/packages/core/src/core-set-state.ts
+++ b/packages/core/src/core-set-state.ts
@@ -1,6 +1,6 @@
 /** What the modules of the core set manager share. */
 import type * as Option from 'fp-ts/lib/Option.js';
-import type { Instant, Kernel, Owner } from '@stallstall/kernel';
+import type { Instant, Runtime, Owner } from '@stallstall/kernel';
 import type { CoreSet } from '@stallstall/message';
 import type { Node } from '@stallstall/node';
 import type { Acceptor, NumberedRegister } from '@stallstall/register';
@@ -29,7 +29,7 @@
 
 /** @internal */
 export type CoreSetState = {
-  readonly kernel: Kernel;
+  readonly runtime: Runtime;
   readonly parts: CoreSetManagerParts;
   readonly commands: Owner<null>;
   /** Since when this core is in its set. */
--- a/packages/core/src/core-storage.ts
+++ b/packages/core/src/core-storage.ts
@@ -1,6 +1,6 @@
 /** Opens what lies on a core's disk (design 4.3, 5.1, 5.5). */
 import * as Option from 'fp-ts/lib/Option.js';
-import type { Disk, Kernel } from '@stallstall/kernel';
+import type { Disk, Runtime } from '@stallstall/kernel';
 import type { Entry } from '@stallstall/message';
 import { acceptor, reportStore } from '@stallstall/register';
 import { coreCalls } from './core-calls.js';
@@ -17,31 +17,31 @@
   keepEarlier: (entry: Entry) => Promise<boolean>;
 }>;
 
-function logDiskTrouble(kernel: Kernel, disk: Disk): void {
+function logDiskTrouble(runtime: Runtime, disk: Disk): void {
   disk.onTrouble(function onTrouble(trouble) {
-    if (Option.isSome(trouble)) kernel.log('disk.failed', { reason: trouble.value.message });
-    else kernel.log('disk.works', {});
+    if (Option.isSome(trouble)) runtime.log('disk.failed', { reason: trouble.value.message });
+    else runtime.log('disk.works', {});
   });
 }
 
 /** @param stored - what the disk held when the process started */
 function create(context: CoreContext, stored: ReadonlyMap<string, unknown>, { onAccepted, keepEarlier }: StorageEvents): CoreStorage {
-  const { kernel, disk } = context;
-  logDiskTrouble(kernel, disk);
+  const { runtime, disk } = context;
+  logDiskTrouble(runtime, disk);
   const record = fleetRecord.create(disk, stored);
   const coreSetView = Option.isNone(context.parts) ? undefined : coreSetViewOf(record.current, () => context.isBetweenSets);
   const cells = acceptor.create({
     disk,
     stored,
     onAccepted,
-    onDamaged: (error) => kernel.log('disk.damaged', { reason: error.message }),
+    onDamaged: (error) => runtime.log('disk.damaged', { reason: error.message }),
     ...(coreSetView === undefined ? {} : { coreSet: coreSetView }),
     keepEarlier,
   });
-  const reports = reportStore.create(kernel, disk, stored);
+  const reports = reportStore.create(runtime, disk, stored);
   const votes = coreVoteStore(disk, stored);
-  const calls = coreCalls.create(kernel);
-  const transfer = stateTransfer.create(kernel, {
+  const calls = coreCalls.create(runtime);
+  const transfer = stateTransfer.create(runtime, {
     callCore: calls.call,
     cells,
     reports,
--- a/packages/core/src/core.ts
+++ b/packages/core/src/core.ts
@@ -1,7 +1,7 @@
 /** The core: a disk of the register, changes pushed to edges, and the operators' administration API (design 5, 6, 9). */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
-import { fault, identifiers, type Disk, type Fault, type Kernel, type Listening } from '@stallstall/kernel';
+import { fault, identifiers, type Disk, type Fault, type Runtime, type Listening } from '@stallstall/kernel';
 import type { Node } from '@stallstall/node';
 import { peer } from '@stallstall/peer';
 import { registerService } from '@stallstall/register';
@@ -56,15 +56,15 @@
 /** An edge that held a lease so lately may still have counts to report. */
 const edgeMemoryMilliseconds = 12_000;
 
-function createContext(kernel: Kernel, settings: CoreSettings, parts: Option.Option<CoreParts>, disk: Disk): CoreContext {
+function createContext(runtime: Runtime, settings: CoreSettings, parts: Option.Option<CoreParts>, disk: Disk): CoreContext {
   return {
-    kernel,
+    runtime,
     settings,
     parts,
     disk,
     registration: Option.none,
     coreSet: Option.none,
-    openedAt: kernel.clock.now(),
+    openedAt: runtime.clock.now(),
     isBetweenSets: false,
     isDraining: false,
     isStopped: false,
@@ -77,9 +77,9 @@
 }
 
 function createCoreSet({ context, storage, node }: CoreServices, seat: CoreSeat): CoreSetManager {
-  return coreSetManager.create(context.kernel, {
+  return coreSetManager.create(context.runtime, {
     node,
-    register: context.kernel.services.find(registerService),
+    register: context.runtime.services.find(registerService),
     callCore: storage.calls.call,
     cells: storage.cells,
     transfer: storage.transfer,
@@ -96,7 +96,7 @@
 
 function createRegistration(services: CoreServices, contact: QuorumContact, storedRegistry: unknown): MemberRegistration {
   const { context, storage, node } = services;
-  return memberRegistration.create(context.kernel, {
+  return memberRegistration.create(context.runtime, {
     node,
     disk: context.disk,
     storedRegistry,
@@ -112,7 +112,7 @@
 }
 
 function createBootstrap({ context, storage, node }: CoreServices, seat: CoreSeat): FleetBootstrap {
-  return fleetBootstrap.create(context.kernel, context.settings, {
+  return fleetBootstrap.create(context.runtime, context.settings, {
     node,
     cells: storage.cells,
     disk: context.disk,
@@ -131,7 +131,7 @@
     calls: parts.calls,
     edges: () => (Option.isSome(context.registration) ? context.registration.value.grantor.recentHolders(edgeMemoryMilliseconds) : []),
   }))(context.parts);
-  return usageReporting.create(context.kernel, node, storage.reports, leased);
+  return usageReporting.create(context.runtime, node, storage.reports, leased);
 }
 
 function createAdministration(
@@ -140,7 +140,7 @@
 ): Administration {
   const { context, storage, node } = services;
   const { disk } = context;
-  return administrations.create(context.kernel, {
+  return administrations.create(context.runtime, {
     node,
     usage,
     rootKey: context.settings.operatorKey,
@@ -162,7 +162,7 @@
 }
 
 function assemble(context: CoreContext, stored: ReadonlyMap<string, unknown>): Assembly {
-  const { kernel, disk } = context;
+  const { runtime, disk } = context;
   const storage: CoreStorage = coreStorage.create(context, stored, {
     onAccepted: (key, entry) => seat.publish(key, entry),
     keepEarlier: (entry) => versions.keep(entry),
@@ -173,8 +173,8 @@
     onHelloReply: (reply, address) => bootstrap.onHelloReply(reply, address),
   });
   const services: CoreServices = { context, storage, node };
-  const contact = quorumContact.create(kernel, node.majorityContactAt);
-  const versions = versionStore.create(kernel, { disk, node, newest: () => coreStorage.versionOf(storage, 'configuration') });
+  const contact = quorumContact.create(runtime, node.majorityContactAt);
+  const versions = versionStore.create(runtime, { disk, node, newest: () => coreStorage.versionOf(storage, 'configuration') });
   const seat: CoreSeat = coreSeats.create({ services, subscribers, contact });
   if (Option.isSome(context.parts)) {
     context.coreSet = Option.some(createCoreSet(services, seat));
@@ -182,7 +182,7 @@
   }
   const bootstrap: FleetBootstrap = createBootstrap(services, seat);
   const usage = createUsage(services);
-  const table = membershipTable.create({ node, register: kernel.services.find(registerService), ready: storage.cells.ready });
+  const table = membershipTable.create({ node, register: runtime.services.find(registerService), ready: storage.cells.ready });
   const administration = createAdministration(services, { usage, table, versions, subscribers });
   const api = platformApi.create({
     isOpen: storage.cells.ready,
@@ -198,7 +198,7 @@
   const { services, subscribers, contact, versions, bootstrap, table, administration, platformApi: api } = assembly;
   const { context } = services;
   const handlers = peerHandlers.create({ services, subscribers, versions, bootstrap, table });
-  const links = await peer.listen(context.kernel, identifiers.address(context.settings.address), handlers);
+  const links = await peer.listen(context.runtime, identifiers.address(context.settings.address), handlers);
   const routes = await coreRoutes.serve({ services, administration, contact, platformApi: api });
   return { ...routes, listening: [links, ...routes.listening] };
 }
@@ -228,7 +228,7 @@
 async function drain(assembly: Assembly, { listening, inFlight }: CoreRoutes): Promise<void> {
   const { services, usage } = assembly;
   const { context } = services;
-  const { clock } = context.kernel;
+  const { clock } = context.runtime;
   context.isDraining = true;
   const deadline = identifiers.after(clock.now(), graceMilliseconds);
   const handOverDeadline = identifiers.after(clock.now(), handOverMilliseconds);
@@ -247,17 +247,17 @@
  * @param parts - none where an operator runs the fleet over this product's own interfaces
  */
 async function start(
-  kernel: Kernel,
+  runtime: Runtime,
   settings: CoreSettings,
   parts: Option.Option<CoreParts> = Option.none,
 ): Promise<Either.Either<Fault, Core>> {
-  if (Option.isNone(kernel.disk)) {
+  if (Option.isNone(runtime.disk)) {
     return Either.left(fault.create({ kind: 'bad-settings', message: 'a core needs a data folder', remedy: 'name one with --data' }));
   }
-  const disk = kernel.disk.value;
-  const folder = await readFolder(kernel, disk, settings.node);
+  const disk = runtime.disk.value;
+  const folder = await readFolder(runtime, disk, settings.node);
   if (Either.isLeft(folder)) return folder;
-  const assembly = assemble(createContext(kernel, settings, parts, disk), folder.right);
+  const assembly = assemble(createContext(runtime, settings, parts, disk), folder.right);
   const { context, storage, node } = assembly.services;
   if (Option.isSome(context.registration)) context.registration.value.start();
   const routes = await listen(assembly);
--- a/packages/core/src/data-folder.ts
+++ b/packages/core/src/data-folder.ts
@@ -2,7 +2,7 @@
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { Type } from '@sinclair/typebox';
-import { fault, type Disk, type Fault, type Kernel } from '@stallstall/kernel';
+import { fault, type Disk, type Fault, type Runtime } from '@stallstall/kernel';
 import { message, messages, SeatSchema } from '@stallstall/message';
 import { acceptor, archiveStoragePrefix, reportStoragePrefix, registerStoragePrefix } from '@stallstall/register';
 import { VoteSchema, voteStoragePrefix } from './vote-store.js';
@@ -73,17 +73,17 @@
 }
 
 /** All that the folder holds but the archive; nothing, once a broken store has been given up for an empty one. */
-export async function readFolder(kernel: Kernel, disk: Disk, node: string): Promise<Either.Either<Fault, ReadonlyMap<string, unknown>>> {
+export async function readFolder(runtime: Runtime, disk: Disk, node: string): Promise<Either.Either<Fault, ReadonlyMap<string, unknown>>> {
   const loaded = await disk.load(archiveStoragePrefix);
   const lost = disk.lost();
-  if (Option.isSome(lost) && Either.isRight(loaded) && !loaded.right.has('fleet')) kernel.log('disk.replaced', { reason: lost.value });
+  if (Option.isSome(lost) && Either.isRight(loaded) && !loaded.right.has('fleet')) runtime.log('disk.replaced', { reason: lost.value });
   const state = Either.isLeft(loaded) ? broken(loaded.left.message) : stateOf(loaded.right, node);
   if (state.kind === 'refused') return Either.left(state.reason);
   if (state.kind === 'sound') return loaded;
-  kernel.log('disk.replaced', { reason: state.reason });
+  runtime.log('disk.replaced', { reason: state.reason });
   for (let given = await disk.discard(state.reason); Either.isLeft(given); given = await disk.discard(state.reason)) {
-    kernel.log('disk.failed', { reason: given.left.message });
-    await kernel.clock.sleep(discardMilliseconds);
+    runtime.log('disk.failed', { reason: given.left.message });
+    await runtime.clock.sleep(discardMilliseconds);
   }
   return Either.right(new Map());
 }
--- a/packages/core/src/disk-recovery.ts
+++ b/packages/core/src/disk-recovery.ts
@@ -1,6 +1,6 @@
 /** Brings a core back to the fleet that its disk names, or as one that lost its disk (design 4.3). */
 import * as Option from 'fp-ts/lib/Option.js';
-import type { Kernel } from '@stallstall/kernel';
+import type { Runtime } from '@stallstall/kernel';
 import { heartbeatMilliseconds } from '@stallstall/node';
 import { diskFormat } from './data-folder.js';
 import type { FleetBootstrapParts } from './fleet-bootstrap.js';
@@ -24,7 +24,7 @@
  * @param becomeFormed - begins to answer as a core of a formed fleet
  */
 function create(
-  kernel: Kernel,
+  runtime: Runtime,
   node: string,
   parts: FleetBootstrapParts,
   cores: KnownCores,
@@ -41,9 +41,9 @@
   async function copyFleet(known: Fleet): Promise<void> {
     if (isCopying) return;
     isCopying = true;
-    while (!(await record.keep(known))) await kernel.clock.sleep(heartbeatMilliseconds);
+    while (!(await record.keep(known))) await runtime.clock.sleep(heartbeatMilliseconds);
     parts.node.setFleet(known.fleet);
-    kernel.log('core.copying', { fleet: known.fleet });
+    runtime.log('core.copying', { fleet: known.fleet });
     const epochs: Record<string, number> = { ...(await parts.votes.epochs()) };
     for (const other of known.cores) {
       if (other.node !== node) await transfer.copyFrom(other, Option.none, epochs);
@@ -51,13 +51,13 @@
     await transfer.abstain(epochs);
     while (isOpening()) {
       await becomeFormed(known);
-      await kernel.clock.sleep(heartbeatMilliseconds);
+      await runtime.clock.sleep(heartbeatMilliseconds);
     }
   }
 
   /** Goes on as a core that lost its disk; resolves to false when that could not be written down. */
   async function startAsLost(known: Fleet): Promise<boolean> {
-    kernel.log('core.old-disk', { puts: disk.puts(), known: knownPuts });
+    runtime.log('core.old-disk', { puts: disk.puts(), known: knownPuts });
     const coreSet = parts.coreSet();
     if (Option.isNone(coreSet)) {
       await copyFleet({ ...known, stage: 'copying' });
@@ -85,7 +85,7 @@
       if (Option.isNone(current) || current.value.stage !== 'formed') return;
       if (await tryReopen(current.value)) return;
       // A disk that takes nothing refuses at once: without this wait nothing else of the process would run.
-      if (!cells.ready()) await kernel.clock.sleep(reopenPollMilliseconds);
+      if (!cells.ready()) await runtime.clock.sleep(reopenPollMilliseconds);
     }
   }
 
--- a/packages/core/src/external-updates.ts
+++ b/packages/core/src/external-updates.ts
@@ -1,7 +1,7 @@
 /** Configurations under versions that their senders count themselves (design 6.5, 6.6). */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
-import { fault, type Fault, type Kernel } from '@stallstall/kernel';
+import { fault, type Fault, type Runtime } from '@stallstall/kernel';
 import type { Entry } from '@stallstall/message';
 import type { Configuration } from '@stallstall/node';
 import type { PlacementConfiguration } from '@stallstall/placement';
@@ -18,7 +18,7 @@
 
 /** @internal */
 export type ExternalUpdateParts = Readonly<{
-  kernel: Kernel;
+  runtime: Runtime;
   register: Register;
   claims: ClaimTable;
   versions: ConfigurationVersions;
@@ -47,10 +47,10 @@
   textDigest: string,
   deadline: number,
 ): Promise<Either.Either<Fault, unknown>> {
-  const { claims, kernel } = parts;
-  const current = await claimCurrent(parts, deadline - kernel.clock.now());
+  const { claims, runtime } = parts;
+  const current = await claimCurrent(parts, deadline - runtime.clock.now());
   if (Either.isLeft(current)) return current;
-  const claimed = await claims.claimNumber(version, textDigest, deadline - kernel.clock.now());
+  const claimed = await claims.claimNumber(version, textDigest, deadline - runtime.clock.now());
   if (Either.isLeft(claimed)) return claimed;
   if (claimed.right === 'other') return Either.left(updateFaults.versionTaken(version));
   if (claimed.right === 'forgotten') return Either.left(updateFaults.versionForgotten(version));
@@ -58,7 +58,7 @@
 }
 
 function successor(
-  { kernel }: ExternalUpdateParts,
+  { runtime }: ExternalUpdateParts,
   external: ExternalVersion,
   placement: PlacementConfiguration,
   textDigest: string,
@@ -68,7 +68,7 @@
     sheet: placement,
     sendId: `external ${external.version}`,
     sentBy: 'external',
-    sentAt: kernel.clock.wall(),
+    sentAt: runtime.clock.wall(),
     recent: recentSends(configurationOf(current)),
     external: { ...external, digest: textDigest },
   };
@@ -80,12 +80,12 @@
   external: ExternalVersion,
   placement: PlacementConfiguration,
 ): Promise<Either.Either<Fault, TakenVersion>> {
-  const { kernel, register } = parts;
-  const deadline = kernel.clock.now() + replaceMilliseconds;
+  const { runtime, register } = parts;
+  const deadline = runtime.clock.now() + replaceMilliseconds;
   const textDigest = documentDigest.ofText(external.source);
   const claimed = await claimVersion(parts, external.version, textDigest, deadline);
   if (Either.isLeft(claimed)) {
-    kernel.log('configuration.not-taken', { external: external.version, reason: fault.kind(claimed.left) });
+    runtime.log('configuration.not-taken', { external: external.version, reason: fault.kind(claimed.left) });
     return claimed;
   }
   const changed = await register.change(
@@ -95,11 +95,11 @@
       if (before !== undefined && before.version >= external.version) return Option.none;
       return Option.some(successor(parts, external, placement, textDigest, current));
     },
-    deadline - kernel.clock.now(),
+    deadline - runtime.clock.now(),
   );
   if (Either.isLeft(changed)) return changed;
   const current = configurationOf(changed.right.entry)?.external?.version ?? 0;
-  kernel.log('configuration.taken', { external: external.version, standing: current, wrote: changed.right.wrote });
+  runtime.log('configuration.taken', { external: external.version, standing: current, wrote: changed.right.wrote });
   return Either.right({ version: current });
 }
 
--- a/packages/core/src/fleet-bootstrap.ts
+++ b/packages/core/src/fleet-bootstrap.ts
@@ -1,6 +1,6 @@
 /** Forms the fleet once, or brings a core back to the fleet that its disk names (design 4.3, 4.8). */
 import * as Option from 'fp-ts/lib/Option.js';
-import { fault, type Disk, type Fault, type Kernel } from '@stallstall/kernel';
+import { fault, type Disk, type Fault, type Runtime } from '@stallstall/kernel';
 import type { Reply, Request } from '@stallstall/message';
 import type { Node } from '@stallstall/node';
 import type { Acceptor } from '@stallstall/register';
@@ -54,7 +54,7 @@
 }>;
 
 type Bootstrap = Readonly<{
-  kernel: Kernel;
+  runtime: Runtime;
   settings: FleetBootstrapSettings;
   parts: FleetBootstrapParts;
   cores: KnownCores;
@@ -93,13 +93,13 @@
 }
 
 function onHelloReply(bootstrap: Bootstrap, reply: Reply<'hello'>, address: string): void {
-  const { kernel, settings, parts, cores, recovery } = bootstrap;
+  const { runtime, settings, parts, cores, recovery } = bootstrap;
   if (reply.role !== 'core' || reply.node === settings.node) return;
   cores.observe({ ...parts.node.ownSeat(), node: reply.node, address }, reply.fleet);
   recovery.observePuts(reply.knownPuts);
   if (reply.fleet === '') return;
   const known = parts.record.current();
-  if (Option.isSome(known) && known.value.fleet !== reply.fleet) kernel.stop(foreignDisk(known.value.fleet, reply));
+  if (Option.isSome(known) && known.value.fleet !== reply.fleet) runtime.stop(foreignDisk(known.value.fleet, reply));
   else onFormedFleet(bootstrap, reply);
 }
 
@@ -125,8 +125,8 @@
   if (Option.isNone(disk.lost()) && mayFound) void founding.run();
 }
 
-function create(kernel: Kernel, settings: FleetBootstrapSettings, parts: FleetBootstrapParts): FleetBootstrap {
-  const cores = knownCores.create(kernel);
+function create(runtime: Runtime, settings: FleetBootstrapSettings, parts: FleetBootstrapParts): FleetBootstrap {
+  const cores = knownCores.create(runtime);
 
   async function becomeFormed(known: Fleet): Promise<void> {
     const isKept = await parts.record.keep({ ...known, stage: 'formed' });
@@ -134,12 +134,12 @@
   }
 
   const bootstrap: Bootstrap = {
-    kernel,
+    runtime,
     settings,
     parts,
     cores,
-    recovery: diskRecovery.create(kernel, settings.node, parts, cores, becomeFormed),
-    founding: foundings.create(kernel, settings, parts, cores, becomeFormed),
+    recovery: diskRecovery.create(runtime, settings.node, parts, cores, becomeFormed),
+    founding: foundings.create(runtime, settings, parts, cores, becomeFormed),
     becomeFormed,
   };
   return {
--- a/packages/core/src/founding.ts
+++ b/packages/core/src/founding.ts
@@ -1,6 +1,6 @@
 /** Forms the fleet, once: one core proposes it to all that were found, and each keeps it before it agrees (design 4.3). */
 import * as Option from 'fp-ts/lib/Option.js';
-import { identifiers, type Kernel } from '@stallstall/kernel';
+import { identifiers, type Runtime } from '@stallstall/kernel';
 import type { Reply, Request, Seat } from '@stallstall/message';
 import { heartbeatMilliseconds } from '@stallstall/node';
 import { peer } from '@stallstall/peer';
@@ -30,18 +30,18 @@
 }
 
 /** The lowest founder proposes, once all founders were found and nobody new has appeared for a while. */
-function proposeOnceGathered(kernel: Kernel, ownAddress: string, founders: readonly string[]): ProposalRule {
+function proposeOnceGathered(runtime: Runtime, ownAddress: string, founders: readonly string[]): ProposalRule {
   let gathered = '';
-  let gatheredSince = kernel.clock.now();
+  let gatheredSince = runtime.clock.now();
   return function mayPropose(everyone) {
     const names = everyone.map((seat) => seat.node).join(' ');
     if (names !== gathered) {
       gathered = names;
-      gatheredSince = kernel.clock.now();
+      gatheredSince = runtime.clock.now();
     }
     const isLowest = ownAddress === [...founders].sort()[0];
     const areAllFound = founders.every((founder) => everyone.some((seat) => seat.address === founder));
-    return isLowest && areAllFound && kernel.clock.now() - gatheredSince >= gatherMilliseconds;
+    return isLowest && areAllFound && runtime.clock.now() - gatheredSince >= gatherMilliseconds;
   };
 }
 
@@ -51,11 +51,11 @@
 }
 
 /** Sends one step of the founding to all other cores; resolves to true when all agreed. */
-async function sendToFounders(kernel: Kernel, fleet: Fleet, others: readonly Seat[], step: 'propose' | 'formed'): Promise<boolean> {
+async function sendToFounders(runtime: Runtime, fleet: Fleet, others: readonly Seat[], step: 'propose' | 'formed'): Promise<boolean> {
   const replies = await Promise.all(
     others.map(async function send(core) {
-      const link = peer.dial(kernel, identifiers.address(core.address));
-      await kernel.clock.sleep(dialMilliseconds);
+      const link = peer.dial(runtime, identifiers.address(core.address));
+      await runtime.clock.sleep(dialMilliseconds);
       const reply = await link.call('form', { step, fleet: fleet.fleet, cores: [...fleet.cores] }, formMilliseconds);
       link.close();
       return Option.isSome(reply) && reply.value.agreed;
@@ -66,7 +66,7 @@
 
 /** @param becomeFormed - begins to answer as a core of a formed fleet */
 function create(
-  kernel: Kernel,
+  runtime: Runtime,
   settings: FleetBootstrapSettings,
   parts: FleetBootstrapParts,
   cores: KnownCores,
@@ -74,14 +74,14 @@
 ): Founding {
   const { node, disk, record } = parts;
   const mayPropose = Option.isSome(parts.founding)
-    ? proposeOnceGathered(kernel, settings.address, parts.founding.value.founders)
+    ? proposeOnceGathered(runtime, settings.address, parts.founding.value.founders)
     : proposeOnceComplete(settings);
 
   /** The fleet that this core has agreed to or proposes; none when it could not be written down. */
   async function proposedFleet(everyone: readonly Seat[]): Promise<Option.Option<Fleet>> {
     const current = record.current();
     if (Option.isSome(current)) return current;
-    const proposed: Fleet = { fleet: kernel.randomness.token(), node: settings.node, cores: everyone, stage: 'founding' };
+    const proposed: Fleet = { fleet: runtime.randomness.token(), node: settings.node, cores: everyone, stage: 'founding' };
     return (await record.keep(proposed)) ? Option.some(proposed) : Option.none;
   }
 
@@ -92,14 +92,14 @@
     const fleet = await proposedFleet(everyone);
     if (Option.isNone(fleet)) return;
     const founders = fleet.value.cores.filter((core) => core.node !== settings.node);
-    if (!(await sendToFounders(kernel, fleet.value, founders, 'propose'))) return;
+    if (!(await sendToFounders(runtime, fleet.value, founders, 'propose'))) return;
     await becomeFormed(fleet.value);
-    await sendToFounders(kernel, fleet.value, founders, 'formed');
+    await sendToFounders(runtime, fleet.value, founders, 'formed');
   }
 
   async function run(): Promise<void> {
     while (!parts.stopped() && (record.stage() === 'blank' || record.stage() === 'founding')) {
-      await kernel.clock.sleep(heartbeatMilliseconds);
+      await runtime.clock.sleep(heartbeatMilliseconds);
       await propose();
     }
   }
--- a/packages/core/src/known-cores.ts
+++ b/packages/core/src/known-cores.ts
@@ -1,5 +1,5 @@
 /** Cores that have greeted this one, or replied to its greeting, before there is a fleet (design 4.3). */
-import type { Instant, Kernel } from '@stallstall/kernel';
+import type { Instant, Runtime } from '@stallstall/kernel';
 import type { Seat } from '@stallstall/message';
 import { quorum } from '@stallstall/quorum';
 import type { Fleet } from './fleet-record.js';
@@ -19,7 +19,7 @@
 /** A core that was heard longer ago is not counted among those that found a fleet. */
 const recentMilliseconds = 2_000;
 
-function create(kernel: Kernel): KnownCores {
+function create(runtime: Runtime): KnownCores {
   const known = new Map<string, KnownCore>();
 
   function includesMajority({ fleet, cores }: Fleet): boolean {
@@ -29,8 +29,8 @@
   }
 
   return {
-    observe: (seat, fleet) => void known.set(seat.node, { seat, fleet, at: kernel.clock.now() }),
-    recent: () => [...known.values()].filter((core) => kernel.clock.now() - core.at < recentMilliseconds),
+    observe: (seat, fleet) => void known.set(seat.node, { seat, fleet, at: runtime.clock.now() }),
+    recent: () => [...known.values()].filter((core) => runtime.clock.now() - core.at < recentMilliseconds),
     includesMajority,
   };
 }
--- a/packages/core/src/leader-watch.ts
+++ b/packages/core/src/leader-watch.ts
@@ -1,7 +1,7 @@
 /** Watches the members that lead: whether their connections are open, and whether any service lacks a leader (design 7.1). */
 import * as Option from 'fp-ts/lib/Option.js';
 import { livenessService } from '@stallstall/election';
-import type { Kernel } from '@stallstall/kernel';
+import type { Runtime } from '@stallstall/kernel';
 import type { MemberRegistry } from '@stallstall/member-registry';
 import type { Node } from '@stallstall/node';
 
@@ -17,7 +17,7 @@
 
 const connectMilliseconds = 800;
 
-function create(kernel: Kernel, node: Node, registry: MemberRegistry): LeaderWatch {
+function create(runtime: Runtime, node: Node, registry: MemberRegistry): LeaderWatch {
   function registeredServices(): readonly string[] {
     const configuration = node.configuration();
     if (Option.isNone(configuration)) return [];
@@ -28,7 +28,7 @@
     const record = registry.recordOf(member);
     if (Option.isNone(record) || record.value.gone) return;
     const { service, address } = record.value;
-    void kernel.services.find(livenessService).keepConnection(service, member, address, connectMilliseconds);
+    void runtime.services.find(livenessService).keepConnection(service, member, address, connectMilliseconds);
   }
 
   function checkLeaders(): void {
--- a/packages/core/src/learner.ts
+++ b/packages/core/src/learner.ts
@@ -1,6 +1,6 @@
 /** A core without a seat: it copies the fleet's cores, asks for a vacant seat, and answers nothing until it has caught up (design 4.8). */
 import * as Option from 'fp-ts/lib/Option.js';
-import type { Kernel } from '@stallstall/kernel';
+import type { Runtime } from '@stallstall/kernel';
 import type { CoreSet, Seat } from '@stallstall/message';
 import { catchUp, isSameOccupant, proposer, type Acceptor, type NumberedRegister, type RegisterReplica } from '@stallstall/register';
 import type { CoreCall } from './core-calls.js';
@@ -26,7 +26,7 @@
 }>;
 
 type LearnerState = {
-  readonly kernel: Kernel;
+  readonly runtime: Runtime;
   readonly parts: LearnerParts;
   newest: Option.Option<CoreSet>;
   isRunning: boolean;
@@ -52,8 +52,8 @@
 
 /** Copies enough of the others that are in no earlier set than `since`; abandoned once a newer set is known. */
 function copyOthers(learner: LearnerState, set: CoreSet, epochs: Record<string, number>, since: number): Promise<boolean> {
-  const { kernel, parts } = learner;
-  kernel.log('core.copying', { set: set.number, seated: isSeated(learner, set) });
+  const { runtime, parts } = learner;
+  runtime.log('core.copying', { set: set.number, seated: isSeated(learner, set) });
   return catchUp.copyEnough(
     otherSeats(learner, set),
     catchUp.sourcesNeeded(set.seats.length),
@@ -64,12 +64,12 @@
 
 /** The register as the others serve it: this core asks, and counts for nothing. */
 function registerOver(learner: LearnerState, set: CoreSet): NumberedRegister {
-  const { kernel, parts } = learner;
+  const { runtime, parts } = learner;
   const replicas = otherSeats(learner, set).map((seat): RegisterReplica => ({
     core: seat.node,
     send: (call, body, milliseconds) => parts.callCore(seat.address, call, body, milliseconds),
   }));
-  return proposer.create(kernel, {
+  return proposer.create(runtime, {
     name: parts.seat().node,
     replicas: () => replicas,
     replicaCount: () => set.seats.length,
@@ -94,7 +94,7 @@
 
 /** Asks one core for a seat; what it replies later than it is waited for is taken all the same. */
 async function askForSeat(learner: LearnerState, set: CoreSet, attempt: number): Promise<void> {
-  const { kernel, parts } = learner;
+  const { runtime, parts } = learner;
   const addresses = [...otherSeats(learner, set).map((seat) => seat.address), ...parts.seeds()];
   const others = [...new Set(addresses)].filter((address) => address !== parts.seat().address);
   const address = others[attempt % others.length];
@@ -103,14 +103,14 @@
     if (Option.isNone(reply)) return;
     const { joined, reason, set: reported } = reply.value;
     if (reported !== undefined) observe(learner, reported);
-    if (!joined && reason !== learner.lastReason) kernel.log('core.join-waits', { reason });
+    if (!joined && reason !== learner.lastReason) runtime.log('core.join-waits', { reason });
     learner.lastReason = reason;
   });
-  await Promise.race([join, kernel.clock.sleep(nextCoreMilliseconds)]);
+  await Promise.race([join, runtime.clock.sleep(nextCoreMilliseconds)]);
 }
 
 async function run(learner: LearnerState): Promise<void> {
-  const { kernel, parts } = learner;
+  const { runtime, parts } = learner;
   let isCopied = false;
   let attempts = 0;
   while (parts.isWanted() && Option.isSome(learner.newest)) {
@@ -121,7 +121,7 @@
       attempts += 1;
       await askForSeat(learner, set, attempts);
     }
-    if (parts.isWanted() && isNewest(learner, set)) await kernel.clock.sleep(pauseMilliseconds);
+    if (parts.isWanted() && isNewest(learner, set)) await runtime.clock.sleep(pauseMilliseconds);
   }
   learner.isRunning = false;
 }
@@ -133,8 +133,8 @@
   void run(learner);
 }
 
-function create(kernel: Kernel, parts: LearnerParts): Learner {
-  const learner: LearnerState = { kernel, parts, newest: Option.none, isRunning: false, lastReason: '' };
+function create(runtime: Runtime, parts: LearnerParts): Learner {
+  const learner: LearnerState = { runtime, parts, newest: Option.none, isRunning: false, lastReason: '' };
   return { observe: (set) => observe(learner, set) };
 }
 
--- a/packages/core/src/member-registration.ts
+++ b/packages/core/src/member-registration.ts
@@ -1,6 +1,6 @@
 /** Members that register by their heartbeats, and edges that hold leases, as one core serves them (design 4.7, 7.12). */
 import * as Option from 'fp-ts/lib/Option.js';
-import { kernel as kernels, type Disk, type Kernel } from '@stallstall/kernel';
+import { runtimeUtilities, type Disk, type Runtime } from '@stallstall/kernel';
 import { leaseGrantor, leaseGrantorService, type LeaseGrantor, type LeaseGrantorContext } from '@stallstall/lease';
 import {
   memberRegistry,
@@ -42,7 +42,7 @@
 }>;
 
 type RegistrationState = {
-  readonly kernel: Kernel;
+  readonly runtime: Runtime;
   readonly node: Node;
   readonly isInContact: () => boolean;
   readonly registry: MemberRegistry;
@@ -70,7 +70,7 @@
   state.file.writeLater();
   if (state.isBroadcastScheduled) return;
   state.isBroadcastScheduled = true;
-  state.kernel.clock.startTimer(gatherMilliseconds, function broadcastNow() {
+  state.runtime.clock.startTimer(gatherMilliseconds, function broadcastNow() {
     state.isBroadcastScheduled = false;
     broadcast(state);
   });
@@ -106,7 +106,7 @@
 }
 
 function start(state: RegistrationState): void {
-  const { kernel, registry, leaders } = state;
+  const { runtime, registry, leaders } = state;
   function isRunning(): boolean {
     return !state.isStopped;
   }
@@ -114,8 +114,8 @@
     registry.sweep();
     broadcast(state);
   }
-  void kernels.every(kernel.clock, broadcastMilliseconds, sweepAndBroadcast, isRunning);
-  void kernels.every(kernel.clock, leaderCheckMilliseconds, leaders.checkLeaders, isRunning);
+  void runtimeUtilities.every(runtime.clock, broadcastMilliseconds, sweepAndBroadcast, isRunning);
+  void runtimeUtilities.every(runtime.clock, leaderCheckMilliseconds, leaders.checkLeaders, isRunning);
 }
 
 function stop(state: RegistrationState): void {
@@ -124,11 +124,11 @@
   state.grantor.stop();
 }
 
-function assemble(kernel: Kernel, parts: MemberRegistrationParts): RegistrationState {
+function assemble(runtime: Runtime, parts: MemberRegistrationParts): RegistrationState {
   const { node, isInContact } = parts;
-  const registry = memberRegistry.create(kernel, () => onRegistryChanged(state));
-  const leaders = leaderWatch.create(kernel, node, registry);
-  const grantor = leaseGrantor.create(kernel, {
+  const registry = memberRegistry.create(runtime, () => onRegistryChanged(state));
+  const leaders = leaderWatch.create(runtime, node, registry);
+  const grantor = leaseGrantor.create(runtime, {
     ...parts.grantorContext,
     epochs: node.epochs,
     registry,
@@ -136,24 +136,24 @@
     onConnectionRefused: leaders.check,
   });
   const state: RegistrationState = {
-    kernel,
+    runtime,
     node,
     isInContact,
     registry,
     grantor,
     leaders,
-    broadcaster: registryBroadcaster.create(kernel, node, registry),
-    file: registryFile.create(kernel, parts.disk, registry),
+    broadcaster: registryBroadcaster.create(runtime, node, registry),
+    file: registryFile.create(runtime, parts.disk, registry),
     isBroadcastScheduled: false,
     isStopped: false,
   };
   return state;
 }
 
-function create(kernel: Kernel, parts: MemberRegistrationParts): MemberRegistration {
-  const state = assemble(kernel, parts);
-  kernel.services.offer(memberRegistryService, state.registry);
-  kernel.services.offer(leaseGrantorService, state.grantor);
+function create(runtime: Runtime, parts: MemberRegistrationParts): MemberRegistration {
+  const state = assemble(runtime, parts);
+  runtime.services.offer(memberRegistryService, state.registry);
+  runtime.services.offer(leaseGrantorService, state.grantor);
   registryFile.restore(state.registry, parts.storedRegistry);
   return {
     grantor: state.grantor,
--- a/packages/core/src/operators.ts
+++ b/packages/core/src/operators.ts
@@ -3,7 +3,7 @@
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { Type, type Static } from '@sinclair/typebox';
-import { fault, type Fault, type HttpRequest, type Kernel } from '@stallstall/kernel';
+import { fault, type Fault, type HttpRequest, type Runtime } from '@stallstall/kernel';
 import { message, type Entry } from '@stallstall/message';
 import type { PlacementConfiguration } from '@stallstall/placement';
 import { registerService, type Register } from '@stallstall/register';
@@ -120,8 +120,8 @@
     : Either.right({ operator: known.operator, scope: known });
 }
 
-async function put(kernel: Kernel, register: Register, operator: string, scope: Scope): Promise<Either.Either<Fault, string>> {
-  const key = `${kernel.randomness.token()}${kernel.randomness.token()}`;
+async function put(runtime: Runtime, register: Register, operator: string, scope: Scope): Promise<Either.Either<Fault, string>> {
+  const key = `${runtime.randomness.token()}${runtime.randomness.token()}`;
   const { services, nodes, operators: mayNameOperators } = scope;
   const added: StoredOperator = { operator, digest: digestOf(key), services: [...services], nodes, operators: mayNameOperators };
   const changed = await register.change(operatorsKey, function next(current) {
@@ -145,8 +145,8 @@
   return Either.map(() => wasKnown)(changed);
 }
 
-async function recordAction(kernel: Kernel, register: Register, by: string, action: string, detail: string): Promise<void> {
-  const at = kernel.clock.wall();
+async function recordAction(runtime: Runtime, register: Register, by: string, action: string, detail: string): Promise<void> {
+  const at = runtime.clock.wall();
   const changed = await register.change(trailKey, function next(current) {
     const entries = trailOf(current);
     const isRecorded = entries.some((one) => one.at === at && one.by === by && one.action === action && one.detail === detail);
@@ -154,17 +154,17 @@
     const entry: TrailEntry = { number: (entries.at(-1)?.number ?? 0) + 1, at, by, action, detail };
     return Option.some({ entries: [...entries, entry].slice(-trailKept) });
   });
-  kernel.log('operator.acted', { by, action, detail, noted: Either.isRight(changed) });
+  runtime.log('operator.acted', { by, action, detail, noted: Either.isRight(changed) });
 }
 
 /** @param rootKey - the key that may do everything; undefined admits everyone */
-function create(kernel: Kernel, rootKey: string | undefined): OperatorTable {
-  const register = kernel.services.find(registerService);
+function create(runtime: Runtime, rootKey: string | undefined): OperatorTable {
+  const register = runtime.services.find(registerService);
   return {
     caller: (request) => callerOf(register, rootKey, request),
-    put: (operator, scope) => put(kernel, register, operator, scope),
+    put: (operator, scope) => put(runtime, register, operator, scope),
     remove: (operator) => remove(register, operator),
-    recordAction: (by, action, detail) => recordAction(kernel, register, by, action, detail),
+    recordAction: (by, action, detail) => recordAction(runtime, register, by, action, detail),
     list: async function list() {
       const read = await register.read(operatorsKey);
       return Either.map((entry: Option.Option<Entry>) => operatorsOf(entry).map(({ digest: _digest, ...shown }) => shown))(read);
--- a/packages/core/src/placement-updates.ts
+++ b/packages/core/src/placement-updates.ts
@@ -1,7 +1,7 @@
 /** Placement configurations that operators of this product send, each taken once however often it arrives (design 6.2, 6.6). */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
-import { fault, type Fault, type Kernel } from '@stallstall/kernel';
+import { fault, type Fault, type Runtime } from '@stallstall/kernel';
 import type { Entry } from '@stallstall/message';
 import type { Configuration } from '@stallstall/node';
 import type { PlacementConfiguration } from '@stallstall/placement';
@@ -31,7 +31,7 @@
 
 /** @internal */
 export type PlacementUpdateParts = Readonly<{
-  kernel: Kernel;
+  runtime: Runtime;
   register: Register;
   claims: ClaimTable;
   versions: ConfigurationVersions;
@@ -86,11 +86,11 @@
 }
 
 async function write(
-  { kernel, register }: PlacementUpdateParts,
+  { runtime, register }: PlacementUpdateParts,
   update: PlacementUpdate,
   claim: SendClaim,
 ): Promise<Either.Either<Fault, Attempt>> {
-  const sentAt = kernel.clock.wall();
+  const sentAt = runtime.clock.wall();
   let rejection: Option.Option<Fault> = Option.none;
   const changed = await register.change('configuration', function next(current) {
     rejection = Option.none;
--- a/packages/core/src/quorum-contact.ts
+++ b/packages/core/src/quorum-contact.ts
@@ -1,6 +1,6 @@
 /** A core confirms and hands out only what a majority could contradict: contact with one is part of every answer (design 7.14). */
 import * as Either from 'fp-ts/lib/Either.js';
-import { fault, http, identifiers, type Fault, type HttpRoute, type HttpReply, type Instant, type Kernel } from '@stallstall/kernel';
+import { fault, http, identifiers, type Fault, type HttpRoute, type HttpReply, type Instant, type Runtime } from '@stallstall/kernel';
 
 export type QuorumContact = Readonly<{
   /** Called once this core answers ballots: it has met a majority on the way there. */
@@ -50,11 +50,11 @@
 }
 
 /** `answeredAt`: the latest moment after which a majority was asked and has answered. */
-function create(kernel: Kernel, answeredAt: () => Instant): QuorumContact {
+function create(runtime: Runtime, answeredAt: () => Instant): QuorumContact {
   let openedAt = identifiers.instant(Number.NEGATIVE_INFINITY);
 
   function inTouch(): boolean {
-    return kernel.clock.now() - Math.max(openedAt, answeredAt()) < contactMilliseconds;
+    return runtime.clock.now() - Math.max(openedAt, answeredAt()) < contactMilliseconds;
   }
 
   function during<Result>(work: () => Promise<Either.Either<Fault, Result>>): Promise<Either.Either<Fault, Result>> {
@@ -67,10 +67,10 @@
       }
       function look(): void {
         if (settled) return;
-        if (inTouch()) kernel.clock.startTimer(lookMilliseconds, look);
+        if (inTouch()) runtime.clock.startTimer(lookMilliseconds, look);
         else settle(Either.left(contactLost()));
       }
-      kernel.clock.startTimer(lookMilliseconds, look);
+      runtime.clock.startTimer(lookMilliseconds, look);
       work().then(settle, reject);
     });
   }
@@ -88,7 +88,7 @@
 
   return {
     opened: function opened() {
-      openedAt = kernel.clock.now();
+      openedAt = runtime.clock.now();
     },
     isInContact: inTouch,
     whileInContact: during,
--- a/packages/core/src/registry-broadcaster.ts
+++ b/packages/core/src/registry-broadcaster.ts
@@ -1,6 +1,6 @@
 /** Heartbeats that this core received go to the other cores; what a member builds on is confirmed by a majority (design 4.7, 7.14). */
 import * as Option from 'fp-ts/lib/Option.js';
-import type { Kernel } from '@stallstall/kernel';
+import type { Runtime } from '@stallstall/kernel';
 import type { MemberRegistry, ReceivedBeat } from '@stallstall/member-registry';
 import type { Node } from '@stallstall/node';
 import type { Peer } from '@stallstall/peer';
@@ -14,7 +14,7 @@
 }>;
 
 type BroadcasterState = Readonly<{
-  kernel: Kernel;
+  runtime: Runtime;
   node: Node;
   registry: MemberRegistry;
   /** Cores that have been sent everything, over a link that has been open since. */
@@ -46,12 +46,12 @@
   if (!isTaken) upToDate.delete(core);
 }
 
-async function sendAll({ kernel, registry, upToDate, catchingUp }: BroadcasterState, core: string, link: Peer): Promise<void> {
+async function sendAll({ runtime, registry, upToDate, catchingUp }: BroadcasterState, core: string, link: Peer): Promise<void> {
   catchingUp.add(core);
   const isTaken = await send(link, registry.all(), sendMilliseconds);
   if (isTaken) upToDate.add(core);
   // One that is there and not open yet takes nothing: it is asked again in a while, not at every broadcast.
-  else await kernel.clock.sleep(retryMilliseconds);
+  else await runtime.clock.sleep(retryMilliseconds);
   catchingUp.delete(core);
 }
 
@@ -96,8 +96,8 @@
   return enoughOf(confirmations, needed);
 }
 
-function create(kernel: Kernel, node: Node, registry: MemberRegistry): RegistryBroadcaster {
-  const state: BroadcasterState = { kernel, node, registry, upToDate: new Set(), catchingUp: new Set() };
+function create(runtime: Runtime, node: Node, registry: MemberRegistry): RegistryBroadcaster {
+  const state: BroadcasterState = { runtime, node, registry, upToDate: new Set(), catchingUp: new Set() };
   return {
     broadcast: () => broadcast(state),
     confirm: (member) => confirm(state, member),
--- a/packages/core/src/registry-file.ts
+++ b/packages/core/src/registry-file.ts
@@ -1,7 +1,7 @@
 /** The member registry on a core's disk: where members are until their heartbeats tell, and what they said of their end (design 4.7, 7.14). */
 import * as Either from 'fp-ts/lib/Either.js';
 import { Type } from '@sinclair/typebox';
-import type { Disk, Kernel } from '@stallstall/kernel';
+import type { Disk, Runtime } from '@stallstall/kernel';
 import type { MemberRegistry } from '@stallstall/member-registry';
 import { MemberRecordSchema, message } from '@stallstall/message';
 import { registryKey } from './data-folder.js';
@@ -23,7 +23,7 @@
   if (message.matches(RecordsSchema, stored)) registry.restore(stored);
 }
 
-function create(kernel: Kernel, disk: Pick<Disk, 'put'>, registry: MemberRegistry): RegistryFile {
+function create(runtime: Runtime, disk: Pick<Disk, 'put'>, registry: MemberRegistry): RegistryFile {
   let writtenVersion = 0;
   let isScheduled = false;
   let isStopped = false;
@@ -39,7 +39,7 @@
   function writeLater(): void {
     if (isScheduled || isStopped) return;
     isScheduled = true;
-    kernel.clock.startTimer(writeDelayMilliseconds, function writeNow() {
+    runtime.clock.startTimer(writeDelayMilliseconds, function writeNow() {
       isScheduled = false;
       if (!isStopped) void write();
     });
--- a/packages/core/src/state-transfer.ts
+++ b/packages/core/src/state-transfer.ts
@@ -1,6 +1,6 @@
 /** Copies what another core holds to this core's own disk: cells, votes and reports (design 4.3). */
 import * as Option from 'fp-ts/lib/Option.js';
-import type { Kernel } from '@stallstall/kernel';
+import type { Runtime } from '@stallstall/kernel';
 import type { Reply, Seat } from '@stallstall/message';
 import { acceptor, catchUp, type Acceptor, type ReportStore } from '@stallstall/register';
 import type { CoreCall } from './core-calls.js';
@@ -57,7 +57,7 @@
 }
 
 async function copyFrom(
-  kernel: Kernel,
+  runtime: Runtime,
   parts: StateTransferParts,
   { other, set, epochs, isUnneeded }: Readonly<{ other: Seat; set: CopiedSet; epochs: Record<string, number>; isUnneeded: () => boolean }>,
 ): Promise<boolean> {
@@ -65,7 +65,7 @@
   while (!parts.stopped() && !isUnneeded()) {
     const page = await fetchPage(parts, other, set, after);
     if (Option.isNone(page) || !(await storePage(parts, page.value))) {
-      await kernel.clock.sleep(retryMilliseconds);
+      await runtime.clock.sleep(retryMilliseconds);
       continue;
     }
     const { votes, next } = page.value;
@@ -76,18 +76,18 @@
   return false;
 }
 
-async function abstainIn(kernel: Kernel, { votes, stopped }: StateTransferParts, service: string, epoch: number): Promise<void> {
+async function abstainIn(runtime: Runtime, { votes, stopped }: StateTransferParts, service: string, epoch: number): Promise<void> {
   while (!stopped() && ((await votes.epochs())[service] ?? 0) < epoch) {
     const isRecorded = await votes.record(service, { epoch, ...abstention });
-    if (!isRecorded) await kernel.clock.sleep(retryMilliseconds);
+    if (!isRecorded) await runtime.clock.sleep(retryMilliseconds);
   }
 }
 
-function create(kernel: Kernel, parts: StateTransferParts): StateTransfer {
+function create(runtime: Runtime, parts: StateTransferParts): StateTransfer {
   return {
-    copyFrom: (other, set, epochs, isUnneeded = () => false) => copyFrom(kernel, parts, { other, set, epochs, isUnneeded }),
+    copyFrom: (other, set, epochs, isUnneeded = () => false) => copyFrom(runtime, parts, { other, set, epochs, isUnneeded }),
     abstain: async function abstain(epochs) {
-      await Promise.all(Object.entries(epochs).map(([service, epoch]) => abstainIn(kernel, parts, service, epoch)));
+      await Promise.all(Object.entries(epochs).map(([service, epoch]) => abstainIn(runtime, parts, service, epoch)));
     },
   };
 }
--- a/packages/core/src/usage-reporting.ts
+++ b/packages/core/src/usage-reporting.ts
@@ -2,7 +2,7 @@
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { singletonRole, type PlatformCall, type PlatformCalls, type RoleLease } from '@stallstall/election';
-import { identifiers, type Fault, type Kernel } from '@stallstall/kernel';
+import { identifiers, type Fault, type Runtime } from '@stallstall/kernel';
 import type { Reply } from '@stallstall/message';
 import type { Node } from '@stallstall/node';
 import { quorum } from '@stallstall/quorum';
@@ -32,7 +32,7 @@
 }>;
 
 type ReportingState = {
-  readonly kernel: Kernel;
+  readonly runtime: Runtime;
   readonly node: Node;
   readonly reports: ReportStore;
   readonly leased: Option.Option<LeasedUsageParts>;
@@ -80,7 +80,7 @@
 
 /** The counts of a window as a majority of disks holds them; none while an edge may still have some to report. */
 async function collectCounts(state: ReportingState, window: number): Promise<Option.Option<Readonly<Record<string, number>>>> {
-  const { kernel, node, leased } = state;
+  const { runtime, node, leased } = state;
   const cores = node.cores();
   const looks = await Promise.all(cores.map((core) => lookAt(state, core.node, window)));
   const replies = looks.flatMap((look) => (Option.isSome(look) && look.value.ready ? [look.value] : []));
@@ -91,15 +91,15 @@
     return through >= end + clockSkewMilliseconds;
   });
   const grace = Option.isSome(leased) ? sessionGraceMilliseconds : graceMilliseconds;
-  if (!isComplete && kernel.clock.wall() < end + grace) return Option.none;
+  if (!isComplete && runtime.clock.wall() < end + grace) return Option.none;
   return Option.some(reportStore.sumReports(replies.flatMap((reply) => reply.reports)));
 }
 
-async function fixWindow({ kernel, register }: ReportingState, window: number, counts: Readonly<Record<string, number>>): Promise<void> {
+async function fixWindow({ runtime, register }: ReportingState, window: number, counts: Readonly<Record<string, number>>): Promise<void> {
   const fixed = await usageWindows.fix(register, window, counts);
   if (Option.isNone(fixed) || !fixed.value.isNew) return;
   const counted = Object.values(counts).reduce((sum, count) => sum + count, 0);
-  kernel.log('usage.fixed', { window, counted });
+  runtime.log('usage.fixed', { window, counted });
 }
 
 function requestOf({ node, leased }: ReportingState, { window, counts }: UsageWindow, fencingToken: number): PlatformCall {
@@ -125,7 +125,7 @@
 
 /** Fixes every window that has ended, also one that is too late to send. */
 async function fixEnded(state: ReportingState, known: readonly UsageWindow[]): Promise<void> {
-  const last = Math.floor((state.kernel.clock.wall() - clockSkewMilliseconds) / usageWindowMilliseconds) - 1;
+  const last = Math.floor((state.runtime.clock.wall() - clockSkewMilliseconds) / usageWindowMilliseconds) - 1;
   const newest = known.at(-1)?.window ?? last - 1;
   const first = Math.max(newest + 1, last - usageWindowsKept + 2);
   for (let window = first; window <= last; window += 1) {
@@ -137,46 +137,46 @@
 
 /** One round of the holder: fixes what has ended, then sends what can still arrive in time. */
 async function runRound(state: ReportingState, role: RoleLease): Promise<void> {
-  const { kernel, register } = state;
+  const { runtime, register } = state;
   const known = await usageWindows.read(register);
   if (Either.isLeft(known)) return;
   await fixEnded(state, known.right);
   const fixed = await usageWindows.read(register);
   if (Either.isLeft(fixed)) return;
   for (const window of fixed.right) {
-    const isTooLate = endOf(window.window) + latestSendMilliseconds < kernel.clock.wall();
+    const isTooLate = endOf(window.window) + latestSendMilliseconds < runtime.clock.wall();
     if (!window.sent && !isTooLate && !state.isStopped) void send(state, window, role);
   }
 }
 
 async function hold(state: ReportingState, role: RoleLease): Promise<void> {
-  const { kernel } = state;
-  kernel.log('usage.holding', { fencingToken: role.fencingToken });
+  const { runtime } = state;
+  runtime.log('usage.holding', { fencingToken: role.fencingToken });
   while (!state.isStopped && (await role.renew())) {
     await runRound(state, role);
-    await kernel.clock.sleep(roundMilliseconds);
+    await runtime.clock.sleep(roundMilliseconds);
   }
-  kernel.log('usage.ended', { fencingToken: role.fencingToken });
+  runtime.log('usage.ended', { fencingToken: role.fencingToken });
 }
 
 async function run(state: ReportingState): Promise<void> {
-  const { kernel, node, leased } = state;
+  const { runtime, node, leased } = state;
   const handoverDelay = Option.isSome(leased) ? leased.value.calls.handoverDelayMilliseconds : 0;
-  const role = singletonRole.create(kernel, 'usage', node.settings.node, handoverDelay);
+  const role = singletonRole.create(runtime, 'usage', node.settings.node, handoverDelay);
   while (!state.isStopped) {
     const lease = node.incarnation() > 0 ? await role.tryAcquire() : Option.none;
     if (Option.isSome(lease)) {
       await hold(state, lease.value);
       if (state.isStopped) await lease.value.release();
     }
-    await kernel.clock.sleep(acquireMilliseconds);
+    await runtime.clock.sleep(acquireMilliseconds);
   }
 }
 
 /** @param leased - none where members and edges are named by an operator */
-function create(kernel: Kernel, node: Node, reports: ReportStore, leased: Option.Option<LeasedUsageParts> = Option.none): UsageReporting {
-  const register = kernel.services.find(registerService);
-  const state: ReportingState = { kernel, node, reports, leased, register, sending: new Set(), isStopped: false };
+function create(runtime: Runtime, node: Node, reports: ReportStore, leased: Option.Option<LeasedUsageParts> = Option.none): UsageReporting {
+  const register = runtime.services.find(registerService);
+  const state: ReportingState = { runtime, node, reports, leased, register, sending: new Set(), isStopped: false };
   let ended: Promise<void> = Promise.resolve();
   return {
     start: function start() {
--- a/packages/core/src/version-store.ts
+++ b/packages/core/src/version-store.ts
@@ -4,7 +4,7 @@
  */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
-import { kernel as kernels, owner, type Disk, type Kernel, type Owner } from '@stallstall/kernel';
+import { runtimeUtilities, owner, type Disk, type Runtime, type Owner } from '@stallstall/kernel';
 import type { EarlierVersion, Entry, Reply, Request } from '@stallstall/message';
 import type { Configuration, Node } from '@stallstall/node';
 import { packedVersion, storageKeyOf, versionsKept, versionStoragePrefix, type SentVersion } from './packed-version.js';
@@ -38,7 +38,7 @@
 }>;
 
 type StoreState = {
-  readonly kernel: Kernel;
+  readonly runtime: Runtime;
   readonly parts: VersionStoreParts;
   readonly index: VersionIndex;
   readonly commands: Owner<null>;
@@ -131,12 +131,12 @@
 
 /** Versions to ask for now, the newest first, for these are read most. */
 function missing(store: StoreState): readonly number[] {
-  const { kernel, parts, index, unavailableUntil } = store;
+  const { runtime, parts, index, unavailableUntil } = store;
   const newest = parts.newest();
   const least = oldest(store, newest);
   const found: number[] = [];
   for (let version = newest - 1; version >= least && found.length < versionsPerRequest; version -= 1) {
-    const isDue = (unavailableUntil.get(version) ?? 0) <= kernel.clock.now();
+    const isDue = (unavailableUntil.get(version) ?? 0) <= runtime.clock.now();
     if (!index.rows.has(version) && isDue) found.push(version);
   }
   return found;
@@ -144,7 +144,7 @@
 
 /** Asks the other cores for what is missing, until nothing is or none of them replies. */
 async function repair(store: StoreState): Promise<void> {
-  const { kernel, index, commands, unavailableUntil } = store;
+  const { runtime, index, commands, unavailableUntil } = store;
   for (let versions = missing(store); versions.length > 0 && !store.isStopped; versions = missing(store)) {
     const replies = await askOthers(store, versions);
     if (replies.length === 0) return;
@@ -154,7 +154,7 @@
       if (!isWritten) return;
     }
     if (index.rows.size > before) continue;
-    for (const version of versions) unavailableUntil.set(version, kernel.clock.now() + unavailableMilliseconds);
+    for (const version of versions) unavailableUntil.set(version, runtime.clock.now() + unavailableMilliseconds);
   }
 }
 
@@ -175,17 +175,17 @@
 
 async function start(store: StoreState): Promise<void> {
   await loadIndex(store);
-  void kernels.every(
-    store.kernel.clock,
+  void runtimeUtilities.every(
+    store.runtime.clock,
     repairMilliseconds,
     () => repair(store),
     () => !store.isStopped,
   );
 }
 
-function create(kernel: Kernel, parts: VersionStoreParts): VersionStore {
+function create(runtime: Runtime, parts: VersionStoreParts): VersionStore {
   const store: StoreState = {
-    kernel,
+    runtime,
     parts,
     index: versionIndex.create(),
     commands: owner.create('versions', null),
--- a/packages/election/src/candidacy.ts
+++ b/packages/election/src/candidacy.ts
@@ -61,16 +61,16 @@
   service: string,
   epoch: number,
 ): Promise<Option.Option<RoleLease>> {
-  const { kernel, epochs } = services;
-  const deadline = identifiers.after(kernel.clock.now(), roleTimeoutMilliseconds);
-  while (kernel.clock.now() < deadline && !epochs.isOvertaken(service, epoch)) {
+  const { runtime, epochs } = services;
+  const deadline = identifiers.after(runtime.clock.now(), roleTimeoutMilliseconds);
+  while (runtime.clock.now() < deadline && !epochs.isOvertaken(service, epoch)) {
     const lease = await role.tryAcquire();
     if (Option.isSome(lease)) {
       if (await isStillOpen(services, service, epoch)) return lease;
       await lease.value.release();
       return Option.none;
     }
-    await kernel.clock.sleep(rolePollMilliseconds);
+    await runtime.clock.sleep(rolePollMilliseconds);
   }
   return Option.none;
 }
@@ -101,7 +101,7 @@
   { epoch, candidate }: Victory,
   role: RoleLease,
 ): Promise<string> {
-  const { kernel, context } = services;
+  const { runtime, context } = services;
   const promoted = await promotions.promote(services, { service, chosen: candidate, epoch, role });
   if (Either.isLeft(promoted)) {
     await role.release();
@@ -113,14 +113,14 @@
     primary: candidate.member.member,
     wonBy: context.self,
     position: candidate.state.received,
-    settledAt: kernel.clock.wall(),
+    settledAt: runtime.clock.wall(),
   });
   await role.release();
   return isCommitted ? `epoch ${epoch} settled on ${candidate.member.member}` : `epoch ${epoch} promoted but not settled`;
 }
 
 function create(services: ElectionServices): Candidacies {
-  const { kernel, context } = services;
+  const { runtime, context } = services;
   const roles = new Map<string, SingletonRole>();
 
   /** One for each service and process: it remembers when it acted last. */
@@ -128,7 +128,7 @@
     const known = roles.get(service);
     if (known !== undefined) return known;
     const handoverDelay = Option.isSome(context.calls) ? context.calls.value.handoverDelayMilliseconds : 0;
-    const created = singletonRole.create(kernel, `promotion/${service}`, context.self, handoverDelay);
+    const created = singletonRole.create(runtime, `promotion/${service}`, context.self, handoverDelay);
     roles.set(service, created);
     return created;
   }
@@ -144,7 +144,7 @@
       position: candidate.state.received,
     };
     const { epoch } = proposal;
-    kernel.log('election.propose', proposal);
+    runtime.log('election.propose', proposal);
     const majority = await voteCollection.collect(services, { ...proposal, node: context.self, membership: context.membershipVersion() });
     if (Either.isLeft(majority)) return `epoch ${epoch} not won: ${majority.left}`;
     const [isCaughtUp, role] = await Promise.all([
--- a/packages/election/src/election-services.ts
+++ b/packages/election/src/election-services.ts
@@ -1,6 +1,6 @@
 /** What the modules of an election share. */
 import * as Option from 'fp-ts/lib/Option.js';
-import type { Kernel } from '@stallstall/kernel';
+import type { Runtime } from '@stallstall/kernel';
 import { placements, type MemberPlacement, type ServicePlacement } from '@stallstall/placement';
 import type { DurableReports, Register } from '@stallstall/register';
 import type { ElectionContext } from './election-context.js';
@@ -9,7 +9,7 @@
 
 /** @internal */
 export type ElectionServices = Readonly<{
-  kernel: Kernel;
+  runtime: Runtime;
   context: ElectionContext;
   register: Register;
   durableReports: DurableReports;
--- a/packages/election/src/election.ts
+++ b/packages/election/src/election.ts
@@ -1,6 +1,6 @@
 /** The election that runs inside every node and decides each service's primary (design 7). */
 import * as Option from 'fp-ts/lib/Option.js';
-import { identifiers, kernel as kernels, type Instant, type Kernel } from '@stallstall/kernel';
+import { identifiers, runtimeUtilities, type Instant, type Runtime } from '@stallstall/kernel';
 import type { Reply, Request } from '@stallstall/message';
 import type { ServicePlacement } from '@stallstall/placement';
 import { quorum } from '@stallstall/quorum';
@@ -35,8 +35,8 @@
 const rankDelayMilliseconds = 450;
 
 /** Whether a service has no primary that could go on: none was elected, or it is down or is taken out of service. */
-function lacksPrimary({ kernel, context, liveness }: ElectionServices, service: ServicePlacement, state: ServiceState): boolean {
-  const isPastGracePeriod = kernel.clock.now() - state.knownSince >= downAfterMilliseconds;
+function lacksPrimary({ runtime, context, liveness }: ElectionServices, service: ServicePlacement, state: ServiceState): boolean {
+  const isPastGracePeriod = runtime.clock.now() - state.knownSince >= downAfterMilliseconds;
   if (Option.isNone(context.electedPrimary(service.service))) return isPastGracePeriod;
   const primary = primaryOf(context, service);
   if (primary === undefined || primary.state === 'draining') return true;
@@ -50,16 +50,16 @@
 }
 
 function startDelay(services: ElectionServices): number {
-  const { kernel, context } = services;
+  const { runtime, context } = services;
   const rank = rankOf(services);
   if (Option.isSome(context.calls)) return rank * rankDelayMilliseconds;
-  return (rank + kernel.randomness.fraction()) * randomizedRankDelayMilliseconds;
+  return (rank + runtime.randomness.fraction()) * randomizedRankDelayMilliseconds;
 }
 
 function isDue(services: ElectionServices, service: ServicePlacement, state: ServiceState): boolean {
-  const { kernel, epochs } = services;
+  const { runtime, epochs } = services;
   const isPending = epochs.votedEpoch(service.service) > epochs.electedEpoch(service.service);
-  if (isPending) return kernel.clock.now() - state.votedAt >= pendingTimeoutMilliseconds;
+  if (isPending) return runtime.clock.now() - state.votedAt >= pendingTimeoutMilliseconds;
   return lacksPrimary(services, service, state);
 }
 
@@ -75,7 +75,7 @@
 async function runCandidacy({ services, runs }: ElectionSchedule, service: ServicePlacement, state: ServiceState): Promise<void> {
   state.isCandidate = true;
   state.lastOutcome = await runs.run(service);
-  services.kernel.log('election.outcome', { service: service.service, outcome: state.lastOutcome });
+  services.runtime.log('election.outcome', { service: service.service, outcome: state.lastOutcome });
   state.isCandidate = false;
   state.startsAt = Option.none;
 }
@@ -92,7 +92,7 @@
     state.startsAt = Option.none;
     return;
   }
-  const now = services.kernel.clock.now();
+  const now = services.runtime.clock.now();
   const startsAt = Option.isSome(state.startsAt) ? state.startsAt.value : identifiers.after(now, startDelay(services));
   state.startsAt = Option.some(startsAt);
   if (now < startsAt || !mayBeCandidate(schedule, now)) return;
@@ -112,18 +112,18 @@
   });
 }
 
-function create(kernel: Kernel, context: ElectionContext, votes: VoteStore): Election {
+function create(runtime: Runtime, context: ElectionContext, votes: VoteStore): Election {
   const services: ElectionServices = {
-    kernel,
+    runtime,
     context,
-    register: kernel.services.find(registerService),
-    durableReports: kernel.services.find(durableReportsService),
-    liveness: kernel.services.find(livenessService),
-    epochs: serviceEpochs.create(kernel.clock, context, votes),
+    register: runtime.services.find(registerService),
+    durableReports: runtime.services.find(durableReportsService),
+    liveness: runtime.services.find(livenessService),
+    epochs: serviceEpochs.create(runtime.clock, context, votes),
   };
   const schedule: ElectionSchedule = {
     services,
-    lease: kernel.services.find(quorumLeaseService),
+    lease: runtime.services.find(quorumLeaseService),
     runs: candidacies.create(services),
   };
   return {
@@ -141,6 +141,6 @@
 }
 
 /** The name under which a process's other services find its election. */
-export const electionService = kernels.serviceName<Election>('election');
+export const electionService = runtimeUtilities.serviceName<Election>('election');
 
 export const election = { create } as const;
--- a/packages/election/src/http-state-probes.ts
+++ b/packages/election/src/http-state-probes.ts
@@ -1,6 +1,6 @@
 /** STATE of members that speak this product's own HTTP, over one connection to each (design 7.1). */
 import * as Either from 'fp-ts/lib/Either.js';
-import { fault, identifiers, type Fault, type HttpConnection, type Kernel } from '@stallstall/kernel';
+import { fault, identifiers, type Fault, type HttpConnection, type Runtime } from '@stallstall/kernel';
 import { message } from '@stallstall/message';
 import { MemberStateSchema, type MemberState } from './member-state.js';
 
@@ -21,14 +21,14 @@
   });
 }
 
-function create(kernel: Kernel): HttpStateProbes {
+function create(runtime: Runtime): HttpStateProbes {
   const probes = new Map<string, OpenProbe>();
 
   function connectionTo(member: string, address: string): HttpConnection {
     const open = probes.get(member);
     if (open !== undefined && open.address === address && !open.connection.closed()) return open.connection;
     open?.connection.close();
-    const connection = kernel.network.connect(identifiers.address(address));
+    const connection = runtime.network.connect(identifiers.address(address));
     probes.set(member, { address, connection });
     return connection;
   }
--- a/packages/election/src/liveness.ts
+++ b/packages/election/src/liveness.ts
@@ -1,7 +1,7 @@
 /** Failure detection: what this node itself has heard of each member, by heartbeats and by STATE over its own connection (design 7.1). */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
-import { fault, identifiers, kernel as kernels, type Fault, type Instant, type Kernel } from '@stallstall/kernel';
+import { fault, identifiers, runtimeUtilities, type Fault, type Instant, type Runtime } from '@stallstall/kernel';
 import { httpStateProbes, type HttpStateProbes } from './http-state-probes.js';
 import type { MemberProbe, MemberState, ProbedState } from './member-state.js';
 
@@ -31,7 +31,7 @@
 }>;
 
 type LivenessState = Readonly<{
-  kernel: Kernel;
+  runtime: Runtime;
   memberProbe: Option.Option<MemberProbe>;
   httpProbes: HttpStateProbes;
   listeningSince: Instant;
@@ -48,13 +48,13 @@
 /** A heartbeat this young outweighs earlier refusals. Unit: milliseconds. */
 const freshMilliseconds = 500;
 
-function heartbeat({ kernel, heardAt, states }: LivenessState, state: MemberState): void {
-  heardAt.set(state.member, kernel.clock.now());
+function heartbeat({ runtime, heardAt, states }: LivenessState, state: MemberState): void {
+  heardAt.set(state.member, runtime.clock.now());
   states.set(state.member, state);
 }
 
-function observeHeartbeat({ kernel, heardAt, refusals }: LivenessState, member: string, agoMilliseconds: number): void {
-  const at = identifiers.after(kernel.clock.now(), -agoMilliseconds);
+function observeHeartbeat({ runtime, heardAt, refusals }: LivenessState, member: string, agoMilliseconds: number): void {
+  const at = identifiers.after(runtime.clock.now(), -agoMilliseconds);
   if (at > (heardAt.get(member) ?? Number.NEGATIVE_INFINITY)) heardAt.set(member, at);
   if (agoMilliseconds < freshMilliseconds) refusals.delete(member);
 }
@@ -70,12 +70,12 @@
 function isAlive(liveness: LivenessState, member: string): boolean {
   const heardAt = liveness.heardAt.get(member);
   if (isRefusing(liveness, member)) return false;
-  return heardAt !== undefined && liveness.kernel.clock.now() - heardAt < downAfterMilliseconds;
+  return heardAt !== undefined && liveness.runtime.clock.now() - heardAt < downAfterMilliseconds;
 }
 
 function isDown(liveness: LivenessState, member: string): boolean {
   const silentSince = liveness.heardAt.get(member) ?? liveness.listeningSince;
-  return isRefusing(liveness, member) || liveness.kernel.clock.now() - silentSince >= downAfterMilliseconds;
+  return isRefusing(liveness, member) || liveness.runtime.clock.now() - silentSince >= downAfterMilliseconds;
 }
 
 /** A failed connection tells of a refusal where the member's machine replied at all. */
@@ -88,7 +88,7 @@
   memberProbe: MemberProbe,
   { service, member, address, milliseconds }: Readonly<{ service: string; member: string; address: string; milliseconds: number }>,
 ): Promise<Either.Either<Fault, ProbedState>> {
-  const sentAt = liveness.kernel.clock.now();
+  const sentAt = liveness.runtime.clock.now();
   const state = await memberProbe.readState(service, member, address, milliseconds);
   liveness.probing.delete(member);
   if (Either.isLeft(state)) {
@@ -106,7 +106,7 @@
   address: string,
   milliseconds: number,
 ): Promise<Either.Either<Fault, ProbedState>> {
-  const sentAt = liveness.kernel.clock.now();
+  const sentAt = liveness.runtime.clock.now();
   const state = await liveness.httpProbes.readState(member, address, milliseconds);
   liveness.probing.delete(member);
   if (Either.isLeft(state)) return state;
@@ -147,12 +147,12 @@
 }
 
 /** @param memberProbe - how members are reached; none where they speak this product's own HTTP */
-function create(kernel: Kernel, memberProbe: Option.Option<MemberProbe> = Option.none): Liveness {
+function create(runtime: Runtime, memberProbe: Option.Option<MemberProbe> = Option.none): Liveness {
   const state: LivenessState = {
-    kernel,
+    runtime,
     memberProbe,
-    httpProbes: httpStateProbes.create(kernel),
-    listeningSince: kernel.clock.now(),
+    httpProbes: httpStateProbes.create(runtime),
+    listeningSince: runtime.clock.now(),
     heardAt: new Map(),
     states: new Map(),
     refusals: new Map(),
@@ -174,6 +174,6 @@
 }
 
 /** The name under which a process's other services find what is known of its members. */
-export const livenessService = kernels.serviceName<Liveness>('liveness');
+export const livenessService = runtimeUtilities.serviceName<Liveness>('liveness');
 
 export const liveness = { create } as const;
--- a/packages/election/src/promotion.ts
+++ b/packages/election/src/promotion.ts
@@ -64,17 +64,17 @@
  * it on the platform's reply alone (design 7.13).
  */
 async function takesEffect(services: ElectionServices, promotion: Promotion): Promise<boolean> {
-  const { kernel, epochs } = services;
+  const { runtime, epochs } = services;
   const { service, epoch, role } = promotion;
-  const deadline = identifiers.after(kernel.clock.now(), effectTimeoutMilliseconds);
-  let renewsAt = identifiers.after(kernel.clock.now(), effectRenewMilliseconds);
-  while (kernel.clock.now() < deadline && !epochs.isOvertaken(service, epoch)) {
+  const deadline = identifiers.after(runtime.clock.now(), effectTimeoutMilliseconds);
+  let renewsAt = identifiers.after(runtime.clock.now(), effectRenewMilliseconds);
+  while (runtime.clock.now() < deadline && !epochs.isOvertaken(service, epoch)) {
     if (await isPromoted(services, promotion)) return true;
-    if (kernel.clock.now() >= renewsAt) {
+    if (runtime.clock.now() >= renewsAt) {
       if (!(await role.renew())) return false;
-      renewsAt = identifiers.after(kernel.clock.now(), effectRenewMilliseconds);
+      renewsAt = identifiers.after(runtime.clock.now(), effectRenewMilliseconds);
     }
-    await kernel.clock.sleep(effectPollMilliseconds);
+    await runtime.clock.sleep(effectPollMilliseconds);
   }
   return false;
 }
@@ -93,7 +93,7 @@
     return replied;
   }
   for (;;) {
-    await Promise.race([call, services.kernel.clock.sleep(statePollMilliseconds)]);
+    await Promise.race([call, services.runtime.clock.sleep(statePollMilliseconds)]);
     const reply = currentReply();
     if (Option.isSome(reply)) return { kind: 'replied', reply: reply.value };
     if (await isPromoted(services, promotion)) return { kind: 'promoted' };
@@ -105,10 +105,10 @@
 
 /** Right once the candidate leads; left with the reason when it was given up. */
 async function promote(services: ElectionServices, promotion: Promotion): Promise<Either.Either<string, null>> {
-  const { kernel, context, epochs } = services;
-  const deadline = identifiers.after(kernel.clock.now(), promotionTimeoutMilliseconds);
+  const { runtime, context, epochs } = services;
+  const deadline = identifiers.after(runtime.clock.now(), promotionTimeoutMilliseconds);
   let lastReason = 'no call was made';
-  while (kernel.clock.now() < deadline) {
+  while (runtime.clock.now() < deadline) {
     if (epochs.isOvertaken(promotion.service, promotion.epoch)) return Either.left(overtaken);
     const outcome = await callOnce(services, promotion);
     if (outcome.kind === 'promoted') return Either.right(null);
@@ -121,7 +121,7 @@
     if (await isPromoted(services, promotion)) return Either.right(null);
     lastReason = outcome.reply.left.message;
     if (fault.kind(outcome.reply.left) === 'superseded') return Either.left(lastReason);
-    await kernel.clock.sleep(retryMilliseconds);
+    await runtime.clock.sleep(retryMilliseconds);
   }
   return Either.left(lastReason);
 }
--- a/packages/election/src/role-lease.ts
+++ b/packages/election/src/role-lease.ts
@@ -9,7 +9,7 @@
   type HttpConnection,
   type HttpReply,
   type Instant,
-  type Kernel,
+  type Runtime,
   type OutgoingHttpRequest,
 } from '@stallstall/kernel';
 import { leaseTermMilliseconds } from '@stallstall/quorum-lease';
@@ -32,7 +32,7 @@
 
 /** What all leases of one role in this process share. */
 export type RoleContext = {
-  readonly kernel: Kernel;
+  readonly runtime: Runtime;
   readonly register: Register;
   readonly key: string;
   readonly name: string;
@@ -55,12 +55,12 @@
 const transitMilliseconds = 400;
 
 function remaining(lease: LeaseState): number {
-  return lease.until - lease.context.kernel.clock.now();
+  return lease.until - lease.context.runtime.clock.now();
 }
 
 async function writeRenewal(lease: LeaseState, isLast: boolean): Promise<boolean> {
-  const { kernel, register, key, holder } = lease.context;
-  const sentAt = kernel.clock.now();
+  const { runtime, register, key, holder } = lease.context;
+  const sentAt = runtime.clock.now();
   const changed = await register.change(
     key,
     function renewed(entry) {
@@ -97,11 +97,11 @@
   if (!isUnderWay()) return;
   const left = remaining(lease);
   if (left <= 0) connection.close();
-  else lease.context.kernel.clock.startTimer(left, () => closeAtExpiry(lease, connection, isUnderWay));
+  else lease.context.runtime.clock.startTimer(left, () => closeAtExpiry(lease, connection, isUnderWay));
 }
 
 async function renewWhile(lease: LeaseState, isUnderWay: () => boolean): Promise<void> {
-  const { clock } = lease.context.kernel;
+  const { clock } = lease.context.runtime;
   await clock.sleep(renewMilliseconds);
   while (isUnderWay()) {
     await renew(lease);
@@ -110,7 +110,7 @@
 }
 
 function recordAct({ context, fencingToken }: LeaseState): void {
-  context.lastAct = Option.some({ fencingToken, at: context.kernel.clock.now() });
+  context.lastAct = Option.some({ fencingToken, at: context.runtime.clock.now() });
 }
 
 async function call(
@@ -121,7 +121,7 @@
 ): Promise<Either.Either<Fault, HttpReply>> {
   if (remaining(lease) < leaseTermMilliseconds / 2) await renew(lease);
   if (remaining(lease) < transitMilliseconds) return Either.left(noRoom(lease));
-  const connection = lease.context.kernel.network.connect(address);
+  const connection = lease.context.runtime.network.connect(address);
   lease.connections.add(connection);
   let underWay = true;
   function isUnderWay(): boolean {
@@ -140,7 +140,7 @@
 
 async function release(lease: LeaseState): Promise<void> {
   lease.released = true;
-  lease.until = lease.context.kernel.clock.now();
+  lease.until = lease.context.runtime.clock.now();
   // The next holder may act as soon as the release is chosen, so nothing of this one may still arrive.
   for (const connection of lease.connections) connection.close();
   await writeRenewal(lease, true);
--- a/packages/election/src/singleton-role.ts
+++ b/packages/election/src/singleton-role.ts
@@ -1,7 +1,7 @@
 /** A role that one process holds at a time, by a fencing token and a term in the register (design 7.6). */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
-import type { Kernel } from '@stallstall/kernel';
+import type { Runtime } from '@stallstall/kernel';
 import { leaseMarginMilliseconds, leaseTermMilliseconds } from '@stallstall/quorum-lease';
 import { registerService } from '@stallstall/register';
 import { roleLeases, type RoleContext, type RoleLease } from './role-lease.js';
@@ -25,34 +25,34 @@
  * @param handoverDelayMilliseconds - should another have held the role since this process acted last, it does not take the role back
  *   before so long after that act, so that no platform sees the same two holders alternate (design 7.6)
  */
-function create(kernel: Kernel, name: string, self: string, handoverDelayMilliseconds = 0): SingletonRole {
+function create(runtime: Runtime, name: string, self: string, handoverDelayMilliseconds = 0): SingletonRole {
   const context: RoleContext = {
-    kernel,
-    register: kernel.services.find(registerService),
+    runtime,
+    register: runtime.services.find(registerService),
     key: `duty/${name}`,
     name,
     // A restarted process is another holder: what its predecessor began is not its own.
-    holder: `${self}#${kernel.randomness.token()}`,
+    holder: `${self}#${runtime.randomness.token()}`,
     lastAct: Option.none,
   };
   let observation: Option.Option<Observation> = Option.none;
 
   function observe(record: RoleRecord): void {
     if (Option.isSome(observation) && isUnchanged(observation.value.record, record)) return;
-    observation = Option.some({ record, since: kernel.clock.now() });
+    observation = Option.some({ record, since: runtime.clock.now() });
   }
 
   /** Another process has held the role since this one acted, and the platform must not see this one again yet. */
   function isWithinHandoverDelay(record: RoleRecord): boolean {
     if (Option.isNone(context.lastAct)) return false;
     const { fencingToken, at } = context.lastAct.value;
-    return record.turn !== fencingToken && kernel.clock.now() - at < handoverDelayMilliseconds;
+    return record.turn !== fencingToken && runtime.clock.now() - at < handoverDelayMilliseconds;
   }
 
   /** The holder has renewed nothing for a whole term and its margin, as this process's own clock measures it. */
   function hasExpired(record: RoleRecord): boolean {
     if (Option.isNone(observation) || !isUnchanged(observation.value.record, record)) return false;
-    return kernel.clock.now() - observation.value.since >= leaseTermMilliseconds + leaseMarginMilliseconds;
+    return runtime.clock.now() - observation.value.since >= leaseTermMilliseconds + leaseMarginMilliseconds;
   }
 
   function isAvailable(record: RoleRecord): boolean {
@@ -68,7 +68,7 @@
       observe(current.value);
       if (!isAvailable(current.value)) return Option.none;
     }
-    const sentAt = kernel.clock.now();
+    const sentAt = runtime.clock.now();
     const changed = await context.register.change(
       context.key,
       function acquire(entry) {
--- a/packages/election/src/succession-wait.ts
+++ b/packages/election/src/succession-wait.ts
@@ -16,7 +16,7 @@
 
 /** Waits until no node can act on an older epoch any more: every lease has run out, or every edge that holds one has released it. */
 async function waitForLeases(services: ElectionServices, service: string, epoch: number, majority: Majority): Promise<void> {
-  const { kernel, context } = services;
+  const { runtime, context } = services;
   const expiresAt: Instant = identifiers.after(majority.at, leaseTermMilliseconds + leaseMarginMilliseconds);
   const mayBeReleased = Option.isSome(context.calls);
 
@@ -25,9 +25,9 @@
     return context.hasReleased(service, epoch, majority.leaseHolders.value);
   }
 
-  while (kernel.clock.now() < expiresAt && !isReleased()) {
-    const left = expiresAt - kernel.clock.now();
-    await kernel.clock.sleep(mayBeReleased ? Math.min(releasePollMilliseconds, left) : left);
+  while (runtime.clock.now() < expiresAt && !isReleased()) {
+    const left = expiresAt - runtime.clock.now();
+    await runtime.clock.sleep(mayBeReleased ? Math.min(releasePollMilliseconds, left) : left);
   }
 }
 
@@ -74,15 +74,15 @@
   epoch: number,
   majority: Majority,
 ): Promise<boolean> {
-  const { kernel, context, epochs } = services;
+  const { runtime, context, epochs } = services;
   await waitForLeases(services, service.service, epoch, majority);
-  const deadline = identifiers.after(kernel.clock.now(), catchUpTimeoutMilliseconds);
+  const deadline = identifiers.after(runtime.clock.now(), catchUpTimeoutMilliseconds);
   const before = primaryOf(context, service)?.member;
   const poll = Option.isSome(context.calls) ? catchUpPollMilliseconds : httpCatchUpPollMilliseconds;
-  while (kernel.clock.now() < deadline && !epochs.isOvertaken(service.service, epoch)) {
+  while (runtime.clock.now() < deadline && !epochs.isOvertaken(service.service, epoch)) {
     // Read after the wait: what any edge has acknowledged under the older epoch is on a majority of disks by now.
     if (await isCaughtUp(services, service, chosen, before)) return true;
-    await kernel.clock.sleep(poll);
+    await runtime.clock.sleep(poll);
   }
   return false;
 }
--- a/packages/election/src/vote-collection.ts
+++ b/packages/election/src/vote-collection.ts
@@ -36,7 +36,7 @@
 
 /** Resolves to the majority as soon as it is complete, or to the reason why there is none within the election timeout. */
 function collect(services: ElectionServices, request: Request<'propose'>): Promise<Either.Either<string, Majority>> {
-  const { kernel, context } = services;
+  const { runtime, context } = services;
   const nodes = context.membership().seats.map((seat) => seat.node);
   const needed = quorum.majority(nodes.length);
   const tally: Tally = { accepted: 0, outstanding: nodes.length, lastReason: 'no answer', leaseHolders: new Set(), isIncomplete: false };
@@ -46,11 +46,11 @@
   }
 
   function majority(): Majority {
-    return { at: kernel.clock.now(), leaseHolders: tally.isIncomplete ? Option.none : Option.some([...tally.leaseHolders]) };
+    return { at: runtime.clock.now(), leaseHolders: tally.isIncomplete ? Option.none : Option.some([...tally.leaseHolders]) };
   }
 
   return new Promise(function collectVotes(resolve) {
-    kernel.clock.startTimer(electionTimeoutMilliseconds, function timeOut() {
+    runtime.clock.startTimer(electionTimeoutMilliseconds, function timeOut() {
       resolve(Either.left(`${tally.accepted} of ${needed} ACCEPTs in time; ${tally.lastReason}`));
     });
     async function collectVote(node: string): Promise<void> {
