--- a/packages/fakes/src/client-session.ts
+++ b/packages/fakes/src/client-session.ts
@@ -1,6 +1,6 @@
 /** One session of a client of the HTTP wire: it opens at an edge, writes and reads, and opens anew when it is lost (design 10.3). */
 import * as Either from 'fp-ts/lib/Either.js';
-import { identifiers, type HttpConnection, type Kernel } from '@stallstall/kernel';
+import { identifiers, type HttpConnection, type Runtime } from '@stallstall/kernel';
 import type { Deployment } from './deployment.js';
 import { clientLedger, type Ledger, type Reply, type WriteRecord } from './client-ledger.js';
 
@@ -19,7 +19,7 @@
 
 /** What all sessions of the settings share. */
 export type SessionParts = Readonly<{
-  kernel: Kernel;
+  runtime: Runtime;
   settings: ClientSettings;
   ledger: Ledger;
   /** Numbers the writes to a service. */
@@ -61,33 +61,33 @@
 const lostReasons: ReadonlySet<string> = new Set(['session-lost', 'unreachable', 'reply-lost', 'draining', 'stale-configuration']);
 
 async function exchange(parts: SessionParts, session: SessionState, method: string, path: string, body: unknown): Promise<Reply> {
-  const { kernel, settings, ledger } = parts;
+  const { runtime, settings, ledger } = parts;
   const { edge, name, openSince } = session;
-  const startedAt = kernel.clock.now();
+  const startedAt = runtime.clock.now();
   const sessionHeader: Readonly<Record<string, string>> = name === '' || path.endsWith('/sessions') ? {} : { 'x-stallstall-session': name };
   const headers = { 'x-stallstall-key': settings.key, ...sessionHeader };
   const reply = await (session.connection as HttpConnection).exchange(
     { method, path, body, headers },
     settings.deadlineMilliseconds + lateMilliseconds,
   );
-  ledger.exchanges.push({ edge, path, startedAt, endedAt: kernel.clock.now(), reason: clientLedger.reasonOf(reply), openSince });
+  ledger.exchanges.push({ edge, path, startedAt, endedAt: runtime.clock.now(), reason: clientLedger.reasonOf(reply), openSince });
   return reply;
 }
 
 /** Connects to some edge and opens a session there; whether there is one. */
 async function open(parts: SessionParts, session: SessionState): Promise<boolean> {
-  const { kernel, settings, ledger } = parts;
+  const { runtime, settings, ledger } = parts;
   const { service } = session;
   const edges = settings.edges();
   session.connection?.close();
-  session.edge = edges[Math.floor(kernel.randomness.fraction() * edges.length)] ?? '';
+  session.edge = edges[Math.floor(runtime.randomness.fraction() * edges.length)] ?? '';
   if (session.edge === '') return false;
-  session.connection = kernel.network.connect(identifiers.address(session.edge));
+  session.connection = runtime.network.connect(identifiers.address(session.edge));
   session.name = '';
-  const startedAt = kernel.clock.now();
+  const startedAt = runtime.clock.now();
   const reply = await exchange(parts, session, 'POST', `/v1/services/${service}/sessions`, {});
   if (Either.isLeft(reply) || reply.right.status !== 201) {
-    clientLedger.note(ledger, service, startedAt, kernel.clock.now(), `session:${clientLedger.reasonOf(reply)}`);
+    clientLedger.note(ledger, service, startedAt, runtime.clock.now(), `session:${clientLedger.reasonOf(reply)}`);
     return false;
   }
   session.name = String((reply.right.body as { session: unknown }).session);
@@ -113,9 +113,9 @@
   statements: readonly Statement[],
   transaction: string,
 ): Promise<Reply> {
-  const { kernel, settings, ledger } = parts;
+  const { runtime, settings, ledger } = parts;
   const { service } = session;
-  const hasty = kernel.randomness.fraction() < (settings.hastyShare ?? 0);
+  const hasty = runtime.randomness.fraction() < (settings.hastyShare ?? 0);
   const reply = await exchange(parts, session, 'POST', `/v1/services/${service}/statements`, {
     kind,
     statements,
@@ -123,7 +123,7 @@
     horizonMilliseconds: hasty ? hastyMilliseconds : settings.deadlineMilliseconds,
   });
   if (clientLedger.reasonOf(reply) === 'served') {
-    const window = `${Math.floor(kernel.clock.wall() / windowMilliseconds)}|${service}`;
+    const window = `${Math.floor(runtime.clock.wall() / windowMilliseconds)}|${service}`;
     ledger.usageByWindow.set(window, (ledger.usageByWindow.get(window) ?? 0) + 1);
   }
   return reply;
@@ -134,7 +134,7 @@
 
 function noteWrite(parts: SessionParts, session: SessionState, begun: BegunWrite, fate: WriteRecord['fate'], reason: string): void {
   const { index, name, service } = session;
-  const endedAt = parts.kernel.clock.now();
+  const endedAt = parts.runtime.clock.now();
   parts.ledger.writes.push({ ...begun, session: index, sessionName: name, service, endedAt, fate, reason });
 }
 
@@ -147,7 +147,7 @@
 type TransactionOutcome = Readonly<{ reply: Reply }> | Readonly<{ over: 'abandoned' | 'begin lost'; reason: string }>;
 
 async function runTransaction(parts: SessionParts, session: SessionState, puts: readonly Statement[]): Promise<TransactionOutcome> {
-  const { clock, randomness } = parts.kernel;
+  const { clock, randomness } = parts.runtime;
   const begun = await run(parts, session, 'write', puts.slice(0, 2), 'begin');
   const reason = clientLedger.reasonOf(begun);
   if (reason !== 'served') return Either.isLeft(begun) ? { over: 'begin lost', reason } : { reply: begun };
@@ -167,23 +167,23 @@
   begun: BegunWrite,
   { over, reason }: Extract<TransactionOutcome, { over: unknown }>,
 ): Promise<string> {
-  const { kernel, ledger } = parts;
+  const { runtime, ledger } = parts;
   noteWrite(parts, session, begun, 'nothing-kept', over);
-  if (over === 'abandoned') await kernel.clock.sleep(abandonedMilliseconds);
-  else clientLedger.note(ledger, session.service, begun.startedAt, kernel.clock.now(), reason);
+  if (over === 'abandoned') await runtime.clock.sleep(abandonedMilliseconds);
+  else clientLedger.note(ledger, session.service, begun.startedAt, runtime.clock.now(), reason);
   return reason;
 }
 
 /** Writes a record of its own and raises two marks; returns what came of it. */
 async function write(parts: SessionParts, session: SessionState, inTransaction: boolean): Promise<string> {
-  const { kernel, settings, ledger } = parts;
+  const { runtime, settings, ledger } = parts;
   const { service, index } = session;
   const sequence = parts.nextSequence(service);
   const begun: BegunWrite = {
     shared: `${settings.tag}/${service}/shared-${sequence % sharedMarks}`,
     name: `${settings.tag}/${service}/${sequence}`,
     sequence,
-    startedAt: kernel.clock.now(),
+    startedAt: runtime.clock.now(),
   };
   const puts: readonly Statement[] = [
     { text: 'put', parameters: [begun.name, sequence] },
@@ -198,16 +198,16 @@
   const fate = clientLedger.fateOf(reason);
   noteWrite(parts, session, begun, fate, reason);
   if (fate === 'kept' && resultsOf(outcome.reply).at(-1) !== `${settings.tag}-${index}`) ledger.crossed += 1;
-  clientLedger.note(ledger, service, begun.startedAt, kernel.clock.now(), reason);
+  clientLedger.note(ledger, service, begun.startedAt, runtime.clock.now(), reason);
   return reason;
 }
 
 /** Reads the latest of its own writes, and a shared mark that all sessions of the service raise. */
 async function read(parts: SessionParts, session: SessionState, kind: string): Promise<string> {
-  const { kernel, settings, ledger } = parts;
+  const { runtime, settings, ledger } = parts;
   const { service, index, edge } = session;
-  const startedAt = kernel.clock.now();
-  const mark = `${settings.tag}/${service}/shared-${Math.floor(kernel.randomness.fraction() * sharedMarks)}`;
+  const startedAt = runtime.clock.now();
+  const mark = `${settings.tag}/${service}/shared-${Math.floor(runtime.randomness.fraction() * sharedMarks)}`;
   const statements = [{ text: 'shape mine' }, { text: 'get', parameters: [mark] }, { text: 'value owner' }];
   const reply = await run(parts, session, kind, statements, 'none');
   const reason = clientLedger.reasonOf(reply);
@@ -221,13 +221,13 @@
     session: index,
     sessionName: session.name,
     startedAt,
-    endedAt: kernel.clock.now(),
+    endedAt: runtime.clock.now(),
     sequence: served ? numberOr0(own) : -1,
     ok: served,
     reason,
     through: served ? `${edge} and ${String((reply.right.body as { member: unknown }).member)}` : edge,
   });
-  clientLedger.note(ledger, service, startedAt, kernel.clock.now(), reason);
+  clientLedger.note(ledger, service, startedAt, runtime.clock.now(), reason);
   return reason;
 }
 
@@ -238,7 +238,7 @@
 /** The deployment's next operation, drawn by its shares; returns what came of it. */
 function operate(parts: SessionParts, session: SessionState): Promise<string> {
   const { mix } = parts.settings.deployment;
-  const draw = parts.kernel.randomness.fraction();
+  const draw = parts.runtime.randomness.fraction();
   let sum = 0;
   const drawn = mix.find(function reaches(one) {
     sum += one.share;
@@ -253,7 +253,7 @@
 /** Asks, waits for the reply, and pauses, so that all sessions together give the deployment's rate. */
 async function runSession(parts: SessionParts, index: number): Promise<void> {
   const { settings, stopped } = parts;
-  const { clock, randomness } = parts.kernel;
+  const { clock, randomness } = parts.runtime;
   const { services } = settings.deployment;
   const period = (settings.sessions / settings.requestsPerSecond) * 1_000;
   const service = services[index % services.length] as string;
--- a/packages/fakes/src/client.ts
+++ b/packages/fakes/src/client.ts
@@ -1,5 +1,5 @@
 /** Clients of the HTTP wire, and the ledger that they keep (design 10.3). */
-import type { Kernel } from '@stallstall/kernel';
+import type { Runtime } from '@stallstall/kernel';
 import { clientLedger, type Ledger } from './client-ledger.js';
 import { clientSessions, type ClientSettings, type SessionParts } from './client-session.js';
 
@@ -7,7 +7,7 @@
 export type { ClientSettings as SenderSettings } from './client-session.js';
 
 /** Starts as many sessions as the settings say, each a task of its own. */
-function start(kernel: Kernel, settings: ClientSettings, ledger: Ledger): Readonly<{ stop: () => void }> {
+function start(runtime: Runtime, settings: ClientSettings, ledger: Ledger): Readonly<{ stop: () => void }> {
   const sequences = new Map<string, number>();
   let stopped = false;
 
@@ -17,7 +17,7 @@
     return next;
   }
 
-  const parts: SessionParts = { kernel, settings, ledger, nextSequence, stopped: () => stopped };
+  const parts: SessionParts = { runtime, settings, ledger, nextSequence, stopped: () => stopped };
   for (let index = 0; index < settings.sessions; index += 1) void clientSessions.run(parts, index);
   return {
     stop: function stop() {
--- a/packages/fakes/src/member-heartbeat.ts
+++ b/packages/fakes/src/member-heartbeat.ts
@@ -1,7 +1,7 @@
 /** Heartbeats of a stand-in member: to one core, and to another when that one fails. */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
-import { http, identifiers, type Instant, type Kernel } from '@stallstall/kernel';
+import { http, identifiers, type Instant, type Runtime } from '@stallstall/kernel';
 import type { SessionMemberKnobs, SessionMemberSettings, SessionMemberStore } from './session-member-types.js';
 
 export type MemberHeartbeat = Readonly<{
@@ -16,18 +16,18 @@
 
 const callMilliseconds = 400;
 
-function create(kernel: Kernel, settings: SessionMemberSettings, store: SessionMemberStore, knobs: SessionMemberKnobs): MemberHeartbeat {
+function create(runtime: Runtime, settings: SessionMemberSettings, store: SessionMemberStore, knobs: SessionMemberKnobs): MemberHeartbeat {
   const { doors: cores } = settings;
-  let sequence = Math.floor(kernel.clock.now());
+  let sequence = Math.floor(runtime.clock.now());
   let draining = false;
   let drainingSince: Option.Option<Instant> = Option.none;
-  let core = Math.floor(kernel.randomness.fraction() * cores.length);
+  let core = Math.floor(runtime.randomness.fraction() * cores.length);
 
   async function call(path: string, body: unknown): Promise<boolean> {
     for (let attempt = 0; attempt < cores.length; attempt += 1) {
       const address = identifiers.address(cores[core] as string);
       const request = { method: 'POST', path: `/members/${settings.member}/${path}`, body };
-      const reply = await http.once(kernel, address, request, callMilliseconds);
+      const reply = await http.once(runtime, address, request, callMilliseconds);
       if (Either.isRight(reply) && reply.right.status === 200) return true;
       core = (core + 1) % cores.length;
     }
@@ -46,7 +46,7 @@
       slots: settings.slots,
       sequence,
     });
-    if (accepted && draining && Option.isNone(drainingSince)) drainingSince = Option.some(kernel.clock.now());
+    if (accepted && draining && Option.isNone(drainingSince)) drainingSince = Option.some(runtime.clock.now());
   }
 
   return {
--- a/packages/fakes/src/member-log.ts
+++ b/packages/fakes/src/member-log.ts
@@ -1,5 +1,5 @@
 /** The log of a stand-in member and the rows that follow from it: commits, late application, and cutting back after a change of leader. */
-import type { Kernel } from '@stallstall/kernel';
+import type { Runtime } from '@stallstall/kernel';
 import type { Position } from '@stallstall/session-protocol';
 import type { SessionCommit, SessionMemberStore, SessionWrite } from './session-member-types.js';
 
@@ -52,7 +52,7 @@
   return Math.max(0, ...Object.entries(left).map(([term, end]) => Math.min(end, right[Number(term)] ?? 0)));
 }
 
-function create(kernel: Kernel, store: SessionMemberStore): MemberLog {
+function create(runtime: Runtime, store: SessionMemberStore): MemberLog {
   const rows = new Map<string, string>();
   let applied = store.log.length;
   rebuild();
@@ -73,7 +73,7 @@
 
   function receive(commit: SessionCommit, applyMilliseconds: number): void {
     store.log.push(commit);
-    kernel.clock.startTimer(applyMilliseconds, function due() {
+    runtime.clock.startTimer(applyMilliseconds, function due() {
       while (store.role === 'replica' && applied < store.log.length && (store.log[applied] as SessionCommit).number <= commit.number) {
         apply(store.log[applied] as SessionCommit);
         applied += 1;
--- a/packages/fakes/src/member-parts.ts
+++ b/packages/fakes/src/member-parts.ts
@@ -1,6 +1,6 @@
 /** What the modules of a stand-in member share. */
 import type * as Option from 'fp-ts/lib/Option.js';
-import type { Kernel } from '@stallstall/kernel';
+import type { Runtime } from '@stallstall/kernel';
 import type { Condition } from '@stallstall/session-protocol';
 import type { MemberLog } from './member-log.js';
 import type { MemberSlots } from './member-slots.js';
@@ -34,7 +34,7 @@
 };
 
 export type MemberParts = Readonly<{
-  kernel: Kernel;
+  runtime: Runtime;
   settings: SessionMemberSettings;
   store: SessionMemberStore;
   knobs: SessionMemberKnobs;
--- a/packages/fakes/src/member-replication.ts
+++ b/packages/fakes/src/member-replication.ts
@@ -6,7 +6,7 @@
 import type { MemberParts } from './member-parts.js';
 import type { SessionCommit } from './session-member-types.js';
 
-export type ReplicationParts = Pick<MemberParts, 'kernel' | 'settings' | 'store' | 'knobs' | 'log' | 'slots' | 'stopped'>;
+export type ReplicationParts = Pick<MemberParts, 'runtime' | 'settings' | 'store' | 'knobs' | 'log' | 'slots' | 'stopped'>;
 
 export type MemberReplication = Readonly<{
   /** As a replica: asks the leader once, and receives what it replies. */
@@ -37,13 +37,13 @@
 /** Who waits for news of the log. */
 type Updates = Readonly<{ wait: () => Promise<void>; wake: () => void }>;
 
-function createUpdates({ kernel }: ReplicationParts): Updates {
+function createUpdates({ runtime }: ReplicationParts): Updates {
   const waiting = new Set<() => void>();
   return {
     wait: () =>
       new Promise((resolve) => {
         waiting.add(resolve);
-        kernel.clock.startTimer(holdMilliseconds, function late() {
+        runtime.clock.startTimer(holdMilliseconds, function late() {
           waiting.delete(resolve);
           resolve();
         });
@@ -65,7 +65,7 @@
 }
 
 function create(parts: ReplicationParts): MemberReplication {
-  const { kernel, settings, store, knobs, stopped } = parts;
+  const { runtime, settings, store, knobs, stopped } = parts;
   const receivedBy = new Map<string, number>();
   const updates = createUpdates(parts);
   let upstream: Option.Option<Upstream> = Option.none;
@@ -77,7 +77,7 @@
       upstream = Option.none;
     }
     if (Option.isSome(upstream) && !upstream.value.connection.closed()) return upstream.value;
-    const opened = { address, connection: kernel.network.connect(identifiers.address(address)) };
+    const opened = { address, connection: runtime.network.connect(identifiers.address(address)) };
     upstream = Option.some(opened);
     return opened;
   }
@@ -85,7 +85,7 @@
   async function pull(): Promise<void> {
     const leader = store.primary;
     if (store.role !== 'replica' || leader === '' || leader === settings.control || knobs.deaf) {
-      await kernel.clock.sleep(idlePauseMilliseconds);
+      await runtime.clock.sleep(idlePauseMilliseconds);
       return;
     }
     const { connection } = upstreamTo(leader);
@@ -94,7 +94,7 @@
     const reply = await connection.exchange({ method: 'POST', path: '/log', body }, callMilliseconds);
     if (Either.isLeft(reply) || reply.right.status !== 200) {
       connection.close();
-      await kernel.clock.sleep(failurePauseMilliseconds);
+      await runtime.clock.sleep(failurePauseMilliseconds);
       return;
     }
     if (stopped() || store.role !== 'replica' || store.primary !== leader || knobs.deaf) return;
--- a/packages/fakes/src/member.ts
+++ b/packages/fakes/src/member.ts
@@ -2,11 +2,11 @@
 import * as Either from 'fp-ts/lib/Either.js';
 import {
   identifiers,
-  kernel as kernels,
+  runtimeUtilities,
   type HttpConnection,
   type HttpReply,
   type HttpRequest,
-  type Kernel,
+  type Runtime,
   type Listening,
 } from '@stallstall/kernel';
 
@@ -83,7 +83,7 @@
   return { epoch: 0, role: primary ? 'primary' : 'replica', primary: '', log: [], applied: 0, ran: [] };
 }
 
-async function start(kernel: Kernel, settings: MemberSettings, store: MemberStore): Promise<Member> {
+async function start(runtime: Runtime, settings: MemberSettings, store: MemberStore): Promise<Member> {
   const rows = new Map<string, unknown>();
   const connections = new Map<string, ConnectionState>();
   const receivedBy = new Map<string, number>();
@@ -161,7 +161,7 @@
     while (settings.synchronous > 0 && !stopped && store.role === 'primary') {
       const acknowledged = [...receivedBy.values()].filter((known) => known >= position).length;
       if (acknowledged >= settings.synchronous) break;
-      await kernel.clock.sleep(5);
+      await runtime.clock.sleep(5);
     }
     return position;
   }
@@ -178,7 +178,7 @@
       { status: 200, body: { results: 'x', position: -1 } },
       { status: 404, body: {} },
     ];
-    return replies[Math.floor(kernel.randomness.fraction() * replies.length)] as HttpReply;
+    return replies[Math.floor(runtime.randomness.fraction() * replies.length)] as HttpReply;
   }
 
   async function run(request: HttpRequest): Promise<HttpReply> {
@@ -186,7 +186,7 @@
     if (state === undefined) return rejectedWith(503, 'too many connections');
     const body = request.body as RunBody;
     store.ran.push({
-      at: kernel.clock.now(),
+      at: runtime.clock.now(),
       connection: request.connection,
       opens: body.transaction === 'none' || body.transaction === 'begin',
       readOnly: body.readOnly,
@@ -201,7 +201,7 @@
     state.values = body.values;
     state.shapes = body.shapes;
     if (!body.readOnly && store.role !== 'primary') return rejectedWith(503, 'this member is no primary');
-    await kernel.clock.sleep(settings.runMilliseconds * (0.5 + kernel.randomness.fraction()));
+    await runtime.clock.sleep(settings.runMilliseconds * (0.5 + runtime.randomness.fraction()));
     if (!body.readOnly && store.role !== 'primary') return rejectedWith(503, 'this member is no primary');
     const continues = body.transaction === 'within' || body.transaction === 'commit' || body.transaction === 'rollback';
     if (continues && state.transaction === null) return rejectedWith(409, 'no transaction on this connection');
@@ -241,7 +241,7 @@
 
   async function pull(): Promise<void> {
     if (store.role !== 'replica' || store.primary === '' || knobs.deaf) return;
-    upstream ??= kernel.network.connect(identifiers.address(store.primary));
+    upstream ??= runtime.network.connect(identifiers.address(store.primary));
     const following = store.primary;
     const reply = await upstream.exchange(
       { method: 'POST', path: '/replicate', body: { member: settings.member, epoch: store.epoch, from: received() } },
@@ -299,7 +299,7 @@
 
   async function beatTo(address: string): Promise<void> {
     const held = beaten.get(address);
-    const connection = held === undefined || held.closed() ? kernel.network.connect(identifiers.address(address)) : held;
+    const connection = held === undefined || held.closed() ? runtime.network.connect(identifiers.address(address)) : held;
     beaten.set(address, connection);
     await connection.exchange(
       {
@@ -317,7 +317,7 @@
   }
 
   const listening: readonly Listening[] = [
-    await kernel.network.serve(identifiers.address(settings.address), {
+    await runtime.network.serve(identifiers.address(settings.address), {
       routes: [
         {
           method: 'POST',
@@ -330,7 +330,7 @@
       ],
       connectionClosed: (connection) => void connections.delete(connection),
     }),
-    await kernel.network.serve(identifiers.address(settings.control), {
+    await runtime.network.serve(identifiers.address(settings.control), {
       routes: [
         { method: 'POST', path: '/replicate', handle: replicate },
         { method: 'POST', path: '/promote', handle: promote },
@@ -356,8 +356,8 @@
       ],
     }),
   ];
-  void kernels.every(kernel.clock, beatMilliseconds, beat, () => !stopped);
-  void kernels.every(kernel.clock, settings.replicateMilliseconds, pull, () => !stopped);
+  void runtimeUtilities.every(runtime.clock, beatMilliseconds, beat, () => !stopped);
+  void runtimeUtilities.every(runtime.clock, settings.replicateMilliseconds, pull, () => !stopped);
 
   return {
     store,
--- a/packages/fakes/src/platform.ts
+++ b/packages/fakes/src/platform.ts
@@ -1,6 +1,6 @@
 /** A stand-in for the platform: promotions and usage from one holder at a time, and a record of both (design 10.1). */
 import * as Either from 'fp-ts/lib/Either.js';
-import { http, identifiers, kernel as kernels, type HttpReply, type HttpRequest, type Kernel, type Listening } from '@stallstall/kernel';
+import { http, identifiers, runtimeUtilities, type HttpReply, type HttpRequest, type Runtime, type Listening } from '@stallstall/kernel';
 
 export type PlatformMember = Readonly<{ service: string; member: string; control: string }>;
 export type PlatformSettings = Readonly<{ address: string; members: readonly PlatformMember[] }>;
@@ -39,23 +39,23 @@
   { status: 204, body: null },
 ];
 
-async function start(kernel: Kernel, settings: PlatformSettings, store: PlatformStore): Promise<Platform> {
+async function start(runtime: Runtime, settings: PlatformSettings, store: PlatformStore): Promise<Platform> {
   const knobs: PlatformKnobs = { slowMilliseconds: 0, down: false, losesReplies: false, denies: false, garbles: false };
   let stopped = false;
 
   async function trouble(): Promise<HttpReply | undefined> {
-    if (knobs.slowMilliseconds > 0) await kernel.clock.sleep(knobs.slowMilliseconds);
+    if (knobs.slowMilliseconds > 0) await runtime.clock.sleep(knobs.slowMilliseconds);
     return knobs.down || knobs.denies ? { status: 503, body: { message: 'the platform is down' } } : undefined;
   }
 
   /** What reaches the caller of a call that was taken. */
   function lost(reply: HttpReply): Promise<HttpReply> {
     if (knobs.losesReplies) return new Promise(() => undefined);
-    return Promise.resolve(knobs.garbles ? (garbled[Math.floor(kernel.randomness.fraction() * garbled.length)] as HttpReply) : reply);
+    return Promise.resolve(knobs.garbles ? (garbled[Math.floor(runtime.randomness.fraction() * garbled.length)] as HttpReply) : reply);
   }
 
   async function promote(request: HttpRequest): Promise<HttpReply> {
-    const at = kernel.clock.wall();
+    const at = runtime.clock.wall();
     const asked = request.body as Readonly<{ service: string; member: string; epoch: number; turn: number }>;
     const down = await trouble();
     if (down !== undefined) return down;
@@ -69,7 +69,7 @@
     const target = settings.members.find((one) => one.member === asked.member && one.service === asked.service);
     if (target === undefined) return { status: 404, body: { message: 'no such member' } };
     const reply = await http.once(
-      kernel,
+      runtime,
       identifiers.address(target.control),
       { method: 'POST', path: '/promote', body: { epoch: asked.epoch } },
       500,
@@ -82,7 +82,7 @@
   }
 
   async function usage(request: HttpRequest): Promise<HttpReply> {
-    const at = kernel.clock.wall();
+    const at = runtime.clock.wall();
     const down = await trouble();
     if (down !== undefined) return down;
     const asked = request.body as Omit<UsageCall, 'at' | 'accepted'>;
@@ -110,7 +110,7 @@
           .filter((one) => one.service === service && one.member !== leader.member)
           .map((one) =>
             http.once(
-              kernel,
+              runtime,
               identifiers.address(one.control),
               { method: 'POST', path: '/follow', body: { primary: primary.control, epoch: leader.epoch } },
               400,
@@ -120,7 +120,7 @@
     }
   }
 
-  const listening: Listening = await kernel.network.serve(identifiers.address(settings.address), {
+  const listening: Listening = await runtime.network.serve(identifiers.address(settings.address), {
     routes: [
       { method: 'POST', path: '/v1/promotions', handle: promote },
       { method: 'POST', path: '/v1/usage', handle: usage },
@@ -139,7 +139,7 @@
       },
     ],
   });
-  void kernels.every(kernel.clock, 500, retarget, () => !stopped);
+  void runtimeUtilities.every(runtime.clock, 500, retarget, () => !stopped);
 
   return {
     knobs,
--- a/packages/fakes/src/session-client.ts
+++ b/packages/fakes/src/session-client.ts
@@ -1,5 +1,5 @@
 /** Clients of the session wire: each opens sessions, works in them and leaves, all at random (design 10.3). */
-import type { Kernel } from '@stallstall/kernel';
+import type { Runtime } from '@stallstall/kernel';
 import { sessionLedger, type SessionLedger } from './session-ledger.js';
 import { sessionLines } from './session-line.js';
 import { sessionWorkload, type ClientSession, type SessionDatabase, type WorkloadParts } from './session-workload.js';
@@ -29,26 +29,26 @@
 type Client = Readonly<{ parts: WorkloadParts; settings: SessionClientSettings; stopped: () => boolean }>;
 
 function chance({ parts }: Client, share: number): boolean {
-  return parts.kernel.randomness.fraction() < share;
+  return parts.runtime.randomness.fraction() < share;
 }
 
 function pick<Item>({ parts }: Client, items: readonly Item[]): Item | undefined {
-  return items[Math.floor(parts.kernel.randomness.fraction() * items.length)];
+  return items[Math.floor(parts.runtime.randomness.fraction() * items.length)];
 }
 
 /** Opens a session at some edge, to some database, with some key; undefined when there is none. */
 async function open(client: Client): Promise<ClientSession | undefined> {
   const { parts, settings } = client;
-  const { kernel, ledger } = parts;
+  const { runtime, ledger } = parts;
   const edge = pick(client, settings.edges());
   const database = pick(client, settings.databases());
   const key = pick(client, settings.keys());
   if (edge === undefined || database === undefined || key === undefined) return undefined;
-  const at = kernel.clock.now();
-  const opened = await sessionLines.open(kernel, edge.address, database.database, key);
+  const at = runtime.clock.now();
+  const opened = await sessionLines.open(runtime, edge.address, database.database, key);
   ledger.openings.push({
     at,
-    endedAt: kernel.clock.now(),
+    endedAt: runtime.clock.now(),
     edge: edge.edge,
     database: database.database,
     who: key,
@@ -63,7 +63,7 @@
   const { parts, settings, stopped } = client;
   const session = await open(client);
   if (session === undefined) return;
-  const { clock, randomness } = parts.kernel;
+  const { clock, randomness } = parts.runtime;
   const brief = chance(client, briefShare);
   while (!stopped() && !session.line.closed()) {
     if (chance(client, furnishShare) && !(await sessionWorkload.furnish(parts, session))) break;
@@ -76,7 +76,7 @@
 }
 
 async function runSessions(client: Client): Promise<void> {
-  const { clock, randomness } = client.parts.kernel;
+  const { clock, randomness } = client.parts.runtime;
   await clock.sleep(randomness.fraction() * client.settings.thinkMilliseconds);
   while (!client.stopped()) {
     await runSession(client);
@@ -85,11 +85,11 @@
 }
 
 /** Starts as many clients as the settings say. */
-function start(kernel: Kernel, settings: SessionClientSettings, ledger: SessionLedger): Readonly<{ stop: () => void }> {
+function start(runtime: Runtime, settings: SessionClientSettings, ledger: SessionLedger): Readonly<{ stop: () => void }> {
   let stopped = false;
   let lastNumber = 0;
   const parts: WorkloadParts = {
-    kernel,
+    runtime,
     ledger,
     nextNumber: function nextNumber() {
       lastNumber += 1;
--- a/packages/fakes/src/session-connections.ts
+++ b/packages/fakes/src/session-connections.ts
@@ -67,7 +67,7 @@
 type Replied = 'goes-on' | 'broken' | 'stopped';
 
 async function reply(parts: MemberParts, connection: MemberConnection, stream: Stream, message: string): Promise<Replied> {
-  const { kernel, settings, log } = parts;
+  const { runtime, settings, log } = parts;
   const [, rest] = plainWords.cut(message);
   const [identifier, text] = plainWords.cut(rest);
   const wasOpen = Option.isSome(connection.transaction);
@@ -75,7 +75,7 @@
   if (parts.stopped()) return 'stopped';
   if ('condition' in outcome && Option.isSome(connection.transaction)) connection.transaction.value.failed = true;
   // A lost reply leaves the connection broken, or open and silent.
-  if (isLost(parts, text, outcome, wasOpen)) return kernel.randomness.fraction() < brokenShare ? 'broken' : 'goes-on';
+  if (isLost(parts, text, outcome, wasOpen)) return runtime.randomness.fraction() < brokenShare ? 'broken' : 'goes-on';
   stream.write(
     plainDialect.reply({
       rows: 'condition' in outcome ? [] : (outcome.rows ?? []),
--- a/packages/fakes/src/session-line.ts
+++ b/packages/fakes/src/session-line.ts
@@ -1,7 +1,7 @@
 /** A client's connection of the session wire: it sends a text and waits for its reply. */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
-import { identifiers, type Kernel, type Stream } from '@stallstall/kernel';
+import { identifiers, type Runtime, type Stream } from '@stallstall/kernel';
 import type { Condition, Completion, StatementReply } from '@stallstall/session-protocol';
 import { plainDialect } from './session-dialect.js';
 
@@ -61,7 +61,7 @@
 }
 
 /** A session as a client's program would hold it. */
-function lineOver(kernel: Kernel, stream: Stream): ReadingLine {
+function lineOver(runtime: Runtime, stream: Stream): ReadingLine {
   const framer = plainDialect.framer(longestMessage);
   const replies = createReplies();
   let over = false;
@@ -83,7 +83,7 @@
     if (replies.isEmpty() && !over) {
       await new Promise<void>((resolve) => {
         waiting = resolve;
-        kernel.clock.startTimer(milliseconds, resolve);
+        runtime.clock.startTimer(milliseconds, resolve);
       });
       waiting = undefined;
     }
@@ -107,10 +107,10 @@
 }
 
 /** Opens a session at an edge, or tells why there is none. */
-async function open(kernel: Kernel, address: string, database: string, who: string): Promise<Opened> {
-  const stream = await kernel.network.openStream(identifiers.address(address), openMilliseconds);
+async function open(runtime: Runtime, address: string, database: string, who: string): Promise<Opened> {
+  const stream = await runtime.network.openStream(identifiers.address(address), openMilliseconds);
   if (Either.isLeft(stream)) return { outcome: 'cut' };
-  const line = lineOver(kernel, stream.right);
+  const line = lineOver(runtime, stream.right);
   stream.right.write(`hello ${database} ${who}\n`);
   const reply = await line.next(openMilliseconds);
   if (Option.isSome(reply) && reply.value.completion.kind === 'done') return { line };
--- a/packages/fakes/src/session-member.ts
+++ b/packages/fakes/src/session-member.ts
@@ -1,6 +1,6 @@
 /** A stand-in for a database member that speaks the session wire: slots, transactions, a log with terms, late replicas, promotion (design 10.1). */
 import * as Option from 'fp-ts/lib/Option.js';
-import { identifiers, kernel as kernels, type Kernel, type Listening } from '@stallstall/kernel';
+import { identifiers, runtimeUtilities, type Runtime, type Listening } from '@stallstall/kernel';
 import { memberHeartbeats } from './member-heartbeat.js';
 import { memberLogs } from './member-log.js';
 import type { MemberParts } from './member-parts.js';
@@ -31,19 +31,19 @@
 }
 
 function assemble(
-  kernel: Kernel,
+  runtime: Runtime,
   settings: SessionMemberSettings,
   store: SessionMemberStore,
   onRun: (run: SessionRun) => void,
   stopped: () => boolean,
 ) {
   const knobs: SessionMemberKnobs = { deaf: false, behindMilliseconds: 0, loseReplies: 0, loseCommits: 0, silent: false };
-  const log = memberLogs.create(kernel, store);
-  const slots = memberSlots.create(kernel.clock, settings.slots);
-  const replication = memberReplication.create({ kernel, settings, store, knobs, log, slots, stopped });
-  const heartbeat = memberHeartbeats.create(kernel, settings, store, knobs);
+  const log = memberLogs.create(runtime, store);
+  const slots = memberSlots.create(runtime.clock, settings.slots);
+  const replication = memberReplication.create({ runtime, settings, store, knobs, log, slots, stopped });
+  const heartbeat = memberHeartbeats.create(runtime, settings, store, knobs);
   const parts: MemberParts = {
-    kernel,
+    runtime,
     settings,
     store,
     knobs,
@@ -58,14 +58,14 @@
 }
 
 async function listen(
-  kernel: Kernel,
+  runtime: Runtime,
   settings: SessionMemberSettings,
   connections: SessionConnections,
   replication: MemberReplication,
 ): Promise<readonly Listening[]> {
   return [
-    await kernel.network.listenStream(identifiers.address(settings.address), (stream) => void connections.serve(stream)),
-    await kernel.network.serve(identifiers.address(settings.control), {
+    await runtime.network.listenStream(identifiers.address(settings.address), (stream) => void connections.serve(stream)),
+    await runtime.network.serve(identifiers.address(settings.control), {
       routes: [{ method: 'POST', path: '/log', handle: replication.serveLog }],
     }),
   ];
@@ -73,13 +73,13 @@
 
 /** Starts a member over a store that outlives it. */
 async function start(
-  kernel: Kernel,
+  runtime: Runtime,
   settings: SessionMemberSettings,
   store: SessionMemberStore,
   onRun: (run: SessionRun) => void,
 ): Promise<SessionMember> {
   let stopped = false;
-  const { knobs, log, replication, heartbeat, connections } = assemble(kernel, settings, store, onRun, () => stopped);
+  const { knobs, log, replication, heartbeat, connections } = assemble(runtime, settings, store, onRun, () => stopped);
 
   /** Takes the lead of the next term with all that it had received and nothing beyond. */
   function lead(term: number): void {
@@ -91,9 +91,9 @@
     replication.wake();
   }
 
-  const listening = await listen(kernel, settings, connections, replication);
-  void kernels.every(kernel.clock, heartbeatMilliseconds, heartbeat.send, () => !stopped);
-  void kernels.every(kernel.clock, pullMilliseconds, replication.pull, () => !stopped);
+  const listening = await listen(runtime, settings, connections, replication);
+  void runtimeUtilities.every(runtime.clock, heartbeatMilliseconds, heartbeat.send, () => !stopped);
+  void runtimeUtilities.every(runtime.clock, pullMilliseconds, replication.pull, () => !stopped);
 
   async function stop(): Promise<void> {
     stopped = true;
@@ -103,11 +103,11 @@
 
   async function drain(): Promise<void> {
     heartbeat.drain();
-    const deadline = kernel.clock.now() + 2 * settings.drainMilliseconds;
+    const deadline = runtime.clock.now() + 2 * settings.drainMilliseconds;
     void heartbeat.send();
-    while (!stopped && Option.isNone(heartbeat.drainingSince()) && kernel.clock.now() < deadline)
-      await kernel.clock.sleep(drainLookMilliseconds);
-    await kernel.clock.sleep(settings.drainMilliseconds + drainSpareMilliseconds);
+    while (!stopped && Option.isNone(heartbeat.drainingSince()) && runtime.clock.now() < deadline)
+      await runtime.clock.sleep(drainLookMilliseconds);
+    await runtime.clock.sleep(settings.drainMilliseconds + drainSpareMilliseconds);
     if (stopped) return;
     await heartbeat.leave();
     await stop();
--- a/packages/fakes/src/session-platform.ts
+++ b/packages/fakes/src/session-platform.ts
@@ -1,5 +1,5 @@
 /** A stand-in for a platform that promotes members and takes usage, and checks the turn of whoever holds a duty (design 10.1). */
-import { identifiers, kernel as kernels, type HttpReply, type HttpRequest, type Kernel, type Listening } from '@stallstall/kernel';
+import { identifiers, runtimeUtilities, type HttpReply, type HttpRequest, type Runtime, type Listening } from '@stallstall/kernel';
 
 /** Promotion reaches members in one moment, whatever is cut off from whom. */
 export type SessionPlatformMember = Readonly<{
@@ -45,7 +45,7 @@
   return { calls: [], leaders: new Map(), turns: new Map() };
 }
 
-async function start(kernel: Kernel, settings: SessionPlatformSettings, store: SessionPlatformStore): Promise<SessionPlatform> {
+async function start(runtime: Runtime, settings: SessionPlatformSettings, store: SessionPlatformStore): Promise<SessionPlatform> {
   const knobs: SessionPlatformKnobs = { slowMilliseconds: 0, down: false, losesReplies: false, effectAfterReplyMilliseconds: 0 };
   let stopped = false;
 
@@ -61,10 +61,10 @@
   }
 
   async function under(request: HttpRequest, duty: DutyCall['duty'], subject: string, act: () => Promise<HttpReply>): Promise<HttpReply> {
-    const at = kernel.clock.now();
+    const at = runtime.clock.now();
     if (knobs.down) return { status: 503, body: {} };
     if (!take(request, duty, subject, at)) return { status: 409, body: {} };
-    if (knobs.slowMilliseconds > 0) await kernel.clock.sleep(knobs.slowMilliseconds);
+    if (knobs.slowMilliseconds > 0) await runtime.clock.sleep(knobs.slowMilliseconds);
     const reply = await act();
     return knobs.losesReplies ? new Promise(() => undefined) : reply;
   }
@@ -72,10 +72,10 @@
   async function promote(service: string, member: string): Promise<HttpReply> {
     if (store.leaders.get(service)?.member === member) return { status: 200, body: {} };
     if (knobs.effectAfterReplyMilliseconds > 0) {
-      kernel.clock.startTimer(knobs.effectAfterReplyMilliseconds, () => void lead(service, member));
+      runtime.clock.startTimer(knobs.effectAfterReplyMilliseconds, () => void lead(service, member));
       return { status: 200, body: {} };
     }
-    await kernel.clock.sleep(settings.promoteMilliseconds);
+    await runtime.clock.sleep(settings.promoteMilliseconds);
     return { status: lead(service, member) ? 200 : 409, body: {} };
   }
 
@@ -86,7 +86,7 @@
     const before = store.leaders.get(service);
     if (before?.member === member) return true;
     const term = (before?.term ?? 0) + 1;
-    store.leaders.set(service, { member, term, at: kernel.clock.now() });
+    store.leaders.set(service, { member, term, at: runtime.clock.now() });
     // In the same moment whoever led gives up the lead.
     target.lead(term);
     follow();
@@ -103,7 +103,7 @@
     }
   }
 
-  const listening: Listening = await kernel.network.serve(identifiers.address(settings.address), {
+  const listening: Listening = await runtime.network.serve(identifiers.address(settings.address), {
     routes: [
       {
         method: 'POST',
@@ -120,7 +120,7 @@
       },
     ],
   });
-  void kernels.every(kernel.clock, followMilliseconds, follow, () => !stopped);
+  void runtimeUtilities.every(runtime.clock, followMilliseconds, follow, () => !stopped);
 
   return {
     knobs,
--- a/packages/fakes/src/session-statements.ts
+++ b/packages/fakes/src/session-statements.ts
@@ -18,11 +18,11 @@
 const done: Outcome = { stamp: noStamp };
 
 /** Tells the checkers of a run; returns its stamp. */
-function note({ kernel, settings, log, onRun }: MemberParts, connection: MemberConnection, run: Run): string {
+function note({ runtime, settings, log, onRun }: MemberParts, connection: MemberConnection, run: Run): string {
   const stamp = `${settings.member}-${nextNumber()}`;
   const transaction = Option.isSome(connection.transaction) ? connection.transaction.value : undefined;
   onRun({
-    at: kernel.clock.now(),
+    at: runtime.clock.now(),
     service: settings.service,
     member: settings.member,
     connection: connection.number,
@@ -50,9 +50,9 @@
 }
 
 /** A synchronous commit is told only once so many replicas have received it. */
-async function awaitReceived({ kernel, settings, store, receivedBy, stopped }: MemberParts, committed: SessionCommit): Promise<void> {
+async function awaitReceived({ runtime, settings, store, receivedBy, stopped }: MemberParts, committed: SessionCommit): Promise<void> {
   while (!stopped() && store.role === 'primary' && receivedBy(committed.number) < settings.synchronousReplicas)
-    await kernel.clock.sleep(synchronousLookMilliseconds);
+    await runtime.clock.sleep(synchronousLookMilliseconds);
 }
 
 /** Whether a write, or a transaction that may write, can't go on here because this member does not lead, or not in the same term. */
@@ -63,8 +63,8 @@
 }
 
 /** Holds a slot for about the usual time of a statement. */
-async function inSlot({ kernel, settings, slots }: MemberParts, action: () => Promise<Outcome>): Promise<Outcome> {
-  const ran = await slots.run(settings.workMilliseconds * (0.5 + kernel.randomness.fraction()), action);
+async function inSlot({ runtime, settings, slots }: MemberParts, action: () => Promise<Outcome>): Promise<Outcome> {
+  const ran = await slots.run(settings.workMilliseconds * (0.5 + runtime.randomness.fraction()), action);
   return Option.isNone(ran) ? { condition: 'saturated' } : ran.value;
 }
 
--- a/packages/fakes/src/session-workload.ts
+++ b/packages/fakes/src/session-workload.ts
@@ -1,6 +1,6 @@
 /** What a client of the session wire does in an open session: single statements, transactions, values and prepared names, at random. */
 import * as Option from 'fp-ts/lib/Option.js';
-import type { Kernel } from '@stallstall/kernel';
+import type { Runtime } from '@stallstall/kernel';
 import type { Completion, TransactionStatus, StatementReply } from '@stallstall/session-protocol';
 import type { SessionAsk, SessionLedger, SessionTry } from './session-ledger.js';
 import type { SessionLine } from './session-line.js';
@@ -18,7 +18,7 @@
 }>;
 
 export type WorkloadParts = Readonly<{
-  kernel: Kernel;
+  runtime: Runtime;
   ledger: SessionLedger;
   /** Numbers what is named, none of them twice. */
   nextNumber: () => number;
@@ -54,12 +54,12 @@
 const putShare = 0.5;
 const forgetShare = 0.1;
 
-function chance({ kernel }: WorkloadParts, share: number): boolean {
-  return kernel.randomness.fraction() < share;
+function chance({ runtime }: WorkloadParts, share: number): boolean {
+  return runtime.randomness.fraction() < share;
 }
 
-function below({ kernel }: WorkloadParts, count: number): number {
-  return Math.floor(kernel.randomness.fraction() * count);
+function below({ runtime }: WorkloadParts, count: number): number {
+  return Math.floor(runtime.randomness.fraction() * count);
 }
 
 function beginTry(parts: WorkloadParts, session: ClientSession, transaction: boolean, readOnly: boolean): SessionTry {
@@ -71,7 +71,7 @@
     edge: session.edge,
     transaction,
     readOnly,
-    startedAt: parts.kernel.clock.now(),
+    startedAt: parts.runtime.clock.now(),
     asks: [],
     begun: Option.none,
     left: false,
@@ -100,7 +100,7 @@
   of: SessionTry,
   { kind, leaves = false }: Statement,
 ): Promise<ReportedOutcome> {
-  const { kernel } = parts;
+  const { runtime } = parts;
   const { line, database } = session;
   const identifier = `${of.name}.${of.asks.length + 1}`;
   const { text, rest, prepared } = word(parts, session, kind, identifier);
@@ -110,7 +110,7 @@
     rest,
     prepared,
     values: JSON.stringify([...session.values].sort()),
-    sentAt: kernel.clock.now(),
+    sentAt: runtime.clock.now(),
     endedAt: Number.POSITIVE_INFINITY,
     ending: Option.none,
     rows: [],
@@ -119,12 +119,12 @@
   const replying = line.query(identifier, text, database.horizonMilliseconds + lateMilliseconds);
   if (leaves) {
     of.left = true;
-    await kernel.clock.sleep(1 + kernel.randomness.fraction() * leavingMilliseconds);
+    await runtime.clock.sleep(1 + runtime.randomness.fraction() * leavingMilliseconds);
     line.reset();
     return Option.none;
   }
   const reply = await replying;
-  asked.endedAt = kernel.clock.now();
+  asked.endedAt = runtime.clock.now();
   if (Option.isNone(reply)) {
     if (line.closed()) of.cutAt = Option.some(asked.endedAt);
     return Option.none;
@@ -135,11 +135,11 @@
 }
 
 /** Begins a transaction; false when there is none. */
-async function begin({ kernel }: WorkloadParts, { line, database }: ClientSession, of: SessionTry): Promise<boolean> {
+async function begin({ runtime }: WorkloadParts, { line, database }: ClientSession, of: SessionTry): Promise<boolean> {
   const text = of.readOnly ? 'begin reading' : 'begin';
   const begun = await line.query(`${of.name}.0`, text, database.horizonMilliseconds + lateMilliseconds);
   if (Option.isNone(begun)) {
-    if (line.closed()) of.cutAt = Option.some(kernel.clock.now());
+    if (line.closed()) of.cutAt = Option.some(runtime.clock.now());
     return false;
   }
   if (begun.value.completion.kind === 'done') return true;
@@ -159,13 +159,13 @@
 
 /** One transaction; whether the session goes on. */
 async function transaction(parts: WorkloadParts, session: ClientSession): Promise<boolean> {
-  const { kernel, longRestMilliseconds } = parts;
+  const { runtime, longRestMilliseconds } = parts;
   const of = beginTry(parts, session, true, chance(parts, shareOf(readOnlyShare, session)));
   if (!(await begin(parts, session, of))) return false;
   const count = 1 + below(parts, mostOfTransaction);
   for (let index = 0; index < count; index += 1) {
-    const pause = chance(parts, longRestShare) ? longRestMilliseconds : kernel.randomness.fraction() * pauseMilliseconds;
-    await kernel.clock.sleep(pause);
+    const pause = chance(parts, longRestShare) ? longRestMilliseconds : runtime.randomness.fraction() * pauseMilliseconds;
+    await runtime.clock.sleep(pause);
     const kind = !of.readOnly && chance(parts, writeShare) ? 'put' : 'get';
     const reported = await ask(parts, session, of, { kind, leaves: chance(parts, leavingShare) });
     if (Option.isNone(reported)) return false;
--- a/packages/kernel/src/disk-health.ts
+++ b/packages/kernel/src/disk-health.ts
@@ -2,7 +2,7 @@
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { fault, type Fault } from './fault.js';
-import type { Clock } from './kernel.js';
+import type { Clock } from './runtime.js';
 
 export type TroubleListener = (trouble: Option.Option<Fault>) => void;
 
--- a/packages/kernel/src/http.ts
+++ b/packages/kernel/src/http.ts
@@ -2,7 +2,7 @@
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { fault, type Fault } from './fault.js';
-import type { OutgoingHttpRequest, HttpReply, HttpRequest, HttpRoute, Kernel } from './kernel.js';
+import type { OutgoingHttpRequest, HttpReply, HttpRequest, HttpRoute, Runtime } from './runtime.js';
 import type { Address } from './identifiers.js';
 
 /** What no URI may hold matches nothing. */
@@ -86,12 +86,12 @@
 
 /** One exchange on a connection of its own. */
 async function once(
-  kernel: Kernel,
+  runtime: Runtime,
   address: Address,
   ask: OutgoingHttpRequest,
   milliseconds: number,
 ): Promise<Either.Either<Fault, HttpReply>> {
-  const connection = kernel.network.connect(address);
+  const connection = runtime.network.connect(address);
   const reply = await connection.exchange(ask, milliseconds);
   connection.close();
   return reply;
--- a/packages/kernel/src/kernel.ts
+++ b/packages/kernel/src/runtime.ts
@@ -1,4 +1,4 @@
-/** The micro-kernel: clock, network, disk, randomness and log are services (design 2.1, 2.2). */
+/** The runtime of a process: clock, network, disk, randomness and log are services (design 2.1, 2.2). */
 import type * as Either from 'fp-ts/lib/Either.js';
 import type * as Option from 'fp-ts/lib/Option.js';
 import type { Address, Instant, WallTime } from './identifiers.js';
@@ -138,7 +138,7 @@
 export type Protocols = Readonly<{ from: number; to: number }>;
 export const protocolsSpoken: Protocols = { from: 2, to: 2 };
 
-export type Kernel = Readonly<{
+export type Runtime = Readonly<{
   protocols: Protocols;
   clock: Clock;
   network: Network;
@@ -178,4 +178,4 @@
   }
 }
 
-export const kernel = { directory, serviceName, every } as const;
+export const runtimeUtilities = { directory, serviceName, every } as const;
--- a/packages/kernel/src/waiters.ts
+++ b/packages/kernel/src/waiters.ts
@@ -1,5 +1,5 @@
 /** Whoever asks for news and is held until there is some, or for so long at the most (design 7.12). */
-import type { Clock } from './kernel.js';
+import type { Clock } from './runtime.js';
 
 export type Waiters = Readonly<{
   /** Resolves at the next wake, or after so many milliseconds. */
--- a/packages/lease/src/configuration-lag.ts
+++ b/packages/lease/src/configuration-lag.ts
@@ -1,5 +1,5 @@
 /** Logs why an edge does not apply a configuration that cores have pushed: no content, no majority on one version, or another set of cores. */
-import type { Instant, Kernel } from '@stallstall/kernel';
+import type { Instant, Runtime } from '@stallstall/kernel';
 import type { AwaitedContent, ContentCounts, PushedVersion } from '@stallstall/register';
 
 /** @internal */
@@ -45,7 +45,7 @@
   };
 }
 
-function create({ clock, log }: Kernel, readState: () => LagState): ConfigurationLag {
+function create({ clock, log }: Runtime, readState: () => LagState): ConfigurationLag {
   let appliedVersion = 0;
   /** Since when the applied version is the same, and not the newest. */
   let behindSince: Instant | undefined;
--- a/packages/lease/src/core-links.ts
+++ b/packages/lease/src/core-links.ts
@@ -30,7 +30,7 @@
 const retryMilliseconds = 120;
 
 function create(context: HolderContext, events: CoreLinkEvents): CoreLinks {
-  const { kernel, parts } = context;
+  const { runtime, parts } = context;
   const links = new Map<string, OpenLink>();
 
   function of(core: string): Peer | undefined {
@@ -40,12 +40,12 @@
   async function keepLease(core: string, link: Peer): Promise<void> {
     while (!context.isStopped && of(core) === link) {
       if (!link.connected()) {
-        await kernel.clock.sleep(reconnectPollMilliseconds);
+        await runtime.clock.sleep(reconnectPollMilliseconds);
         continue;
       }
       const hold = parts.isLeaderMissing() ? leaderMissingHoldMilliseconds : holdMilliseconds;
       const isReplied = await events.requestLease(core, link, hold);
-      if (!isReplied) await kernel.clock.sleep(retryMilliseconds);
+      if (!isReplied) await runtime.clock.sleep(retryMilliseconds);
     }
   }
 
@@ -53,7 +53,7 @@
     const open = links.get(core.node);
     if (open !== undefined && open.address === core.address) return;
     open?.peer.close();
-    const link = peer.dial(kernel, identifiers.address(core.address), {
+    const link = peer.dial(runtime, identifiers.address(core.address), {
       connected: () => events.onConnected(core.node),
       changed: (change) => events.onChange(core.node, link, change),
     });
--- a/packages/lease/src/fleet-search.ts
+++ b/packages/lease/src/fleet-search.ts
@@ -17,11 +17,11 @@
 
 /** @param follow - called with the set of cores that a core of this fleet reports */
 function create(context: HolderContext, follow: (set: CoreSet) => void): FleetSearch {
-  const { kernel, settings } = context;
+  const { runtime, settings } = context;
   const greeting = new Set<string>();
 
   function isLost(): boolean {
-    return context.cores.length === 0 || kernel.clock.now() - context.grantedAt > lostMilliseconds;
+    return context.cores.length === 0 || runtime.clock.now() - context.grantedAt > lostMilliseconds;
   }
 
   async function greet(link: Peer): Promise<void> {
@@ -30,16 +30,16 @@
     const { fleet, set } = reply.value;
     const isOwnFleet = fleet !== '' && (context.fleet === '' || fleet === context.fleet);
     if (!isOwnFleet || set === undefined) return;
-    if (context.fleet === '') kernel.log('lease-holder.found', { fleet, cores: set.seats.length });
+    if (context.fleet === '') runtime.log('lease-holder.found', { fleet, cores: set.seats.length });
     context.fleet = fleet;
     follow(set);
   }
 
   async function greetUntilFound(address: string): Promise<void> {
-    const link = peer.dial(kernel, identifiers.address(address));
+    const link = peer.dial(runtime, identifiers.address(address));
     while (!context.isStopped && isLost() && settings.seeds().includes(address)) {
       await greet(link);
-      await kernel.clock.sleep(link.connected() ? greetMilliseconds : reconnectPollMilliseconds);
+      await runtime.clock.sleep(link.connected() ? greetMilliseconds : reconnectPollMilliseconds);
     }
     link.close();
     greeting.delete(address);
--- a/packages/lease/src/holder-context.ts
+++ b/packages/lease/src/holder-context.ts
@@ -1,5 +1,5 @@
 /** What the modules of a lease holder share. */
-import type { Instant, Kernel } from '@stallstall/kernel';
+import type { Instant, Runtime } from '@stallstall/kernel';
 import type { CommitWatermarks, LogPosition, Seat } from '@stallstall/message';
 
 export type LeaseHolderSettings = Readonly<{
@@ -31,7 +31,7 @@
 
 /** @internal */
 export type HolderContext = {
-  readonly kernel: Kernel;
+  readonly runtime: Runtime;
   readonly settings: LeaseHolderSettings;
   readonly parts: LeaseHolderParts;
   readonly ownSeat: Seat;
--- a/packages/lease/src/holder-state.ts
+++ b/packages/lease/src/holder-state.ts
@@ -70,34 +70,34 @@
 
 /** @param observeCoreSet - called with a set of cores that any core reported */
 function create(context: HolderContext, linkOf: LinkOf, observeCoreSet: CoreSetSource['observe']): HolderState {
-  const { kernel, settings, parts } = context;
+  const { runtime, settings, parts } = context;
   const coreSets: CoreSetSource = { number: () => context.setNumber, observe: observeCoreSet };
   function coreCount(): number {
     return context.cores.length;
   }
-  const register = proposer.create(kernel, {
+  const register = proposer.create(runtime, {
     name: settings.node,
     replicas: () => registerReplicas(context, linkOf),
     replicaCount: coreCount,
     coreSets,
   });
-  const watch = watcher.create(kernel, {
+  const watch = watcher.create(runtime, {
     register,
     coreCount,
     onApplied: function onApplied(key, entry) {
-      kernel.log('lease-holder.applied', { key, version: entry.version });
+      runtime.log('lease-holder.applied', { key, version: entry.version });
       parts.onChange();
     },
     cores: { number: coreSets.number, includes: (core) => context.cores.some((one) => one.node === core) },
   });
-  const contents = contentFetcher.create(kernel, {
+  const contents = contentFetcher.create(runtime, {
     set: coreSets.number,
     deliver: watch.receive,
     stopped: () => context.isStopped,
   });
 
-  const source = contentSource.create(kernel.clock, () => coreNames(context));
-  const lag = configurationLag.create(kernel, () => lagStateOf(context, watch, contents));
+  const source = contentSource.create(runtime.clock, () => coreNames(context));
+  const lag = configurationLag.create(runtime, () => lagStateOf(context, watch, contents));
 
   function configuration(): Option.Option<Applied<Configuration>> {
     return appliedValues.configuration(watch.applied('configuration'));
--- a/packages/lease/src/lease-grantor.ts
+++ b/packages/lease/src/lease-grantor.ts
@@ -1,6 +1,6 @@
 /** The core's half of the leases: reports its epochs to edges, at once when they change (design 7.12). */
 import * as Option from 'fp-ts/lib/Option.js';
-import { identifiers, kernel as kernels, type Instant, type Kernel } from '@stallstall/kernel';
+import { identifiers, runtimeUtilities, type Instant, type Runtime } from '@stallstall/kernel';
 import type { MemberRegistry } from '@stallstall/member-registry';
 import type { CommitWatermarks, Reply, Request } from '@stallstall/message';
 import { leaseMarginMilliseconds, leaseTermMilliseconds } from '@stallstall/quorum-lease';
@@ -45,7 +45,7 @@
 }>;
 
 type GrantorState = {
-  readonly kernel: Kernel;
+  readonly runtime: Runtime;
   readonly context: LeaseGrantorContext;
   /** Names this process: an edge that reports another token has seen nothing of it. */
   readonly token: string;
@@ -77,9 +77,9 @@
 }
 
 function record(state: GrantorState, request: Request<'lease'>): void {
-  const { kernel, context, holders, commits } = state;
+  const { runtime, context, holders, commits } = state;
   if (request.token === '') observeRestart(state, request.node);
-  if (!holders.isKnown(request.node)) kernel.log('lease.asked', { node: request.node, area: request.area });
+  if (!holders.isKnown(request.node)) runtime.log('lease.asked', { node: request.node, area: request.area });
   holders.record(request);
   // One that reports no positions has not been asked to: nothing is known of it then.
   if (request.positionsAgo < unreportedMilliseconds) {
@@ -97,8 +97,8 @@
 }
 
 async function grant(state: GrantorState, request: Request<'lease'>): Promise<Reply<'lease'>> {
-  const { kernel, context, token, holders, updates } = state;
-  const arrivedAt = kernel.clock.now();
+  const { runtime, context, token, holders, updates } = state;
+  const arrivedAt = runtime.clock.now();
   record(state, request);
   const isUpToDate = request.token === token && request.seen === updates.current();
   if (isUpToDate && request.hold > 0) await updates.wait(request.hold);
@@ -109,7 +109,7 @@
   const isLeaderMissing = context.isLeaderMissing();
   return {
     ready,
-    held: Math.max(0, kernel.clock.now() - arrivedAt),
+    held: Math.max(0, runtime.clock.now() - arrivedAt),
     token,
     number: updates.current(),
     stances: ready ? updates.changedEpochs(context.epochs(), whole ? 0 : request.seen) : {},
@@ -126,19 +126,19 @@
 }
 
 function leaseHolders(state: GrantorState): Option.Option<readonly string[]> {
-  const isUnknown = state.kernel.clock.now() < unknownHoldersUntil(state);
+  const isUnknown = state.runtime.clock.now() < unknownHoldersUntil(state);
   return isUnknown ? Option.none : Option.some(state.holders.within(holderMilliseconds));
 }
 
-function create(kernel: Kernel, context: LeaseGrantorContext): LeaseGrantor {
+function create(runtime: Runtime, context: LeaseGrantorContext): LeaseGrantor {
   const state: GrantorState = {
-    kernel,
+    runtime,
     context,
-    token: kernel.randomness.token(),
-    startedAt: kernel.clock.now(),
-    holders: holderTable.create(kernel.clock),
-    commits: commitWatermarkTable.create(kernel.clock),
-    updates: updateNumbers.create(kernel.clock, context.registry.version),
+    token: runtime.randomness.token(),
+    startedAt: runtime.clock.now(),
+    holders: holderTable.create(runtime.clock),
+    commits: commitWatermarkTable.create(runtime.clock),
+    updates: updateNumbers.create(runtime.clock, context.registry.version),
     wasReady: false,
   };
   return {
@@ -152,6 +152,6 @@
 }
 
 /** The name under which a process's other services find its grantor. */
-export const leaseGrantorService = kernels.serviceName<LeaseGrantor>('lease-grantor');
+export const leaseGrantorService = runtimeUtilities.serviceName<LeaseGrantor>('lease-grantor');
 
 export const leaseGrantor = { create } as const;
--- a/packages/lease/src/lease-holder.ts
+++ b/packages/lease/src/lease-holder.ts
@@ -1,6 +1,6 @@
 /** The edge's half of the leases: asks every core, and counts what a strict majority grants (design 7.12). */
 import * as Option from 'fp-ts/lib/Option.js';
-import { identifiers, kernel as kernels, type Instant, type Kernel } from '@stallstall/kernel';
+import { identifiers, runtimeUtilities, type Instant, type Runtime } from '@stallstall/kernel';
 import type { CoreSet, ElectedPrimary, MemberRecord, Reply } from '@stallstall/message';
 import type { Applied, Configuration } from '@stallstall/node';
 import type { Peer } from '@stallstall/peer';
@@ -57,16 +57,16 @@
 
 const resolveMilliseconds = 200;
 
-function createContext(kernel: Kernel, settings: LeaseHolderSettings, parts: LeaseHolderParts): HolderContext {
+function createContext(runtime: Runtime, settings: LeaseHolderSettings, parts: LeaseHolderParts): HolderContext {
   return {
-    kernel,
+    runtime,
     settings,
     parts,
     ownSeat: { node: settings.node, role: 'edge', area: settings.area, address: '-', outward: '-', draining: false },
     cores: [],
     setNumber: 0,
     fleet: '',
-    grantedAt: kernel.clock.now(),
+    grantedAt: runtime.clock.now(),
     membersVersion: 0,
     isStopped: false,
   };
@@ -75,7 +75,7 @@
 /** Follows the newest set of cores that any core reported; whoever has left it grants nothing any more (design 4.8). */
 function follow({ context, links, replies, state, leases }: Assembly, set: CoreSet): void {
   if (context.isStopped || set.number <= context.setNumber) return;
-  context.kernel.log('lease-holder.follows', { set: set.number, cores: set.seats.length });
+  context.runtime.log('lease-holder.follows', { set: set.number, cores: set.seats.length });
   leases.carryOver();
   context.setNumber = set.number;
   context.cores = set.seats;
@@ -96,7 +96,7 @@
   // A core at a later set than this edge counts nothing here: its set's elections need not meet this edge's majority (design 4.8).
   const isCounted = reply.ready && (reply.set ?? 0) <= context.setNumber && coreNames(context).includes(core);
   if (!isCounted) return;
-  context.grantedAt = context.kernel.clock.now();
+  context.grantedAt = context.runtime.clock.now();
   coreReplies.applyCommitWatermarks(known, reply.marks, saidAt);
   leases.observeEpochs();
   leases.recordGrant(core, saidAt);
@@ -107,7 +107,7 @@
   const { context, links, replies, state } = assembly;
   const known = replies.of(core);
   const { isRestarted } = known;
-  const sentAt = context.kernel.clock.now();
+  const sentAt = context.runtime.clock.now();
   function isConnected(name: string): boolean {
     return links.of(name)?.connected() === true;
   }
@@ -143,7 +143,7 @@
     search.greetSeeds();
     state.resolve();
   }
-  void kernels.every(context.kernel.clock, resolveMilliseconds, look, () => !context.isStopped);
+  void runtimeUtilities.every(context.runtime.clock, resolveMilliseconds, look, () => !context.isStopped);
 }
 
 function commitWatermarksOf({ context, replies, state }: Assembly): ReadonlyMap<string, CommitWatermark> {
@@ -152,12 +152,12 @@
 }
 
 function grantingCores({ context, replies }: Assembly): number {
-  const now = context.kernel.clock.now();
+  const now = context.runtime.clock.now();
   return coreNames(context).filter((core) => now - replies.of(core).saidAt < leaseTermMilliseconds).length;
 }
 
-function create(kernel: Kernel, settings: LeaseHolderSettings, parts: LeaseHolderParts): LeaseHolder {
-  const context = createContext(kernel, settings, parts);
+function create(runtime: Runtime, settings: LeaseHolderSettings, parts: LeaseHolderParts): LeaseHolder {
+  const context = createContext(runtime, settings, parts);
   const assembly = assemble(context);
   const { links, replies, state, leases } = assembly;
   const search = fleetSearch.create(context, (set) => follow(assembly, set));
--- a/packages/member-registry/src/member-registry.ts
+++ b/packages/member-registry/src/member-registry.ts
@@ -1,7 +1,7 @@
 /** The registry of members that register by their heartbeats: one core receives a heartbeat, all cores know it (design 4.7). */
 import * as Option from 'fp-ts/lib/Option.js';
 import { livenessService, type Liveness } from '@stallstall/election';
-import { identifiers, kernel as kernels, type Instant, type Kernel } from '@stallstall/kernel';
+import { identifiers, runtimeUtilities, type Instant, type Runtime } from '@stallstall/kernel';
 import type { MemberRecord } from '@stallstall/message';
 import type { MemberPlacement } from '@stallstall/placement';
 import { isSameRecord, unknownMember, type ReceivedBeat, type Registration } from './member-records.js';
@@ -34,7 +34,7 @@
 type KnownMember = Readonly<{ entry: MemberRecord; changedAt: number; takenAt: Instant; left: boolean }>;
 
 type RegistryState = {
-  readonly kernel: Kernel;
+  readonly runtime: Runtime;
   readonly liveness: Liveness;
   readonly onChange: () => void;
   readonly members: Map<string, KnownMember>;
@@ -69,8 +69,8 @@
 
 /** Takes a record that was received so long ago; false when it came too late. */
 function receive(registry: RegistryState, entry: MemberRecord, ago: number): boolean {
-  const { kernel, liveness, members } = registry;
-  const takenAt = identifiers.after(kernel.clock.now(), -ago);
+  const { runtime, liveness, members } = registry;
+  const takenAt = identifiers.after(runtime.clock.now(), -ago);
   if (isLate(registry, entry, takenAt)) return false;
   if (!entry.gone) liveness.observeHeartbeat(entry.member, ago);
   const known = members.get(entry.member);
@@ -81,27 +81,27 @@
 
 function heartbeat(registry: RegistryState, registration: Registration): boolean {
   const isTaken = receive(registry, { ...registration, gone: false, down: false }, 0);
-  if (isTaken) registry.recent.set(registration.member, registry.kernel.clock.now());
+  if (isTaken) registry.recent.set(registration.member, registry.runtime.clock.now());
   return isTaken;
 }
 
 function leave(registry: RegistryState, member: string): void {
-  const { kernel, members, recent } = registry;
+  const { runtime, members, recent } = registry;
   const known = members.get(member);
   if (known?.left === true) return;
-  put(registry, { ...(known?.entry ?? unknownMember(member)), gone: true }, kernel.clock.now(), true);
-  recent.set(member, kernel.clock.now());
+  put(registry, { ...(known?.entry ?? unknownMember(member)), gone: true }, runtime.clock.now(), true);
+  recent.set(member, runtime.clock.now());
 }
 
 function restore(registry: RegistryState, records: readonly MemberRecord[]): void {
   for (const record of records) {
     if (registry.members.has(record.member)) continue;
-    put(registry, { ...record, down: false }, registry.kernel.clock.now(), record.gone);
+    put(registry, { ...record, down: false }, registry.runtime.clock.now(), record.gone);
   }
 }
 
-function takeRecent({ kernel, members, recent }: RegistryState): readonly ReceivedBeat[] {
-  const now = kernel.clock.now();
+function takeRecent({ runtime, members, recent }: RegistryState): readonly ReceivedBeat[] {
+  const now = runtime.clock.now();
   const beats = [...recent].flatMap(function beatOf([member, at]): readonly ReceivedBeat[] {
     const known = members.get(member);
     return known === undefined ? [] : [{ entry: known.entry, ago: Math.max(0, now - at) }];
@@ -111,16 +111,16 @@
 }
 
 /** One that is gone by its silence alone is left out: reported as gone it would never come back. */
-function all({ kernel, members }: RegistryState): readonly ReceivedBeat[] {
-  const now = kernel.clock.now();
+function all({ runtime, members }: RegistryState): readonly ReceivedBeat[] {
+  const now = runtime.clock.now();
   return [...members.values()]
     .filter((known) => known.left || !known.entry.gone)
     .map((known) => ({ entry: known.entry, ago: Math.max(0, now - known.takenAt) }));
 }
 
 function sweepMember(registry: RegistryState, member: string, known: KnownMember): void {
-  const { kernel, liveness, members } = registry;
-  const now = kernel.clock.now();
+  const { runtime, liveness, members } = registry;
+  const now = runtime.clock.now();
   const silentMilliseconds = now - known.takenAt;
   if (known.entry.gone && silentMilliseconds > goneMilliseconds) {
     members.delete(member);
@@ -159,10 +159,10 @@
 }
 
 /** @param onChange - called once anything that a reader must know of has changed */
-function create(kernel: Kernel, onChange: () => void): MemberRegistry {
+function create(runtime: Runtime, onChange: () => void): MemberRegistry {
   const registry: RegistryState = {
-    kernel,
-    liveness: kernel.services.find(livenessService),
+    runtime,
+    liveness: runtime.services.find(livenessService),
     onChange,
     members: new Map(),
     recent: new Map(),
@@ -188,6 +188,6 @@
 }
 
 /** The name under which a process's other services find its registry. */
-export const memberRegistryService = kernels.serviceName<MemberRegistry>('member-registry');
+export const memberRegistryService = runtimeUtilities.serviceName<MemberRegistry>('member-registry');
 
 export const memberRegistry = { create } as const;
--- a/packages/node/src/applied-state.ts
+++ b/packages/node/src/applied-state.ts
@@ -30,12 +30,12 @@
 
 /** @param onApplied - called with the key once a new version of it is applied */
 function create(context: NodeContext, { register, coreSets }: RegisterAccess, onApplied: (key: string) => void): AppliedState {
-  const { kernel, registration } = context;
-  const watch = watcher.create(kernel, {
+  const { runtime, registration } = context;
+  const watch = watcher.create(runtime, {
     register,
     coreCount: () => context.cores.length,
     onApplied: function apply(key, entry) {
-      kernel.log('node.applied', { key, version: entry.version });
+      runtime.log('node.applied', { key, version: entry.version });
       onApplied(key);
     },
     cores: {
@@ -44,7 +44,7 @@
     },
   });
   // A core accepts nearly every configuration itself: what the others push of it needs no content (design 5.6).
-  const contents = contentFetcher.create(kernel, {
+  const contents = contentFetcher.create(runtime, {
     set: coreSets.number,
     deliver: watch.receive,
     stopped: () => context.isStopped,
--- a/packages/node/src/core-confirmations.ts
+++ b/packages/node/src/core-confirmations.ts
@@ -39,7 +39,7 @@
     });
     if (Option.isNone(context.parts.localReplica)) return remote;
     const isLocalCurrent = localVersion('configuration') <= configuration && localVersion('membership') <= membership;
-    return isLocalCurrent ? [...remote, context.kernel.clock.now()] : remote;
+    return isLocalCurrent ? [...remote, context.runtime.clock.now()] : remote;
   }
 
   function leaseUntil(): Instant {
--- a/packages/node/src/core-watch.ts
+++ b/packages/node/src/core-watch.ts
@@ -37,7 +37,7 @@
 }>;
 
 function create(context: NodeContext, { applied, incarnations, linkOf, onSuperseded }: CoreWatchParts): CoreWatch {
-  const { kernel, settings, parts } = context;
+  const { runtime, settings, parts } = context;
   const acknowledged = new Map<string, number>();
   const confirmations = coreConfirmations.create(context, applied);
   const puts = new Map<string, number>();
@@ -50,7 +50,7 @@
 
   async function watch(core: string, link: Peer): Promise<void> {
     if (!link.connected()) return;
-    const sentAt = kernel.clock.now();
+    const sentAt = runtime.clock.now();
     const reply = await link.call(
       'watch',
       {
@@ -74,7 +74,7 @@
     const others = context.cores.filter((core) => core.node !== settings.node);
     const moments = others.map((core) => repliedAt.get(core.node) ?? Number.NEGATIVE_INFINITY);
     const newest = quorum.reachedByMajority(moments, context.cores.length, Option.isSome(parts.localReplica));
-    return identifiers.instant(Math.min(newest, kernel.clock.now()));
+    return identifiers.instant(Math.min(newest, runtime.clock.now()));
   }
 
   function onCoreSet(next: CoreSet): void {
--- a/packages/node/src/heartbeats.ts
+++ b/packages/node/src/heartbeats.ts
@@ -41,7 +41,7 @@
 type Report = Readonly<Pick<Reply<'beat'>, 'epochs' | 'caps' | 'membership'>>;
 
 function create(context: NodeContext, parts: HeartbeatParts): Heartbeats {
-  const { kernel, settings, registration } = context;
+  const { runtime, settings, registration } = context;
   const { applied, incarnations, linkOf } = parts;
   const reports = new Map<string, HeartbeatReport>();
 
@@ -52,7 +52,7 @@
   }
 
   function keep(node: string, { membership, epochs, caps }: Report): void {
-    reports.set(node, { membership, epochs, caps, at: kernel.clock.now() });
+    reports.set(node, { membership, epochs, caps, at: runtime.clock.now() });
   }
 
   async function fetchNewerSet(link: Peer): Promise<void> {
@@ -72,7 +72,7 @@
 
   async function send(node: string, link: Peer): Promise<void> {
     if (incarnations.own() === 0 || !link.connected()) return;
-    const sentAt = kernel.clock.now();
+    const sentAt = runtime.clock.now();
     const request = { node: settings.node, incarnation: incarnations.own(), ...ownReport() };
     const reply = await link.call('beat', request, callMilliseconds);
     if (Option.isNone(reply) || linkOf(node) !== link) return;
--- a/packages/node/src/incarnations.ts
+++ b/packages/node/src/incarnations.ts
@@ -23,7 +23,7 @@
 
 /** @param onSuperseded - called when another process runs as this node */
 function create(context: NodeContext, register: Register, onSuperseded: () => void): Incarnations {
-  const { kernel, settings } = context;
+  const { runtime, settings } = context;
   const latest = new Map<string, number>();
   let own = 0;
 
@@ -38,9 +38,9 @@
   }
 
   async function acquire(): Promise<void> {
-    const token = kernel.randomness.token();
+    const token = runtime.randomness.token();
     while (!context.isStopped && own === 0) {
-      await kernel.clock.sleep(retryMilliseconds);
+      await runtime.clock.sleep(retryMilliseconds);
       if (context.cores.length === 0) continue;
       const record = await takeNumber(token);
       if (Option.isNone(record)) continue;
--- a/packages/node/src/membership-join.ts
+++ b/packages/node/src/membership-join.ts
@@ -18,17 +18,17 @@
     if (reply.value.joined) return reason;
     if (reply.value.reason === reason) continue;
     reason = reply.value.reason;
-    context.kernel.log('node.join-waits', { reason });
+    context.runtime.log('node.join-waits', { reason });
   }
   return reason;
 }
 
 /** Runs until the node stops; a node that is listed with another address than its own asks again. */
 async function keepJoined(context: NodeContext, links: PeerLinks, applied: AppliedState, incarnations: Incarnations): Promise<void> {
-  const { kernel, settings, registration } = context;
+  const { runtime, settings, registration } = context;
   let lastReason = '';
   while (!context.isStopped) {
-    await kernel.clock.sleep(lookMilliseconds);
+    await runtime.clock.sleep(lookMilliseconds);
     // Where the set of cores changes by itself, a core asks to be taken in before it is of the fleet (design 4.8).
     if (Option.isSome(registration) || incarnations.own() === 0) continue;
     const listed = quorum.seat(applied.membership().value, settings.node);
--- a/packages/node/src/node-context.ts
+++ b/packages/node/src/node-context.ts
@@ -1,6 +1,6 @@
 /** What the modules of a node share. */
 import type * as Option from 'fp-ts/lib/Option.js';
-import type { Kernel } from '@stallstall/kernel';
+import type { Runtime } from '@stallstall/kernel';
 import type { CoreSet, Seat } from '@stallstall/message';
 import type { NodeParts, RegistrationSupport } from './node-parts.js';
 import type { NodeSettings } from './node-settings.js';
@@ -13,7 +13,7 @@
 
 /** @internal */
 export type NodeContext = {
-  readonly kernel: Kernel;
+  readonly runtime: Runtime;
   readonly settings: NodeSettings;
   readonly parts: NodeParts;
   readonly registration: Option.Option<RegistrationSupport>;
--- a/packages/node/src/node.ts
+++ b/packages/node/src/node.ts
@@ -1,7 +1,7 @@
 /** What a core and an agent share: discovery, heartbeats, applied keys, failure detection, leases and election (design 3, 4). */
 import * as Option from 'fp-ts/lib/Option.js';
 import { election, electionService, liveness, livenessService, type Election, type Liveness } from '@stallstall/election';
-import { fault, identifiers, kernel as kernels, type Fault, type HttpRoute, type Instant, type Kernel } from '@stallstall/kernel';
+import { fault, identifiers, runtimeUtilities, type Fault, type HttpRoute, type Instant, type Runtime } from '@stallstall/kernel';
 import type { Change, CoreSet, ElectedPrimary, Membership, Reply, Seat } from '@stallstall/message';
 import type { Handlers, Peer } from '@stallstall/peer';
 import { quorum } from '@stallstall/quorum';
@@ -84,9 +84,9 @@
 
 const proposeMilliseconds = 2_900;
 
-function createContext(kernel: Kernel, settings: NodeSettings, parts: NodeParts): NodeContext {
+function createContext(runtime: Runtime, settings: NodeSettings, parts: NodeParts): NodeContext {
   return {
-    kernel,
+    runtime,
     settings,
     parts,
     registration: Option.fromNullable(parts.registered),
@@ -115,7 +115,7 @@
 function endProcess(assembly: Assembly, reason: Fault): void {
   if (assembly.context.isStopped) return;
   stop(assembly);
-  assembly.context.kernel.stop(reason);
+  assembly.context.runtime.stop(reason);
 }
 
 function departedFault(node: string): Fault {
@@ -207,9 +207,9 @@
 }
 
 function createElection(context: NodeContext, applied: AppliedState, links: PeerLinks, votes: ReturnType<NodeParts['votes']>): Election {
-  const { kernel, settings, registration } = context;
+  const { runtime, settings, registration } = context;
   return election.create(
-    kernel,
+    runtime,
     {
       self: settings.node,
       calls: Option.isSome(registration) ? Option.some(registration.value.calls) : Option.none,
@@ -230,15 +230,15 @@
   );
 }
 
-function assemble(kernel: Kernel, settings: NodeSettings, parts: NodeParts): Assembly {
-  const context = createContext(kernel, settings, parts);
+function assemble(runtime: Runtime, settings: NodeSettings, parts: NodeParts): Assembly {
+  const context = createContext(runtime, settings, parts);
   const members = liveness.create(
-    kernel,
+    runtime,
     Option.isSome(context.registration) ? Option.some(context.registration.value.probe) : Option.none,
   );
   const lease = quorumLease.create();
-  kernel.services.offer(livenessService, members);
-  kernel.services.offer(quorumLeaseService, lease);
+  runtime.services.offer(livenessService, members);
+  runtime.services.offer(quorumLeaseService, lease);
   const links: PeerLinks = peerLinks.create(context, {
     onConnected: (node) => watch.onConnected(node),
     onChange: (node, link, change) => watch.onChange(node, link, change),
@@ -253,7 +253,7 @@
   const incarnations: Incarnations = incarnationTables.create(context, access.register, onSuperseded);
   const watch: CoreWatch = coreWatch.create(context, { applied, incarnations, linkOf: links.of, onSuperseded });
   const elections = createElection(context, applied, links, parts.votes(access.register));
-  kernel.services.offer(electionService, elections);
+  runtime.services.offer(electionService, elections);
   const heartbeats: Heartbeats = heartbeatTables.create(context, {
     applied,
     incarnations,
@@ -319,18 +319,18 @@
 
 function start(assembly: Assembly): void {
   const { context, discovery, incarnations, links, applied } = assembly;
-  const { clock } = context.kernel;
+  const { clock } = context.runtime;
   function isRunning(): boolean {
     return !context.isStopped;
   }
-  void kernels.every(clock, heartbeatMilliseconds, discovery.greetSeeds, isRunning);
+  void runtimeUtilities.every(clock, heartbeatMilliseconds, discovery.greetSeeds, isRunning);
   void incarnations.acquire();
   void membershipJoin.keepJoined(context, links, applied, incarnations);
-  void kernels.every(clock, heartbeatMilliseconds, () => tick(assembly), isRunning);
+  void runtimeUtilities.every(clock, heartbeatMilliseconds, () => tick(assembly), isRunning);
 }
 
-function create(kernel: Kernel, settings: NodeSettings, parts: NodeParts): Node {
-  const assembly = assemble(kernel, settings, parts);
+function create(runtime: Runtime, settings: NodeSettings, parts: NodeParts): Node {
+  const assembly = assemble(runtime, settings, parts);
   const { context, applied, watch, heartbeats, incarnations, links } = assembly;
   return {
     settings,
--- a/packages/node/src/peer-links.ts
+++ b/packages/node/src/peer-links.ts
@@ -1,5 +1,5 @@
 /** Links to other nodes: one connection to each, with a task of its own (design 3.2). */
-import { identifiers, kernel as kernels } from '@stallstall/kernel';
+import { identifiers, runtimeUtilities } from '@stallstall/kernel';
 import type { Change, Seat } from '@stallstall/message';
 import { peer, type Peer } from '@stallstall/peer';
 import { heartbeatMilliseconds, type NodeContext } from './node-context.js';
@@ -28,7 +28,7 @@
 type OpenLink = Readonly<{ address: string; peer: Peer }>;
 
 function create(context: NodeContext, events: PeerLinkEvents): PeerLinks {
-  const { kernel } = context;
+  const { runtime } = context;
   const links = new Map<string, OpenLink>();
 
   function of(node: string): Peer | undefined {
@@ -37,8 +37,8 @@
 
   /** Repeats an action until the link is closed; a slow action does not delay the next one. */
   function repeat(node: string, link: Peer, action: (node: string, link: Peer) => Promise<void>): void {
-    void kernels.every(
-      kernel.clock,
+    void runtimeUtilities.every(
+      runtime.clock,
       heartbeatMilliseconds,
       () => void action(node, link),
       () => !context.isStopped && of(node) === link,
@@ -49,7 +49,7 @@
     const open = links.get(seat.node);
     if (open !== undefined && open.address === seat.address) return;
     open?.peer.close();
-    const dialled = peer.dial(kernel, identifiers.address(seat.address), {
+    const dialled = peer.dial(runtime, identifiers.address(seat.address), {
       connected: () => events.onConnected(seat.node),
       changed: (change) => events.onChange(seat.node, dialled, change),
     });
--- a/packages/node/src/register-access.ts
+++ b/packages/node/src/register-access.ts
@@ -46,12 +46,12 @@
 
 /** Offers both to the process's other services. */
 function create(context: NodeContext, links: PeerLinks): RegisterAccess {
-  const { kernel, settings, parts, registration } = context;
+  const { runtime, settings, parts, registration } = context;
   const coreSets: CoreSetSource = {
     number: () => (Option.isSome(context.coreSet) ? context.coreSet.value.number : 0),
     observe: (set) => (Option.isSome(registration) ? registration.value.observeCoreSet(set) : undefined),
   };
-  const register = proposer.create(kernel, {
+  const register = proposer.create(runtime, {
     name: settings.node,
     replicas: () => registerReplicas(context, links),
     replicaCount: () => context.cores.length,
@@ -63,8 +63,8 @@
     () => context.cores.length,
     coreSets,
   );
-  kernel.services.offer(registerService, register);
-  kernel.services.offer(durableReportsService, reports);
+  runtime.services.offer(registerService, register);
+  runtime.services.offer(durableReportsService, reports);
   return { register, reports, coreSets };
 }
 
--- a/packages/node/src/seed-discovery.ts
+++ b/packages/node/src/seed-discovery.ts
@@ -1,6 +1,6 @@
 /** Finds the fleet through the seeds that the settings name (design 3.3). */
 import * as Option from 'fp-ts/lib/Option.js';
-import { identifiers, kernel as kernels } from '@stallstall/kernel';
+import { identifiers, runtimeUtilities } from '@stallstall/kernel';
 import type { Seat } from '@stallstall/message';
 import { peer, type Peer } from '@stallstall/peer';
 import type { Incarnations } from './incarnations.js';
@@ -21,7 +21,7 @@
 }>;
 
 function create(context: NodeContext, { incarnations, hasJoined, setCores, onSuperseded }: SeedDiscoveryParts): SeedDiscovery {
-  const { kernel, settings, parts } = context;
+  const { runtime, settings, parts } = context;
   const greeting = new Set<string>();
 
   function hasFoundFleet(): boolean {
@@ -42,9 +42,9 @@
   }
 
   async function greetUntilFound(address: string): Promise<void> {
-    const link = peer.dial(kernel, identifiers.address(address), { connected: () => void greet(address, link) });
-    await kernels.every(
-      kernel.clock,
+    const link = peer.dial(runtime, identifiers.address(address), { connected: () => void greet(address, link) });
+    await runtimeUtilities.every(
+      runtime.clock,
       heartbeatMilliseconds,
       () => greet(address, link),
       () => !context.isStopped && settings.seeds().includes(address) && !hasFoundFleet(),
--- a/packages/peer/src/dialled-peer.ts
+++ b/packages/peer/src/dialled-peer.ts
@@ -1,14 +1,14 @@
 /** The calling side of a link: dials, redials, and matches replies to calls (design 3.2). */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
-import type { Address, Kernel, Link } from '@stallstall/kernel';
+import type { Address, Runtime, Link } from '@stallstall/kernel';
 import { ChangeSchema, FrameSchema, message, messages, type MessageKind, type Reply, type Request } from '@stallstall/message';
 import { handshake, type HandshakeOutcome } from './handshake.js';
 import type { Peer, PeerEvents } from './peer.js';
 import { pendingCalls, type PendingCalls } from './pending-calls.js';
 
 type PeerState = {
-  readonly kernel: Kernel;
+  readonly runtime: Runtime;
   readonly address: Address;
   readonly events: PeerEvents;
   readonly calls: PendingCalls;
@@ -39,9 +39,9 @@
   return true;
 }
 
-function handleRejection({ kernel, address, calls }: PeerState, number: number, reason: string): boolean {
+function handleRejection({ runtime, address, calls }: PeerState, number: number, reason: string): boolean {
   if (calls.kindOf(number) === undefined) return calls.isLate(number);
-  kernel.log('peer.rejected', { address, reason });
+  runtime.log('peer.rejected', { address, reason });
   calls.settle(number, Option.none);
   return true;
 }
@@ -64,7 +64,7 @@
     const frame = await link.receive();
     if (Option.isNone(frame)) return;
     if (handleFrame(state, frame.value)) continue;
-    state.kernel.log('peer.malformed', { address: state.address });
+    state.runtime.log('peer.malformed', { address: state.address });
     return;
   }
 }
@@ -72,14 +72,14 @@
 function logIncompatibility(state: PeerState, outcome: HandshakeOutcome): void {
   const reason = outcome.kind === 'incompatible' ? outcome.reason : '';
   if (reason !== '' && reason !== state.lastIncompatibility) {
-    state.kernel.log('peer.incompatible', { address: state.address, reason });
+    state.runtime.log('peer.incompatible', { address: state.address, reason });
   }
   state.lastIncompatibility = reason;
 }
 
 /** Uses a link until it ends; resolves to whether it was ever usable. */
 async function useLink(state: PeerState, link: Link): Promise<boolean> {
-  const outcome = await handshake.perform(state.kernel, link);
+  const outcome = await handshake.perform(state.runtime, link);
   if (outcome.kind !== 'agreed' || state.isClosed) {
     logIncompatibility(state, outcome);
     link.close();
@@ -98,23 +98,23 @@
   return true;
 }
 
-function redialDelay({ kernel }: PeerState, failures: number): number {
+function redialDelay({ runtime }: PeerState, failures: number): number {
   const delay = Math.min(redialMilliseconds, firstRedialMilliseconds * 2 ** Math.min(failures, redialDoublingsMost));
-  return delay * (0.5 + kernel.randomness.fraction());
+  return delay * (0.5 + runtime.randomness.fraction());
 }
 
 async function keepLink(state: PeerState): Promise<void> {
-  const { kernel, address } = state;
+  const { runtime, address } = state;
   let failures = 0;
   while (!state.isClosed) {
-    const opened = await kernel.network.open(address);
+    const opened = await runtime.network.open(address);
     if (state.isClosed) {
       if (Either.isRight(opened)) opened.right.close();
       return;
     }
     const wasUsable = Either.isRight(opened) && (await useLink(state, opened.right));
     failures = wasUsable ? 0 : failures + 1;
-    if (!state.isClosed) await kernel.clock.sleep(redialDelay(state, failures));
+    if (!state.isClosed) await runtime.clock.sleep(redialDelay(state, failures));
   }
 }
 
@@ -148,12 +148,12 @@
 }
 
 /** Dials an address and keeps dialling until the peer is closed. */
-export function dial(kernel: Kernel, address: Address, events: PeerEvents = {}): Peer {
+export function dial(runtime: Runtime, address: Address, events: PeerEvents = {}): Peer {
   const state: PeerState = {
-    kernel,
+    runtime,
     address,
     events,
-    calls: pendingCalls.create(kernel.clock),
+    calls: pendingCalls.create(runtime.clock),
     link: Option.none,
     version: 0,
     lastIncompatibility: '',
--- a/packages/peer/src/handshake.ts
+++ b/packages/peer/src/handshake.ts
@@ -1,6 +1,6 @@
 /** The first frame of each side of a link: the protocol versions it speaks (design 3.5). */
 import * as Option from 'fp-ts/lib/Option.js';
-import type { Kernel, Link, Protocols } from '@stallstall/kernel';
+import type { Runtime, Link, Protocols } from '@stallstall/kernel';
 import { GreetSchema, message } from '@stallstall/message';
 
 /** What came of a handshake. @internal */
@@ -23,15 +23,15 @@
 }
 
 /** Greets the other side and waits for its greeting; a link that stays silent is closed. */
-async function perform(kernel: Kernel, link: Link): Promise<HandshakeOutcome> {
-  const timer = kernel.clock.startTimer(handshakeMilliseconds, link.close);
-  link.send({ greet: kernel.protocols });
+async function perform(runtime: Runtime, link: Link): Promise<HandshakeOutcome> {
+  const timer = runtime.clock.startTimer(handshakeMilliseconds, link.close);
+  link.send({ greet: runtime.protocols });
   const frame = await link.receive();
   timer.cancel();
   if (Option.isNone(frame) || !message.matches(GreetSchema, frame.value)) return { kind: 'silent' };
   const { greet } = frame.value;
-  const version = agreedVersion(kernel.protocols, greet);
-  return version > 0 ? { kind: 'agreed', version } : { kind: 'incompatible', reason: incompatibility(kernel.protocols, greet) };
+  const version = agreedVersion(runtime.protocols, greet);
+  return version > 0 ? { kind: 'agreed', version } : { kind: 'incompatible', reason: incompatibility(runtime.protocols, greet) };
 }
 
 /** @internal */
--- a/packages/peer/src/served-link.ts
+++ b/packages/peer/src/served-link.ts
@@ -1,6 +1,6 @@
 /** The serving side of a link: answers calls and pushes changes (design 3.2). */
 import * as Option from 'fp-ts/lib/Option.js';
-import type { Address, Kernel, Link, Listening } from '@stallstall/kernel';
+import type { Address, Runtime, Link, Listening } from '@stallstall/kernel';
 import { FrameSchema, message, messages, type Frame } from '@stallstall/message';
 import { handshake } from './handshake.js';
 import type { Caller, Handlers } from './peer.js';
@@ -32,14 +32,14 @@
   return frame.call <= lastCall ? 'peer.repeated' : undefined;
 }
 
-async function answerCalls(kernel: Kernel, address: Address, link: Link, handlers: Handlers, caller: Caller): Promise<void> {
+async function answerCalls(runtime: Runtime, address: Address, link: Link, handlers: Handlers, caller: Caller): Promise<void> {
   let lastCall = 0;
   for (;;) {
     const frame = await link.receive();
     if (Option.isNone(frame)) return;
     const violation = violationOf(frame.value, lastCall);
     if (violation !== undefined) {
-      kernel.log(violation, { address });
+      runtime.log(violation, { address });
       return;
     }
     const call = frame.value as CallFrame;
@@ -48,10 +48,10 @@
   }
 }
 
-async function serve(kernel: Kernel, address: Address, link: Link, handlers: Handlers): Promise<void> {
-  const outcome = await handshake.perform(kernel, link);
+async function serve(runtime: Runtime, address: Address, link: Link, handlers: Handlers): Promise<void> {
+  const outcome = await handshake.perform(runtime, link);
   if (outcome.kind !== 'agreed') {
-    kernel.log('peer.incompatible', { address, reason: outcome.kind === 'incompatible' ? outcome.reason : 'it sent no greeting' });
+    runtime.log('peer.incompatible', { address, reason: outcome.kind === 'incompatible' ? outcome.reason : 'it sent no greeting' });
     link.close();
     return;
   }
@@ -60,12 +60,12 @@
     change: (change) => link.send({ change }),
     open: () => isOpen,
   };
-  await answerCalls(kernel, address, link, handlers, caller);
+  await answerCalls(runtime, address, link, handlers, caller);
   isOpen = false;
   link.close();
 }
 
 /** Answers calls on every link that is opened to an address; resolves once it listens. */
-export function listen(kernel: Kernel, address: Address, handlers: Handlers): Promise<Listening> {
-  return kernel.network.listen(address, (link) => void serve(kernel, address, link, handlers));
+export function listen(runtime: Runtime, address: Address, handlers: Handlers): Promise<Listening> {
+  return runtime.network.listen(address, (link) => void serve(runtime, address, link, handlers));
 }
--- a/packages/pool/src/index.ts
+++ b/packages/pool/src/index.ts
@@ -8,7 +8,7 @@
   type HttpConnection,
   type HttpReply,
   type Instant,
-  type Kernel,
+  type Runtime,
 } from '@stallstall/kernel';
 
 /** A connection to a member, opened while its service was at `epoch`. */
@@ -55,7 +55,7 @@
 };
 
 /** All member pools, by member. */
-type Pools = Readonly<{ kernel: Kernel; onFreed: () => void; byMember: Map<string, MemberPool> }>;
+type Pools = Readonly<{ runtime: Runtime; onFreed: () => void; byMember: Map<string, MemberPool> }>;
 
 const openMilliseconds = 1_500;
 /** New connections are costly for members: this many are opened at once, and a pause follows one that failed. */
@@ -64,8 +64,8 @@
 /** This many stand ahead of need. */
 const warm = 2;
 
-function createMemberPool(kernel: Kernel, wish: MemberWish): MemberPool {
-  return { wish, idle: [], busy: new Map(), opening: 0, wanted: false, quietUntil: kernel.clock.now(), failed: false };
+function createMemberPool(runtime: Runtime, wish: MemberWish): MemberPool {
+  return { wish, idle: [], busy: new Map(), opening: 0, wanted: false, quietUntil: runtime.clock.now(), failed: false };
 }
 
 function total(pool: MemberPool): number {
@@ -75,15 +75,15 @@
 /** Opens one more if it is needed and may be opened now. */
 function fill(pools: Pools, pool: MemberPool): void {
   const wanted = pool.wanted || total(pool) < Math.min(warm, pool.wish.cap);
-  if (!wanted || total(pool) >= pool.wish.cap || pool.opening >= openAtOnce || pools.kernel.clock.now() < pool.quietUntil) return;
+  if (!wanted || total(pool) >= pool.wish.cap || pool.opening >= openAtOnce || pools.runtime.clock.now() < pool.quietUntil) return;
   void open(pools, pool);
 }
 
 async function open(pools: Pools, pool: MemberPool): Promise<void> {
-  const { kernel, byMember, onFreed } = pools;
+  const { runtime, byMember, onFreed } = pools;
   pool.opening += 1;
   const { member, address, epoch } = pool.wish;
-  const http = kernel.network.connect(identifiers.address(address));
+  const http = runtime.network.connect(identifiers.address(address));
   const reply = await http.exchange({ method: 'POST', path: '/open', body: {} }, openMilliseconds);
   pool.opening -= 1;
   const opened = Either.isRight(reply) && reply.right.status === 200;
@@ -93,14 +93,14 @@
     pool.idle.push({ connection: { member, epoch, exchange: http.exchange, closed: http.closed }, http });
   } else {
     http.close();
-    if (!opened) noteFailure(kernel, pool);
+    if (!opened) noteFailure(runtime, pool);
   }
   onFreed();
 }
 
-function noteFailure(kernel: Kernel, pool: MemberPool): void {
+function noteFailure(runtime: Runtime, pool: MemberPool): void {
   pool.failed = true;
-  pool.quietUntil = identifiers.after(kernel.clock.now(), pauseMilliseconds * (0.5 + kernel.randomness.fraction()));
+  pool.quietUntil = identifiers.after(runtime.clock.now(), pauseMilliseconds * (0.5 + runtime.randomness.fraction()));
 }
 
 /** Closes idle connections that are broken, of an older epoch, or too many. */
@@ -124,11 +124,11 @@
 }
 
 function follow(pools: Pools, wishes: readonly MemberWish[]): void {
-  const { kernel, byMember } = pools;
+  const { runtime, byMember } = pools;
   closeUnnamed(pools, new Set(wishes.map((one) => one.member)));
   for (const wish of wishes) {
     const pool = byMember.get(wish.member);
-    if (pool === undefined) byMember.set(wish.member, createMemberPool(kernel, wish));
+    if (pool === undefined) byMember.set(wish.member, createMemberPool(runtime, wish));
     else pool.wish = wish;
   }
   for (const pool of byMember.values()) {
@@ -173,8 +173,8 @@
 }
 
 /** `onFreed`: a connection is idle now, or an opening has failed. */
-function create(kernel: Kernel, onFreed: () => void): Pool {
-  const pools: Pools = { kernel, onFreed, byMember: new Map() };
+function create(runtime: Runtime, onFreed: () => void): Pool {
+  const pools: Pools = { runtime, onFreed, byMember: new Map() };
 
   return {
     wish: (wishes) => follow(pools, wishes),
--- a/packages/pooler/src/connections.ts
+++ b/packages/pooler/src/connections.ts
@@ -1,7 +1,7 @@
 /** Connections to members, kept by member and tenant: few, costly, reused, within this edge's share (design 8.3, 8.12). */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
-import { fault, type Fault, type Kernel } from '@stallstall/kernel';
+import { fault, type Fault, type Runtime } from '@stallstall/kernel';
 import { memberConnection, type Dialect, type MemberAddress } from '@stallstall/session-protocol';
 import { memberConnections, saturationStepMilliseconds, type MemberConnections, type PooledLine } from './member-connections.js';
 
@@ -34,7 +34,7 @@
 export type Share = Readonly<{ most: number; kept: number }>;
 
 type Table = {
-  readonly kernel: Kernel;
+  readonly runtime: Runtime;
   readonly dialect: Dialect;
   readonly share: (place: MemberAddress) => Share;
   /** A connection is idle now, or an opening has failed. */
@@ -69,11 +69,11 @@
 }
 
 async function open(table: Table, place: MemberAddress, tenant: string, known: MemberConnections): Promise<void> {
-  const { kernel, dialect, onFreed } = table;
+  const { runtime, dialect, onFreed } = table;
   known.opening += 1;
   known.openingFor.set(tenant, (known.openingFor.get(tenant) ?? 0) + 1);
   table.opened += 1;
-  const line = await memberConnection.open(kernel, dialect, place, tenant, openMilliseconds);
+  const line = await memberConnection.open(runtime, dialect, place, tenant, openMilliseconds);
   known.opening -= 1;
   known.openingFor.set(tenant, (known.openingFor.get(tenant) ?? 1) - 1);
   if (Either.isLeft(line)) noteFailed(table, place, tenant, known, line.left);
@@ -81,29 +81,29 @@
   else {
     memberConnections.noteOpened(known);
     const image = { values: new Map(), prepared: new Map(), names: 0 };
-    memberConnections.addIdle(known, { place, tenant, line: line.right, image }, '', kernel.clock.now());
+    memberConnections.addIdle(known, { place, tenant, line: line.right, image }, '', runtime.clock.now());
   }
   onFreed();
 }
 
 function noteFailed(table: Table, place: MemberAddress, tenant: string, known: MemberConnections, error: Fault): void {
-  const { kernel, onFreed } = table;
-  const now = kernel.clock.now();
+  const { runtime, onFreed } = table;
+  const now = runtime.clock.now();
   table.failed += 1;
   if (isSaturated(error)) {
     known.saturation = Option.some({ admitted: Math.max(1, memberConnections.total(known)), since: now });
     if (memberConnections.makeRoom(known, tenant, now)) void open(table, place, tenant, known);
-    else kernel.clock.startTimer(saturationStepMilliseconds * (0.5 + kernel.randomness.fraction()), onFreed);
+    else runtime.clock.startTimer(saturationStepMilliseconds * (0.5 + runtime.randomness.fraction()), onFreed);
     return;
   }
-  memberConnections.noteFailure(known, now, kernel.randomness.fraction());
+  memberConnections.noteFailure(known, now, runtime.randomness.fraction());
   if (fault.kind(error) === 'not-listening') known.notListeningAt = now;
-  kernel.log('member.not-opened', { member: place.member, reason: error.message });
+  runtime.log('member.not-opened', { member: place.member, reason: error.message });
 }
 
 function want(table: Table, place: MemberAddress, tenant: string): boolean {
   const known = of(table, place.member);
-  const now = table.kernel.clock.now();
+  const now = table.runtime.clock.now();
   if (now < known.failingUntil) return false;
   if (memberConnections.total(known) >= memberConnections.limit(known, table.share(place).most, now)) {
     memberConnections.dropClosed(known);
@@ -125,14 +125,14 @@
   if (session === undefined) return;
   known.busy.delete(pooled);
   if (sound && !pooled.line.closed() && memberConnections.total(known) < table.share(pooled.place).most)
-    memberConnections.addIdle(known, pooled, session, table.kernel.clock.now());
+    memberConnections.addIdle(known, pooled, session, table.runtime.clock.now());
   else if (sound) pooled.line.close();
   else pooled.line.reset();
   table.onFreed();
 }
 
 function tend(table: Table, members: ReadonlyMap<string, Readonly<{ address: string }>>): void {
-  const now = table.kernel.clock.now();
+  const now = table.runtime.clock.now();
   for (const [member, known] of table.members) {
     const entry = members.get(member);
     const place = known.idle[0]?.pooled.place;
@@ -153,8 +153,8 @@
   return counts;
 }
 
-function create(kernel: Kernel, dialect: Dialect, share: (place: MemberAddress) => Share, onFreed: () => void): Connections {
-  const table: Table = { kernel, dialect, share, onFreed, members: new Map(), opened: 0, failed: 0 };
+function create(runtime: Runtime, dialect: Dialect, share: (place: MemberAddress) => Share, onFreed: () => void): Connections {
+  const table: Table = { runtime, dialect, share, onFreed, members: new Map(), opened: 0, failed: 0 };
 
   return {
     take: (place, tenant, session) => memberConnections.take(of(table, place.member), place, tenant, session),
@@ -169,7 +169,7 @@
     },
     notListening: () =>
       [...table.members]
-        .filter(([, known]) => kernel.clock.now() - known.notListeningAt < notListeningMilliseconds)
+        .filter(([, known]) => runtime.clock.now() - known.notListeningAt < notListeningMilliseconds)
         .map(([member]) => member),
     busy: (member) => table.members.get(member)?.busy.size ?? 0,
     describe: () => describe(table),
--- a/packages/pooler/src/copies.ts
+++ b/packages/pooler/src/copies.ts
@@ -1,6 +1,6 @@
 /** Copies of reads that an edge holds through an announced outage of its site's uplink (design 8.13). */
 import * as Option from 'fp-ts/lib/Option.js';
-import { identifiers, type Kernel } from '@stallstall/kernel';
+import { identifiers, type Runtime } from '@stallstall/kernel';
 import { placements, type AnnouncedOutage } from '@stallstall/placement';
 import type { StatementReply } from '@stallstall/session-protocol';
 import { outageCopies, outageGraceMilliseconds, type OutageCopies, type RememberedRead } from './outage-copies.js';
@@ -22,7 +22,7 @@
 }>;
 
 type State = {
-  readonly kernel: Kernel;
+  readonly runtime: Runtime;
   readonly view: () => View;
   /** Reads from a member like any statement: placed, paced and within the bounds of its tenant. */
   readonly readFromMember: (request: StatementRequest) => Promise<StatementReply>;
@@ -44,8 +44,8 @@
 /** Conditions that would be the same if the read was tried again. */
 const permanentConditions: ReadonlySet<string> = new Set(['undefined', 'malformed', 'denied', 'no-database', 'oversize']);
 
-function logNotHeld({ kernel }: State, held: OutageCopies, database: string, tenant: string, reason: string): void {
-  kernel.log('copy.not-held', { site: held.outage.site, database, tenant, reason });
+function logNotHeld({ runtime }: State, held: OutageCopies, database: string, tenant: string, reason: string): void {
+  runtime.log('copy.not-held', { site: held.outage.site, database, tenant, reason });
 }
 
 /** Remembers the reads that the operators named themselves. */
@@ -64,7 +64,7 @@
 }
 
 function isToBeFilled(state: State, held: OutageCopies): boolean {
-  return !state.stopped && state.windows.includes(held) && outageCopies.isToBeFilled(held, state.kernel.clock.wall());
+  return !state.stopped && state.windows.includes(held) && outageCopies.isToBeFilled(held, state.runtime.clock.wall());
 }
 
 type Filled = 'tried' | 'failed' | 'too-late';
@@ -73,7 +73,7 @@
 async function fillOne(state: State, held: OutageCopies, key: string, remembered: RememberedRead): Promise<Filled> {
   const { read } = remembered;
   const database = state.view().databases.get(read.database.database);
-  const copiedAt = identifiers.wallTime(Math.floor(state.kernel.clock.wall()));
+  const copiedAt = identifiers.wallTime(Math.floor(state.runtime.clock.wall()));
   const replied = database === undefined ? undefined : await state.readFromMember({ ...read, database });
   if (!isToBeFilled(state, held)) return 'too-late';
   if (database === undefined || replied === undefined) {
@@ -104,16 +104,16 @@
     if (filled === 'too-late') break;
     if (filled === 'tried') remembered.tried = true;
     else failed += 1;
-    await state.kernel.clock.sleep(paceMilliseconds);
+    await state.runtime.clock.sleep(paceMilliseconds);
   }
   if (isToBeFilled(state, held) && failed === 0 && !held.complete && [...held.reads.values()].every((one) => one.tried))
     complete(state, held);
   held.filling = false;
 }
 
-function complete({ kernel }: State, held: OutageCopies): void {
+function complete({ runtime }: State, held: OutageCopies): void {
   held.complete = true;
-  kernel.log('copy.complete', {
+  runtime.log('copy.complete', {
     site: held.outage.site,
     reads: held.copies.size,
     bytes: held.copies.calculatedSize,
@@ -121,8 +121,8 @@
   });
 }
 
-function logBegin({ kernel }: State, held: OutageCopies): void {
-  kernel.log('outage.begin', {
+function logBegin({ runtime }: State, held: OutageCopies): void {
+  runtime.log('outage.begin', {
     site: held.outage.site,
     complete: held.complete,
     reads: held.complete ? held.copies.size : 0,
@@ -132,7 +132,7 @@
 
 /** The windows of an outage that are ahead or open; those known already keep what they hold. */
 function windowsOf(state: State, outage: AnnouncedOutage, before: readonly OutageCopies[]): readonly OutageCopies[] {
-  const wall = state.kernel.clock.wall();
+  const wall = state.runtime.clock.wall();
   const source = JSON.stringify(outage);
   return placements.windows(outage, wall - outageGraceMilliseconds, wall + aheadMilliseconds).map(function known(window): OutageCopies {
     const held = before.find((one) => one.source === source && one.window.from === window.from);
@@ -144,13 +144,13 @@
 }
 
 function refresh(state: State): void {
-  const { kernel } = state;
+  const { runtime } = state;
   const before = state.windows;
   state.windows = state.outages.flatMap((outage) => windowsOf(state, outage, before));
   for (const gone of before)
-    if (!state.windows.includes(gone) && gone.begun) kernel.log('outage.end', { site: gone.outage.site, dropped: gone.copies.size });
+    if (!state.windows.includes(gone) && gone.begun) runtime.log('outage.end', { site: gone.outage.site, dropped: gone.copies.size });
   for (const held of state.windows) {
-    if (!held.begun && kernel.clock.wall() >= held.window.from) {
+    if (!held.begun && runtime.clock.wall() >= held.window.from) {
       held.begun = true;
       logBegin(state, held);
     }
@@ -162,7 +162,7 @@
   state.running = true;
   while (!state.stopped && state.outages.length > 0) {
     refresh(state);
-    await state.kernel.clock.sleep(tickMilliseconds);
+    await state.runtime.clock.sleep(tickMilliseconds);
   }
   refresh(state);
   state.running = false;
@@ -178,22 +178,22 @@
   if (!state.running && state.outages.length > 0) void run(state);
 }
 
-function note({ kernel, windows }: State, request: StatementRequest, replied: StatementReply): void {
+function note({ runtime, windows }: State, request: StatementRequest, replied: StatementReply): void {
   if (replied.completion.kind !== 'done' || replied.copiedAt !== undefined) return;
   for (const held of windows)
-    if (outageCopies.covers(held, request) && kernel.clock.wall() < held.window.from) outageCopies.remember(held, request);
+    if (outageCopies.covers(held, request) && runtime.clock.wall() < held.window.from) outageCopies.remember(held, request);
 }
 
-function create(kernel: Kernel, view: () => View, readFromMember: (request: StatementRequest) => Promise<StatementReply>): Copies {
-  const state: State = { kernel, view, readFromMember, windows: [], outages: [], version: 0, running: false, stopped: false };
+function create(runtime: Runtime, view: () => View, readFromMember: (request: StatementRequest) => Promise<StatementReply>): Copies {
+  const state: State = { runtime, view, readFromMember, windows: [], outages: [], version: 0, running: false, stopped: false };
 
   return {
     follow: () => follow(state),
     note: (request, replied) => note(state, request, replied),
-    open: (request) => state.windows.some((held) => outageCopies.covers(held, request) && outageCopies.isOpen(held, kernel.clock.wall())),
+    open: (request) => state.windows.some((held) => outageCopies.covers(held, request) && outageCopies.isOpen(held, runtime.clock.wall())),
     reply: function reply(request) {
       for (const held of state.windows) {
-        const copied = outageCopies.reply(held, request, kernel.clock.wall());
+        const copied = outageCopies.reply(held, request, runtime.clock.wall());
         if (Option.isSome(copied)) return copied;
       }
       return Option.none;
--- a/packages/pooler/src/epoch-release.ts
+++ b/packages/pooler/src/epoch-release.ts
@@ -1,5 +1,5 @@
 /** Releases a leader's epoch when the cores ask for it: nothing new is sent under it, what is open ends, then they are told (design 7.12). */
-import type { Instant, Kernel } from '@stallstall/kernel';
+import type { Instant, Runtime } from '@stallstall/kernel';
 import type { Clients } from './clients.js';
 import type { Connections } from './connections.js';
 import type { Requests } from './requests.js';
@@ -7,7 +7,7 @@
 import type { View } from './view.js';
 
 export type ReleaseParts = Readonly<{
-  kernel: Kernel;
+  runtime: Runtime;
   view: () => View;
   clients: Clients;
   connections: Connections;
@@ -28,7 +28,7 @@
 const lookMilliseconds = 5;
 
 function create(parts: ReleaseParts): EpochRelease {
-  const { kernel, view, clients, connections } = parts;
+  const { runtime, view, clients, connections } = parts;
   const released: Record<string, number> = {};
   /** By service: since when its epoch is being released. */
   const releasing = new Map<string, Instant>();
@@ -36,12 +36,12 @@
   /** True once nothing runs under the epochs below the service's release. */
   function release(service: string, since: Instant): boolean {
     const below = view().leaders.get(service)?.release ?? 0;
-    if (kernel.clock.now() - since >= handoverMilliseconds)
+    if (runtime.clock.now() - since >= handoverMilliseconds)
       for (const transaction of clients.transactionsBelow(service, below)) transactions.abandonIdle(connections, transaction);
     if (parts.sentBelow(service, below) > 0 || clients.transactionsBelow(service, below).length > 0) return false;
     releasing.delete(service);
     released[service] = below;
-    kernel.log('lease.released', { service, below });
+    runtime.log('lease.released', { service, below });
     return true;
   }
 
@@ -49,13 +49,13 @@
     let anyReleased = false;
     for (const [service, since] of [...releasing]) if (release(service, since)) anyReleased = true;
     if (anyReleased) parts.onReleased();
-    if (releasing.size > 0) kernel.clock.startTimer(lookMilliseconds, look);
+    if (releasing.size > 0) runtime.clock.startTimer(lookMilliseconds, look);
   }
 
   function follow(): void {
     for (const [service, leader] of view().leaders) {
       if (leader.release > leader.epoch && leader.release > (released[service] ?? 0) && !releasing.has(service))
-        releasing.set(service, kernel.clock.now());
+        releasing.set(service, runtime.clock.now());
     }
     look();
   }
--- a/packages/pooler/src/exchange.ts
+++ b/packages/pooler/src/exchange.ts
@@ -32,7 +32,7 @@
 
 /** Sets the session's state on the connection and begins its transaction; the statement is sent only after both were replied. */
 async function prepare({ parts }: ExchangeParts, record: RequestRecord, pooled: PooledLine): Promise<Preparation> {
-  const { dialect, kernel } = parts;
+  const { dialect, runtime } = parts;
   const { session, prepared, transaction } = record.request;
   const needed = Option.isSome(prepared) ? Option.some(prepared.value.statement) : Option.none;
   const settings = sessions.prelude(dialect, session, pooled.image, needed);
@@ -45,7 +45,7 @@
   }
   if (texts.length === 0) return 'ready';
   const queries = texts.map((text) => dialect.query(dialect.ownIdentifier, text));
-  const ran = await pooled.line.run(queries, record.deadline - kernel.clock.now());
+  const ran = await pooled.line.run(queries, record.deadline - runtime.clock.now());
   if (!ran.whole) return 'lost';
   if (ran.replies.slice(0, settings.length).some((one) => one.completion.kind !== 'done')) return 'lost';
   const last = ran.replies.at(-1);
@@ -65,7 +65,7 @@
 }
 
 function mayRetry({ parts }: ExchangeParts, record: RequestRecord): boolean {
-  return record.attempts < mostAttempts && parts.kernel.clock.now() < record.deadline;
+  return record.attempts < mostAttempts && parts.runtime.clock.now() < record.deadline;
 }
 
 /**
@@ -73,7 +73,7 @@
  * connection is broken off. A write and a commit are waited for to the end.
  */
 function mayBreakOff(exchange: ExchangeParts, record: RequestRecord): boolean {
-  if (record.request.commit || exchange.parts.kernel.clock.now() >= record.deadline) return false;
+  if (record.request.commit || exchange.parts.runtime.clock.now() >= record.deadline) return false;
   return Option.isSome(record.request.transaction) || (!record.request.writes && mayRetry(exchange, record));
 }
 
@@ -117,7 +117,7 @@
   }
   if (mayRetry(exchange, record)) exchange.retry(record, [Option.isSome(record.target) ? record.target.value.place.member : '']);
   else
-    rejection.rejectUnplaced(record, parts.kernel.clock.now() >= record.deadline ? 'expired' : 'failed', 'no member replied to the read');
+    rejection.rejectUnplaced(record, parts.runtime.clock.now() >= record.deadline ? 'expired' : 'failed', 'no member replied to the read');
 }
 
 /** Whether a statement that a member did not run is tried on another: reads outside transactions, and names the member has forgotten. */
@@ -225,7 +225,7 @@
 /** Sends the statement of a record in stage `sent` on the connection that was taken for it, and settles it. */
 async function run(exchange: ExchangeParts, record: RequestRecord, pooled: PooledLine): Promise<void> {
   const { parts, table, times } = exchange;
-  const { kernel, dialect } = parts;
+  const { runtime, dialect } = parts;
   const { request } = record;
   const prepared = await prepare(exchange, record, pooled);
   if (prepared !== 'ready') {
@@ -234,7 +234,7 @@
   }
   const begins = !passes.isHeld(record);
   if (!hold(exchange, record, pooled)) return;
-  const sentAt = kernel.clock.now();
+  const sentAt = runtime.clock.now();
   table.count('sent');
   // An operation is one request, however many statements its transaction holds (design 8.6).
   if (begins && record.attempts === 1 && !request.copying) parts.usage.count(request.tenant);
@@ -245,7 +245,7 @@
   );
   const replied = ran.replies[0];
   // Also of one that was given up: should they all take longer by now, the next is waited for longer.
-  times.note(request.database, kernel.clock.now() - sentAt);
+  times.note(request.database, runtime.clock.now() - sentAt);
   if (ran.whole && replied !== undefined) settle(exchange, record, pooled, replied, sentAt);
   else settleLost(exchange, record, pooled);
   exchange.sweep();
--- a/packages/pooler/src/passes.ts
+++ b/packages/pooler/src/passes.ts
@@ -19,7 +19,7 @@
 const mostExcludedMembers = 8;
 
 function expire({ parts, rejection }: PassParts, record: RequestRecord): RequestRecord {
-  if (parts.kernel.clock.now() < record.deadline) return record;
+  if (parts.runtime.clock.now() < record.deadline) return record;
   return rejection.reject(record, 'aborted', 'it did not run in its time; begin it again');
 }
 
@@ -45,7 +45,7 @@
   const target = placement.target(record);
   if (Option.isSome(target)) return { ...record, target };
   const waitsUntil = placement.isHandedOver(record.request.database.service) ? record.patientUntil : record.holdUntil;
-  if (parts.kernel.clock.now() < waitsUntil) {
+  if (parts.runtime.clock.now() < waitsUntil) {
     table.count('waits.leader');
     return { ...record, stage: 'waiting' };
   }
@@ -62,7 +62,7 @@
   const openingMember = isOpening || connections.want(target.place, tenant) ? member : '';
   const waits: RequestRecord = { ...record, stage: 'waiting', openingMember };
   table.count('waits.line');
-  const now = parts.kernel.clock.now();
+  const now = parts.runtime.clock.now();
   if (!connections.failing(member)) {
     if (now < record.patientUntil) return waits;
     const text = replies.retryAfter(saturatedRetryMilliseconds);
--- a/packages/pooler/src/placement-feed.ts
+++ b/packages/pooler/src/placement-feed.ts
@@ -1,7 +1,7 @@
 /** Keeps the view of the placement up to date by asking the agent of this machine; leases count from this process's send time (design 7.3). */
 import * as Option from 'fp-ts/lib/Option.js';
 import { withClockDrift } from '@stallstall/quorum-lease';
-import { identifiers, type Instant, type Kernel } from '@stallstall/kernel';
+import { identifiers, type Instant, type Runtime } from '@stallstall/kernel';
 import type { Reply } from '@stallstall/message';
 import type { Peer } from '@stallstall/peer';
 import type { Connections } from './connections.js';
@@ -18,7 +18,7 @@
 }>;
 
 export type FeedParts = Readonly<{
-  kernel: Kernel;
+  runtime: Runtime;
   agent: Peer;
   connections: Connections;
   freshness: Freshness;
@@ -82,10 +82,10 @@
 
 /** Takes the reply to a request sent at `sentAt` into the state; returns whether the placement has changed. */
 function accept(parts: FeedParts, state: FeedState, reply: Reply<'placement'>, sentAt: Instant): boolean {
-  const { kernel, freshness } = parts;
+  const { runtime, freshness } = parts;
   const isUpdate = reply.token !== state.token || reply.number > state.seen;
   const validFrom = identifiers.after(sentAt, withClockDrift(reply.held));
-  state.view = views.fed(state.view, reply, validFrom, kernel.clock.now());
+  state.view = views.fed(state.view, reply, validFrom, runtime.clock.now());
   for (const [service, mark] of Object.entries(reply.marks))
     freshness.learnt(service, identifiers.after(validFrom, -mark.ago), { term: mark.term, number: mark.number });
   state.token = reply.token;
@@ -95,11 +95,11 @@
 }
 
 function create(parts: FeedParts): PlacementFeed {
-  const { kernel, agent, connections } = parts;
+  const { runtime, agent, connections } = parts;
   const state: FeedState = { view: views.empty, token: '', seen: 0, serial: 0 };
 
   async function refresh(hold: number): Promise<boolean> {
-    const sentAt = kernel.clock.now();
+    const sentAt = runtime.clock.now();
     const reply = await request(parts, state, hold);
     if (Option.isNone(reply)) return false;
     // Overtaken by a later reply.
@@ -113,9 +113,9 @@
 
   async function run(): Promise<void> {
     while (!parts.stopped()) {
-      const hold = isTroubled(state.view, kernel.clock.now(), connections) ? troubledHoldMilliseconds : holdMilliseconds;
+      const hold = isTroubled(state.view, runtime.clock.now(), connections) ? troubledHoldMilliseconds : holdMilliseconds;
       const fed = agent.connected() && (await refresh(hold));
-      if (!fed) await kernel.clock.sleep(pauseMilliseconds);
+      if (!fed) await runtime.clock.sleep(pauseMilliseconds);
     }
   }
 
--- a/packages/pooler/src/placement.ts
+++ b/packages/pooler/src/placement.ts
@@ -14,7 +14,7 @@
   isHandedOver: (service: string) => boolean;
 }>;
 
-type PlacementParts = Pick<RequestParts, 'kernel' | 'view' | 'connections' | 'freshness'>;
+type PlacementParts = Pick<RequestParts, 'runtime' | 'view' | 'connections' | 'freshness'>;
 
 /** Part of the allowed staleness that is left for the statement to reach its member and be read there. */
 const stalenessMarginMilliseconds = 150;
@@ -39,14 +39,15 @@
 
 function isDrained(parts: PlacementParts, known: View, entry: MemberRecord): boolean {
   const since = known.drainingSince.get(entry.member);
-  return since !== undefined && parts.kernel.clock.now() - since > drainMilliseconds;
+  return since !== undefined && parts.runtime.clock.now() - since > drainMilliseconds;
 }
 
 function leaderTarget(parts: PlacementParts, service: string): Option.Option<Target> {
-  const { kernel } = parts;
+  const { runtime } = parts;
   const known = parts.view();
   const leader = known.leaders.get(service);
-  if (leader === undefined || leader.epoch === 0 || leader.release > leader.epoch || kernel.clock.now() >= leader.until) return Option.none;
+  if (leader === undefined || leader.epoch === 0 || leader.release > leader.epoch || runtime.clock.now() >= leader.until)
+    return Option.none;
   const entry = known.members.get(leader.primary);
   if (entry === undefined || isDrained(parts, known, entry)) return Option.none;
   return Option.some({ place: placeOf(entry), epoch: leader.epoch, leader: true, minimumPosition: Option.none });
@@ -69,7 +70,7 @@
     parts.connections.busy(entry.member) +
     (entry.area === area ? 0 : farWeight) +
     (entry.member === primary ? leaderWeight : 0) +
-    parts.kernel.randomness.fraction() / 2
+    parts.runtime.randomness.fraction() / 2
   );
 }
 
@@ -98,14 +99,14 @@
 }
 
 function create(parts: PlacementParts): Placement {
-  const { kernel, view, connections } = parts;
-  const startedAt = kernel.clock.now();
+  const { runtime, view, connections } = parts;
+  const startedAt = runtime.clock.now();
   const changes = new Map<string, Readonly<{ release: number; since: Instant }>>();
 
   return {
     target: (record) => (needsLeader(record.request) ? leaderTarget(parts, record.request.database.service) : readTarget(parts, record)),
     isHandedOver: function isHandedOver(service) {
-      const now = kernel.clock.now();
+      const now = runtime.clock.now();
       if (now - startedAt < startupMilliseconds) return true;
       const leader = view().leaders.get(service);
       const entry = view().members.get(leader?.primary ?? '');
--- a/packages/pooler/src/pooler.ts
+++ b/packages/pooler/src/pooler.ts
@@ -1,6 +1,6 @@
 /** The process that clients connect to: their sessions in, their statements placed on members, the members' replies out (design 8.10). */
 import * as Option from 'fp-ts/lib/Option.js';
-import { identifiers, kernel as kernels, type HttpRoute, type Instant, type Kernel, type Listening } from '@stallstall/kernel';
+import { identifiers, runtimeUtilities, type HttpRoute, type Instant, type Runtime, type Listening } from '@stallstall/kernel';
 import { peer, type Peer } from '@stallstall/peer';
 import type { Dialect } from '@stallstall/session-protocol';
 import { admissions } from './admission.js';
@@ -52,7 +52,7 @@
 
 /** The parts of a running pooler. */
 type Assembly = Readonly<{
-  kernel: Kernel;
+  runtime: Runtime;
   agent: Peer;
   clients: Clients;
   connections: Connections;
@@ -79,18 +79,18 @@
 /** How long a transaction may be idle while no configuration states it. */
 const defaultIdleMilliseconds = 1_800;
 
-function assemble(kernel: Kernel, settings: PoolerSettings, dialect: Dialect): Assembly {
+function assemble(runtime: Runtime, settings: PoolerSettings, dialect: Dialect): Assembly {
   const lifecycle: Lifecycle = { stopped: false };
-  const agent = peer.dial(kernel, identifiers.address(settings.feed));
-  const freshness = freshnessTables.create(kernel.clock.now);
-  const usage = usageTables.create(kernel, agent);
-  const clients = clientTables.create(kernel.clock);
-  const share = connectionShares.create(kernel.clock, view);
-  const connections = connectionTables.create(kernel, dialect, share.share, () => requests.sweep());
-  const copies = copyTables.create(kernel, view, (request) => requests.submit(request));
-  const requests: Requests = requestTables.create({ kernel, dialect, view, connections, freshness, usage, copies });
+  const agent = peer.dial(runtime, identifiers.address(settings.feed));
+  const freshness = freshnessTables.create(runtime.clock.now);
+  const usage = usageTables.create(runtime, agent);
+  const clients = clientTables.create(runtime.clock);
+  const share = connectionShares.create(runtime.clock, view);
+  const connections = connectionTables.create(runtime, dialect, share.share, () => requests.sweep());
+  const copies = copyTables.create(runtime, view, (request) => requests.submit(request));
+  const requests: Requests = requestTables.create({ runtime, dialect, view, connections, freshness, usage, copies });
   const release: EpochRelease = epochReleases.create({
-    kernel,
+    runtime,
     view,
     clients,
     connections,
@@ -98,7 +98,7 @@
     onReleased: () => void feed.refresh(0),
   });
   const feed: PlacementFeed = placementFeeds.create({
-    kernel,
+    runtime,
     agent,
     connections,
     freshness,
@@ -116,15 +116,15 @@
     onFed: requests.sweep,
     stopped: () => lifecycle.stopped,
   });
-  const commands = { clock: kernel.clock, dialect, view, connections, requests, copies };
+  const commands = { clock: runtime.clock, dialect, view, connections, requests, copies };
   const serving = clientConnections.create({ commands, clients, stopped: () => lifecycle.stopped });
-  const ending = draining.create(kernel.clock, settings.graceMilliseconds, clients);
+  const ending = draining.create(runtime.clock, settings.graceMilliseconds, clients);
 
   function view(): View {
     return feed.view();
   }
 
-  return { kernel, agent, clients, connections, share, copies, requests, feed, usage, draining: ending, serving, lifecycle };
+  return { runtime, agent, clients, connections, share, copies, requests, feed, usage, draining: ending, serving, lifecycle };
 }
 
 /** A leader has changed: every session will want its new one. */
@@ -136,9 +136,9 @@
 }
 
 /** Closes what is not needed any more, and ends transactions that are idle too long or stand in the way of the process's end. */
-function tend({ kernel, clients, connections, share, requests, feed, draining: ending }: Assembly): void {
+function tend({ runtime, clients, connections, share, requests, feed, draining: ending }: Assembly): void {
   share.noteSent(requests.totals()['sent'] ?? 0);
-  const now: Instant = kernel.clock.now();
+  const now: Instant = runtime.clock.now();
   const { members, sheet } = feed.view();
   connections.tend(members);
   const mostIdle = Option.isSome(sheet) ? sheet.value.bounds.restMilliseconds : defaultIdleMilliseconds;
@@ -151,24 +151,24 @@
   }
 }
 
-function isReady({ kernel, feed, draining: ending, lifecycle }: Assembly): boolean {
+function isReady({ runtime, feed, draining: ending, lifecycle }: Assembly): boolean {
   const view = feed.view();
   if (ending.began() || lifecycle.stopped || Option.isNone(view.sheet)) return false;
-  const now = kernel.clock.now();
+  const now = runtime.clock.now();
   return [...view.leaders.values()].some((leader) => leader.until > now);
 }
 
-async function reportUsage({ kernel, agent, usage, feed, lifecycle }: Assembly): Promise<void> {
+async function reportUsage({ runtime, agent, usage, feed, lifecycle }: Assembly): Promise<void> {
   while (!lifecycle.stopped) {
     if (agent.connected()) await usage.tell();
     const edges = Object.values(feed.view().edges).reduce((sum, count) => sum + count, 0);
     const pause = Math.max(reportUsageMilliseconds, edges * reportUsageEdgeMilliseconds);
-    await kernel.clock.sleep(Math.min(mostReportUsageMilliseconds, pause));
+    await runtime.clock.sleep(Math.min(mostReportUsageMilliseconds, pause));
   }
 }
 
-function logCounts({ kernel, clients, connections, requests }: Assembly): void {
-  kernel.log('pooler.counts', {
+function logCounts({ runtime, clients, connections, requests }: Assembly): void {
+  runtime.log('pooler.counts', {
     sessions: clients.sessionCount(),
     inFlight: requests.inFlight(),
     ...connections.describe(),
@@ -177,16 +177,16 @@
 }
 
 function startTasks(assembly: Assembly): void {
-  const { kernel, feed, lifecycle } = assembly;
+  const { runtime, feed, lifecycle } = assembly;
   void feed.run();
-  void kernels.every(
-    kernel.clock,
+  void runtimeUtilities.every(
+    runtime.clock,
     tendMilliseconds,
     () => tend(assembly),
     () => !lifecycle.stopped,
   );
-  void kernels.every(
-    kernel.clock,
+  void runtimeUtilities.every(
+    runtime.clock,
     countsMilliseconds,
     () => logCounts(assembly),
     () => !lifecycle.stopped,
@@ -204,8 +204,8 @@
 }
 
 /** Starts listening and following the agent; resolves once clients can connect. */
-async function start(kernel: Kernel, settings: PoolerSettings, parts: PoolerParts): Promise<Pooler> {
-  const assembly = assemble(kernel, settings, parts.dialect);
+async function start(runtime: Runtime, settings: PoolerSettings, parts: PoolerParts): Promise<Pooler> {
+  const assembly = assemble(runtime, settings, parts.dialect);
 
   function ready(): boolean {
     return isReady(assembly);
@@ -221,11 +221,11 @@
     await stop();
   }
 
-  const clientListener = await kernel.network.listenStream(
+  const clientListener = await runtime.network.listenStream(
     identifiers.address(settings.address),
     (stream) => void assembly.serving.serve(stream),
   );
-  const pages = await kernel.network.serve(identifiers.address(settings.outward), { routes: parts.pages(ready) });
+  const pages = await runtime.network.serve(identifiers.address(settings.outward), { routes: parts.pages(ready) });
   startTasks(assembly);
   const { feed, requests, copies } = assembly;
   return { drain, stop, view: feed.view, ready, totals: requests.totals, copied: copies.describe };
--- a/packages/pooler/src/request-parts.ts
+++ b/packages/pooler/src/request-parts.ts
@@ -1,5 +1,5 @@
 /** What the modules that handle a statement share. */
-import type { Kernel } from '@stallstall/kernel';
+import type { Runtime } from '@stallstall/kernel';
 import type { Dialect } from '@stallstall/session-protocol';
 import type { Connections } from './connections.js';
 import type { Copies } from './copies.js';
@@ -8,7 +8,7 @@
 import type { View } from './view.js';
 
 export type RequestParts = Readonly<{
-  kernel: Kernel;
+  runtime: Runtime;
   dialect: Dialect;
   /** The placement as it is known now. */
   view: () => View;
--- a/packages/pooler/src/requests.ts
+++ b/packages/pooler/src/requests.ts
@@ -1,6 +1,6 @@
 /** Statements wait in a table until the passes find a member and a connection for them; then they are sent (design 8.5, 8.10). */
 import * as Option from 'fp-ts/lib/Option.js';
-import { identifiers, type Kernel } from '@stallstall/kernel';
+import { identifiers, type Runtime } from '@stallstall/kernel';
 import type { StatementReply } from '@stallstall/session-protocol';
 import { exchanges, type ExchangeParts } from './exchange.js';
 import { passes } from './passes.js';
@@ -30,8 +30,8 @@
 /** Share of its time limit that it waits for a connection that is being opened, or for a leader that is about to follow. */
 const patientShare = 0.2;
 
-function recordOf(kernel: Kernel, id: number, request: StatementRequest): RequestRecord {
-  const now = kernel.clock.now();
+function recordOf(runtime: Runtime, id: number, request: StatementRequest): RequestRecord {
+  const now = runtime.clock.now();
   const { aimMilliseconds, horizonMilliseconds } = request.database;
   return {
     id,
@@ -53,7 +53,7 @@
 type Scheduler = Readonly<{ run: (record: RequestRecord) => void; sweep: () => void }>;
 
 /** Runs `process` over one record or over all that wait, one at a time: what frees a connection on the way asks for another sweep. */
-function createScheduler(kernel: Kernel, table: RequestTable, process: (record: RequestRecord) => void): Scheduler {
+function createScheduler(runtime: Runtime, table: RequestTable, process: (record: RequestRecord) => void): Scheduler {
   let working = false;
   let sweepAgain = false;
   let timerSet = false;
@@ -61,7 +61,7 @@
   function setTimer(): void {
     if (timerSet) return;
     timerSet = true;
-    kernel.clock.startTimer(sweepMilliseconds, function due() {
+    runtime.clock.startTimer(sweepMilliseconds, function due() {
       timerSet = false;
       sweep();
     });
@@ -98,11 +98,11 @@
 }
 
 function create(parts: RequestParts): Requests {
-  const { kernel } = parts;
+  const { runtime } = parts;
   const table = requestTables.create();
   const rejection = rejections.create(parts, table);
   const pipeline = passes.create({ parts, table, rejection, placement: placements.create(parts) });
-  const scheduler = createScheduler(kernel, table, process);
+  const scheduler = createScheduler(runtime, table, process);
   const exchange: ExchangeParts = { parts, table, rejection, times: responseTimes.create(), retry, sweep: scheduler.sweep };
 
   function process(record: RequestRecord): void {
@@ -137,7 +137,7 @@
 
   function submit(request: StatementRequest): Promise<StatementReply> {
     return new Promise(function wait(resolve) {
-      const record = recordOf(kernel, table.nextId(), request);
+      const record = recordOf(runtime, table.nextId(), request);
       table.add(record, resolve);
       scheduler.run(record);
     });
--- a/packages/pooler/src/usage.ts
+++ b/packages/pooler/src/usage.ts
@@ -1,6 +1,6 @@
 /** What each tenant has been served, by windows of the wall clock, told to the cores in batches beside the path (design 8.6). */
 import * as Option from 'fp-ts/lib/Option.js';
-import type { Kernel } from '@stallstall/kernel';
+import type { Runtime } from '@stallstall/kernel';
 import type { Peer } from '@stallstall/peer';
 
 export type Usage = Readonly<{
@@ -13,15 +13,15 @@
 const windowsKept = 4;
 const tellMilliseconds = 2_000;
 
-function create(kernel: Kernel, agent: Peer): Usage {
-  const incarnation = kernel.randomness.token();
+function create(runtime: Runtime, agent: Peer): Usage {
+  const incarnation = runtime.randomness.token();
   const windows = new Map<number, Map<string, number>>();
   /** Windows that were counted in since they were told. */
   const dirty = new Set<number>();
   let number = 0;
 
   function count(tenant: string): void {
-    const window = Math.floor(kernel.clock.wall() / windowMilliseconds);
+    const window = Math.floor(runtime.clock.wall() / windowMilliseconds);
     let counts = windows.get(window);
     if (counts === undefined) {
       counts = new Map();
@@ -34,7 +34,7 @@
 
   async function tell(): Promise<boolean> {
     number += 1;
-    const through = kernel.clock.wall();
+    const through = runtime.clock.wall();
     const changed = [...windows].filter(([window]) => dirty.has(window));
     const usage = changed.map(([window, counts]) => ({ window, counts: Object.fromEntries(counts) }));
     const sentWindows = [...dirty];
--- a/packages/proxy/src/confirmations.ts
+++ b/packages/proxy/src/confirmations.ts
@@ -40,7 +40,7 @@
 }
 
 function create(parts: RequestParts): Confirmations {
-  const { kernel, known, notes, table } = parts;
+  const { runtime, known, notes, table } = parts;
   const pending = new Map<number, Pending>();
   const usage = usageWindows.create();
 
@@ -49,7 +49,7 @@
     const confirming: RequestRecord = { ...record, stage: 'confirming' };
     const outcome = Either.right({ results, position, member: choice.member, verdict: choice.here ? 'run' : 'relay' });
     // Counted first, so that the report which confirms it holds it.
-    pending.set(record.id, { record: confirming, target, session, since: kernel.clock.now(), report: notes.next(), outcome });
+    pending.set(record.id, { record: confirming, target, session, since: runtime.clock.now(), report: notes.next(), outcome });
     table.update(confirming);
     notes.note(record.request.service, choice.leader ? Option.some({ epoch, position }) : Option.none);
   }
@@ -57,7 +57,7 @@
   /** The fence is checked once more: what a fenced edge was told by an older primary is not passed on (design 7.3). */
   function settleOne(one: Pending): void {
     const { record, target, session, report, since, outcome } = one;
-    const now = kernel.clock.now();
+    const now = runtime.clock.now();
     const fenced = fenceChecks.fault(known(), now, record.request.service, target.epoch, target.choice.leader);
     if (Option.isNone(fenced) && now < record.deadline && !notes.noted(report)) return;
     pending.delete(record.id);
--- a/packages/proxy/src/durable-reports.ts
+++ b/packages/proxy/src/durable-reports.ts
@@ -1,6 +1,6 @@
 /** Reports what must be durable on a majority of core disks before a reply leaves: commit positions and usage (design 7.5, 8.6). */
 import * as Option from 'fp-ts/lib/Option.js';
-import { identifiers, type Instant, type Kernel } from '@stallstall/kernel';
+import { identifiers, type Instant, type Runtime } from '@stallstall/kernel';
 import { message, type DurableWatermark, type DurableWatermarks } from '@stallstall/message';
 import type { Peer } from '@stallstall/peer';
 import type { UsageWindow } from './usage-windows.js';
@@ -31,7 +31,7 @@
 }>;
 
 type State = {
-  readonly kernel: Kernel;
+  readonly runtime: Runtime;
   readonly agent: Peer;
   /** Names this run of the process: its counts replace none of an earlier run. */
   readonly incarnation: string;
@@ -63,11 +63,11 @@
 
 /** Sends one report; false when it is not known to be durable. */
 async function attempt(state: State): Promise<boolean> {
-  const { kernel, agent, sources, incarnation, reported } = state;
+  const { runtime, agent, sources, incarnation, reported } = state;
   state.started += 1;
   const number = state.started;
-  const startedAt = kernel.clock.now();
-  const wall = kernel.clock.wall();
+  const startedAt = runtime.clock.now();
+  const wall = runtime.clock.wall();
   const window = windowOf(wall);
   const usage = sources
     .counts(window)
@@ -76,7 +76,7 @@
   const body = { number, floors: { ...state.watermarks }, usage, through: wall, incarnation };
   const reply = await agent.call('tell', body, callMilliseconds);
   state.attempts += 1;
-  state.attemptMilliseconds += kernel.clock.now() - startedAt;
+  state.attemptMilliseconds += runtime.clock.now() - startedAt;
   if (Option.isNone(reply) || !reply.value.kept) {
     reported.clear();
     return false;
@@ -84,7 +84,7 @@
   for (const one of usage) reported.set(one.window, JSON.stringify(one.counts));
   for (const old of reported.keys()) if (old < window - windowsKept) reported.delete(old);
   // A report that took longer than its window confirms nothing: what waits is reported again, in the window it is served in.
-  if (windowOf(kernel.clock.wall()) !== window) return true;
+  if (windowOf(runtime.clock.wall()) !== window) return true;
   state.durable = number;
   state.durableWindow = window;
   state.durableAt = startedAt;
@@ -102,9 +102,9 @@
   state.reporting = false;
 }
 
-function create(kernel: Kernel, agent: Peer, incarnation: string, sources: NoteSources): Notes {
+function create(runtime: Runtime, agent: Peer, incarnation: string, sources: NoteSources): Notes {
   const state: State = {
-    kernel,
+    runtime,
     agent,
     incarnation,
     sources,
@@ -130,7 +130,7 @@
     noted: (number) => state.durable >= number,
     window: () => state.durableWindow,
     tick: function tick() {
-      if (state.durable < state.wanted || kernel.clock.now() - state.durableAt >= tickMilliseconds) void report(state);
+      if (state.durable < state.wanted || runtime.clock.now() - state.durableAt >= tickMilliseconds) void report(state);
     },
     flush: () => report(state),
     sound: agent.connected,
--- a/packages/proxy/src/exchange.ts
+++ b/packages/proxy/src/exchange.ts
@@ -48,14 +48,14 @@
 
 /** Sends the request and settles it. */
 async function run(exchange: ExchangeParts, sent: SentRequest): Promise<void> {
-  const { kernel, table } = exchange.parts;
+  const { runtime, table } = exchange.parts;
   const { record, connection, session } = sent;
-  const sentAt = kernel.clock.now();
+  const sentAt = runtime.clock.now();
   table.count('exchanges');
   table.count('waitMilliseconds', sentAt - record.arrivedAt);
   const left = Math.max(leastExchangeMilliseconds, record.deadline - sentAt);
   const result = await connection.exchange(runCall(sent), left);
-  table.count('exchangeMilliseconds', kernel.clock.now() - sentAt);
+  table.count('exchangeMilliseconds', runtime.clock.now() - sentAt);
   if (Option.isSome(session)) session.value.setBusy(false);
   settle(exchange, sent, result);
   // Its key may have been withdrawn while the statement was under way (design 6.4).
@@ -77,7 +77,7 @@
 /** No reply came, or one that cannot be read. `nothingLeft`: the request surely never left this process. */
 function settleLost(exchange: ExchangeParts, sent: SentRequest, nothingLeft: boolean): void {
   const { parts, retry } = exchange;
-  const { kernel, pool, table } = parts;
+  const { runtime, pool, table } = parts;
   const { record, connection, session } = sent;
   const { choice } = sent.target;
   const pinned = requestParts.isPinned(record);
@@ -92,7 +92,7 @@
     table.reject(record, requestFaults.transactionEnded(message));
     return;
   }
-  if (record.attempts >= mostAttempts || kernel.clock.now() >= record.deadline) {
+  if (record.attempts >= mostAttempts || runtime.clock.now() >= record.deadline) {
     const message = `${record.attempts} attempts at ${record.request.kind} failed; nothing was kept`;
     table.reject(record, requestFaults.givenUp(message));
     return;
--- a/packages/proxy/src/passes.ts
+++ b/packages/proxy/src/passes.ts
@@ -13,17 +13,17 @@
 
 export type Pass = (record: RequestRecord) => RequestRecord;
 
-function expire({ kernel, table }: RequestParts, record: RequestRecord): RequestRecord {
-  if (kernel.clock.now() < record.deadline) return record;
+function expire({ runtime, table }: RequestParts, record: RequestRecord): RequestRecord {
+  if (runtime.clock.now() < record.deadline) return record;
   return table.reject(record, requestFaults.givenUp('no connection to a fitting member came free in time; nothing was sent'));
 }
 
 /** What the configuration says of the service and the key; looked at again while a request waits, since both may be withdrawn. */
 function admit(parts: RequestParts, record: RequestRecord): RequestRecord {
-  const { table, kernel } = parts;
+  const { table, runtime } = parts;
   const { service, kind, key } = record.request;
   const known = parts.known();
-  const stale = fenceChecks.controlFault(known, kernel.clock.now());
+  const stale = fenceChecks.controlFault(known, runtime.clock.now());
   if (Option.isSome(stale)) return table.reject(record, stale.value);
   if (Option.isNone(known.sheet) || placements.service(known.sheet.value, service) === undefined)
     return table.reject(record, requestFaults.notFound(`a service ${service}`));
@@ -45,7 +45,7 @@
 
 function chooseMember(parts: RequestParts, record: RequestRecord): RequestRecord {
   if (requestParts.isPinned(record)) return choosePinned(parts, record);
-  const { kernel, known, pool, table } = parts;
+  const { runtime, known, pool, table } = parts;
   const { request } = record;
   const session = requestParts.sessionOf(parts, record);
   const lastCommit = Option.isSome(session) ? session.value.lastCommit(request.service) : 0;
@@ -53,8 +53,8 @@
   let without = record.excludedMembers;
   for (;;) {
     const judged = routing.judge(known().table, request.service, request.kind, {
-      now: kernel.clock.now(),
-      fraction: kernel.randomness.fraction(),
+      now: runtime.clock.now(),
+      fraction: runtime.randomness.fraction(),
       atLeast,
       without,
     });
--- a/packages/proxy/src/proxy.ts
+++ b/packages/proxy/src/proxy.ts
@@ -1,6 +1,6 @@
 /** The HTTP proxy of an edge: clients' statements in, verdicts looked up, members' replies out; fed by its agent (design 8). */
 import * as Option from 'fp-ts/lib/Option.js';
-import { identifiers, kernel as kernels, type HttpRoute, type Kernel, type Listening } from '@stallstall/kernel';
+import { identifiers, runtimeUtilities, type HttpRoute, type Runtime, type Listening } from '@stallstall/kernel';
 import { peer, type Peer } from '@stallstall/peer';
 import { pools, type Pool } from '@stallstall/pool';
 import { clientApi } from './client-api.js';
@@ -23,7 +23,7 @@
 
 /** The parts of a running proxy. */
 type Assembly = Readonly<{
-  kernel: Kernel;
+  runtime: Runtime;
   agent: Peer;
   feed: PlacementFeed;
   pool: Pool;
@@ -38,18 +38,18 @@
 const feedCallMilliseconds = 800;
 const sweepMilliseconds = 25;
 
-function assemble(kernel: Kernel, settings: ProxySettings): Assembly {
-  const incarnation = kernel.randomness.token();
-  const feed = placementFeeds.create(kernel.clock);
-  const pool = pools.create(kernel, () => requests.sweep());
-  const sessions = sessionTables.create(kernel, pool);
-  const agent = peer.dial(kernel, identifiers.address(settings.feed));
-  const notes = noteTables.create(kernel, agent, incarnation, {
+function assemble(runtime: Runtime, settings: ProxySettings): Assembly {
+  const incarnation = runtime.randomness.token();
+  const feed = placementFeeds.create(runtime.clock);
+  const pool = pools.create(runtime, () => requests.sweep());
+  const sessions = sessionTables.create(runtime, pool);
+  const agent = peer.dial(runtime, identifiers.address(settings.feed));
+  const notes = noteTables.create(runtime, agent, incarnation, {
     counts: (window) => requests.counts(window),
     onNoted: () => requests.sweep(),
   });
-  const requests: Requests = requestTables.create({ kernel, known: feed.known, pool, sessions, notes });
-  return { kernel, agent, feed, pool, sessions, notes, requests, connected: new Set() };
+  const requests: Requests = requestTables.create({ runtime, known: feed.known, pool, sessions, notes });
+  return { runtime, agent, feed, pool, sessions, notes, requests, connected: new Set() };
 }
 
 function counters({ requests, notes, sessions }: Assembly): Readonly<Record<string, number>> {
@@ -62,8 +62,8 @@
 }
 
 async function follow(assembly: Assembly): Promise<void> {
-  const { kernel, agent, feed, pool, requests } = assembly;
-  const sentAt = kernel.clock.now();
+  const { runtime, agent, feed, pool, requests } = assembly;
+  const sentAt = runtime.clock.now();
   const reply = await agent.call(
     'feed',
     { configuration: feed.known().version, open: { ...pool.open() }, metrics: { ...counters(assembly) } },
@@ -92,9 +92,9 @@
   assembly.requests.sweep();
 }
 
-function isReady({ kernel, feed }: Assembly): boolean {
+function isReady({ runtime, feed }: Assembly): boolean {
   const { controlUntil, sheet } = feed.known();
-  return Option.isNone(feed.drainingSince()) && controlUntil > kernel.clock.now() && Option.isSome(sheet);
+  return Option.isNone(feed.drainingSince()) && controlUntil > runtime.clock.now() && Option.isSome(sheet);
 }
 
 /** What the platform and the operators ask of this process itself. */
@@ -144,33 +144,33 @@
 
 /** Resolves once nothing is under way any more, or the grace is over. */
 async function awaitEnd(assembly: Assembly): Promise<void> {
-  const { kernel, feed, notes } = assembly;
+  const { runtime, feed, notes } = assembly;
   feed.stop();
-  const deadline = identifiers.after(kernel.clock.now(), graceMilliseconds);
-  await kernel.clock.sleep(lameDuckMilliseconds);
-  while (kernel.clock.now() < deadline && isBusy(assembly)) await kernel.clock.sleep(sweepMilliseconds);
+  const deadline = identifiers.after(runtime.clock.now(), graceMilliseconds);
+  await runtime.clock.sleep(lameDuckMilliseconds);
+  while (runtime.clock.now() < deadline && isBusy(assembly)) await runtime.clock.sleep(sweepMilliseconds);
   await notes.flush();
 }
 
 /** Starts listening and following the agent; resolves once clients can connect. */
-async function start(kernel: Kernel, settings: ProxySettings): Promise<Proxy> {
-  const assembly = assemble(kernel, settings);
+async function start(runtime: Runtime, settings: ProxySettings): Promise<Proxy> {
+  const assembly = assemble(runtime, settings);
   const { agent, feed, pool, sessions, requests, connected } = assembly;
-  const routes = [...clientApi.routes({ clock: kernel.clock, known: feed.known, sessions, requests }), ...statusRoutes(assembly)];
+  const routes = [...clientApi.routes({ clock: runtime.clock, known: feed.known, sessions, requests }), ...statusRoutes(assembly)];
   let stopped = false;
 
-  const listening: Listening = await kernel.network.serve(identifiers.address(settings.address), {
+  const listening: Listening = await runtime.network.serve(identifiers.address(settings.address), {
     routes: routes.map((route) => noteConnection(assembly, route)),
     connectionClosed: (connection) => void connected.delete(connection),
   });
-  void kernels.every(
-    kernel.clock,
+  void runtimeUtilities.every(
+    runtime.clock,
     feedMilliseconds,
     () => follow(assembly),
     () => !stopped,
   );
-  void kernels.every(
-    kernel.clock,
+  void runtimeUtilities.every(
+    runtime.clock,
     sweepMilliseconds,
     () => tick(assembly),
     () => !stopped,
--- a/packages/proxy/src/request-parts.ts
+++ b/packages/proxy/src/request-parts.ts
@@ -1,6 +1,6 @@
 /** What the modules that handle a request share. */
 import * as Option from 'fp-ts/lib/Option.js';
-import type { Kernel } from '@stallstall/kernel';
+import type { Runtime } from '@stallstall/kernel';
 import type { Pool } from '@stallstall/pool';
 import type { Notes } from './durable-reports.js';
 import type { RequestTable } from './request-table.js';
@@ -8,7 +8,7 @@
 import type { Known, RequestRecord } from './statement-request.js';
 
 export type RequestParts = Readonly<{
-  kernel: Kernel;
+  runtime: Runtime;
   /** The placement as it is known now. */
   known: () => Known;
   pool: Pool;
--- a/packages/proxy/src/requests.ts
+++ b/packages/proxy/src/requests.ts
@@ -1,6 +1,6 @@
 /** Requests wait in a table until the passes find a member and a connection for them; then they are sent (design 8.5). */
 import * as Option from 'fp-ts/lib/Option.js';
-import { identifiers, type Kernel } from '@stallstall/kernel';
+import { identifiers, type Runtime } from '@stallstall/kernel';
 import { confirmations } from './confirmations.js';
 import { exchanges, type ExchangeParts } from './exchange.js';
 import { fenceChecks } from './fence-check.js';
@@ -21,8 +21,8 @@
   totals: () => Readonly<Record<string, number>>;
 }>;
 
-function recordOf(kernel: Kernel, id: number, request: StatementRequest): RequestRecord {
-  const now = kernel.clock.now();
+function recordOf(runtime: Runtime, id: number, request: StatementRequest): RequestRecord {
+  const now = runtime.clock.now();
   return {
     id,
     request,
@@ -66,13 +66,13 @@
  */
 function dispatch(exchange: ExchangeParts, record: RequestRecord): RequestRecord {
   const { parts } = exchange;
-  const { kernel, known, pool, table } = parts;
+  const { runtime, known, pool, table } = parts;
   const session = requestParts.sessionOf(parts, record);
   if (Option.isNone(record.connection) || Option.isNone(record.target)) return record;
   if (Option.isSome(session) && session.value.busy()) return { ...record, connection: Option.none };
   const connection = record.connection.value;
   const target = record.target.value;
-  const fenced = fenceChecks.fault(known(), kernel.clock.now(), record.request.service, target.epoch, target.choice.leader);
+  const fenced = fenceChecks.fault(known(), runtime.clock.now(), record.request.service, target.epoch, target.choice.leader);
   if (Option.isSome(fenced) || connection.epoch !== target.epoch) {
     if (requestParts.isPinned(record)) requestParts.endTransaction(parts, session);
     else pool.giveBack(connection, true);
@@ -114,7 +114,7 @@
 
   function submit(request: StatementRequest): Promise<Outcome> {
     return new Promise(function wait(resolve) {
-      const record = recordOf(parts.kernel, table.nextId(), request);
+      const record = recordOf(parts.runtime, table.nextId(), request);
       table.register(record.id, resolve);
       exclusive.run(() => process(record));
     });
--- a/packages/proxy/src/sessions.ts
+++ b/packages/proxy/src/sessions.ts
@@ -1,6 +1,6 @@
 /** The open sessions of this edge, and when they end. */
 import * as Option from 'fp-ts/lib/Option.js';
-import { identifiers, type Kernel } from '@stallstall/kernel';
+import { identifiers, type Runtime } from '@stallstall/kernel';
 import type { Pool } from '@stallstall/pool';
 import { session as sessionParts, type Session } from './session.js';
 
@@ -22,11 +22,11 @@
 /** A transaction without statements ends after so long. */
 const quietTransactionMilliseconds = 5_000;
 
-function create(kernel: Kernel, pool: Pool): Sessions {
+function create(runtime: Runtime, pool: Pool): Sessions {
   const table = new Map<string, Session>();
 
   function open(key: string, service: string): Session {
-    const opened = sessionParts.create(kernel.clock, kernel.randomness.token(), key, service);
+    const opened = sessionParts.create(runtime.clock, runtime.randomness.token(), key, service);
     table.set(opened.id, opened);
     return opened;
   }
@@ -45,7 +45,7 @@
   }
 
   function expire(): void {
-    const now = kernel.clock.now();
+    const now = runtime.clock.now();
     for (const session of [...table.values()]) {
       if (session.busy()) continue;
       if (now >= identifiers.after(session.touchedAt(), idleMilliseconds)) close(session);
--- a/packages/quorum-lease/src/quorum-lease.ts
+++ b/packages/quorum-lease/src/quorum-lease.ts
@@ -1,5 +1,5 @@
 /** A lease that a majority of peers grants by echoing a node's heartbeats at the same epoch (design 7.3). */
-import { identifiers, kernel as kernels, type Instant } from '@stallstall/kernel';
+import { identifiers, runtimeUtilities, type Instant } from '@stallstall/kernel';
 import { quorum } from '@stallstall/quorum';
 import { leaseTermMilliseconds } from './lease-timing.js';
 
@@ -62,6 +62,6 @@
 }
 
 /** The name under which a process's other services find its lease. */
-export const quorumLeaseService = kernels.serviceName<QuorumLease>('quorum-lease');
+export const quorumLeaseService = runtimeUtilities.serviceName<QuorumLease>('quorum-lease');
 
 export const quorumLease = { create } as const;
--- a/packages/register/src/ballot-round.ts
+++ b/packages/register/src/ballot-round.ts
@@ -1,6 +1,6 @@
 /** One attempt to change a key: a ballot is promised by a majority of replicas, then accepted by a majority of those (design 5.1). */
 import * as Option from 'fp-ts/lib/Option.js';
-import type { Kernel } from '@stallstall/kernel';
+import type { Runtime } from '@stallstall/kernel';
 import type { Ballot, Entry, Request } from '@stallstall/message';
 import { quorum } from '@stallstall/quorum';
 import { compressedDifference } from './compressed-difference.js';
@@ -9,7 +9,7 @@
 
 /** @internal */
 export type RoundContext = Readonly<{
-  kernel: Kernel;
+  runtime: Runtime;
   /** Names the proposer: no other has ballots of this name. */
   proposer: string;
   replicas: () => readonly RegisterReplica[];
@@ -97,7 +97,7 @@
   known: Option.Option<Entry>,
   { replicas, set, isMajority }: RoundSet,
 ): Promise<readonly ReplicaReply[]> {
-  const replies = await replicaCalls.sendToAll(context.kernel, {
+  const replies = await replicaCalls.sendToAll(context.runtime, {
     targets: replicas,
     call: 'prepare',
     bodyFor: () => ({ key, ballot, ...set, ...holdsOf(known) }),
@@ -119,7 +119,7 @@
 ): Promise<boolean> {
   const slim = withoutContent(complete, known, promises);
   const holding = new Set(promises.filter(isRemoteHolder).map((one) => one.target.core));
-  const replies = await replicaCalls.sendToAll(context.kernel, {
+  const replies = await replicaCalls.sendToAll(context.runtime, {
     targets: promises.map((one) => replicaCalls.withCompleteEntryOnRequest(one.target, complete)),
     call: 'accept',
     bodyFor: (target) => (holding.has(target.core) ? slim : complete),
--- a/packages/register/src/content-fetcher.ts
+++ b/packages/register/src/content-fetcher.ts
@@ -1,6 +1,6 @@
 /** Changes that were pushed without their content wait for it: from a core that pushes it complete, else it is fetched (design 5.6). */
 import * as Option from 'fp-ts/lib/Option.js';
-import type { Instant, Kernel } from '@stallstall/kernel';
+import type { Instant, Runtime } from '@stallstall/kernel';
 import { ballotZero, differences, type Ballot, type Change, type Reply, type Request } from '@stallstall/message';
 import { awaitedChanges, type AwaitedChange, type AwaitedChanges } from './awaited-changes.js';
 
@@ -33,7 +33,7 @@
 export type ContentCounts = Readonly<{ fetched: number; unanswered: number; superseded: number }>;
 
 type FetcherState = {
-  readonly kernel: Kernel;
+  readonly runtime: Runtime;
   readonly parts: ContentFetcherParts;
   /** The latest contents, by their identity, oldest first. */
   readonly contents: Map<string, unknown>;
@@ -72,7 +72,7 @@
 
 /** A newer content is progress: whatever is missing by now has been so from this moment. */
 function restartWait(fetcher: FetcherState): void {
-  fetcher.missingSince = missing(fetcher).length > 0 ? Option.some(fetcher.kernel.clock.now()) : Option.none;
+  fetcher.missingSince = missing(fetcher).length > 0 ? Option.some(fetcher.runtime.clock.now()) : Option.none;
 }
 
 function keep(fetcher: FetcherState, ballot: Ballot, content: unknown): void {
@@ -129,18 +129,18 @@
 }
 
 function scheduleFetch(fetcher: FetcherState): void {
-  const { kernel, missingSince } = fetcher;
+  const { runtime, missingSince } = fetcher;
   if (fetcher.isFetchPending || Option.isNone(missingSince)) return;
   fetcher.isFetchPending = true;
-  const waited = kernel.clock.now() - missingSince.value;
-  kernel.clock.startTimer(Math.max(0, waitMilliseconds - waited), () => void fetchWhenDue(fetcher));
+  const waited = runtime.clock.now() - missingSince.value;
+  runtime.clock.startTimer(Math.max(0, waitMilliseconds - waited), () => void fetchWhenDue(fetcher));
 }
 
 /** Newer changes do not put off the fetch, only newer contents do: a stream of changes would put it off for good. */
 async function fetchWhenDue(fetcher: FetcherState): Promise<void> {
-  const { kernel, parts, missingSince } = fetcher;
+  const { runtime, parts, missingSince } = fetcher;
   if (parts.stopped()) return;
-  const isDue = Option.isSome(missingSince) && kernel.clock.now() - missingSince.value >= waitMilliseconds;
+  const isDue = Option.isSome(missingSince) && runtime.clock.now() - missingSince.value >= waitMilliseconds;
   if (isDue) await fetchNewest(fetcher);
   fetcher.isFetchPending = false;
   scheduleFetch(fetcher);
@@ -173,9 +173,9 @@
   deliverAwaited(fetcher);
 }
 
-function create(kernel: Kernel, parts: ContentFetcherParts): ContentFetcher {
+function create(runtime: Runtime, parts: ContentFetcherParts): ContentFetcher {
   const fetcher: FetcherState = {
-    kernel,
+    runtime,
     parts,
     contents: new Map(),
     awaited: awaitedChanges.create(),
--- a/packages/register/src/durable-reports.ts
+++ b/packages/register/src/durable-reports.ts
@@ -1,7 +1,7 @@
 /** The reporting half: a report is on a majority of core disks before it counts; watermarks are read from a majority (design 5.5). */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
-import { fault, kernel as kernels, type Fault } from '@stallstall/kernel';
+import { fault, runtimeUtilities, type Fault } from '@stallstall/kernel';
 import { message, type DurableWatermarks, type Reply, type Request } from '@stallstall/message';
 import { quorum } from '@stallstall/quorum';
 import { fixedCoreSet, type CoreSetSource } from './register.js';
@@ -80,6 +80,6 @@
 }
 
 /** The name under which a process's other services find its reports. */
-export const durableReportsService = kernels.serviceName<DurableReports>('durable-reports');
+export const durableReportsService = runtimeUtilities.serviceName<DurableReports>('durable-reports');
 
 export const durableReports = { create } as const;
--- a/packages/register/src/proposer.ts
+++ b/packages/register/src/proposer.ts
@@ -1,7 +1,7 @@
 /** The proposing half of the register: majority read, majority write, compare-and-swap on top (design 5.1). */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
-import { fault, identifiers, type Fault, type Kernel } from '@stallstall/kernel';
+import { fault, identifiers, type Fault, type Runtime } from '@stallstall/kernel';
 import type { Entry, Request } from '@stallstall/message';
 import { ballotRound, type RoundContext } from './ballot-round.js';
 import {
@@ -45,8 +45,8 @@
   });
 }
 
-function backoff({ kernel }: RoundContext, attempts: number): number {
-  const jitter = 0.5 + kernel.randomness.fraction();
+function backoff({ runtime }: RoundContext, attempts: number): number {
+  const jitter = 0.5 + runtime.randomness.fraction();
   return backoffMilliseconds * Math.min(attempts, backoffStepsMost) * jitter;
 }
 
@@ -58,7 +58,7 @@
   decide: Decision,
   milliseconds = defaultTimeoutMilliseconds,
 ): Promise<Either.Either<Fault, ChangeOutcome>> {
-  const { clock } = context.kernel;
+  const { clock } = context.runtime;
   const deadline = identifiers.after(clock.now(), milliseconds);
   for (let attempts = 1; isCurrent(); attempts += 1) {
     const outcome = await ballotRound.run(context, key, decide);
@@ -84,7 +84,7 @@
   const { replicas, set, isMajority } = ballotRound.currentSet(context);
   const known = context.heldEntry(key);
   const request: Request<'look'> = { key, ...set, ...ballotRound.holdsOf(known) };
-  const replies = await replicaCalls.sendToAll(context.kernel, {
+  const replies = await replicaCalls.sendToAll(context.runtime, {
     targets: replicas,
     call: 'look',
     bodyFor: () => request,
@@ -98,11 +98,11 @@
   return Either.isLeft(completed) ? completed : Either.right(completed.right.entry);
 }
 
-function create(kernel: Kernel, parts: ProposerParts): NumberedRegister {
-  const proposerName = `${parts.name}#${kernel.randomness.token()}`;
+function create(runtime: Runtime, parts: ProposerParts): NumberedRegister {
+  const proposerName = `${parts.name}#${runtime.randomness.token()}`;
   const coreSets = parts.coreSets ?? fixedCoreSet;
   const context: RoundContext = {
-    kernel,
+    runtime,
     proposer: proposerName,
     replicas: parts.replicas,
     replicaCount: parts.replicaCount,
--- a/packages/register/src/register.ts
+++ b/packages/register/src/register.ts
@@ -1,7 +1,7 @@
 /** A register that a majority of core disks keeps: linearizable reads and compare-and-swap, by key (design 5.1). */
 import type * as Either from 'fp-ts/lib/Either.js';
 import type * as Option from 'fp-ts/lib/Option.js';
-import { kernel as kernels, type Fault } from '@stallstall/kernel';
+import { runtimeUtilities, type Fault } from '@stallstall/kernel';
 import type { CoreSet, Entry, Reply, Request } from '@stallstall/message';
 
 /** The calls that a replica of the register answers. @internal */
@@ -46,4 +46,4 @@
   }>;
 
 /** The name under which a process's other services find its register (design 2.1). */
-export const registerService = kernels.serviceName<NumberedRegister>('register');
+export const registerService = runtimeUtilities.serviceName<NumberedRegister>('register');
--- a/packages/register/src/replica-calls.ts
+++ b/packages/register/src/replica-calls.ts
@@ -1,6 +1,6 @@
 /** Calls to all replicas of the register at once, and what their replies say together (design 5.1, 5.7). */
 import * as Option from 'fp-ts/lib/Option.js';
-import type { Kernel } from '@stallstall/kernel';
+import type { Runtime } from '@stallstall/kernel';
 import { ballotZero, message, type Entry, type Reply, type Request } from '@stallstall/message';
 import type { CoreSetSource, RegisterCall, RegisterReplica } from './register.js';
 
@@ -28,7 +28,7 @@
  * Sends a call to every replica. Resolves to the replies of those that take part, once they are enough and those that were about to reply
  * had a moment more, or when all have replied or fallen silent.
  */
-function sendToAll<Call extends RegisterCall>(kernel: Kernel, plan: CallPlan<Call>): Promise<readonly ReplicaReply[]> {
+function sendToAll<Call extends RegisterCall>(runtime: Runtime, plan: CallPlan<Call>): Promise<readonly ReplicaReply[]> {
   const { targets, call, bodyFor, isEnough, observe, lingerMilliseconds = 0 } = plan;
   return new Promise(function collect(resolve) {
     const replies: ReplicaReply[] = [];
@@ -46,7 +46,7 @@
       if (isLingering || !isEnough(replies)) return;
       if (lingerMilliseconds === 0) return finish();
       isLingering = true;
-      kernel.clock.startTimer(lingerMilliseconds, finish);
+      runtime.clock.startTimer(lingerMilliseconds, finish);
     }
     if (outstanding === 0) finish();
     for (const target of targets) void send(target);
--- a/packages/register/src/report-store.ts
+++ b/packages/register/src/report-store.ts
@@ -1,7 +1,7 @@
 /** The disk half of durable reports: what only grows, so that the highest wins and no ballot is needed (design 5.5). */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
-import { owner, type Disk, type Kernel, type Owner } from '@stallstall/kernel';
+import { owner, type Disk, type Runtime, type Owner } from '@stallstall/kernel';
 import { message, messages, type DurableWatermarks, type Reply, type Request, type UsageReport } from '@stallstall/message';
 
 export type ReportStore = Readonly<{
@@ -27,7 +27,7 @@
 const storageSlots = 8;
 
 type StoreState = {
-  readonly kernel: Kernel;
+  readonly runtime: Runtime;
   readonly disk: Disk;
   readonly commands: Owner<null>;
   watermarks: DurableWatermarks;
@@ -60,8 +60,8 @@
   return total;
 }
 
-function currentWindow({ kernel }: StoreState): number {
-  return Math.floor(kernel.clock.wall() / usageWindowMilliseconds);
+function currentWindow({ runtime }: StoreState): number {
+  return Math.floor(runtime.clock.wall() / usageWindowMilliseconds);
 }
 
 function markChanged(store: StoreState, window: number): void {
@@ -145,9 +145,9 @@
 }
 
 /** @param stored - what the disk held when the process started */
-function create(kernel: Kernel, disk: Disk, stored: ReadonlyMap<string, unknown>): ReportStore {
+function create(runtime: Runtime, disk: Disk, stored: ReadonlyMap<string, unknown>): ReportStore {
   const store: StoreState = {
-    kernel,
+    runtime,
     disk,
     commands: owner.create('reports', null),
     watermarks: {},
--- a/packages/register/src/watcher.ts
+++ b/packages/register/src/watcher.ts
@@ -4,7 +4,7 @@
  */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
-import { identifiers, type Instant, type Kernel } from '@stallstall/kernel';
+import { identifiers, type Instant, type Runtime } from '@stallstall/kernel';
 import { message, type Change, type Entry } from '@stallstall/message';
 import { quorum } from '@stallstall/quorum';
 import type { Register } from './register.js';
@@ -50,7 +50,7 @@
 };
 
 type WatcherState = Readonly<{
-  kernel: Kernel;
+  runtime: Runtime;
   register: Register;
   coreCount: () => number;
   onApplied: WatcherParts['onApplied'];
@@ -131,9 +131,9 @@
   if (coreCount() > 0 && agreeing.length >= quorum.majority(coreCount())) apply(watcher, key, entry);
 }
 
-function observeDoubt({ kernel }: WatcherState, watched: WatchedKey): void {
+function observeDoubt({ runtime }: WatcherState, watched: WatchedKey): void {
   if (!isInDoubt(watched)) watched.doubtSince = Option.none;
-  else if (Option.isNone(watched.doubtSince)) watched.doubtSince = Option.some(kernel.clock.now());
+  else if (Option.isNone(watched.doubtSince)) watched.doubtSince = Option.some(runtime.clock.now());
 }
 
 function receive(watcher: WatcherState, core: string, change: Change): void {
@@ -156,19 +156,19 @@
   const read = await watcher.register.read(key, readMilliseconds);
   watched.isReading = false;
   if (Either.isRight(read) && Option.isSome(read.right)) apply(watcher, key, read.right.value);
-  const nextDoubt = identifiers.after(watcher.kernel.clock.now(), rereadMilliseconds);
+  const nextDoubt = identifiers.after(watcher.runtime.clock.now(), rereadMilliseconds);
   watched.doubtSince = isInDoubt(watched) ? Option.some(nextDoubt) : Option.none;
 }
 
 function resolve(watcher: WatcherState): void {
   for (const [key, watched] of watcher.keys) {
     if (watched.isReading || Option.isNone(watched.doubtSince)) continue;
-    if (watcher.kernel.clock.now() - watched.doubtSince.value >= doubtMilliseconds) void readDoubtful(watcher, key, watched);
+    if (watcher.runtime.clock.now() - watched.doubtSince.value >= doubtMilliseconds) void readDoubtful(watcher, key, watched);
   }
 }
 
-function create(kernel: Kernel, { register, coreCount, onApplied, cores = everyCore }: WatcherParts): Watcher {
-  const state: WatcherState = { kernel, register, coreCount, onApplied, cores, keys: new Map() };
+function create(runtime: Runtime, { register, coreCount, onApplied, cores = everyCore }: WatcherParts): Watcher {
+  const state: WatcherState = { runtime, register, coreCount, onApplied, cores, keys: new Map() };
   return {
     receive: (core, change) => receive(state, core, change),
     recount: () => recount(state),
--- a/packages/runtime/src/base.ts
+++ b/packages/runtime/src/base.ts
@@ -1,12 +1,12 @@
-/** The kernel services of a real machine but for its network and its log's library (design 2.2). */
+/** The runtime services of a real machine but for its network and its log's library (design 2.2). */
 import { randomBytes } from 'node:crypto';
 import type * as Option from 'fp-ts/lib/Option.js';
 import {
-  kernel as kernels,
+  runtimeUtilities,
   protocolsSpoken,
   type Disk,
   type Fault,
-  type Kernel,
+  type Runtime,
   type Log,
   type LogFields,
   type Network,
@@ -38,7 +38,7 @@
   };
 }
 
-function create(say: Log, network: Network, disk: Option.Option<Disk>): Kernel {
+function create(say: Log, network: Network, disk: Option.Option<Disk>): Runtime {
   return {
     protocols: protocolsSpoken,
     clock,
@@ -46,7 +46,7 @@
     disk,
     randomness: { fraction: Math.random, token: () => randomBytes(9).toString('base64url') },
     log: say,
-    services: kernels.directory(),
+    services: runtimeUtilities.directory(),
     stop: function stop(reason: Fault) {
       say('process.stops', { reason: reason.message });
       process.exitCode = 3;
--- a/packages/runtime/src/minimal-runtime.ts
+++ b/packages/runtime/src/minimal-runtime.ts
@@ -1,8 +1,8 @@
-/** A real machine's kernel for programs whose every start is paid for: HTTP from the runtime alone (design 2.7). */
+/** A real machine's runtime for programs whose every start is paid for: HTTP from Node.js alone (design 2.7). */
 import './log-on.js';
 import { ROARR, Roarr } from 'roarr';
 import type * as Option from 'fp-ts/lib/Option.js';
-import type { Disk, Kernel, Network } from '@stallstall/kernel';
+import type { Disk, Runtime, Network } from '@stallstall/kernel';
 import { base } from './base.js';
 import { links } from './links.js';
 import { connect } from './minimal-http-connection.js';
@@ -19,7 +19,7 @@
 };
 
 /** @param program - the program's name, for its log */
-function create(program: string, disk: Option.Option<Disk>): Kernel {
+function create(program: string, disk: Option.Option<Disk>): Runtime {
   return base.create(base.logThrough(program, { Roarr, ROARR }), minimalNetwork, disk);
 }
 
--- a/packages/session-protocol/src/member-connection.ts
+++ b/packages/session-protocol/src/member-connection.ts
@@ -1,7 +1,7 @@
 /** One connection to a member, with one task that reads it: queries are answered in their order (design 8.10). */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
-import { fault, identifiers, type Fault, type Kernel, type Stream } from '@stallstall/kernel';
+import { fault, identifiers, type Fault, type Runtime, type Stream } from '@stallstall/kernel';
 import type { Condition, Dialect, StatementReply } from './dialect.js';
 import { replyAssembly, type ReplyAssembly } from './reply-assembly.js';
 
@@ -30,7 +30,7 @@
 }>;
 
 type ConnectionState = {
-  readonly kernel: Kernel;
+  readonly runtime: Runtime;
   readonly dialect: Dialect;
   readonly stream: Stream;
   readonly assembly: ReplyAssembly;
@@ -97,7 +97,7 @@
   if (connection.isBroken || connection.exchange !== undefined) return Promise.resolve({ replies: [], whole: false });
   return new Promise(function exchangeQueries(resolve) {
     const replies: StatementReply[] = [];
-    const timer = connection.kernel.clock.startTimer(Math.max(1, milliseconds), () => reset(connection));
+    const timer = connection.runtime.clock.startTimer(Math.max(1, milliseconds), () => reset(connection));
     connection.exchange = {
       kind,
       replies,
@@ -134,17 +134,17 @@
  * the member's condition in its details, and those of the network.
  */
 async function open(
-  kernel: Kernel,
+  runtime: Runtime,
   dialect: Dialect,
   place: MemberAddress,
   tenant: string,
   milliseconds: number,
 ): Promise<Either.Either<Fault, MemberConnection>> {
-  const deadline = kernel.clock.now() + milliseconds;
-  const stream = await kernel.network.openStream(identifiers.address(place.address), milliseconds);
+  const deadline = runtime.clock.now() + milliseconds;
+  const stream = await runtime.network.openStream(identifiers.address(place.address), milliseconds);
   if (Either.isLeft(stream)) return stream;
   const connection: ConnectionState = {
-    kernel,
+    runtime,
     dialect,
     stream: stream.right,
     assembly: replyAssembly.create(dialect),
@@ -153,7 +153,7 @@
   };
   void readUntilBroken(connection);
   const opening = dialect.opening(place.service, tenant, place.member);
-  const outcome = await send(connection, 'opening', [opening], deadline - kernel.clock.now());
+  const outcome = await send(connection, 'opening', [opening], deadline - runtime.clock.now());
   const completion = outcome.replies[0]?.completion;
   if (!outcome.whole || completion?.kind !== 'done') {
     reset(connection);
--- a/packages/session-protocol/src/member-prober.ts
+++ b/packages/session-protocol/src/member-prober.ts
@@ -1,7 +1,7 @@
 /** STATE of members, over one connection to each that stays open (design 7.1). */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
-import { fault, type Fault, type Kernel } from '@stallstall/kernel';
+import { fault, type Fault, type Runtime } from '@stallstall/kernel';
 import type { Dialect, MemberStatus, StatementReply } from './dialect.js';
 import { memberConnection, type MemberAddress, type MemberConnection } from './member-connection.js';
 
@@ -18,7 +18,7 @@
 type Connected = Promise<Either.Either<Fault, MemberConnection>>;
 
 type ProberState = Readonly<{
-  kernel: Kernel;
+  runtime: Runtime;
   dialect: Dialect;
   tenant: string;
   open: Map<string, Readonly<{ address: string; connection: MemberConnection }>>;
@@ -48,12 +48,12 @@
 }
 
 async function openConnection(
-  { kernel, dialect, tenant, open, opening }: ProberState,
+  { runtime, dialect, tenant, open, opening }: ProberState,
   place: MemberAddress,
   milliseconds: number,
 ): Connected {
   const { member, address } = place;
-  const opened = await memberConnection.open(kernel, dialect, place, tenant, milliseconds);
+  const opened = await memberConnection.open(runtime, dialect, place, tenant, milliseconds);
   const isWanted = opening.get(member)?.address === address;
   if (isWanted) opening.delete(member);
   if (Either.isLeft(opened)) return opened;
@@ -96,8 +96,8 @@
 }
 
 /** @param tenant - who the product is to members when it asks for itself */
-function create(kernel: Kernel, dialect: Dialect, tenant: string): MemberProber {
-  const prober: ProberState = { kernel, dialect, tenant, open: new Map(), opening: new Map() };
+function create(runtime: Runtime, dialect: Dialect, tenant: string): MemberProber {
+  const prober: ProberState = { runtime, dialect, tenant, open: new Map(), opening: new Map() };
   return {
     readStatus: (service, member, address, milliseconds) => readStatus(prober, { service, member, address }, milliseconds),
     keepConnection: async function keepConnection(service, member, address, milliseconds) {
--- a/packages/simulator/pooled-mutations.mjs
+++ b/packages/simulator/pooled-mutations.mjs
@@ -23,7 +23,7 @@
     expect: 'stale',
     only: ['primary-and-edge-cut'],
     file: placement,
-    from: '|| kernel.clock.now() >= leader.until',
+    from: '|| runtime.clock.now() >= leader.until',
     to: '',
   },
   {
@@ -265,7 +265,7 @@
     story: 'in the moment of the cut',
     file: 'core/build/quorum-contact.js',
     from: 'settle(Either.left(contactLost()))',
-    to: 'kernel.clock.startTimer(lookMilliseconds, look)',
+    to: 'runtime.clock.startTimer(lookMilliseconds, look)',
   },
   {
     name: 'contact-never-ends',
@@ -426,7 +426,7 @@
     name: 'number-not-claimed',
     story: 'Of two sheets under one number',
     file: 'core/build/external-updates.js',
-    from: 'const claimed = await claims.claimNumber(version, textDigest, deadline - kernel.clock.now());',
+    from: 'const claimed = await claims.claimNumber(version, textDigest, deadline - runtime.clock.now());',
     to: "const claimed = Either.right('own');",
   },
   {
@@ -754,8 +754,8 @@
     expect: 'process-ended',
     only: ['core-disk-full'],
     file: 'core/build/core-storage.js',
-    from: "kernel.log('disk.failed', { reason: trouble.value.message });",
-    to: 'kernel.stop(trouble.value);',
+    from: "runtime.log('disk.failed', { reason: trouble.value.message });",
+    to: 'runtime.stop(trouble.value);',
   },
 ];
 
--- a/packages/simulator/src/core-fleet.ts
+++ b/packages/simulator/src/core-fleet.ts
@@ -2,7 +2,7 @@
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { core, type Core, type PlatformApi } from '@stallstall/core';
-import { fault, type Kernel } from '@stallstall/kernel';
+import { fault, type Runtime } from '@stallstall/kernel';
 import type { PlatformCall } from '@stallstall/election';
 import { leaseHolder as lessees, type LeaseHolder } from '@stallstall/lease';
 import { registerService } from '@stallstall/register';
@@ -20,7 +20,7 @@
   platformApi: PlatformApi | undefined;
 };
 
-export type FleetEdge = Readonly<{ edge: LeaseHolder; machine: string; kernel: Kernel }>;
+export type FleetEdge = Readonly<{ edge: LeaseHolder; machine: string; runtime: Runtime }>;
 
 export type CoreFleet = Readonly<{
   world: World;
@@ -32,7 +32,7 @@
   service: string;
   sheet: unknown;
   /** Of a machine that every core can reach. */
-  operatorKernel: Kernel;
+  operatorRuntime: Runtime;
   /** Sends configurations one after the other, each to the next core that is there, until told to stop. */
   startOperator: (everyMilliseconds?: number) => Readonly<{ stop: () => void }>;
   /** The highest version that any core acknowledged. */
@@ -107,7 +107,7 @@
     machine.process = spawned;
     const seeds = seedsOf.get(machine) ?? [];
     const started = await core.start(
-      spawned.kernel,
+      spawned.runtime,
       {
         node: machine.name,
         area: areas[machines.indexOf(machine) % areas.length] as string,
@@ -134,7 +134,7 @@
       }),
     );
     if (Either.isRight(started)) machine.running = started.right;
-    else spawned.kernel.stop(started.left);
+    else spawned.runtime.stop(started.left);
   }
 
   /** What ended by itself is started again, as the platform does. */
@@ -231,9 +231,9 @@
   }
 
   function startEdge(name: string, machine: string, edgeSeeds: readonly string[]): FleetEdge {
-    const { kernel } = world.spawn(name, machine);
+    const { runtime } = world.spawn(name, machine);
     const started = lessees.create(
-      kernel,
+      runtime,
       { node: name, area: areas[0] as string, seeds: () => edgeSeeds },
       {
         released: () => ({}),
@@ -247,15 +247,15 @@
       },
     );
     started.start();
-    return { edge: started, machine, kernel };
+    return { edge: started, machine, runtime };
   }
 
   for (let index = 0; index < founded; index += 1) add();
   const seeds = machines.slice(0, 3).map((machine) => machine.address);
   for (const machine of machines) seedsOf.set(machine, seeds);
   for (const machine of [...machines]) await start(machine, true);
-  const { edge, kernel: edgeKernel } = startEdge('edge-1', 'edge-machine', seeds);
-  const operatorKernel = world.spawn('operator', 'operator-machine').kernel;
+  const { edge, runtime: edgeRuntime } = startEdge('edge-1', 'edge-machine', seeds);
+  const operatorRuntime = world.spawn('operator', 'operator-machine').runtime;
   world.at(restartMilliseconds, restartEnded);
 
   async function until(condition: () => boolean, milliseconds: number): Promise<boolean> {
@@ -273,7 +273,7 @@
   if (!(await until(everyFounded, 10_000))) throw new Error('the cores did not found a fleet');
   const first = machines[0] as CoreMachine;
   const opened = first.platformApi?.configure({ version: 0, source: '0' }, sheet);
-  const register = first.process?.kernel.services.find(registerService);
+  const register = first.process?.runtime.services.find(registerService);
   const settled = register?.change(`epoch/${service}`, () =>
     Option.some({ epoch: 1, primary: `${service}-1`, wonBy: first.name, position: 0, settledAt: 0 }),
   );
@@ -281,11 +281,11 @@
   void Promise.all([opened, settled]).then(() => {
     done = true;
   });
-  if (!(await until(() => done && edge.leaseUntil(service) > edgeKernel.clock.now(), 10_000)))
+  if (!(await until(() => done && edge.leaseUntil(service) > edgeRuntime.clock.now(), 10_000)))
     throw new Error('the edge was granted no lease');
 
   function lookAtLease(): void {
-    if (edge.leaseUntil(service) <= edgeKernel.clock.now()) gaps += 1;
+    if (edge.leaseUntil(service) <= edgeRuntime.clock.now()) gaps += 1;
     world.at(20, lookAtLease);
   }
   lookAtLease();
@@ -297,7 +297,7 @@
     newEdge: (name, edgeSeeds) => startEdge(name, `${name}-machine`, edgeSeeds),
     service,
     sheet,
-    operatorKernel,
+    operatorRuntime,
     startOperator,
     readAt,
     violations,
--- a/packages/simulator/src/explored-machines.ts
+++ b/packages/simulator/src/explored-machines.ts
@@ -6,7 +6,7 @@
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { stateTransfer, coreSetManager, setOf, coreSetViewOf, type CoreCall, type CoreSetManager, type Fleet } from '@stallstall/core';
-import { identifiers, type Clock, type Disk, type Instant, type Kernel } from '@stallstall/kernel';
+import { identifiers, type Clock, type Disk, type Instant, type Runtime } from '@stallstall/kernel';
 import type { Request, CoreSet, MessageKind, Reply, Seat } from '@stallstall/message';
 import {
   acceptor,
@@ -94,7 +94,7 @@
   }
 
   /** What is under way in a process ends with it: whoever waits in an earlier life waits for ever. */
-  function kernelOf(name: string, alive: () => boolean): Kernel {
+  function runtimeOf(name: string, alive: () => boolean): Runtime {
     const clock: Clock = {
       now,
       wall: () => identifiers.wallTime(now()),
@@ -119,7 +119,7 @@
         },
       },
       log: () => undefined,
-    } as unknown as Kernel;
+    } as unknown as Runtime;
   }
 
   function diskOf(state: State, alive: () => boolean): Disk {
@@ -192,12 +192,12 @@
 
   function registerFrom(
     name: string,
-    kernel: Kernel,
+    runtime: Runtime,
     call: CoreCall,
     set: () => CoreSet,
     learn: CoreSetSource['observe'],
   ): NumberedRegister {
-    return proposer.create(kernel, {
+    return proposer.create(runtime, {
       name,
       replicas: () =>
         set().seats.map((seat): RegisterReplica => ({ core: seat.node, send: (kind, body, time) => call(seat.address, kind, body, time) })),
@@ -211,7 +211,7 @@
     function alive(): boolean {
       return state.life === life;
     }
-    const kernel = kernelOf(state.name, alive);
+    const runtime = runtimeOf(state.name, alive);
     const disk = diskOf(state, alive);
     const call = callFrom(state.name, alive);
     let between = false;
@@ -228,12 +228,12 @@
     });
     const register = registerFrom(
       state.name,
-      kernel,
+      runtime,
       call,
       () => (Option.isSome(running.fleet) ? setOf(running.fleet.value) : { number: 0, seats: [], epochs: {} }),
       (set) => running.cores.observe(set),
     );
-    const created = coreSetManager.create(kernel, {
+    const created = coreSetManager.create(runtime, {
       node: {
         settings: {
           node: state.name,
@@ -250,7 +250,7 @@
       register,
       callCore: call,
       cells,
-      transfer: stateTransfer.create(kernel, {
+      transfer: stateTransfer.create(runtime, {
         callCore: call,
         cells,
         reports: { store: () => Promise.resolve({ ready: true, floors: {} }), isSynced: () => true },
@@ -326,7 +326,7 @@
     let set = first;
     return registerFrom(
       name,
-      kernelOf(name, () => true),
+      runtimeOf(name, () => true),
       callFrom(name, () => true),
       () => set,
       function learn(newer) {
--- a/packages/simulator/src/fleet-checks/placement-checks.ts
+++ b/packages/simulator/src/fleet-checks/placement-checks.ts
@@ -26,7 +26,7 @@
     for (const edge of fleet.edges) {
       const { running, process } = edge.proxy;
       if (running === undefined || process?.alive() !== true || fleet.world.frozen(process)) continue;
-      const moment = process.kernel.clock.now();
+      const moment = process.runtime.clock.now();
       const known = running.known();
       const before = last.get(running) ?? 0;
       if (known.version < before) add('configuration-back', `${edge.name} went from ${before} to ${known.version}`);
--- a/packages/simulator/src/fleet.ts
+++ b/packages/simulator/src/fleet.ts
@@ -1,6 +1,6 @@
 /** An in-memory fleet: 3 cores, 6 edges in 3 areas, 3 services of 3 members, the platform, senders, operators (design 10.4). */
 import * as Either from 'fp-ts/lib/Either.js';
-import { http, identifiers, kernel as kernels, type HttpReply, type Protocols } from '@stallstall/kernel';
+import { http, identifiers, runtimeUtilities, type HttpReply, type Protocols } from '@stallstall/kernel';
 import { core, type Core } from '@stallstall/core';
 import { agent, type Agent } from '@stallstall/agent';
 import { proxy, type Proxy } from '@stallstall/proxy';
@@ -172,7 +172,7 @@
     const { address, outward } = elsewhere === undefined ? place(slot) : { address: `${elsewhere}:7000`, outward: `${elsewhere}:7001` };
     slot.process = spawned;
     const area = areas[cores.indexOf(slot)] as string;
-    const started = await core.start(spawned.kernel, {
+    const started = await core.start(spawned.runtime, {
       node: slot.name,
       area,
       address,
@@ -182,7 +182,7 @@
       cores: 3,
       operatorKey: options.operatorKey,
     });
-    if (Either.isLeft(started)) spawned.kernel.stop(started.left);
+    if (Either.isLeft(started)) spawned.runtime.stop(started.left);
     else slot.running = started.right;
   }
 
@@ -190,7 +190,7 @@
     const spawned = world.spawn(`${slot.name}/agent`, slot.machine, undefined, slot.protocols);
     slot.agent.process = spawned;
     const { address, outward, feed } = edgeAddresses(slot);
-    const started = await agent.start(spawned.kernel, {
+    const started = await agent.start(spawned.runtime, {
       node: slot.name,
       area: slot.area,
       address,
@@ -206,7 +206,7 @@
     const spawned = world.spawn(`${slot.name}/proxy`, slot.machine, undefined, slot.protocols);
     slot.proxy.process = spawned;
     const { feed, proxy: address } = edgeAddresses(slot);
-    slot.proxy.running = await proxy.start(spawned.kernel, { address, feed });
+    slot.proxy.running = await proxy.start(spawned.runtime, { address, feed });
   }
 
   function addMember(service: string, area: string): MemberSlot {
@@ -229,7 +229,7 @@
     const spawned = world.spawn(slot.place.member, slot.machine);
     slot.process = spawned;
     slot.running = await member.start(
-      spawned.kernel,
+      spawned.runtime,
       {
         member: slot.place.member,
         service: slot.place.service,
@@ -247,7 +247,7 @@
 
   async function startAll(): Promise<void> {
     platformSlot = await platform.start(
-      world.spawn('platform', platformMachine).kernel,
+      world.spawn('platform', platformMachine).runtime,
       {
         address: platformAddress,
         members: platformMembers,
@@ -285,14 +285,14 @@
     coreIndex = 0,
   ): Promise<HttpReply> {
     const address = identifiers.address(place(cores[coreIndex] as CoreSlot).outward);
-    return replyOf(await drive(http.once(operator.kernel, address, { method, path, body, headers }, 10_000)));
+    return replyOf(await drive(http.once(operator.runtime, address, { method, path, body, headers }, 10_000)));
   }
 
   async function send(sheet: unknown, coreIndex: number): Promise<HttpReply> {
     const address = identifiers.address(place(cores[coreIndex] as CoreSlot).outward);
     return replyOf(
       await http.once(
-        operator.kernel,
+        operator.runtime,
         address,
         { method: 'PUT', path: '/v1/sheet', body: { sheet, sentBy: `operator-${coreIndex}` } },
         8_000,
@@ -302,13 +302,13 @@
 
   async function command(method: string, path: string, coreIndex: number): Promise<HttpReply> {
     const address = identifiers.address(place(cores[coreIndex] as CoreSlot).outward);
-    return replyOf(await http.once(operator.kernel, address, { method, path, body: {} }, 8_000));
+    return replyOf(await http.once(operator.runtime, address, { method, path, body: {} }, 8_000));
   }
 
   async function post(edge: EdgeSlot, path: string, body: unknown): Promise<HttpReply> {
     const address = identifiers.address(edgeAddresses(edge).proxy);
     return replyOf(
-      await http.once(clients.kernel, address, { method: 'POST', path, body, headers: { 'x-stallstall-key': clientKey } }, 30_000),
+      await http.once(clients.runtime, address, { method: 'POST', path, body, headers: { 'x-stallstall-key': clientKey } }, 30_000),
     );
   }
 
@@ -322,7 +322,7 @@
     const address = identifiers.address(edgeAddresses(edge).proxy);
     return replyOf(
       await drive(
-        http.once(clients.kernel, address, { method, path, body, headers: { 'x-stallstall-key': clientKey, ...headers } }, 10_000),
+        http.once(clients.runtime, address, { method, path, body, headers: { 'x-stallstall-key': clientKey, ...headers } }, 10_000),
       ),
     );
   }
@@ -332,7 +332,7 @@
   /** The platform sends senders only to edges whose readiness it has found. */
   async function probeReadiness(edge: EdgeSlot): Promise<void> {
     const reply = await http.once(
-      chooser.kernel,
+      chooser.runtime,
       identifiers.address(edgeAddresses(edge).proxy),
       { method: 'GET', path: '/ready' },
       readyMilliseconds,
@@ -343,14 +343,14 @@
 
   function startClients(wishes: ClientWishes = {}): Readonly<{ stop: () => void }> {
     for (const edge of everyEdge)
-      void kernels.every(
-        chooser.kernel.clock,
+      void runtimeUtilities.every(
+        chooser.runtime.clock,
         readyMilliseconds,
         () => probeReadiness(edge),
         () => true,
       );
     return client.start(
-      clients.kernel,
+      clients.runtime,
       {
         deployment,
         key: clientKey,
--- a/packages/simulator/src/fuzz.ts
+++ b/packages/simulator/src/fuzz.ts
@@ -1,6 +1,6 @@
 /** Malformed input from a seed, for every boundary (design 10.4): valid examples with one place spoilt, and plain junk. */
 import type { HttpReply } from '@stallstall/kernel';
-import { http, identifiers, type Kernel, type Link } from '@stallstall/kernel';
+import { http, identifiers, type Runtime, type Link } from '@stallstall/kernel';
 import { message, messages, type MessageKind } from '@stallstall/message';
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
@@ -92,7 +92,7 @@
 ];
 
 async function peers(fleet: Fleet, address: string): Promise<void> {
-  const stranger = fleet.world.spawn('stranger', 'stranger-machine').kernel;
+  const stranger = fleet.world.spawn('stranger', 'stranger-machine').runtime;
   for (const wrong of wrongCalls) {
     const link = await stranger.network.open(identifiers.address(address));
     if (Either.isLeft(link)) continue;
@@ -184,7 +184,7 @@
 };
 
 /** Stands where a process stood, greets as it would, and replies to every call with what cannot be read; tells how often it did. */
-async function impostor(kernel: Kernel, address: string, random: () => number): Promise<() => number> {
+async function impostor(runtime: Runtime, address: string, random: () => number): Promise<() => number> {
   let count = 0;
 
   function spoilt(kind: MessageKind): unknown {
@@ -195,7 +195,7 @@
   }
 
   async function serve(link: Link): Promise<void> {
-    link.send({ greet: kernel.protocols });
+    link.send({ greet: runtime.protocols });
     for (let frame = await link.receive(); Option.isSome(frame); frame = await link.receive()) {
       const { call, kind } = frame.value as { call?: number; kind?: string };
       if (call === undefined || kind === undefined || !message.isKind(kind)) continue;
@@ -204,7 +204,7 @@
     }
   }
 
-  await kernel.network.listen(identifiers.address(address), (link) => void serve(link));
+  await runtime.network.listen(identifiers.address(address), (link) => void serve(link));
   return () => count;
 }
 
@@ -220,7 +220,7 @@
   example: unknown,
   attempts: number,
 ): Promise<readonly HttpReply[]> {
-  const stranger = fleet.world.spawn('stranger', 'stranger-machine').kernel;
+  const stranger = fleet.world.spawn('stranger', 'stranger-machine').runtime;
   const replies: HttpReply[] = [];
   for (let attempt = 0; attempt < attempts; attempt += 1) {
     const reply = await http.once(
--- a/packages/simulator/src/pooled-adapter.ts
+++ b/packages/simulator/src/pooled-adapter.ts
@@ -2,7 +2,7 @@
 import * as Either from 'fp-ts/lib/Either.js';
 import type { PlatformApi } from '@stallstall/core';
 import type { MemberProbe, PlatformCalls } from '@stallstall/election';
-import { http, type HttpRoute, type HttpReply, type Kernel } from '@stallstall/kernel';
+import { http, type HttpRoute, type HttpReply, type Runtime } from '@stallstall/kernel';
 import type { Registration } from '@stallstall/member-registry';
 import { plainDialect } from '@stallstall/fakes';
 import { prober } from '@stallstall/session-protocol';
@@ -65,8 +65,8 @@
   }),
 };
 
-function memberProbe(kernel: Kernel): MemberProbe {
-  const probes = prober.create(kernel, plainDialect, ownTenant);
+function memberProbe(runtime: Runtime): MemberProbe {
+  const probes = prober.create(runtime, plainDialect, ownTenant);
   return {
     keepConnection: probes.keepConnection,
     readState: async function ask(service, member, address, milliseconds) {
