--- a/packages/simulator/src/pooled-fleet.ts
+++ b/packages/simulator/src/pooled-fleet.ts
@@ -3,7 +3,7 @@
 import * as Option from 'fp-ts/lib/Option.js';
 import { leaseAgent } from '@stallstall/agent';
 import { core, type CoreParts } from '@stallstall/core';
-import { http, identifiers, kernel as kernels } from '@stallstall/kernel';
+import { http, identifiers, runtimeUtilities } from '@stallstall/kernel';
 import { pooler } from '@stallstall/pooler';
 import type { Condition, StatementReply } from '@stallstall/session-protocol';
 import {
@@ -64,16 +64,16 @@
   const runs: SessionRun[] = [];
   const versions: PooledVersion[] = [];
   const orderCalls: OrderCall[] = [];
-  const operator = world.spawn('operator', 'operator-machine').kernel;
-  const clients = world.spawn('senders', 'sender-machine').kernel;
-  const chooser = world.spawn('chooser', 'chooser-machine').kernel;
+  const operator = world.spawn('operator', 'operator-machine').runtime;
+  const clients = world.spawn('senders', 'sender-machine').runtime;
+  const chooser = world.spawn('chooser', 'chooser-machine').runtime;
   const platformAddress = '10.4.0.1:9000';
   let platformSlot: SessionPlatform | undefined;
   let platformProcess: Process | undefined;
   const operatorTrouble: OperatorTrouble = { lostShare: 0 };
   const orders = pooledOperator.create({
     world,
-    kernel: operator,
+    runtime: operator,
     trouble: operatorTrouble,
     addresses: () => cores.map((slot) => coreAddresses(slot).platformApiAddress),
     versions,
@@ -156,14 +156,14 @@
     const { address, outward, platformApiAddress } = coreAddresses(slot);
     const parts: CoreParts = {
       calls: pooledAdapter.calls,
-      probe: pooledAdapter.memberProbe(spawned.kernel),
+      probe: pooledAdapter.memberProbe(spawned.runtime),
       routes: pooledAdapter.pages,
       platformApiAddress,
       founds: first,
       founders,
     };
     const started = await core.start(
-      spawned.kernel,
+      spawned.runtime,
       {
         node: slot.name,
         area: slot.area,
@@ -175,7 +175,7 @@
       },
       Option.some(parts),
     );
-    if (Either.isLeft(started)) spawned.kernel.stop(started.left);
+    if (Either.isLeft(started)) spawned.runtime.stop(started.left);
     else slot.running = started.right;
   }
 
@@ -189,10 +189,10 @@
     slot.life += 1;
     readSettings(slot);
     slot.agentProcess = world.spawn(`${slot.name}/agent`, slot.machine);
-    slot.agent = await leaseAgent.start(slot.agentProcess.kernel, { node: slot.name, area: slot.area, feed, seeds: () => slot.seeds });
+    slot.agent = await leaseAgent.start(slot.agentProcess.runtime, { node: slot.name, area: slot.area, feed, seeds: () => slot.seeds });
     slot.proxyProcess = world.spawn(`${slot.name}/proxy`, slot.machine);
     slot.proxy = await pooler.start(
-      slot.proxyProcess.kernel,
+      slot.proxyProcess.runtime,
       { address, outward, feed, graceMilliseconds },
       {
         dialect: plainDialect,
@@ -221,7 +221,7 @@
     const spawned = world.spawn(slot.member, slot.machine);
     slot.process = spawned;
     slot.running = await sessionMember.start(
-      spawned.kernel,
+      spawned.runtime,
       {
         service: slot.service,
         member: slot.member,
@@ -256,7 +256,7 @@
   async function startAll(): Promise<void> {
     platformProcess = world.spawn('platform', 'platform-machine');
     platformSlot = await sessionPlatform.start(
-      platformProcess.kernel,
+      platformProcess.runtime,
       {
         address: platformAddress,
         promoteMilliseconds: 100,
@@ -382,7 +382,7 @@
 
   function startClients(sessions: number, thinkMilliseconds: number): Readonly<{ stop: () => void }> {
     for (const slot of edges)
-      void kernels.every(
+      void runtimeUtilities.every(
         chooser.clock,
         readinessMilliseconds,
         () => readiness(slot),
--- a/packages/simulator/src/pooled-operator.ts
+++ b/packages/simulator/src/pooled-operator.ts
@@ -1,6 +1,6 @@
 /** An operator of the pooled fleet: sends versions of the placement configuration until it gets a clear reply, and reads them back. */
 import * as Option from 'fp-ts/lib/Option.js';
-import { http, identifiers, type HttpReply, type Kernel } from '@stallstall/kernel';
+import { http, identifiers, type HttpReply, type Runtime } from '@stallstall/kernel';
 import type { OrderCall } from './order-checks.js';
 import type { OperatorTrouble, PooledFleet, PooledSheet, PooledVersion } from './pooled-model.js';
 import type { World } from './world.js';
@@ -9,7 +9,7 @@
 export type PooledOperatorParts = Readonly<{
   world: Pick<World, 'fraction'>;
   /** Of the machine that the operator runs on. */
-  kernel: Kernel;
+  runtime: Runtime;
   trouble: OperatorTrouble;
   /** Where each core in use serves its pages, by its place in the fleet. */
   addresses: () => readonly string[];
@@ -29,12 +29,12 @@
   return status >= 400 && status < 500 ? 'refused' : 'none';
 }
 
-function create({ world, kernel, trouble, addresses, versions, orderCalls }: PooledOperatorParts): PooledOperator {
+function create({ world, runtime, trouble, addresses, versions, orderCalls }: PooledOperatorParts): PooledOperator {
   async function call(coreIndex: number, path: string, body: unknown): Promise<HttpReply> {
     const address = addresses()[coreIndex];
     if (address === undefined) throw new Error(`there is no core ${coreIndex} in use`);
     const method = body === undefined ? 'GET' : 'POST';
-    return replyOf(await http.once(kernel, identifiers.address(address), { method, path, body }, callMilliseconds));
+    return replyOf(await http.once(runtime, identifiers.address(address), { method, path, body }, callMilliseconds));
   }
 
   /** The reply as the operator hears it: one that is lost on the way is silence. */
@@ -44,14 +44,14 @@
   }
 
   async function order({ version, sheet }: Pick<PooledVersion, 'version' | 'sheet'>, coreIndex: number): Promise<OrderCall> {
-    const sentAt = kernel.clock.now();
+    const sentAt = runtime.clock.now();
     const reply = arrived(await call(coreIndex, '/configuration', { version, sheet }));
     const done: OrderCall = {
       number: version,
       text: JSON.stringify(sheet),
       core: coreIndex,
       sentAt,
-      endedAt: kernel.clock.now(),
+      endedAt: runtime.clock.now(),
       outcome: outcomeOf(reply),
     };
     orderCalls.push(done);
@@ -62,10 +62,10 @@
   async function resend(sent: PooledVersion, coreIndex: number): Promise<boolean> {
     for (let attempt = 0; attempt < attemptsMost; attempt += 1) {
       const { outcome } = await order(sent, (coreIndex + attempt) % addresses().length);
-      if (outcome === 'acknowledged') sent.acknowledgedAt = Math.min(sent.acknowledgedAt, kernel.clock.now());
+      if (outcome === 'acknowledged') sent.acknowledgedAt = Math.min(sent.acknowledgedAt, runtime.clock.now());
       if (outcome === 'refused') sent.refused = true;
       if (outcome !== 'none') return outcome === 'acknowledged';
-      await kernel.clock.sleep(pauseMilliseconds);
+      await runtime.clock.sleep(pauseMilliseconds);
     }
     return false;
   }
@@ -74,7 +74,7 @@
     const sent: PooledVersion = {
       version,
       sheet,
-      sentAt: kernel.clock.now(),
+      sentAt: runtime.clock.now(),
       acknowledgedAt: Number.POSITIVE_INFINITY,
       refused: false,
     };
--- a/packages/simulator/src/schedules.ts
+++ b/packages/simulator/src/schedules.ts
@@ -3,7 +3,7 @@
 import { soundDisk } from './sound-disk.js';
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
-import { identifiers, type Disk, type Kernel } from '@stallstall/kernel';
+import { identifiers, type Disk, type Runtime } from '@stallstall/kernel';
 import type { Ballot, Entry } from '@stallstall/message';
 import { acceptor, catchUp, proposer, type Acceptor, type NumberedRegister } from '@stallstall/register';
 
@@ -27,7 +27,7 @@
   );
 }
 
-function kernelOf(): Kernel {
+function runtimeOf(): Runtime {
   let now = 0;
   return {
     clock: {
@@ -49,7 +49,7 @@
       },
     },
     log: () => undefined,
-  } as unknown as Kernel;
+  } as unknown as Runtime;
 }
 
 type Table = Readonly<{
@@ -71,7 +71,7 @@
 
   function reaching(names: string, set: number): NumberedRegister {
     const seats = set === 1 ? firstSeats : secondSeats;
-    return proposer.create(kernelOf(), {
+    return proposer.create(runtimeOf(), {
       name: 'writer',
       replicas: () =>
         [...seats].map((name) => ({
--- a/packages/simulator/src/simulated-process.ts
+++ b/packages/simulator/src/simulated-process.ts
@@ -1,12 +1,12 @@
 /** A simulated process: what tests see of it, and what the simulation keeps. */
 import type * as Option from 'fp-ts/lib/Option.js';
-import type { Fault, Kernel } from '@stallstall/kernel';
+import type { Fault, Runtime } from '@stallstall/kernel';
 
 /** A process of the product or of a fake, as tests see it. */
 export type Process = Readonly<{
   name: string;
   machine: string;
-  kernel: Kernel;
+  runtime: Runtime;
   alive: () => boolean;
   stoppedBy: () => Option.Option<Fault>;
 }>;
--- a/packages/simulator/src/simulated-kernel.ts
+++ b/packages/simulator/src/simulated-runtime.ts
@@ -1,14 +1,14 @@
-/** The kernel that a simulated process runs on: its own clock, its disk, and the network of the simulation. */
+/** The runtime that a simulated process runs on: its own clock, its disk, and the network of the simulation. */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import {
   fault,
   identifiers,
-  kernel as kernels,
+  runtimeUtilities,
   wallClock,
   type Fault,
   type Instant,
-  type Kernel,
+  type Runtime,
   type Listening,
   type LogFields,
   type Protocols,
@@ -62,14 +62,14 @@
   });
 }
 
-/** The kernel that a simulated process runs on. */
+/** The runtime that a simulated process runs on. */
 function create(
   network: SimulatedNetwork,
   process: SimulatedProcess,
   disk: SimulatedDisk | undefined,
   protocols: Protocols,
   record: ProcessRecord,
-): Kernel {
+): Runtime {
   function steady(): Instant {
     return (process.clockOffset + network.time.now() * process.clockRate) as Instant;
   }
@@ -145,9 +145,9 @@
     log: function log(event, fields = {}) {
       if (process.alive) record.log({ at: network.time.now(), process: process.name, event, fields });
     },
-    services: kernels.directory(),
+    services: runtimeUtilities.directory(),
     stop: record.stop,
   };
 }
 
-export const simulatedKernel = { create } as const;
+export const simulatedRuntime = { create } as const;
--- a/packages/simulator/src/storm.ts
+++ b/packages/simulator/src/storm.ts
@@ -44,7 +44,7 @@
 
 /** Asks now and then at one edge under a key, for a service and a kind that it may or may not have been given. */
 async function probeEdge(fleet: Fleet, storm: Storm, edge: EdgeSlot, probes: Probe[], goesOn: () => boolean): Promise<void> {
-  const prober = fleet.world.spawn('prober', 'prober-machine').kernel;
+  const prober = fleet.world.spawn('prober', 'prober-machine').runtime;
   for (let attempt = 0; goesOn(); attempt += 1) {
     const marks = storm.sends.map((sent) => sent.mark);
     const key = [marks.at(-1) ?? secondKey, secondKey, pick(fleet, [...marks, 'never-given-key', fleet.key])][attempt % 3] as string;
--- a/packages/simulator/src/wires.ts
+++ b/packages/simulator/src/wires.ts
@@ -4,7 +4,7 @@
  */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
-import { identifiers, type Kernel, type Link, type Network, type Stream } from '@stallstall/kernel';
+import { identifiers, type Runtime, type Link, type Network, type Stream } from '@stallstall/kernel';
 import { peer } from '@stallstall/peer';
 import { memberConnection, type MemberConnection } from '@stallstall/session-protocol';
 import { plainDialect } from '@stallstall/fakes';
@@ -31,7 +31,7 @@
 const runMilliseconds = 60_000;
 
 /** Sends in order, whatever the delays are; a cut swallows all that follows. */
-function lane(kernel: Kernel, troubles: Troubles): Readonly<{ put: (deliver: () => void) => void; cut: () => boolean }> {
+function lane(runtime: Runtime, troubles: Troubles): Readonly<{ put: (deliver: () => void) => void; cut: () => boolean }> {
   const queue: Array<() => void> = [];
   let busy = false;
   let isCut = false;
@@ -43,8 +43,8 @@
       return;
     }
     busy = true;
-    const wait = kernel.randomness.fraction() < troubles.delay ? kernel.randomness.fraction() * mostDelayMilliseconds : 0;
-    kernel.clock.startTimer(wait, function due() {
+    const wait = runtime.randomness.fraction() < troubles.delay ? runtime.randomness.fraction() * mostDelayMilliseconds : 0;
+    runtime.clock.startTimer(wait, function due() {
       if (!isCut) deliver();
       next();
     });
@@ -52,7 +52,7 @@
 
   return {
     put: function put(deliver) {
-      if (kernel.randomness.fraction() < troubles.cut) isCut = true;
+      if (runtime.randomness.fraction() < troubles.cut) isCut = true;
       queue.push(deliver);
       if (!busy) next();
     },
@@ -60,25 +60,25 @@
   };
 }
 
-function troubledLink(kernel: Kernel, troubles: Troubles, link: Link): Link {
-  const { put } = lane(kernel, troubles);
+function troubledLink(runtime: Runtime, troubles: Troubles, link: Link): Link {
+  const { put } = lane(runtime, troubles);
   return {
     ...link,
     send: function send(message) {
-      if (kernel.randomness.fraction() < troubles.reset) link.reset();
+      if (runtime.randomness.fraction() < troubles.reset) link.reset();
       put(() => link.send(message));
-      if (kernel.randomness.fraction() < troubles.duplicate) put(() => link.send(message));
+      if (runtime.randomness.fraction() < troubles.duplicate) put(() => link.send(message));
     },
   };
 }
 
 /** Text leaves in pieces cut between any two bytes, each with a delay of its own; a reset may come between two of them. */
-function troubledStream(kernel: Kernel, troubles: Troubles, stream: Stream): Stream {
-  const { put } = lane(kernel, troubles);
+function troubledStream(runtime: Runtime, troubles: Troubles, stream: Stream): Stream {
+  const { put } = lane(runtime, troubles);
 
   function pieces(text: string): readonly string[] {
-    if (text.length < 2 || kernel.randomness.fraction() >= troubles.split) return [text];
-    const at = 1 + Math.floor(kernel.randomness.fraction() * (text.length - 1));
+    if (text.length < 2 || runtime.randomness.fraction() >= troubles.split) return [text];
+    const at = 1 + Math.floor(runtime.randomness.fraction() * (text.length - 1));
     return [text.slice(0, at), ...pieces(text.slice(at))];
   }
 
@@ -87,28 +87,28 @@
     write: function write(text) {
       for (const piece of pieces(text)) {
         put(() => stream.write(piece));
-        if (kernel.randomness.fraction() < troubles.reset) put(stream.reset);
+        if (runtime.randomness.fraction() < troubles.reset) put(stream.reset);
       }
     },
   };
 }
 
-/** A kernel whose own sending goes through the troubles, both as who opens a connection and as who listens. */
-function troubled(kernel: Kernel, troubles: Troubles): Kernel {
+/** A runtime whose own sending goes through the troubles, both as who opens a connection and as who listens. */
+function troubled(runtime: Runtime, troubles: Troubles): Runtime {
   const network: Network = {
-    ...kernel.network,
-    listen: (at, greet) => kernel.network.listen(at, (link) => greet(troubledLink(kernel, troubles, link))),
+    ...runtime.network,
+    listen: (at, greet) => runtime.network.listen(at, (link) => greet(troubledLink(runtime, troubles, link))),
     open: async function open(at) {
-      const opened = await kernel.network.open(at);
-      return Either.isLeft(opened) ? opened : Either.right(troubledLink(kernel, troubles, opened.right));
+      const opened = await runtime.network.open(at);
+      return Either.isLeft(opened) ? opened : Either.right(troubledLink(runtime, troubles, opened.right));
     },
-    listenStream: (at, greet) => kernel.network.listenStream(at, (stream) => greet(troubledStream(kernel, troubles, stream))),
+    listenStream: (at, greet) => runtime.network.listenStream(at, (stream) => greet(troubledStream(runtime, troubles, stream))),
     openStream: async function openStream(at, milliseconds) {
-      const opened = await kernel.network.openStream(at, milliseconds);
-      return Either.isLeft(opened) ? opened : Either.right(troubledStream(kernel, troubles, opened.right));
+      const opened = await runtime.network.openStream(at, milliseconds);
+      return Either.isLeft(opened) ? opened : Either.right(troubledStream(runtime, troubles, opened.right));
     },
   };
-  return { ...kernel, network };
+  return { ...runtime, network };
 }
 
 /** Counts how often each thing was carried out, and says which was twice. */
@@ -132,8 +132,8 @@
 /** Calls between two processes of ours: several at once on one link. */
 async function links(seed: number, troubles: Troubles): Promise<WireReport> {
   const world = worlds.create(seed);
-  const near = troubled(world.spawn('near', 'near-machine').kernel, troubles);
-  const far = troubled(world.spawn('far', 'far-machine').kernel, troubles);
+  const near = troubled(world.spawn('near', 'near-machine').runtime, troubles);
+  const far = troubled(world.spawn('far', 'far-machine').runtime, troubles);
   const done = effects();
   const violations: string[] = [];
   let replied = 0;
@@ -168,7 +168,7 @@
 }
 
 /** A member in plain words: what it is asked it names in its reply; at times it says that it rests once more than it should. */
-async function listenAsMember(kernel: Kernel, troubles: Troubles, carriedOut: (identifier: string) => void): Promise<void> {
+async function listenAsMember(runtime: Runtime, troubles: Troubles, carriedOut: (identifier: string) => void): Promise<void> {
   async function task(stream: Stream): Promise<void> {
     const framer = plainDialect.framer(10_000);
     for (;;) {
@@ -177,7 +177,7 @@
       for (const message of framer.push(piece.value).messages) {
         const incoming = plainDialect.incoming(message);
         if (incoming.kind === 'open') stream.write(plainDialect.idle('idle', Option.none));
-        if (incoming.kind === 'open' && kernel.randomness.fraction() < troubles.duplicate)
+        if (incoming.kind === 'open' && runtime.randomness.fraction() < troubles.duplicate)
           stream.write(plainDialect.idle('idle', Option.none));
         if (incoming.kind !== 'query') continue;
         carriedOut(incoming.identifier);
@@ -192,14 +192,14 @@
       }
     }
   }
-  await kernel.network.listenStream(address, (stream) => void task(stream));
+  await runtime.network.listenStream(address, (stream) => void task(stream));
 }
 
 /** Queries over a line to a member, one after the other; the next line is opened once one is of no use any more. */
 async function memberLines(seed: number, troubles: Troubles): Promise<WireReport> {
   const world = worlds.create(seed);
-  const near = troubled(world.spawn('near', 'near-machine').kernel, troubles);
-  const far = troubled(world.spawn('far', 'far-machine').kernel, troubles);
+  const near = troubled(world.spawn('near', 'near-machine').runtime, troubles);
+  const far = troubled(world.spawn('far', 'far-machine').runtime, troubles);
   const done = effects();
   const violations: string[] = [];
   let replied = 0;
--- a/packages/simulator/src/world.ts
+++ b/packages/simulator/src/world.ts
@@ -2,13 +2,13 @@
 import * as Option from 'fp-ts/lib/Option.js';
 import { protocolsSpoken, type Fault, type Protocols } from '@stallstall/kernel';
 import type { SimulatedDisk } from './simulated-disk.js';
-import { simulatedKernel, type LogLine } from './simulated-kernel.js';
+import { simulatedRuntime, type LogLine } from './simulated-runtime.js';
 import { simulatedNetwork, type Traffic } from './simulated-network.js';
 import type { Process, SimulatedProcess } from './simulated-process.js';
 import { virtualTime } from './virtual-time.js';
 
 export type { DiskTrouble, SimulatedDisk } from './simulated-disk.js';
-export { wallStart, type LogLine } from './simulated-kernel.js';
+export { wallStart, type LogLine } from './simulated-runtime.js';
 export type { Process } from './simulated-process.js';
 
 /** A process that ended by itself. */
@@ -123,7 +123,7 @@
     const process: Process = {
       name,
       machine,
-      kernel: simulatedKernel.create(network, simulated, disk, protocols, {
+      runtime: simulatedRuntime.create(network, simulated, disk, protocols, {
         log: (line) => logs.push(line),
         stop: (reason) => stop(simulated, reason),
       }),
