--- a/packages/acceptance/src/candidacies.ts
+++ b/packages/acceptance/src/candidacies.ts
@@ -7,7 +7,7 @@
 import { quorumLease, quorumLeaseService } from '@stallstall/quorum-lease';
 import { identifiers } from '@stallstall/kernel';
 import { ballotZero, type Entry, type Seat, type ElectedPrimary } from '@stallstall/message';
-import { durableReportsService, registerService, type DurableReports, type NumberedRegister } from '@stallstall/register';
+import { durableReportsService, registerService, type DurableReports, type CoreSetRegister } from '@stallstall/register';
 import type { PlacementConfiguration } from '@stallstall/placement';
 import { world as worlds, type World } from '@stallstall/simulator';
 
@@ -47,14 +47,14 @@
   return { services: [{ service, members: members(count), synchronousReplicas, registered: true }] } as unknown as PlacementConfiguration;
 }
 
-function stubRegister(story: CandidacyStory): NumberedRegister {
+function stubRegister(story: CandidacyStory): CoreSetRegister {
   function put(key: string, value: unknown): Entry {
     const entry: Entry = { ballot: ballotZero, version: (story.values.get(key)?.version ?? 0) + 1, value };
     story.values.set(key, entry);
     story.writes.push({ key, value });
     return entry;
   }
-  const register: NumberedRegister = {
+  const register: CoreSetRegister = {
     read: (key) => Promise.resolve(Either.right(Option.fromNullable(story.values.get(key)))),
     change: function change(key, decide) {
       const wanted = decide(Option.fromNullable(story.values.get(key)));
@@ -63,7 +63,7 @@
       story.onWrite(key);
       return Promise.resolve(Either.right({ wrote: true, entry: Option.some(entry) }));
     },
-    inSet: () => register,
+    forCoreSet: () => register,
   };
   return register;
 }
--- a/packages/acceptance/src/duties.ts
+++ b/packages/acceptance/src/duties.ts
@@ -7,7 +7,7 @@
 import { quorumLease, quorumLeaseService } from '@stallstall/quorum-lease';
 import { fault, identifiers, runtimeUtilities, type Fault, type HttpReply, type Runtime } from '@stallstall/kernel';
 import { ballotZero, type Entry, type Membership, type ElectedPrimary } from '@stallstall/message';
-import { durableReportsService, registerService, type DurableReports, type NumberedRegister, type Register } from '@stallstall/register';
+import { durableReportsService, registerService, type DurableReports, type CoreSetRegister, type Register } from '@stallstall/register';
 import type { PlacementConfiguration } from '@stallstall/placement';
 import { world as worlds, type Process, type World } from '@stallstall/simulator';
 
@@ -26,7 +26,7 @@
 const beatMilliseconds = 200;
 
 /** A register that a majority always answers: one table, a round long. */
-function tableRegister(runtime: Runtime, table: Map<string, Entry>): NumberedRegister {
+function tableRegister(runtime: Runtime, table: Map<string, Entry>): CoreSetRegister {
   const register: Register = {
     read: async function read(key) {
       await runtime.clock.sleep(roundMilliseconds);
@@ -43,7 +43,7 @@
       return Either.right({ wrote: true, entry: Option.some(entry) });
     },
   };
-  return { ...register, inSet: () => register };
+  return { ...register, forCoreSet: () => register };
 }
 
 async function startPlatform(story: DutyStory, speaks: boolean): Promise<void> {
--- a/packages/agent/src/proxy-feed.ts
+++ b/packages/agent/src/proxy-feed.ts
@@ -33,7 +33,7 @@
   const configuration = node.configuration();
   const placement = Option.isSome(configuration) ? configuration.value.value.sheet : undefined;
   const version = Option.isSome(configuration) ? configuration.value.version : 0;
-  const seat = quorum.seat(node.membership().value, settings.node);
+  const seat = quorum.findNode(node.membership().value, settings.node);
   return {
     configuration: placement !== undefined && version !== request.configuration ? { version, sheet: placement } : null,
     configurationVersion: version,
--- a/packages/core/src/administration/health-checks.ts
+++ b/packages/core/src/administration/health-checks.ts
@@ -46,7 +46,7 @@
   const table = context.node.membership().value;
   const version = fleetView.appliedVersion(context);
   const behind = [...context.parts.appliedVersions()]
-    .filter(([node, applied]) => applied < version && quorum.seat(table, node) !== undefined)
+    .filter(([node, applied]) => applied < version && quorum.findNode(table, node) !== undefined)
     .map(([node]) => node);
   return {
     check: 'configuration',
--- a/packages/core/src/administration/node-routes.ts
+++ b/packages/core/src/administration/node-routes.ts
@@ -19,7 +19,7 @@
 
 /** The edge that a request names; left where the membership table has none of that name. */
 function edgeOf({ node }: AdministrationContext, name: string): Either.Either<Fault, Seat> {
-  const seat = quorum.seat(node.membership().value, name);
+  const seat = quorum.findNode(node.membership().value, name);
   if (seat !== undefined && seat.role === 'edge') return Either.right(seat);
   return Either.left(
     fault.create({
@@ -35,8 +35,8 @@
   const edge = edgeOf(context, name);
   if (Either.isLeft(edge)) return http.rejected(edge.left);
   const changed = await context.parts.changeMembership(function withDraining(before) {
-    const current = quorum.seat(before, name);
-    return current === undefined ? before : quorum.put(before, { ...current, draining });
+    const current = quorum.findNode(before, name);
+    return current === undefined ? before : quorum.putNode(before, { ...current, draining });
   });
   if (Either.isLeft(changed)) return http.rejected(changed.left);
   await context.operators.recordAction(caller.operator, draining ? 'drain' : 'undrain', name);
@@ -66,7 +66,7 @@
   if (Either.isLeft(edge)) return http.rejected(edge.left);
   const risk = removalRisk(context, edge.right, request.query['force'] === 'true');
   if (Option.isSome(risk)) return http.rejected(risk.value);
-  const changed = await context.parts.changeMembership((current) => quorum.remove(current, name));
+  const changed = await context.parts.changeMembership((current) => quorum.removeNode(current, name));
   if (Either.isLeft(changed)) return http.rejected(changed.left);
   await context.operators.recordAction(caller.operator, 'remove', name);
   return http.toReply(Either.right({ node: name, removed: true }));
--- a/packages/core/src/core-set-manager.ts
+++ b/packages/core/src/core-set-manager.ts
@@ -4,7 +4,7 @@
 import { identifiers, runtimeUtilities, owner, type Instant, type Runtime } from '@stallstall/kernel';
 import type { CoreSet, Reply, Request, Seat } from '@stallstall/message';
 import { quorum } from '@stallstall/quorum';
-import { coreSetChanges, coreSetKey, isSameOccupant, type ConfirmedCores, type CoreSetChanges } from '@stallstall/register';
+import { coreSetChanges, coreSetKey, isSameNodeAndDisk, type ConfirmedCores, type CoreSetChanges } from '@stallstall/register';
 import type { CoreSetManagerParts, CoreSetState } from './core-set-state.js';
 import { coreSetMembership, type CoreSetMembership } from './core-set-membership.js';
 
@@ -79,27 +79,27 @@
 
 /** A node that is listed with another disk, or elsewhere, has its own seat only; else whoever is gone goes first. */
 function vacancies({ parts, isLeaving }: CoreSetState, occupant: Seat, set: CoreSet, confirmed: ConfirmedCores): readonly string[] {
-  if (quorum.seat(set, occupant.node) !== undefined) return [occupant.node];
-  const gone = set.seats.map((seat) => seat.node).filter((core) => confirmed.silent.has(core) && !confirmed.standing.includes(core));
+  if (quorum.findNode(set, occupant.node) !== undefined) return [occupant.node];
+  const gone = set.seats.map((seat) => seat.node).filter((core) => confirmed.unreachable.has(core) && !confirmed.upToDate.includes(core));
   return isLeaving ? [...gone, parts.node.settings.node] : gone;
 }
 
 /** What this core alone can tell, before all others are asked. */
 function mayBeVacant({ state, membership }: Manager, occupant: Seat): boolean {
   const set = membership.set();
-  return state.isLeaving || silentCores(state, set).length > 0 || quorum.seat(set, occupant.node) !== undefined;
+  return state.isLeaving || silentCores(state, set).length > 0 || quorum.findNode(set, occupant.node) !== undefined;
 }
 
 async function join(manager: Manager, { seat }: Request<'join'>): Promise<Reply<'join'>> {
   const { state, membership, changes } = manager;
   const { runtime, parts } = state;
   if (!parts.cells.ready()) return { joined: false, reason: 'this core is not open yet' };
-  const listed = membership.set().seats.find((one) => isSameOccupant(one, seat));
+  const listed = membership.set().seats.find((one) => isSameNodeAndDisk(one, seat));
   if (listed?.address === seat.address) return { joined: true, reason: '', set: membership.set() };
   if (listed === undefined) state.learnerAskedAt = runtime.clock.now();
   if (!mayBeVacant(manager, seat)) return { joined: false, reason: 'no seat is vacant', set: membership.set() };
   runtime.log('core.proposes', { node: seat.node, set: membership.set().number + 1 });
-  const changed = await changes.replaceOccupant(seat, (set, confirmed) => vacancies(state, seat, set, confirmed));
+  const changed = await changes.replaceNode(seat, (set, confirmed) => vacancies(state, seat, set, confirmed));
   if (Either.isLeft(changed)) return { joined: false, reason: changed.left.message.slice(0, reasonLength), set: membership.set() };
   runtime.log('core.seated', { node: seat.node, set: changed.right.number });
   return { joined: true, reason: '', set: changed.right };
@@ -127,7 +127,7 @@
 async function correctAddress(manager: Manager): Promise<void> {
   const { state, membership } = manager;
   const own = membership.ownSeat();
-  const listed = membership.set().seats.find((seat) => isSameOccupant(seat, own));
+  const listed = membership.set().seats.find((seat) => isSameNodeAndDisk(seat, own));
   if (!state.parts.cells.ready() || listed === undefined || listed.address === state.parts.node.ownSeat().address) return;
   await join(manager, { seat: own });
 }
@@ -153,7 +153,7 @@
   const membership = coreSetMembership.create(state);
   const changes = coreSetChanges.create({
     set: membership.set,
-    registerInSet: parts.register.inSet,
+    registerInSet: parts.register.forCoreSet,
     adopt: (seat, set) => requestAdopt(manager, seat, set),
     observe: membership.observe,
   });
--- a/packages/core/src/core-set-membership.ts
+++ b/packages/core/src/core-set-membership.ts
@@ -1,7 +1,7 @@
 /** Which set of cores this core's disk is in: on the disk before anything is answered in it (design 4.8). */
 import * as Option from 'fp-ts/lib/Option.js';
 import type { CoreSet, Seat } from '@stallstall/message';
-import { isSameOccupant } from '@stallstall/register';
+import { isSameNodeAndDisk } from '@stallstall/register';
 import type { CoreSetState } from './core-set-state.js';
 import { setOf, type Fleet } from './fleet-record.js';
 import { learner } from './learner.js';
@@ -58,7 +58,7 @@
   }
 
   function isListed(given: CoreSet): boolean {
-    return given.seats.some((seat) => isSameOccupant(seat, ownSeat()));
+    return given.seats.some((seat) => isSameNodeAndDisk(seat, ownSeat()));
   }
 
   const learning = learner.create(runtime, {
--- a/packages/core/src/core-set-state.ts
+++ b/packages/core/src/core-set-state.ts
@@ -3,14 +3,14 @@
 import type { Instant, Runtime, Owner } from '@stallstall/kernel';
 import type { CoreSet } from '@stallstall/message';
 import type { Node } from '@stallstall/node';
-import type { Acceptor, NumberedRegister } from '@stallstall/register';
+import type { Acceptor, CoreSetRegister } from '@stallstall/register';
 import type { CoreCall } from './core-calls.js';
 import type { Fleet } from './fleet-record.js';
 import type { StateTransfer } from './state-transfer.js';
 
 export type CoreSetManagerParts = Readonly<{
   node: Pick<Node, 'settings' | 'ownSeat' | 'lastHeartbeatAt' | 'setFleet'>;
-  register: Pick<NumberedRegister, 'inSet'>;
+  register: Pick<CoreSetRegister, 'forCoreSet'>;
   callCore: CoreCall;
   cells: Acceptor;
   transfer: StateTransfer;
--- a/packages/core/src/core-storage.ts
+++ b/packages/core/src/core-storage.ts
@@ -36,7 +36,7 @@
     onAccepted,
     onDamaged: (error) => runtime.log('disk.damaged', { reason: error.message }),
     ...(coreSetView === undefined ? {} : { coreSet: coreSetView }),
-    keepEarlier,
+    archiveEntry: keepEarlier,
   });
   const reports = reportStore.create(runtime, disk, stored);
   const votes = coreVoteStore(disk, stored);
--- a/packages/core/src/learner.ts
+++ b/packages/core/src/learner.ts
@@ -2,7 +2,7 @@
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Runtime } from '@stallstall/kernel';
 import type { CoreSet, Seat } from '@stallstall/message';
-import { catchUp, isSameOccupant, proposer, type Acceptor, type NumberedRegister, type RegisterReplica } from '@stallstall/register';
+import { catchUp, isSameNodeAndDisk, proposer, type Acceptor, type CoreSetRegister, type RegisterReplica } from '@stallstall/register';
 import type { CoreCall } from './core-calls.js';
 import type { StateTransfer } from './state-transfer.js';
 
@@ -43,7 +43,7 @@
 }
 
 function isSeated({ parts }: LearnerState, set: CoreSet): boolean {
-  return set.seats.some((seat) => isSameOccupant(seat, parts.seat()));
+  return set.seats.some((seat) => isSameNodeAndDisk(seat, parts.seat()));
 }
 
 function otherSeats({ parts }: LearnerState, set: CoreSet): readonly Seat[] {
@@ -54,7 +54,7 @@
 function copyOthers(learner: LearnerState, set: CoreSet, epochs: Record<string, number>, since: number): Promise<boolean> {
   const { runtime, parts } = learner;
   runtime.log('core.copying', { set: set.number, seated: isSeated(learner, set) });
-  return catchUp.copyEnough(
+  return catchUp.copyFromEnough(
     otherSeats(learner, set),
     catchUp.sourcesNeeded(set.seats.length),
     (source, isUnneeded) => parts.transfer.copyFrom(source, Option.some(since), epochs, isUnneeded),
@@ -63,7 +63,7 @@
 }
 
 /** The register as the others serve it: this core asks, and counts for nothing. */
-function registerOver(learner: LearnerState, set: CoreSet): NumberedRegister {
+function registerOver(learner: LearnerState, set: CoreSet): CoreSetRegister {
   const { runtime, parts } = learner;
   const replicas = otherSeats(learner, set).map((seat): RegisterReplica => ({
     core: seat.node,
@@ -87,7 +87,7 @@
   const epochs: Record<string, number> = { ...set.epochs };
   if (!(await copyOthers(learner, set, epochs, set.number))) return;
   await parts.transfer.abstain(epochs);
-  const register = registerOver(learner, set).inSet(set.number);
+  const register = registerOver(learner, set).forCoreSet(set.number);
   if (!(await catchUp.completeUnresolved(parts.cells, register))) return;
   if (isNewest(learner, set) && parts.isWanted()) await parts.open(set);
 }
--- a/packages/core/src/membership-table.ts
+++ b/packages/core/src/membership-table.ts
@@ -5,11 +5,11 @@
 import { MembershipSchema, message, type Request, type Membership, type Reply } from '@stallstall/message';
 import type { Node } from '@stallstall/node';
 import { quorum } from '@stallstall/quorum';
-import type { NumberedRegister } from '@stallstall/register';
+import type { CoreSetRegister } from '@stallstall/register';
 
 export type MembershipTableParts = Readonly<{
   node: Pick<Node, 'reportedEpochs'>;
-  register: Pick<NumberedRegister, 'read' | 'change'>;
+  register: Pick<CoreSetRegister, 'read' | 'change'>;
   ready: () => boolean;
 }>;
 
@@ -61,7 +61,7 @@
   function applyingNodes(table: Membership, version: number): readonly ReportedEpochs[] {
     return node
       .reportedEpochs()
-      .filter((reported) => reported.membership === version && (version === 0 || quorum.seat(table, reported.node) !== undefined));
+      .filter((reported) => reported.membership === version && (version === 0 || quorum.findNode(table, reported.node) !== undefined));
   }
 
   async function apply(next: MembershipChange): Promise<Either.Either<Fault, Membership>> {
@@ -69,7 +69,7 @@
     if (Either.isLeft(read)) return read;
     const version = Option.isSome(read.right) ? read.right.value.version : 0;
     const table =
-      Option.isSome(read.right) && message.matches(MembershipSchema, read.right.value.value) ? read.right.value.value : quorum.empty;
+      Option.isSome(read.right) && message.matches(MembershipSchema, read.right.value.value) ? read.right.value.value : quorum.emptyMembership;
     const wanted = next(table);
     if (wanted === table) return Either.right(table);
     const applying = applyingNodes(table, version);
@@ -92,10 +92,10 @@
     if (!parts.ready()) return { joined: false, reason: 'this core is not open yet' };
     // A node that is listed as it is has only not read the table yet: no step, and what an operator drained stays drained.
     const done = await change(function list(table) {
-      const listed = quorum.seat(table, ask.seat.node);
-      if (listed === undefined) return quorum.put(table, ask.seat);
+      const listed = quorum.findNode(table, ask.seat.node);
+      if (listed === undefined) return quorum.putNode(table, ask.seat);
       const isSame = listed.address === ask.seat.address && listed.outward === ask.seat.outward && listed.area === ask.seat.area;
-      return isSame ? table : quorum.put(table, { ...ask.seat, draining: listed.draining });
+      return isSame ? table : quorum.putNode(table, { ...ask.seat, draining: listed.draining });
     });
     if (Either.isRight(done)) return { joined: true, reason: '' };
     return { joined: false, reason: done.left.message.slice(0, reasonCharactersMost) };
--- a/packages/core/src/usage-reporting.ts
+++ b/packages/core/src/usage-reporting.ts
@@ -75,7 +75,7 @@
 
 function reportingEdges({ node, leased }: ReportingState): readonly string[] {
   if (Option.isSome(leased)) return leased.value.edges();
-  return quorum.withRole(node.membership().value, 'edge').map((edge) => edge.node);
+  return quorum.nodesWithRole(node.membership().value, 'edge').map((edge) => edge.node);
 }
 
 /** The counts of a window as a majority of disks holds them; none while an edge may still have some to report. */
--- a/packages/lease/src/holder-state.ts
+++ b/packages/lease/src/holder-state.ts
@@ -119,7 +119,7 @@
     isCurrent: source.isCurrent,
     recount: watch.recount,
     resolve: function resolve() {
-      watch.resolve();
+      watch.readUncertain();
       lag.observe();
     },
   };
--- a/packages/lease/src/lease-holder.ts
+++ b/packages/lease/src/lease-holder.ts
@@ -4,7 +4,7 @@
 import type { CoreSet, ElectedPrimary, MemberRecord, Reply } from '@stallstall/message';
 import type { Applied, Configuration } from '@stallstall/node';
 import type { Peer } from '@stallstall/peer';
-import { leaseTermMilliseconds, withClockDrift } from '@stallstall/quorum-lease';
+import { leaseTermMilliseconds, subtractClockDrift } from '@stallstall/quorum-lease';
 import type { DurableReports } from '@stallstall/register';
 import type { CommitWatermark } from './commit-watermarks.js';
 import { coreLinks, type CoreLinks } from './core-links.js';
@@ -116,7 +116,7 @@
   if (Option.isNone(reply) || links.of(core) !== link) return false;
   if (isRestarted) known.isRestarted = false;
   // What the core says was so when it replied, and that was not before it had held the request for so long.
-  applyReply(assembly, core, known, reply.value, identifiers.after(sentAt, withClockDrift(reply.value.held)));
+  applyReply(assembly, core, known, reply.value, identifiers.after(sentAt, subtractClockDrift(reply.value.held)));
   return true;
 }
 
--- a/packages/node/src/applied-values.ts
+++ b/packages/node/src/applied-values.ts
@@ -17,7 +17,7 @@
 
 /** The empty table, at version 0, where there is no entry. */
 function membership(entry: Option.Option<Entry>): Applied<Membership> {
-  if (Option.isNone(entry) || !message.matches(MembershipSchema, entry.value.value)) return { version: 0, value: quorum.empty };
+  if (Option.isNone(entry) || !message.matches(MembershipSchema, entry.value.value)) return { version: 0, value: quorum.emptyMembership };
   return { version: entry.value.version, value: entry.value.value };
 }
 
--- a/packages/node/src/core-confirmations.ts
+++ b/packages/node/src/core-confirmations.ts
@@ -45,12 +45,12 @@
   function leaseUntil(): Instant {
     if (context.cores.length === 0) return identifiers.instant(Number.NEGATIVE_INFINITY);
     const moments = confirmedAt(applied.configurationVersion(), applied.membership().version);
-    const majorityAt = identifiers.instant(quorum.reachedByMajority(moments, context.cores.length, false));
+    const majorityAt = identifiers.instant(quorum.latestReachedByMajority(moments, context.cores.length, false));
     return identifiers.after(majorityAt, leaseTermMilliseconds);
   }
 
   function retain(set: CoreSet): void {
-    for (const core of confirmations.keys()) if (quorum.seat(set, core) === undefined) confirmations.delete(core);
+    for (const core of confirmations.keys()) if (quorum.findNode(set, core) === undefined) confirmations.delete(core);
   }
 
   return { record: (core, confirmation) => void confirmations.set(core, confirmation), retain, leaseUntil };
--- a/packages/node/src/core-watch.ts
+++ b/packages/node/src/core-watch.ts
@@ -73,14 +73,14 @@
   function majorityContactAt(): Instant {
     const others = context.cores.filter((core) => core.node !== settings.node);
     const moments = others.map((core) => repliedAt.get(core.node) ?? Number.NEGATIVE_INFINITY);
-    const newest = quorum.reachedByMajority(moments, context.cores.length, Option.isSome(parts.localReplica));
+    const newest = quorum.latestReachedByMajority(moments, context.cores.length, Option.isSome(parts.localReplica));
     return identifiers.instant(Math.min(newest, runtime.clock.now()));
   }
 
   function onCoreSet(next: CoreSet): void {
     for (const seat of next.seats) {
       // A core with another disk than before counts its puts anew.
-      const isKnown = Option.isSome(context.coreSet) && quorum.seat(context.coreSet.value, seat.node)?.disk === seat.disk;
+      const isKnown = Option.isSome(context.coreSet) && quorum.findNode(context.coreSet.value, seat.node)?.disk === seat.disk;
       if (Option.isSome(context.coreSet) && !isKnown) puts.delete(seat.node);
     }
     confirmations.retain(next);
--- a/packages/node/src/membership-join.ts
+++ b/packages/node/src/membership-join.ts
@@ -31,7 +31,7 @@
     await runtime.clock.sleep(lookMilliseconds);
     // Where the set of cores changes by itself, a core asks to be taken in before it is of the fleet (design 4.8).
     if (Option.isSome(registration) || incarnations.own() === 0) continue;
-    const listed = quorum.seat(applied.membership().value, settings.node);
+    const listed = quorum.findNode(applied.membership().value, settings.node);
     const isListed = listed !== undefined && listed.address === settings.address && listed.outward === settings.outward;
     if (!isListed) lastReason = await askCores(context, links, lastReason);
   }
--- a/packages/node/src/node.ts
+++ b/packages/node/src/node.ts
@@ -130,12 +130,12 @@
   const { context, links, heartbeats, lease, applied, wasListed } = assembly;
   const { settings } = context;
   const table = applied.membership().value;
-  const isListed = quorum.seat(table, settings.node) !== undefined;
+  const isListed = quorum.findNode(table, settings.node) !== undefined;
   // A core that is of its set no more goes on without a seat, and may be given another (design 4.8).
   if (wasListed.current && !isListed && Option.isNone(context.coreSet)) return endProcess(assembly, departedFault(settings.node));
   wasListed.current = isListed;
   for (const seat of table.seats) if (seat.node !== settings.node) links.ensure(seat);
-  const closed = links.retain((node) => quorum.seat(table, node) !== undefined || context.cores.some((core) => core.node === node));
+  const closed = links.retain((node) => quorum.findNode(table, node) !== undefined || context.cores.some((core) => core.node === node));
   for (const node of closed) {
     heartbeats.forget(node);
     lease.forget(node);
@@ -177,7 +177,7 @@
   const elected = applied.electedPrimary(service);
   const ownEpoch = elections.epochOf(service);
   const table = applied.membership().value;
-  const isListed = quorum.seat(table, context.settings.node) !== undefined;
+  const isListed = quorum.findNode(table, context.settings.node) !== undefined;
   if (Option.isNone(elected) || Option.isNone(ownEpoch) || !isListed || ownEpoch.value !== elected.value.epoch) {
     return identifiers.instant(Number.NEGATIVE_INFINITY);
   }
@@ -192,7 +192,7 @@
 
 function connectionCapsOfOthers({ context, applied, heartbeats }: Assembly): ReadonlyArray<Option.Option<ConnectionCaps>> {
   return quorum
-    .withRole(applied.membership().value, 'edge')
+    .nodesWithRole(applied.membership().value, 'edge')
     .filter((seat) => seat.node !== context.settings.node)
     .map((seat) => Option.map((report: HeartbeatReport) => report.caps)(heartbeats.reportOf(seat.node)));
 }
@@ -266,7 +266,7 @@
   });
   const discovery = seedDiscovery.create(context, {
     incarnations,
-    hasJoined: () => incarnations.own() > 0 && quorum.seat(applied.membership().value, settings.node) !== undefined,
+    hasJoined: () => incarnations.own() > 0 && quorum.findNode(applied.membership().value, settings.node) !== undefined,
     setCores: (cores) => setCores(assembly, cores),
     onSuperseded,
   });
--- a/packages/node/src/register-access.ts
+++ b/packages/node/src/register-access.ts
@@ -7,7 +7,7 @@
   registerService,
   type CoreSetSource,
   type DurableReports,
-  type NumberedRegister,
+  type CoreSetRegister,
   type RegisterReplica,
   type ReportReplica,
 } from '@stallstall/register';
@@ -15,7 +15,7 @@
 import type { PeerLinks } from './peer-links.js';
 
 /** @internal */
-export type RegisterAccess = Readonly<{ register: NumberedRegister; reports: DurableReports; coreSets: CoreSetSource }>;
+export type RegisterAccess = Readonly<{ register: CoreSetRegister; reports: DurableReports; coreSets: CoreSetSource }>;
 
 function remoteCores({ cores, settings }: NodeContext): readonly string[] {
   return cores.map((core) => core.node).filter((core) => core !== settings.node);
@@ -56,7 +56,7 @@
     replicas: () => registerReplicas(context, links),
     replicaCount: () => context.cores.length,
     coreSets,
-    heldEntry: (key) => (Option.isSome(parts.localReplica) ? parts.localReplica.value.accepted(key) : Option.none),
+    localEntry: (key) => (Option.isSome(parts.localReplica) ? parts.localReplica.value.accepted(key) : Option.none),
   });
   const reports = durableReports.create(
     () => reportReplicas(context, links),
--- a/packages/pooler/src/placement-feed.ts
+++ b/packages/pooler/src/placement-feed.ts
@@ -1,6 +1,6 @@
 /** Keeps the view of the placement up to date by asking the agent of this machine; leases count from this process's send time (design 7.3). */
 import * as Option from 'fp-ts/lib/Option.js';
-import { withClockDrift } from '@stallstall/quorum-lease';
+import { subtractClockDrift } from '@stallstall/quorum-lease';
 import { identifiers, type Instant, type Runtime } from '@stallstall/kernel';
 import type { Reply } from '@stallstall/message';
 import type { Peer } from '@stallstall/peer';
@@ -84,7 +84,7 @@
 function accept(parts: FeedParts, state: FeedState, reply: Reply<'placement'>, sentAt: Instant): boolean {
   const { runtime, freshness } = parts;
   const isUpdate = reply.token !== state.token || reply.number > state.seen;
-  const validFrom = identifiers.after(sentAt, withClockDrift(reply.held));
+  const validFrom = identifiers.after(sentAt, subtractClockDrift(reply.held));
   state.view = views.fed(state.view, reply, validFrom, runtime.clock.now());
   for (const [service, mark] of Object.entries(reply.marks))
     freshness.learnt(service, identifiers.after(validFrom, -mark.ago), { term: mark.term, number: mark.number });
--- a/packages/quorum-lease/src/lease-timing.ts
+++ b/packages/quorum-lease/src/lease-timing.ts
@@ -10,6 +10,6 @@
 const clockDriftShare = 0.05;
 
 /** The part of a span measured by another process that has passed on this process's clock for certain. Unit: milliseconds. */
-export function withClockDrift(milliseconds: number): number {
+export function subtractClockDrift(milliseconds: number): number {
   return milliseconds * (1 - clockDriftShare);
 }
--- a/packages/quorum-lease/src/quorum-lease.ts
+++ b/packages/quorum-lease/src/quorum-lease.ts
@@ -42,7 +42,7 @@
     const echo = echoes.get(peer);
     if (echo !== undefined && echo.epochs[service] === epoch) agreeing.push(echo.sentAt);
   }
-  const grantedAt = identifiers.instant(quorum.reachedByMajority(agreeing, voterCount, isVoter));
+  const grantedAt = identifiers.instant(quorum.latestReachedByMajority(agreeing, voterCount, isVoter));
   return identifiers.after(grantedAt, leaseTermMilliseconds);
 }
 
--- a/packages/quorum/src/index.ts
+++ b/packages/quorum/src/index.ts
@@ -10,7 +10,7 @@
  * The latest moment that a majority of `total` has reached. `own`: this process is one of them and has reached every moment. Terms are
  * reckoned by this, since a term runs from the send time of what a majority echoed.
  */
-function reachedByMajority(moments: readonly number[], total: number, own: boolean): number {
+function latestReachedByMajority(moments: readonly number[], total: number, own: boolean): number {
   const needed = majority(total) - (own ? 1 : 0);
   if (needed <= 0) return Number.POSITIVE_INFINITY;
   const sorted = [...moments].sort((left, right) => right - left);
@@ -18,23 +18,23 @@
 }
 
 /** The node's entry; undefined when it is no member. */
-function seat(membership: Membership, node: string): Seat | undefined {
+function findNode(membership: Membership, node: string): Seat | undefined {
   return membership.seats.find((candidate) => candidate.node === node);
 }
 
 /** The entries of a role. */
-function withRole(membership: Membership, role: NodeRole): readonly Seat[] {
+function nodesWithRole(membership: Membership, role: NodeRole): readonly Seat[] {
   return membership.seats.filter((candidate) => candidate.role === role);
 }
 
 /** Adds an entry, or replaces the one of the same node. */
-function put(membership: Membership, added: Seat): Membership {
+function putNode(membership: Membership, added: Seat): Membership {
   const others = membership.seats.filter((candidate) => candidate.node !== added.node);
   return { ...membership, seats: [...others, added].sort(byName) };
 }
 
 /** Takes a node out. */
-function remove(membership: Membership, node: string): Membership {
+function removeNode(membership: Membership, node: string): Membership {
   return {
     ...membership,
     seats: membership.seats.filter((candidate) => candidate.node !== node),
@@ -45,6 +45,6 @@
   return left.node < right.node ? -1 : 1;
 }
 
-const empty: Membership = { seats: [], epochs: {} };
+const emptyMembership: Membership = { seats: [], epochs: {} };
 
-export const quorum = { majority, reachedByMajority, seat, withRole, put, remove, empty } as const;
+export const quorum = { majority, latestReachedByMajority, findNode, nodesWithRole, putNode, removeNode, emptyMembership } as const;
--- a/packages/register/src/acceptor.ts
+++ b/packages/register/src/acceptor.ts
@@ -43,7 +43,7 @@
    * Keeps an entry that is about to be replaced by its successor; without it the successor is not accepted.
    * @default keeps nothing
    */
-  keepEarlier?: (entry: Entry) => Promise<boolean>;
+  archiveEntry?: (entry: Entry) => Promise<boolean>;
 }>;
 
 type AcceptorState = {
@@ -51,7 +51,7 @@
   readonly table: CellTable;
   readonly coreSet: CoreSetView;
   readonly onAccepted: AcceptorParts['onAccepted'];
-  readonly keepEarlier: (entry: Entry) => Promise<boolean>;
+  readonly archiveEntry: (entry: Entry) => Promise<boolean>;
   isOpen: boolean;
 };
 
@@ -91,9 +91,9 @@
 }
 
 /** Keeps only the very entry that the new one succeeds: what else is held here may never have been chosen (design 5.4). */
-async function keepReplaced({ keepEarlier }: AcceptorState, { accepted }: CellState, next: Entry): Promise<boolean> {
+async function keepReplaced({ archiveEntry }: AcceptorState, { accepted }: CellState, next: Entry): Promise<boolean> {
   if (accepted === null || next.after === undefined || message.compareBallots(accepted.ballot, next.after) !== 0) return true;
-  return keepEarlier(accepted);
+  return archiveEntry(accepted);
 }
 
 async function acceptInCell(acceptor: AcceptorState, cell: Cell, request: Request<'accept'>): Promise<Reply<'accept'>> {
@@ -138,7 +138,7 @@
     table,
     coreSet,
     onAccepted,
-    keepEarlier: parts.keepEarlier ?? (() => Promise.resolve(true)),
+    archiveEntry: parts.archiveEntry ?? (() => Promise.resolve(true)),
     isOpen: false,
   };
   return {
--- a/packages/register/src/ballot-round.ts
+++ b/packages/register/src/ballot-round.ts
@@ -16,7 +16,7 @@
   replicaCount: () => number;
   coreSets: CoreSetSource;
   /** What this process holds of a key already: its entry need not be sent here again (design 5.7). */
-  heldEntry: (key: string) => Option.Option<Entry>;
+  localEntry: (key: string) => Option.Option<Entry>;
   counter: BallotCounter;
 }>;
 
@@ -106,7 +106,7 @@
     lingerMilliseconds: promiseLingerMilliseconds,
   });
   context.counter.observe(replies);
-  return replicaCalls.agreed(replicaCalls.withHeldEntry(replies, known));
+  return replicaCalls.agreed(replicaCalls.withLocalEntry(replies, known));
 }
 
 /** Sends an entry to those whose promises were counted; only they may accept it (design 5.1). Resolves to whether it was chosen. */
@@ -135,7 +135,7 @@
   const ballot = context.counter.next();
   const roundSet = currentSet(context);
   const { set, isMajority } = roundSet;
-  const known = context.heldEntry(key);
+  const known = context.localEntry(key);
   const promises = await collectPromises(context, key, ballot, known, roundSet);
   if (!isMajority(promises)) return Option.none;
   const current = replicaCalls.highestEntry(promises);
--- a/packages/register/src/catch-up.ts
+++ b/packages/register/src/catch-up.ts
@@ -10,7 +10,7 @@
 import type { Register } from './register.js';
 
 /** Copies all that another core holds; resolves to false once `isUnneeded` says that the copy is no longer wanted. */
-export type CopySource = (source: Seat, isUnneeded: () => boolean) => Promise<boolean>;
+export type CopyFromCore = (source: Seat, isUnneeded: () => boolean) => Promise<boolean>;
 
 /** Rounds that complete unresolved cells run so many at a time. */
 const roundsAtOnce = 32;
@@ -35,7 +35,7 @@
 }
 
 /** Copies from all sources at once and settles with the first that are enough: none that is out of reach is waited for. */
-function copyEnough(sources: readonly Seat[], needed: number, copy: CopySource, isAbandoned: () => boolean): Promise<boolean> {
+function copyFromEnough(sources: readonly Seat[], needed: number, copy: CopyFromCore, isAbandoned: () => boolean): Promise<boolean> {
   return new Promise(function collect(resolve) {
     let copied = 0;
     let outstanding = sources.length;
@@ -75,4 +75,4 @@
   return true;
 }
 
-export const catchUp = { sourcesNeeded, isEligibleSource, copyEnough, completeUnresolved } as const;
+export const catchUp = { sourcesNeeded, isEligibleSource, copyFromEnough, completeUnresolved } as const;
--- a/packages/register/src/core-set-changes.ts
+++ b/packages/register/src/core-set-changes.ts
@@ -4,12 +4,12 @@
 import { fault, owner, type Fault } from '@stallstall/kernel';
 import { CoreSetSchema, message, type CoreSet, type Entry, type Reply, type Seat } from '@stallstall/message';
 import { quorum } from '@stallstall/quorum';
-import type { NumberedRegister } from './register.js';
+import type { CoreSetRegister } from './register.js';
 
 export type CoreSetChangeParts = Readonly<{
   /** The set that this core is in. */
   set: () => CoreSet;
-  registerInSet: NumberedRegister['inSet'];
+  registerInSet: CoreSetRegister['forCoreSet'];
   /** Asks a core to adopt a set; none when it does not reply. */
   adopt: (seat: Seat, set: CoreSet) => Promise<Option.Option<Reply<'adopt'>>>;
   /** Called with a newer set that a core reports. */
@@ -17,17 +17,17 @@
 }>;
 
 /** Up-to-date cores that are in a set, and cores that every one of these has not heard for long. */
-export type ConfirmedCores = Readonly<{ standing: readonly string[]; silent: ReadonlySet<string> }>;
+export type ConfirmedCores = Readonly<{ upToDate: readonly string[]; unreachable: ReadonlySet<string> }>;
 
 /** Nodes whose seat may be given to another, those that should go first before the others. */
-export type Vacancies = (set: CoreSet, confirmed: ConfirmedCores) => readonly string[];
+export type FindVacantNodes = (set: CoreSet, confirmed: ConfirmedCores) => readonly string[];
 
 export type CoreSetChanges = Readonly<{
   /**
    * Gives a vacant seat to this occupant; right, with the set that lists it, once a majority of the new set has adopted it. Errors:
    * `no-majority`, and those of the register.
    */
-  replaceOccupant: (occupant: Seat, vacancies: Vacancies) => Promise<Either.Either<Fault, CoreSet>>;
+  replaceNode: (occupant: Seat, vacancies: FindVacantNodes) => Promise<Either.Either<Fault, CoreSet>>;
   /** Completes a step whose proposer fell silent. */
   completeInterrupted: () => Promise<void>;
 }>;
@@ -41,7 +41,7 @@
 }
 
 /** A node that lost its disk is another occupant than before: it remembers none of its promises (design 4.3). */
-export function isSameOccupant(one: Seat, other: Seat): boolean {
+export function isSameNodeAndDisk(one: Seat, other: Seat): boolean {
   return one.node === other.node && one.disk === other.disk;
 }
 
@@ -61,25 +61,25 @@
 }
 
 function isSeated(set: CoreSet, occupant: Seat): boolean {
-  return set.seats.some((seat) => isSameOccupant(seat, occupant) && seat.address === occupant.address);
+  return set.seats.some((seat) => isSameNodeAndDisk(seat, occupant) && seat.address === occupant.address);
 }
 
 /** Asks seats to adopt a set and tells which have; whoever is further reports it. */
 async function confirm({ adopt, observe }: CoreSetChangeParts, set: CoreSet, seats: readonly Seat[]): Promise<ConfirmedCores> {
   const replies = await Promise.all(seats.map(async (seat) => ({ seat, reply: await adopt(seat, set) })));
-  const standing: string[] = [];
+  const upToDate: string[] = [];
   const silent: Array<ReadonlySet<string>> = [];
   for (const { seat, reply } of replies) {
     if (Option.isNone(reply)) continue;
     if (reply.value.newer !== undefined) observe(reply.value.newer);
     if (!reply.value.adopted) continue;
-    standing.push(seat.node);
+    upToDate.push(seat.node);
     silent.push(new Set(reply.value.silent));
   }
   const silentForAll = set.seats
     .map((seat) => seat.node)
     .filter((node) => silent.length > 0 && silent.every((reported) => reported.has(node)));
-  return { standing, silent: new Set(silentForAll) };
+  return { upToDate, unreachable: new Set(silentForAll) };
 }
 
 /** Tells both sets; whoever is not reached learns of it from whoever is. True once a majority of the new set has adopted it. */
@@ -88,17 +88,17 @@
     const wasListed = before.seats.some((one) => one.node === seat.node && one.address === seat.address);
     if (!wasListed) void parts.adopt(seat, set);
   }
-  const { standing } = await confirm(parts, set, before.seats);
-  return isMajority(set, standing);
+  const { upToDate } = await confirm(parts, set, before.seats);
+  return isMajority(set, upToDate);
 }
 
 /** Without the former occupant a majority must be up to date: the newcomer copies them, and they serve until it is as well. */
-function leavesMajority(set: CoreSet, standing: readonly string[], vacated: string, occupant: Seat): boolean {
-  const listed = quorum.seat(set, vacated);
-  const isMoving = listed !== undefined && isSameOccupant(listed, occupant);
+function leavesMajority(set: CoreSet, upToDate: readonly string[], vacated: string, occupant: Seat): boolean {
+  const listed = quorum.findNode(set, vacated);
+  const isMoving = listed !== undefined && isSameNodeAndDisk(listed, occupant);
   return isMajority(
     set,
-    standing.filter((node) => node !== vacated || isMoving),
+    upToDate.filter((node) => node !== vacated || isMoving),
   );
 }
 
@@ -114,14 +114,14 @@
   return message.matches(CoreSetSchema, decided) ? Either.right(decided) : unchanged('its cell holds no set');
 }
 
-async function replaceOccupant(parts: CoreSetChangeParts, occupant: Seat, vacancies: Vacancies): Promise<Either.Either<Fault, CoreSet>> {
+async function replaceNode(parts: CoreSetChangeParts, occupant: Seat, vacancies: FindVacantNodes): Promise<Either.Either<Fault, CoreSet>> {
   const set = parts.set();
   if (isSeated(set, occupant)) return Either.right(set);
   const confirmed = await confirm(parts, set, set.seats);
-  if (!isMajority(set, confirmed.standing)) return unchanged(`no majority holds set ${set.number} yet`);
+  if (!isMajority(set, confirmed.upToDate)) return unchanged(`no majority holds set ${set.number} yet`);
   const vacant = vacancies(set, confirmed);
   if (vacant.length === 0) return unchanged('no seat is vacant');
-  const vacated = vacant.find((node) => leavesMajority(set, confirmed.standing, node, occupant));
+  const vacated = vacant.find((node) => leavesMajority(set, confirmed.upToDate, node, occupant));
   if (vacated === undefined) return unchanged('too few level cores would be left beside the newcomer');
   const decided = await decide(parts, set, {
     number: set.number + 1,
@@ -143,7 +143,7 @@
 function create(parts: CoreSetChangeParts): CoreSetChanges {
   const commands = owner.create('core set changes', null);
   return {
-    replaceOccupant: (occupant, vacancies) => commands.run(() => replaceOccupant(parts, occupant, vacancies)),
+    replaceNode: (occupant, vacancies) => commands.run(() => replaceNode(parts, occupant, vacancies)),
     completeInterrupted: () => commands.run(() => completeInterrupted(parts)),
   };
 }
--- a/packages/register/src/proposer.ts
+++ b/packages/register/src/proposer.ts
@@ -9,7 +9,7 @@
   type ChangeOutcome,
   type CoreSetSource,
   type Decision,
-  type NumberedRegister,
+  type CoreSetRegister,
   type Register,
   type RegisterReplica,
 } from './register.js';
@@ -28,7 +28,7 @@
    * What this process holds of a key already: its entry need not be sent here again (design 5.7).
    * @default nothing
    */
-  heldEntry?: (key: string) => Option.Option<Entry>;
+  localEntry?: (key: string) => Option.Option<Entry>;
 }>;
 
 const defaultTimeoutMilliseconds = 4_000;
@@ -82,7 +82,7 @@
 ): Promise<Either.Either<Fault, Option.Option<Entry>>> {
   if (!isCurrent()) return Either.left(noMajority(context, key));
   const { replicas, set, isMajority } = ballotRound.currentSet(context);
-  const known = context.heldEntry(key);
+  const known = context.localEntry(key);
   const request: Request<'look'> = { key, ...set, ...ballotRound.holdsOf(known) };
   const replies = await replicaCalls.sendToAll(context.runtime, {
     targets: replicas,
@@ -91,14 +91,14 @@
     isEnough: isMajority,
     observe: context.coreSets.observe,
   });
-  const filled = replicaCalls.withHeldEntry(replies, known);
+  const filled = replicaCalls.withLocalEntry(replies, known);
   if (isMajority(filled) && replicaCalls.isUnanimous(filled)) return Either.right(replicaCalls.highestEntry(filled));
   // Replicas differ, so a round may have been interrupted: it is completed before anything is read.
   const completed = await change(context, isCurrent, key, keepCurrent, milliseconds);
   return Either.isLeft(completed) ? completed : Either.right(completed.right.entry);
 }
 
-function create(runtime: Runtime, parts: ProposerParts): NumberedRegister {
+function create(runtime: Runtime, parts: ProposerParts): CoreSetRegister {
   const proposerName = `${parts.name}#${runtime.randomness.token()}`;
   const coreSets = parts.coreSets ?? fixedCoreSet;
   const context: RoundContext = {
@@ -107,7 +107,7 @@
     replicas: parts.replicas,
     replicaCount: parts.replicaCount,
     coreSets,
-    heldEntry: parts.heldEntry ?? (() => Option.none),
+    localEntry: parts.localEntry ?? (() => Option.none),
     counter: ballotRound.createCounter(proposerName),
   };
 
@@ -119,7 +119,7 @@
   }
 
   // The set can only change between two rounds of a caller that looks at it in the same turn in which a round begins.
-  return { ...registerWhile(() => true), inSet: (set) => registerWhile(() => coreSets.number() === set) };
+  return { ...registerWhile(() => true), forCoreSet: (set) => registerWhile(() => coreSets.number() === set) };
 }
 
 export const proposer = { create } as const;
--- a/packages/register/src/register.ts
+++ b/packages/register/src/register.ts
@@ -39,11 +39,11 @@
   change: (key: string, decide: Decision, milliseconds?: number) => Promise<Either.Either<Fault, ChangeOutcome>>;
 }>;
 
-export type NumberedRegister = Register &
+export type CoreSetRegister = Register &
   Readonly<{
     /** The register under one set of cores alone: once this process is at another, reads and changes fail (design 4.8). */
-    inSet: (set: number) => Register;
+    forCoreSet: (set: number) => Register;
   }>;
 
 /** The name under which a process's other services find its register (design 2.1). */
-export const registerService = runtimeUtilities.serviceName<NumberedRegister>('register');
+export const registerService = runtimeUtilities.serviceName<CoreSetRegister>('register');
--- a/packages/register/src/replica-calls.ts
+++ b/packages/register/src/replica-calls.ts
@@ -54,7 +54,7 @@
 }
 
 /** Puts the entry back that replicas left out. */
-function withHeldEntry(replies: readonly ReplicaReply[], known: Option.Option<Entry>): readonly ReplicaReply[] {
+function withLocalEntry(replies: readonly ReplicaReply[], known: Option.Option<Entry>): readonly ReplicaReply[] {
   return replies.map(function fill(one) {
     if (one.reply.held !== true || Option.isNone(known)) return one;
     return { ...one, reply: { ...one.reply, accepted: known.value }, held: true };
@@ -96,4 +96,4 @@
 }
 
 /** @internal */
-export const replicaCalls = { sendToAll, withHeldEntry, withCompleteEntryOnRequest, agreed, highestEntry, isUnanimous } as const;
+export const replicaCalls = { sendToAll, withLocalEntry, withCompleteEntryOnRequest, agreed, highestEntry, isUnanimous } as const;
--- a/packages/register/src/watcher.ts
+++ b/packages/register/src/watcher.ts
@@ -23,7 +23,7 @@
   /** Which cores have pushed a newer version of a key than the one applied. */
   unapplied: (key: string) => readonly PushedVersion[];
   /** Reads keys that are in doubt from the register, so that an interrupted round is completed; called at each heartbeat. */
-  resolve: () => void;
+  readUncertain: () => void;
 }>;
 
 /** Which cores are counted, and the number of their set, where it may change. */
@@ -160,7 +160,7 @@
   watched.doubtSince = isInDoubt(watched) ? Option.some(nextDoubt) : Option.none;
 }
 
-function resolve(watcher: WatcherState): void {
+function readUncertain(watcher: WatcherState): void {
   for (const [key, watched] of watcher.keys) {
     if (watched.isReading || Option.isNone(watched.doubtSince)) continue;
     if (watcher.runtime.clock.now() - watched.doubtSince.value >= doubtMilliseconds) void readDoubtful(watcher, key, watched);
@@ -178,7 +178,7 @@
       const watched = state.keys.get(key);
       return watched === undefined ? [] : unappliedOf(watched);
     },
-    resolve: () => resolve(state),
+    readUncertain: () => readUncertain(state),
   };
 }
 
--- a/packages/simulator/exploring-mutations.mjs
+++ b/packages/simulator/exploring-mutations.mjs
@@ -40,7 +40,7 @@
   {
     name: 'another-seat-before-the-first-is-level',
     file: 'register/build/core-set-changes.js',
-    from: 'leavesMajority(set, confirmed.standing, node, occupant));',
+    from: 'leavesMajority(set, confirmed.upToDate, node, occupant));',
     to: 'true);',
   },
   {
@@ -72,7 +72,7 @@
     from: 'if (!mayBeVacant(manager, seat))',
     to: 'if (false)',
     more: [
-      { file: 'core/build/core-set-manager.js', from: 'confirmed.silent.has(core) && !confirmed.standing.includes(core)', to: 'true' },
+      { file: 'core/build/core-set-manager.js', from: 'confirmed.unreachable.has(core) && !confirmed.upToDate.includes(core)', to: 'true' },
     ],
     story: 'A blank machine waits until a seat is vacant',
   },
--- a/packages/simulator/pooled-mutations.mjs
+++ b/packages/simulator/pooled-mutations.mjs
@@ -496,7 +496,7 @@
     name: 'earlier-version-not-kept',
     story: 'A core that missed changes',
     file: 'register/build/acceptor.js',
-    from: 'return keepEarlier(accepted);',
+    from: 'return archiveEntry(accepted);',
     to: 'return true;',
   },
   {
--- a/packages/simulator/src/explored-machines.ts
+++ b/packages/simulator/src/explored-machines.ts
@@ -14,7 +14,7 @@
   coreSetKey,
   type Acceptor,
   type CoreSetSource,
-  type NumberedRegister,
+  type CoreSetRegister,
   type RegisterReplica,
 } from '@stallstall/register';
 
@@ -51,7 +51,7 @@
   /** A machine that was founded with the first set, or one that is blank. */
   add: (founders: readonly string[]) => Machine;
   /** A register for somebody who is no core: it learns of sets as it goes on. */
-  client: (name: string, first: CoreSet) => NumberedRegister;
+  client: (name: string, first: CoreSet) => CoreSetRegister;
   /** Says one thing to one core, as a proposer would that ended right after. */
   tell: <Kind extends 'prepare' | 'accept'>(seat: Seat, kind: Kind, body: Request<Kind>) => Promise<Option.Option<Reply<Kind>>>;
   newest: () => CoreSet;
@@ -196,7 +196,7 @@
     call: CoreCall,
     set: () => CoreSet,
     learn: CoreSetSource['observe'],
-  ): NumberedRegister {
+  ): CoreSetRegister {
     return proposer.create(runtime, {
       name,
       replicas: () =>
@@ -322,7 +322,7 @@
     return machine;
   }
 
-  function client(name: string, first: CoreSet): NumberedRegister {
+  function client(name: string, first: CoreSet): CoreSetRegister {
     let set = first;
     return registerFrom(
       name,
--- a/packages/simulator/src/schedules.ts
+++ b/packages/simulator/src/schedules.ts
@@ -5,7 +5,7 @@
 import * as Option from 'fp-ts/lib/Option.js';
 import { identifiers, type Disk, type Runtime } from '@stallstall/kernel';
 import type { Ballot, Entry } from '@stallstall/message';
-import { acceptor, catchUp, proposer, type Acceptor, type NumberedRegister } from '@stallstall/register';
+import { acceptor, catchUp, proposer, type Acceptor, type CoreSetRegister } from '@stallstall/register';
 
 type Core = { set: number; readonly cells: Acceptor };
 
@@ -56,7 +56,7 @@
   core: (name: string) => Core;
   stepTo: (names: string, set: number) => void;
   /** A register that reaches only these cores. */
-  reaching: (names: string, set: number) => NumberedRegister;
+  reaching: (names: string, set: number) => CoreSetRegister;
   promise: (names: string, ballot: Ballot) => Promise<void>;
   accept: (names: string, entry: Entry) => Promise<void>;
   level: (name: string, sources: string) => Promise<boolean>;
@@ -69,7 +69,7 @@
     return cores.get(name) as Core;
   }
 
-  function reaching(names: string, set: number): NumberedRegister {
+  function reaching(names: string, set: number): CoreSetRegister {
     const seats = set === 1 ? firstSeats : secondSeats;
     return proposer.create(runtimeOf(), {
       name: 'writer',
@@ -110,7 +110,7 @@
       for (const name of names) await core(name).cells.accept({ key, entry, set: 1 });
     },
     level: async function level(name, sources) {
-      const enough = await catchUp.copyEnough(
+      const enough = await catchUp.copyFromEnough(
         [...sources].map(seatOf),
         catchUp.sourcesNeeded(secondSeats.length),
         async function copy(source) {
@@ -123,14 +123,14 @@
         },
         () => false,
       );
-      if (!enough || !(await catchUp.completeUnresolved(core(name).cells, reaching('bcde', 2).inSet(2)))) return false;
+      if (!enough || !(await catchUp.completeUnresolved(core(name).cells, reaching('bcde', 2).forCoreSet(2)))) return false;
       core(name).cells.open();
       return true;
     },
   };
 }
 
-async function reads(register: NumberedRegister): Promise<string> {
+async function reads(register: CoreSetRegister): Promise<string> {
   const read = await register.read(key);
   return Either.isRight(read) ? JSON.stringify(Option.map((entry: Entry) => entry.value)(read.right)) : 'unread';
 }
