--- a/packages/acceptance/src/malformed-input-steps.ts
+++ b/packages/acceptance/src/malformed-input-steps.ts
@@ -123,7 +123,7 @@
   };
   this.checked = Array.from({ length: count }, (_, index) =>
     index % 2 === 0
-      ? placements.check(fuzz.spoil(fleet.sheet(), this.world.fraction))
+      ? placements.validate(fuzz.spoil(fleet.sheet(), this.world.fraction))
       : settings.read(coreSettings, undefined, (fuzz.spoil(example, this.world.fraction) ?? {}) as Record<string, unknown>),
   );
 });
--- a/packages/acceptance/src/outages.ts
+++ b/packages/acceptance/src/outages.ts
@@ -388,7 +388,7 @@
       .replaceAll('} {"', '}\n{"')
       .split('\n')
       .map((text) => ({ site: 'yard', nodes: ['edge-1'], databases: ['bookings-late'], ...(JSON.parse(text) as object) }));
-    const checked = placements.check({ ...sheet, outages: given });
+    const checked = placements.validate({ ...sheet, outages: given });
     const faults = Either.isLeft(checked)
       ? (fault.details(checked.left).details as ReadonlyArray<Readonly<{ message: string; remedy: string }>>)
       : [];
--- a/packages/acceptance/src/platform.ts
+++ b/packages/acceptance/src/platform.ts
@@ -129,16 +129,16 @@
 /** As a core takes it: the adapter's shape first, and then the sheet's own checks. */
 function taken(body: unknown): Either.Either<Fault, unknown> {
   const translated = configuration.translate(body);
-  return Either.isLeft(translated) ? translated : placements.check(translated.right.sheet);
+  return Either.isLeft(translated) ? translated : placements.validate(translated.right.sheet);
 }
 
-function sound(body: unknown): ReturnType<typeof placements.check> {
+function sound(body: unknown): ReturnType<typeof placements.validate> {
   const checked = taken(body);
   assert.ok(
     Either.isRight(checked),
     Either.isLeft(checked) ? `${checked.left.message} ${JSON.stringify(fault.details(checked.left).details)}` : '',
   );
-  return checked as ReturnType<typeof placements.check>;
+  return checked as ReturnType<typeof placements.validate>;
 }
 
 Given('the configuration of the stories', function given() {
@@ -485,7 +485,7 @@
   const platformApi: PlatformApi = {
     ready: () => true,
     configure: (external, sheet) => {
-      const checked = placements.check(sheet);
+      const checked = placements.validate(sheet);
       return Promise.resolve(Either.isLeft(checked) ? checked : Either.right({ version: external.version }));
     },
     source: () => Promise.resolve(Either.right('{}')),
--- a/packages/acceptance/src/wire.ts
+++ b/packages/acceptance/src/wire.ts
@@ -352,7 +352,7 @@
   this.world = worlds.create(21);
   this.heard = [];
   this.client = this.world.spawn('sender', 'sender-machine').runtime;
-  const checked = placements.check({
+  const checked = placements.validate({
     services: [{ service: 'ferries', connectionLimit: 56, registered: true }],
     rows: [],
     keys: [],
--- a/packages/agent/src/connection-caps.ts
+++ b/packages/agent/src/connection-caps.ts
@@ -44,7 +44,7 @@
   function shareOf({ connectionLimit }: ServicePlacement): number {
     const table = node().membership().value;
     const isListed = quorum.seat(table, node().settings.node) !== undefined;
-    return isListed ? placements.share(connectionLimit, table.seats.length, quorum.withRole(table, 'edge').length) : 0;
+    return isListed ? placements.connectionShare(connectionLimit, table.seats.length, quorum.withRole(table, 'edge').length) : 0;
   }
 
   function mayGrow(): boolean {
--- a/packages/cli/src/mappings.ts
+++ b/packages/cli/src/mappings.ts
@@ -59,7 +59,7 @@
       return this.error(`nothing was imported: ${(error as Error).message}; mend the file`, { exit: 2 });
     }
     const next = { ...sheet, mappings: imported.mappings };
-    const checked = placements.check(next);
+    const checked = placements.validate(next);
     if (Either.isLeft(checked)) return this.error(`nothing was imported: ${checked.left.message}`, { exit: 1 });
     fs.writeFileSync(flags.sheet, `${JSON.stringify(next, null, 2)}\n`);
     this.log(
--- a/packages/core/src/administration/election-routes.ts
+++ b/packages/core/src/administration/election-routes.ts
@@ -30,7 +30,7 @@
 /** Why a loss may not be accepted for a service now; none where it may. */
 function rejectionOf({ node, members }: AdministrationContext, service: string, caller: Caller): Option.Option<Fault> {
   const configuration = node.configuration();
-  if (Option.isNone(configuration) || placements.service(configuration.value.value.sheet, service) === undefined) {
+  if (Option.isNone(configuration) || placements.findService(configuration.value.value.sheet, service) === undefined) {
     return Option.some(
       fault.create({ kind: 'not-found', message: `no sheet names a service ${service}`, remedy: 'see stallstall elections' }),
     );
--- a/packages/core/src/administration/placement-routes.ts
+++ b/packages/core/src/administration/placement-routes.ts
@@ -48,7 +48,7 @@
   if (!message.matches(SendSchema, body)) {
     return badRequest('a sheet is sent as {"sheet": {...}, "sentBy": "..."}', 'send that shape, or use stallstall sheet send');
   }
-  const checked = placements.check(body.sheet);
+  const checked = placements.validate(body.sheet);
   if (Either.isLeft(checked)) return http.rejected(checked.left);
   const expected = expectedVersion(request.headers['if-match']);
   if (Either.isLeft(expected)) return expected.left;
@@ -95,7 +95,7 @@
 }
 
 async function check(request: HttpRequest): Promise<HttpReply> {
-  const checked = placements.check((request.body as { sheet?: unknown } | null)?.sheet);
+  const checked = placements.validate((request.body as { sheet?: unknown } | null)?.sheet);
   return http.toReply(Either.map(() => ({ sound: true }))(checked));
 }
 
--- a/packages/core/src/platform-api.ts
+++ b/packages/core/src/platform-api.ts
@@ -47,7 +47,7 @@
     ready: () => isOpen() && !isDraining(),
     configure: async function configure(external, placement) {
       if (!isOpen()) return Either.left(notOpen());
-      const checked = placements.check(placement);
+      const checked = placements.validate(placement);
       if (Either.isLeft(checked)) return checked;
       return contact.whileInContact(() => administration.replaceExternal(external, checked.right));
     },
--- a/packages/election/src/election-services.ts
+++ b/packages/election/src/election-services.ts
@@ -20,7 +20,7 @@
 /** The placement of a service; undefined when the applied configuration does not name it. */
 export function placementOf(context: ElectionContext, service: string): ServicePlacement | undefined {
   const placement = context.placement();
-  return Option.isSome(placement) ? placements.service(placement.value, service) : undefined;
+  return Option.isSome(placement) ? placements.findService(placement.value, service) : undefined;
 }
 
 /** The member that was elected last, if the service still has it. */
--- a/packages/node/src/member-routes.ts
+++ b/packages/node/src/member-routes.ts
@@ -28,7 +28,7 @@
     const current = placement();
     const { body } = request;
     if (!message.matches(MemberStateSchema, body) || body.member !== request.query['member']) return http.rejected(malformedHeartbeat());
-    if (Option.isNone(current) || placements.member(current.value, body.member) === undefined) {
+    if (Option.isNone(current) || placements.findMember(current.value, body.member) === undefined) {
       return http.rejected(unknownMember(body.member));
     }
     members.heartbeat(body);
--- a/packages/placement/src/index.ts
+++ b/packages/placement/src/index.ts
@@ -43,7 +43,7 @@
 }
 
 /** The sheet with its defaults filled in, or one fault whose details list everything that is wrong with it (`SheetFault`). */
-function check(value: unknown): Either.Either<Fault, PlacementConfiguration> {
+function validate(value: unknown): Either.Either<Fault, PlacementConfiguration> {
   const parsed = placementSchema.safeParse(value);
   const faults: readonly PlacementFault[] = parsed.success
     ? crossChecks.check(parsed.data)
@@ -60,12 +60,12 @@
 }
 
 /** Undefined when the sheet names no such service. */
-function service(sheet: PlacementConfiguration, named: string): ServicePlacement | undefined {
+function findService(sheet: PlacementConfiguration, named: string): ServicePlacement | undefined {
   return sheet.services.find((candidate) => candidate.service === named);
 }
 
 /** The member of that name, of whichever service. */
-function member(sheet: PlacementConfiguration, named: string): MemberPlacement | undefined {
+function findMember(sheet: PlacementConfiguration, named: string): MemberPlacement | undefined {
   for (const candidate of sheet.services) {
     const found = candidate.members.find((one) => one.member === named);
     if (found !== undefined) return found;
@@ -74,23 +74,32 @@
 }
 
 /** How an area is served by a service. */
-function row(sheet: PlacementConfiguration, named: string, area: string): PlacementRow | undefined {
+function findRow(sheet: PlacementConfiguration, named: string, area: string): PlacementRow | undefined {
   return sheet.rows.find((candidate) => candidate.service === named && candidate.area === area);
 }
 
 /** The statement that clients call by this name. */
-function mapping(sheet: PlacementConfiguration, named: string): NamedStatement | undefined {
+function findNamedStatement(sheet: PlacementConfiguration, named: string): NamedStatement | undefined {
   return sheet.mappings.find((candidate) => candidate.mapping === named);
 }
 
 /** Whether a key may send statements of a kind to a service. */
-function allows(sheet: PlacementConfiguration, key: string, named: string, kind: StatementKind): boolean {
+function isAllowed(sheet: PlacementConfiguration, key: string, named: string, kind: StatementKind): boolean {
   return sheet.keys.some((candidate) => candidate.key === key && candidate.services.includes(named) && candidate.kinds.includes(kind));
 }
 
 /** How many connections of a member's limit one edge may hold; every node keeps one for its probe (design 8.3). */
-function share(limit: number, nodes: number, edges: number): number {
+function connectionShare(limit: number, nodes: number, edges: number): number {
   return edges === 0 ? 0 : Math.max(0, Math.floor((limit - nodes) / edges));
 }
 
-export const placements = { check, service, member, row, mapping, allows, share, windows: outageWindows.windows } as const;
+export const placements = {
+  validate,
+  findService,
+  findMember,
+  findRow,
+  findNamedStatement,
+  isAllowed,
+  connectionShare,
+  outageWindows: outageWindows.windowsBetween,
+} as const;
--- a/packages/placement/src/outage-windows.ts
+++ b/packages/placement/src/outage-windows.ts
@@ -14,7 +14,7 @@
 }
 
 /** The windows of an outage that touch a span of the wall clock, the earliest first. */
-function windows(outage: AnnouncedOutage, from: number, to: number): readonly OutageWindow[] {
+function windowsBetween(outage: AnnouncedOutage, from: number, to: number): readonly OutageWindow[] {
   const dated = datedWindow(outage);
   const week = firstSunday + Math.floor((from - firstSunday) / weekMilliseconds) * weekMilliseconds;
   const weeks = Array.from({ length: Math.ceil((to - week) / weekMilliseconds) + 1 }, (_, index) => week + (index - 1) * weekMilliseconds);
@@ -36,10 +36,10 @@
 /** Whether windows of two outages, or of one with itself, overlap. Dated windows are compared where they are, weekly ones over two weeks. */
 function overlap(left: AnnouncedOutage, right: AnnouncedOutage): boolean {
   const span = datedWindow(left) ?? datedWindow(right) ?? { from: firstSunday, to: firstSunday + 2 * weekMilliseconds };
-  const others = windows(right, span.from, span.to);
-  return windows(left, span.from, span.to).some((one, index) =>
+  const others = windowsBetween(right, span.from, span.to);
+  return windowsBetween(left, span.from, span.to).some((one, index) =>
     others.some((other, place) => (left !== right || index < place) && intersect(one, other)),
   );
 }
 
-export const outageWindows = { windows, overlap } as const;
+export const outageWindows = { windowsBetween, overlap } as const;
--- a/packages/pooler/src/copies.ts
+++ b/packages/pooler/src/copies.ts
@@ -134,13 +134,15 @@
 function windowsOf(state: State, outage: AnnouncedOutage, before: readonly OutageCopies[]): readonly OutageCopies[] {
   const wall = state.runtime.clock.wall();
   const source = JSON.stringify(outage);
-  return placements.windows(outage, wall - outageGraceMilliseconds, wall + aheadMilliseconds).map(function known(window): OutageCopies {
-    const held = before.find((one) => one.source === source && one.window.from === window.from);
-    if (held !== undefined) return held;
-    const added = outageCopies.create(outage, source, window);
-    rememberNamed(state, added);
-    return added;
-  });
+  return placements
+    .outageWindows(outage, wall - outageGraceMilliseconds, wall + aheadMilliseconds)
+    .map(function known(window): OutageCopies {
+      const held = before.find((one) => one.source === source && one.window.from === window.from);
+      if (held !== undefined) return held;
+      const added = outageCopies.create(outage, source, window);
+      rememberNamed(state, added);
+      return added;
+    });
 }
 
 function refresh(state: State): void {
--- a/packages/proxy/src/client-api.ts
+++ b/packages/proxy/src/client-api.ts
@@ -45,7 +45,7 @@
 function mayUse(known: Known, key: string, service: string): boolean {
   if (Option.isNone(known.sheet)) return false;
   const sheet = known.sheet.value;
-  return statementKinds.some((kind) => placements.allows(sheet, key, service, kind));
+  return statementKinds.some((kind) => placements.isAllowed(sheet, key, service, kind));
 }
 
 /** What stands against a statement's transaction step in the session that it names, or in none. */
@@ -102,7 +102,7 @@
 async function runMapping(parts: ClientApiParts, request: HttpRequest): Promise<HttpReply> {
   const { sheet } = parts.known();
   const name = request.query['mapping'] ?? '';
-  const mapping = Option.isSome(sheet) ? placements.mapping(sheet.value, name) : undefined;
+  const mapping = Option.isSome(sheet) ? placements.findNamedStatement(sheet.value, name) : undefined;
   if (mapping === undefined) return http.rejected(requestFaults.notFound(`a mapping ${name}`));
   const given = (typeof request.body === 'object' && request.body !== null ? request.body : {}) as Readonly<Record<string, unknown>>;
   const { parameters, ...rest } = given;
--- a/packages/proxy/src/confirmations.ts
+++ b/packages/proxy/src/confirmations.ts
@@ -47,18 +47,18 @@
   function add(record: RequestRecord, target: Target, session: Option.Option<Session>, { results, position }: MemberResult): void {
     const { choice, epoch } = target;
     const confirming: RequestRecord = { ...record, stage: 'confirming' };
-    const outcome = Either.right({ results, position, member: choice.member, verdict: choice.here ? 'run' : 'relay' });
+    const outcome = Either.right({ results, position, member: choice.member, verdict: choice.isLocal ? 'run' : 'relay' });
     // Counted first, so that the report which confirms it holds it.
     pending.set(record.id, { record: confirming, target, session, since: runtime.clock.now(), report: notes.next(), outcome });
     table.update(confirming);
-    notes.note(record.request.service, choice.leader ? Option.some({ epoch, position }) : Option.none);
+    notes.note(record.request.service, choice.isLeader ? Option.some({ epoch, position }) : Option.none);
   }
 
   /** The fence is checked once more: what a fenced edge was told by an older primary is not passed on (design 7.3). */
   function settleOne(one: Pending): void {
     const { record, target, session, report, since, outcome } = one;
     const now = runtime.clock.now();
-    const fenced = fenceChecks.fault(known(), now, record.request.service, target.epoch, target.choice.leader);
+    const fenced = fenceChecks.fault(known(), now, record.request.service, target.epoch, target.choice.isLeader);
     if (Option.isNone(fenced) && now < record.deadline && !notes.noted(report)) return;
     pending.delete(record.id);
     if (Option.isNone(fenced) && notes.noted(report)) {
--- a/packages/proxy/src/exchange.ts
+++ b/packages/proxy/src/exchange.ts
@@ -97,7 +97,7 @@
     table.reject(record, requestFaults.givenUp(message));
     return;
   }
-  const excludedMembers = choice.leader ? record.excludedMembers : new Set([...record.excludedMembers, choice.member]);
+  const excludedMembers = choice.isLeader ? record.excludedMembers : new Set([...record.excludedMembers, choice.member]);
   retry({ ...record, stage: 'waiting', excludedMembers, target: Option.none, connection: Option.none });
 }
 
--- a/packages/proxy/src/passes.ts
+++ b/packages/proxy/src/passes.ts
@@ -25,9 +25,9 @@
   const known = parts.known();
   const stale = fenceChecks.controlFault(known, runtime.clock.now());
   if (Option.isSome(stale)) return table.reject(record, stale.value);
-  if (Option.isNone(known.sheet) || placements.service(known.sheet.value, service) === undefined)
+  if (Option.isNone(known.sheet) || placements.findService(known.sheet.value, service) === undefined)
     return table.reject(record, requestFaults.notFound(`a service ${service}`));
-  if (!placements.allows(known.sheet.value, key, service, kind))
+  if (!placements.isAllowed(known.sheet.value, key, service, kind))
     return table.reject(record, requestFaults.keyRejected(`send ${kind} to ${service}`));
   return record.stage === 'arrived' ? admitNew(parts, record) : record;
 }
@@ -37,7 +37,7 @@
   const { service, transaction } = record.request;
   const { draining, sheet, area } = known();
   if (draining && (transaction === 'none' || transaction === 'begin')) return table.reject(record, requestFaults.draining());
-  const row = Option.isSome(sheet) ? placements.row(sheet.value, service, area) : undefined;
+  const row = Option.isSome(sheet) ? placements.findRow(sheet.value, service, area) : undefined;
   const waiting = table.waitingFor(service);
   if (row !== undefined && waiting >= row.mostWaiting) return table.reject(record, requestFaults.overloaded(service, waiting));
   return { ...record, stage: 'waiting' };
@@ -52,11 +52,11 @@
   const atLeast = request.kind === 'own-read' ? Math.max(request.atLeast, lastCommit) : 0;
   let without = record.excludedMembers;
   for (;;) {
-    const judged = routing.judge(known().table, request.service, request.kind, {
+    const judged = routing.chooseTarget(known().table, request.service, request.kind, {
       now: runtime.clock.now(),
-      fraction: runtime.randomness.fraction(),
-      atLeast,
-      without,
+      random: runtime.randomness.fraction(),
+      minimumPosition: atLeast,
+      excluded: without,
     });
     if (Either.isLeft(judged)) return table.reject(record, judged.left);
     if (!pool.unreachable(judged.right.choice.member)) return { ...record, target: Option.some(judged.right) };
--- a/packages/proxy/src/placement-feed.ts
+++ b/packages/proxy/src/placement-feed.ts
@@ -4,7 +4,7 @@
 import type { Reply, ServiceFeed } from '@stallstall/message';
 import type { MemberWish } from '@stallstall/pool';
 import { placements, type PlacementConfiguration } from '@stallstall/placement';
-import { routing, type KnownService } from '@stallstall/routing';
+import { routing, type ServiceStatus } from '@stallstall/routing';
 import { handoverMilliseconds, lameDuckMilliseconds, openTransactionMilliseconds } from './settings.js';
 import type { Known } from './statement-request.js';
 
@@ -31,7 +31,7 @@
   readonly clock: Clock;
   known: Known;
   feed: Option.Option<Reply<'feed'>>;
-  services: readonly KnownService[];
+  services: readonly ServiceStatus[];
   /** Members that are to go, draining or in no sheet any more, and since when this process has known. */
   readonly goingSince: Map<string, Instant>;
   drainingSince: Option.Option<Instant>;
@@ -58,7 +58,7 @@
 }
 
 /** A term that was told stays valid to its end, also when a restarted agent knows of none yet (design 3.4). */
-function fenceOf(state: State, service: KnownService, reply: Reply<'feed'>, sentAt: Instant): Readonly<{ epoch: number; until: Instant }> {
+function fenceOf(state: State, service: ServiceStatus, reply: Reply<'feed'>, sentAt: Instant): Readonly<{ epoch: number; until: Instant }> {
   const before = state.known.fences.get(service.service);
   const reported = reply.services.find((one) => one.service === service.service && one.epoch === service.epoch);
   const knownUntil = before?.epoch === service.epoch ? before.until : never;
@@ -67,19 +67,19 @@
 }
 
 /** An epoch is never taken back. */
-function serviceOf(state: State, reported: ServiceFeed, sentAt: Instant): KnownService {
+function serviceOf(state: State, reported: ServiceFeed, sentAt: Instant): ServiceStatus {
   const before = state.services.find((one) => one.service === reported.service);
   if (before !== undefined && before.epoch > reported.epoch) return before;
   return {
     service: reported.service,
     epoch: reported.epoch,
     primary: reported.primary,
-    overdue: isOverdue(state, reported.primary),
+    isHandoverOverdue: isOverdue(state, reported.primary),
     targets: reported.targets.map((target) => ({
       member: target.member,
-      alive: target.alive,
-      applied: target.applied,
-      follows: target.follows,
+      isAlive: target.alive,
+      appliedPosition: target.applied,
+      followedEpoch: target.follows,
       freshAt: target.freshAgo < 0 ? never : identifiers.after(sentAt, -target.freshAgo),
     })),
   };
@@ -90,7 +90,7 @@
   const before = state.known.sheet;
   const services = [...(Option.isSome(before) ? before.value.services : []), ...sheet.services];
   for (const { member } of services.flatMap((service) => service.members)) {
-    if (placements.member(sheet, member)?.state === 'serving') state.goingSince.delete(member);
+    if (placements.findMember(sheet, member)?.state === 'serving') state.goingSince.delete(member);
     else if (!state.goingSince.has(member)) state.goingSince.set(member, Option.isNone(before) ? never : state.clock.now());
   }
 }
--- a/packages/proxy/src/requests.ts
+++ b/packages/proxy/src/requests.ts
@@ -72,7 +72,7 @@
   if (Option.isSome(session) && session.value.busy()) return { ...record, connection: Option.none };
   const connection = record.connection.value;
   const target = record.target.value;
-  const fenced = fenceChecks.fault(known(), runtime.clock.now(), record.request.service, target.epoch, target.choice.leader);
+  const fenced = fenceChecks.fault(known(), runtime.clock.now(), record.request.service, target.epoch, target.choice.isLeader);
   if (Option.isSome(fenced) || connection.epoch !== target.epoch) {
     if (requestParts.isPinned(record)) requestParts.endTransaction(parts, session);
     else pool.giveBack(connection, true);
--- a/packages/proxy/src/session.ts
+++ b/packages/proxy/src/session.ts
@@ -2,10 +2,10 @@
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Clock, Instant } from '@stallstall/kernel';
 import type { MemberConnection } from '@stallstall/pool';
-import type { Choice } from '@stallstall/routing';
+import type { RouteCandidate } from '@stallstall/routing';
 
 /** Where the open transaction runs. */
-export type Pinned = Readonly<{ connection: MemberConnection; choice: Choice }>;
+export type Pinned = Readonly<{ connection: MemberConnection; choice: RouteCandidate }>;
 
 export type Session = Readonly<{
   id: string;
--- a/packages/proxy/src/statement-request.ts
+++ b/packages/proxy/src/statement-request.ts
@@ -4,7 +4,7 @@
 import type { Fault, HttpReply, Instant } from '@stallstall/kernel';
 import type { MemberConnection } from '@stallstall/pool';
 import type { PlacementConfiguration, StatementKind } from '@stallstall/placement';
-import type { Choice, RoutingTable } from '@stallstall/routing';
+import type { RouteCandidate, RoutingTable } from '@stallstall/routing';
 
 export type Statement = Readonly<{ text: string; parameters: readonly unknown[] }>;
 
@@ -25,7 +25,7 @@
 }>;
 
 /** Where a request is to run, and under which epoch of its service. */
-export type Target = Readonly<{ choice: Choice; epoch: number }>;
+export type Target = Readonly<{ choice: RouteCandidate; epoch: number }>;
 
 /** `arrived`, `waiting`: to be placed; `sent`: on a connection; `confirming`: replied, and to be made durable; `done`: the client has a response. */
 export type RequestStage = 'arrived' | 'waiting' | 'sent' | 'confirming' | 'done';
--- a/packages/routing/src/index.ts
+++ b/packages/routing/src/index.ts
@@ -12,31 +12,31 @@
 } from '@stallstall/placement';
 
 /** What the proxy knows of a member; moments are of its own clock. */
-export type KnownTarget = Readonly<{ member: string; alive: boolean; freshAt: Instant; applied: number; follows: number }>;
+export type TargetStatus = Readonly<{ member: string; isAlive: boolean; freshAt: Instant; appliedPosition: number; followedEpoch: number }>;
 /** What the proxy knows of a service. */
-export type KnownService = Readonly<{
+export type ServiceStatus = Readonly<{
   service: string;
   epoch: number;
   primary: string;
-  targets: readonly KnownTarget[];
+  targets: readonly TargetStatus[];
   /** The primary is to go, and has had the time in which another should have been elected. */
-  overdue: boolean;
+  isHandoverOverdue: boolean;
 }>;
 
 /** A member that may be chosen. */
-export type Choice = Readonly<{
+export type RouteCandidate = Readonly<{
   member: string;
   address: string;
   weight: number;
-  here: boolean;
-  leader: boolean;
+  isLocal: boolean;
+  isLeader: boolean;
   freshUntil: Instant;
-  applied: number;
+  appliedPosition: number;
 }>;
 
 /** `lastResort` is chosen from when none of the choices suits. */
 export type RoutingDecision =
-  | Readonly<{ outcome: 'serve'; epoch: number; choices: readonly Choice[]; lastResort: readonly Choice[] }>
+  | Readonly<{ outcome: 'serve'; epoch: number; candidates: readonly RouteCandidate[]; fallback: readonly RouteCandidate[] }>
   | Readonly<{ outcome: 'reject'; kind: FaultKind; message: string; remedy: string }>;
 
 /** By service and kind, see `keyOf`. */
@@ -51,37 +51,45 @@
   return `${service}|${kind}`;
 }
 
-function leaderOf(service: ServicePlacement, known: KnownService, area: string): readonly Choice[] {
+function leaderOf(service: ServicePlacement, known: ServiceStatus, area: string): readonly RouteCandidate[] {
   const member = service.members.find((one) => one.member === known.primary);
   const target = known.targets.find((one) => one.member === known.primary);
-  if (known.overdue || member === undefined || target === undefined || !target.alive || target.follows > known.epoch) return [];
+  if (known.isHandoverOverdue || member === undefined || target === undefined || !target.isAlive || target.followedEpoch > known.epoch)
+    return [];
   return [
     {
       member: member.member,
       address: member.address,
       weight: 1,
-      here: member.area === area,
-      leader: true,
+      isLocal: member.area === area,
+      isLeader: true,
       freshUntil: always,
-      applied: Number.MAX_SAFE_INTEGER,
+      appliedPosition: Number.MAX_SAFE_INTEGER,
     },
   ];
 }
 
-function replicaOf(member: MemberPlacement, known: KnownService, weight: number, allowance: number, area: string): readonly Choice[] {
+function replicaOf(
+  member: MemberPlacement,
+  known: ServiceStatus,
+  weight: number,
+  allowance: number,
+  area: string,
+): readonly RouteCandidate[] {
   const target = known.targets.find((one) => one.member === member.member);
   // A deposed primary, or a replica that does not follow the settled epoch yet, is no target (design 7.7).
-  if (target === undefined || !target.alive || target.follows !== known.epoch || member.state !== 'serving' || weight <= 0) return [];
+  if (target === undefined || !target.isAlive || target.followedEpoch !== known.epoch || member.state !== 'serving' || weight <= 0)
+    return [];
   if (member.member === known.primary) return [];
   return [
     {
       member: member.member,
       address: member.address,
       weight,
-      here: member.area === area,
-      leader: false,
+      isLocal: member.area === area,
+      isLeader: false,
       freshUntil: (target.freshAt + allowance - stalenessMarginMilliseconds) as Instant,
-      applied: target.applied,
+      appliedPosition: target.appliedPosition,
     },
   ];
 }
@@ -93,19 +101,19 @@
 }
 
 /** The decision on kinds that only the leader serves. */
-function judgeLeaderKind(service: ServicePlacement, known: KnownService, leader: readonly Choice[]): RoutingDecision {
-  if (leader.length > 0) return { outcome: 'serve', epoch: known.epoch, choices: leader, lastResort: [] };
-  const state = known.overdue ? 'to go and none has followed it' : 'down';
+function judgeLeaderKind(service: ServicePlacement, known: ServiceStatus, leader: readonly RouteCandidate[]): RoutingDecision {
+  if (leader.length > 0) return { outcome: 'serve', epoch: known.epoch, candidates: leader, fallback: [] };
+  const state = known.isHandoverOverdue ? 'to go and none has followed it' : 'down';
   return reject('read-only', `READONLY: the primary of ${service.service} is ${state}`, 'try again when an election has settled');
 }
 
 function choicesOf(
   service: ServicePlacement,
-  known: KnownService,
+  known: ServiceStatus,
   row: PlacementRow,
   serves: readonly string[],
-  leader: readonly Choice[],
-): readonly Choice[] {
+  leader: readonly RouteCandidate[],
+): readonly RouteCandidate[] {
   return service.members
     .filter((member) => serves.includes(member.member))
     .flatMap(function choose(member) {
@@ -118,11 +126,11 @@
 function judgeKind(
   sheet: PlacementConfiguration,
   service: ServicePlacement,
-  known: KnownService | undefined,
+  known: ServiceStatus | undefined,
   kind: StatementKind,
   area: string,
 ): RoutingDecision {
-  const row = placements.row(sheet, service.service, area);
+  const row = placements.findRow(sheet, service.service, area);
   const serves = row?.serves[kind];
   if (row === undefined || serves === undefined)
     return reject(
@@ -135,12 +143,12 @@
   const leader = leaderOf(service, known, area);
   if (serves === 'leader') return judgeLeaderKind(service, known, leader);
   const choices = choicesOf(service, known, row, serves, leader);
-  if (choices.length > 0 || leader.length > 0) return { outcome: 'serve', epoch: known.epoch, choices, lastResort: leader };
+  if (choices.length > 0 || leader.length > 0) return { outcome: 'serve', epoch: known.epoch, candidates: choices, fallback: leader };
   return reject('no-target', `no member of ${service.service} may serve ${kind} in ${area} now`, 'try again when a member has caught up');
 }
 
 /** Works the table out anew, for an edge of the area. */
-function compile(sheet: PlacementConfiguration, services: readonly KnownService[], area: string): RoutingTable {
+function compile(sheet: PlacementConfiguration, services: readonly ServiceStatus[], area: string): RoutingTable {
   const table = new Map<string, RoutingDecision>();
   for (const service of sheet.services) {
     const known = services.find((one) => one.service === service.service);
@@ -150,9 +158,9 @@
 }
 
 /** Draws one by weight; undefined when there are none. */
-function draw(choices: readonly Choice[], fraction: number): Choice | undefined {
+function draw(choices: readonly RouteCandidate[], random: number): RouteCandidate | undefined {
   const total = choices.reduce((sum, choice) => sum + choice.weight, 0);
-  let left = fraction * total;
+  let left = random * total;
   for (const choice of choices) {
     left -= choice.weight;
     if (left < 0) return choice;
@@ -161,31 +169,33 @@
 }
 
 /** What a statement asks of its member beside its kind. */
-export type Requirement = Readonly<{
+export type TargetRequirement = Readonly<{
   now: Instant;
   /** A random number from 0 to 1, by which the member is drawn. */
-  fraction: number;
+  random: number;
   /** The member has applied the log to this position. */
-  atLeast: number;
+  minimumPosition: number;
   /** Members that are not to be chosen. */
-  without: ReadonlySet<string>;
+  excluded: ReadonlySet<string>;
 }>;
 
 /** The member that a statement goes to, and the epoch it is chosen under; or the fault to reject it with. A lookup; nothing here waits. */
-function judge(
+function chooseTarget(
   table: RoutingTable,
   service: string,
   kind: StatementKind,
-  requirement: Requirement,
-): Either.Either<Fault, Readonly<{ choice: Choice; epoch: number }>> {
-  const { now, fraction, atLeast, without } = requirement;
+  requirement: TargetRequirement,
+): Either.Either<Fault, Readonly<{ choice: RouteCandidate; epoch: number }>> {
+  const { now, random, minimumPosition, excluded } = requirement;
   const decision = table.get(keyOf(service, kind));
   if (decision === undefined) {
     return Either.left(fault.create({ kind: 'not-found', message: `no sheet names a service ${service}`, remedy: 'check the name' }));
   }
   if (decision.outcome === 'reject') return Either.left(fault.create({ ...decision, retryAfterSeconds }));
-  const fit = decision.choices.filter((choice) => choice.freshUntil > now && choice.applied >= atLeast && !without.has(choice.member));
-  const choice = draw(fit, fraction) ?? decision.lastResort.find((one) => !without.has(one.member));
+  const fit = decision.candidates.filter(
+    (choice) => choice.freshUntil > now && choice.appliedPosition >= minimumPosition && !excluded.has(choice.member),
+  );
+  const choice = draw(fit, random) ?? decision.fallback.find((one) => !excluded.has(one.member));
   if (choice !== undefined) return Either.right({ choice, epoch: decision.epoch });
   return Either.left(
     fault.create({
@@ -197,4 +207,4 @@
   );
 }
 
-export const routing = { compile, judge, keyOf } as const;
+export const routing = { compile, chooseTarget, keyOf } as const;
--- a/packages/simulator/src/fleet-checks/draining-checks.ts
+++ b/packages/simulator/src/fleet-checks/draining-checks.ts
@@ -46,7 +46,7 @@
       const arrived = slot.store.ran.filter((ran) => fleet.world.machineOf(ran.connection) === edge.machine);
       const going = goingSpans(learned(fleet, edge.name, 'configuration'), function goes(version) {
         const sheet = byVersion.get(version);
-        return sheet !== undefined && placements.member(sheet, slot.place.member)?.state !== 'serving';
+        return sheet !== undefined && placements.findMember(sheet, slot.place.member)?.state !== 'serving';
       });
       const late = arrived.find((ran) => going.some((span) => ran.at > span.from + goingMilliseconds && ran.at < span.until));
       const lateEdge = arrived.find((ran) =>
--- a/packages/simulator/src/fleet-checks/placement-checks.ts
+++ b/packages/simulator/src/fleet-checks/placement-checks.ts
@@ -134,7 +134,8 @@
         return [];
       const then = obeyable(known, ran.at, ran.at);
       const kept =
-        then.length > 0 && then.every((sheet) => (placements.row(sheet, slot.place.service, area)?.weights[slot.place.member] ?? 1) === 0);
+        then.length > 0 &&
+        then.every((sheet) => (placements.findRow(sheet, slot.place.service, area)?.weights[slot.place.member] ?? 1) === 0);
       return kept
         ? [{ check: 'weight-unobeyed', detail: `${slot.place.member} was read from ${area} at ${Math.round(ran.at)} ms with weight 0` }]
         : [];
--- a/packages/simulator/src/fleet-faults/configuration-changes.ts
+++ b/packages/simulator/src/fleet-faults/configuration-changes.ts
@@ -27,7 +27,7 @@
   if (storm.keyless) sheet.keys.splice(0);
   if (storm.second !== undefined) sheet.keys.push({ key: secondKey, ...storm.second });
   sheet.keys.push({ key: mark, services: [fleet.deployment.services[0]], kinds: ['leader-read'] });
-  const checked = placements.check(sheet);
+  const checked = placements.validate(sheet);
   if (Either.isLeft(checked)) throw new Error(checked.left.message);
   return { sheet: checked.right, mark };
 }
