--- a/packages/acceptance/src/lease-grantor-steps.ts
+++ b/packages/acceptance/src/lease-grantor-steps.ts
@@ -23,12 +23,12 @@
   story.openedAt = story.runtime.clock.now();
   story.replied = [];
   story.leaseGrantor = leaseGrantor.create(story.runtime, {
-    ready: () => ready,
-    openedAt: () => story.openedAt,
+    isReady: () => ready,
+    servingSince: () => story.openedAt,
     epochs: () => ({ ferries: story.epoch }),
-    configuration: () => 1,
-    membership: () => 1,
-    puts: () => 1,
+    configurationVersion: () => 1,
+    membershipVersion: () => 1,
+    putCount: () => 1,
     registry: story.registry,
     isLeaderMissing: () => false,
     onConnectionRefused: () => undefined,
--- a/packages/acceptance/src/marks.ts
+++ b/packages/acceptance/src/marks.ts
@@ -46,12 +46,12 @@
     this.openedAt = this.runtime.clock.now();
     this.tokens = new Map();
     this.leaseGrantor = leaseGrantor.create(this.runtime, {
-      ready: () => true,
-      openedAt: () => this.openedAt,
+      isReady: () => true,
+      servingSince: () => this.openedAt,
       epochs: () => ({ [service]: term }),
-      configuration: () => 1,
-      membership: () => 1,
-      puts: () => 1,
+      configurationVersion: () => 1,
+      membershipVersion: () => 1,
+      putCount: () => 1,
       registry: emptyRegistry(),
       isLeaderMissing: () => true,
       onConnectionRefused: () => undefined,
--- a/packages/agent/src/lease-agent.ts
+++ b/packages/agent/src/lease-agent.ts
@@ -64,7 +64,7 @@
 function commitWatermarksOf({ runtime, holder }: AgentState): CommitWatermarks {
   const now = runtime.clock.now();
   const rows = [...holder.commitWatermarks()].map(
-    ([service, { position, at }]) => [service, { ...position, ago: Math.max(0, now - at) }] as const,
+    ([service, { position, coveredUntil }]) => [service, { ...position, ago: Math.max(0, now - coveredUntil) }] as const,
   );
   return Object.fromEntries(rows);
 }
@@ -72,7 +72,7 @@
 /** Takes what the proxy reports; what it releases, or is refused by, the cores hear at once. */
 function takeReport({ proxy, holder }: AgentState, request: Request<'placement'>): void {
   const { isRestarted, isChanged } = proxy.update(request);
-  if (isRestarted) holder.proxyRestarted();
+  if (isRestarted) holder.onProxyRestarted();
   if (isChanged) holder.reportNow();
 }
 
@@ -104,8 +104,8 @@
     configurationVersion: version,
     services: [...placementsOf(runtime, holder)],
     roster: isKnown ? null : [...holder.members()],
-    edges: { ...holder.edges() },
-    demand: { ...holder.demand() },
+    edges: { ...holder.edgeCountByArea() },
+    demand: { ...holder.statementRateByArea() },
     marks: commitWatermarksOf(state),
     area: settings.area,
     node: settings.node,
--- a/packages/agent/src/placement-updates.ts
+++ b/packages/agent/src/placement-updates.ts
@@ -25,7 +25,7 @@
   return [
     Option.isSome(configuration) ? configuration.value.version : 0,
     holder.membersVersion(),
-    JSON.stringify(holder.edges()),
+    JSON.stringify(holder.edgeCountByArea()),
     ...placements.map(({ epoch, release, left }) => `${epoch}/${release}/${left > 0 ? 1 : 0}`),
   ].join(' ');
 }
--- a/packages/agent/src/proxy-state.ts
+++ b/packages/agent/src/proxy-state.ts
@@ -8,15 +8,15 @@
   update: (request: Request<'placement'>) => ProxyUpdate;
   /** A reply leaves now: numbers it, so that later reports can be told to be no older. */
   recordReply: () => number;
-  released: () => Readonly<Record<string, number>>;
-  positions: () => Readonly<Record<string, LogPosition>>;
+  releasedEpochs: () => Readonly<Record<string, number>>;
+  commitPositions: () => Readonly<Record<string, LogPosition>>;
   /** Aged by the time since the proxy asked. */
   commitWatermarks: () => CommitWatermarks;
   /** How long ago, at the most, `positions` was all there was to report. Unit: milliseconds. */
-  positionsAgo: () => number;
+  commitPositionsAge: () => number;
   isLeaderMissing: () => boolean;
   refusedMembers: () => readonly string[];
-  demand: () => number;
+  statementRate: () => number;
 }>;
 
 /** @internal */
@@ -79,13 +79,13 @@
   return {
     update,
     recordReply,
-    released: () => report.released,
-    positions: () => report.positions,
+    releasedEpochs: () => report.released,
+    commitPositions: () => report.positions,
     commitWatermarks,
-    positionsAgo: () => (positionsAt === undefined ? noPositionsMilliseconds : Math.max(0, clock.now() - positionsAt)),
+    commitPositionsAge: () => (positionsAt === undefined ? noPositionsMilliseconds : Math.max(0, clock.now() - positionsAt)),
     isLeaderMissing: () => report.hold > 0 && report.hold <= leaderMissingHoldMilliseconds,
     refusedMembers: () => report.notListening,
-    demand: () => report.demand,
+    statementRate: () => report.demand,
   };
 }
 
--- a/packages/core/src/core.ts
+++ b/packages/core/src/core.ts
@@ -101,11 +101,11 @@
     disk: context.disk,
     storedRegistry,
     grantorContext: {
-      ready: () => isReady(services),
-      openedAt: () => context.openedAt,
-      configuration: () => coreStorage.versionOf(storage, 'configuration'),
-      membership: () => coreStorage.membershipVersion(storage),
-      puts: context.disk.puts,
+      isReady: () => isReady(services),
+      servingSince: () => context.openedAt,
+      configurationVersion: () => coreStorage.versionOf(storage, 'configuration'),
+      membershipVersion: () => coreStorage.membershipVersion(storage),
+      putCount: context.disk.puts,
     },
     isInContact: contact.isInContact,
   });
--- a/packages/lease/src/commit-watermarks.ts
+++ b/packages/lease/src/commit-watermarks.ts
@@ -4,7 +4,7 @@
 import { leaseMarginMilliseconds, leaseTermMilliseconds } from '@stallstall/quorum-lease';
 
 /** A position that covers whatever was acknowledged up to a moment of this process's clock. */
-export type CommitWatermark = Readonly<{ position: LogPosition; at: Instant }>;
+export type CommitWatermark = Readonly<{ position: LogPosition; coveredUntil: Instant }>;
 
 /** What an edge reports of a service's commits. */
 export type CommitReport = Readonly<{
@@ -71,7 +71,7 @@
   for (const [service, { term, number, ago }] of Object.entries(seen)) {
     const at = identifiers.after(now, -ago);
     const known = watermarks.get(service);
-    if (known === undefined || at > known.at) watermarks.set(service, { at, position: { term, number } });
+    if (known === undefined || at > known.coveredUntil) watermarks.set(service, { coveredUntil: at, position: { term, number } });
   }
 }
 
@@ -80,7 +80,7 @@
   let earliest = clock.now();
   for (const edge of edges) {
     // One that asked for no lease since so long before the watermark has acknowledged nothing that the watermark does not cover.
-    if ((askedAt.get(edge) ?? watermark.at) + leaseEndedMilliseconds <= watermark.at) continue;
+    if ((askedAt.get(edge) ?? watermark.coveredUntil) + leaseEndedMilliseconds <= watermark.coveredUntil) continue;
     const at = reportedAt.get(edge) ?? identifiers.instant(Number.NEGATIVE_INFINITY);
     if (at < earliest) earliest = at;
   }
@@ -94,10 +94,10 @@
  */
 function advanced(table: TableState, watermark: CommitWatermark, commit: LogPosition, holders: KnownLeaseHolders): CommitWatermark {
   // An edge that this core never heard of may have acknowledged something since the watermark, and reports nothing here.
-  if (watermark.at < holders.unknownHoldersUntil) return watermark;
+  if (watermark.coveredUntil < holders.unknownHoldersUntil) return watermark;
   const at = allReportedAt(table, watermark, holders);
-  if (at <= watermark.at) return watermark;
-  return { at, position: comparePositions(commit, watermark.position) > 0 ? commit : watermark.position };
+  if (at <= watermark.coveredUntil) return watermark;
+  return { coveredUntil: at, position: comparePositions(commit, watermark.position) > 0 ? commit : watermark.position };
 }
 
 function processRestarted({ reportedAt }: TableState, node: string, as: string): void {
@@ -110,8 +110,8 @@
   const now = table.clock.now();
   const rows = [...table.watermarks].map(function row([service, watermark]) {
     const commit = table.commits.get(service) ?? watermark.position;
-    const { at, position } = advanced(table, watermark, commit, holders);
-    return [service, { term: position.term, number: position.number, ago: Math.max(0, now - at) }] as const;
+    const { coveredUntil, position } = advanced(table, watermark, commit, holders);
+    return [service, { term: position.term, number: position.number, ago: Math.max(0, now - coveredUntil) }] as const;
   });
   return Object.fromEntries(rows);
 }
--- a/packages/lease/src/core-replies.ts
+++ b/packages/lease/src/core-replies.ts
@@ -86,7 +86,7 @@
 /** `saidAt` is no later than the reply was made, so what held so long before the reply held later than so long before that. */
 function applyCommitWatermarks(known: CoreReply, reported: CommitWatermarks, saidAt: Instant): void {
   const rows = Object.entries(reported).map(function row([service, { term, number, ago }]) {
-    return [service, { at: identifiers.after(saidAt, -ago), position: { term, number } }] as const;
+    return [service, { coveredUntil: identifiers.after(saidAt, -ago), position: { term, number } }] as const;
   });
   known.commitWatermarks = new Map(rows);
 }
--- a/packages/lease/src/holder-context.ts
+++ b/packages/lease/src/holder-context.ts
@@ -11,20 +11,20 @@
 }>;
 
 /** What the edge's proxy knows, for the cores. */
-export type LeaseHolderParts = Readonly<{
+export type LeaseHolderCallbacks = Readonly<{
   /** Below this epoch the proxy has nothing in flight, by service. */
-  released: () => Readonly<Record<string, number>>;
+  releasedEpochs: () => Readonly<Record<string, number>>;
   /** The commits that clients were told of, by service. */
-  positions: () => Readonly<Record<string, LogPosition>>;
+  commitPositions: () => Readonly<Record<string, LogPosition>>;
   commitWatermarks: () => CommitWatermarks;
   /** How long ago, at the most, `positions` was all there was to report. Unit: milliseconds. */
-  positionsAgo: () => number;
+  commitPositionsAge: () => number;
   /** A leader is missing somewhere: the cores are asked more often. */
   isLeaderMissing: () => boolean;
   /** Members whose machines refused a connection of this edge. */
   refusedMembers: () => readonly string[];
   /** Statements a second, smoothed. */
-  demand: () => number;
+  statementRate: () => number;
   /** Called once anything that this holder returns may have changed. */
   onChange: () => void;
 }>;
@@ -33,7 +33,7 @@
 export type HolderContext = {
   readonly runtime: Runtime;
   readonly settings: LeaseHolderSettings;
-  readonly parts: LeaseHolderParts;
+  readonly parts: LeaseHolderCallbacks;
   readonly ownSeat: Seat;
   /** The cores of the newest set that any core reported (design 4.8). */
   cores: readonly Seat[];
--- a/packages/lease/src/index.ts
+++ b/packages/lease/src/index.ts
@@ -1,4 +1,4 @@
 export type { CommitWatermark } from './commit-watermarks.js';
-export type { LeaseHolderParts, LeaseHolderSettings } from './holder-context.js';
+export type { LeaseHolderCallbacks, LeaseHolderSettings } from './holder-context.js';
 export * from './lease-grantor.js';
 export * from './lease-holder.js';
--- a/packages/lease/src/lease-grantor.ts
+++ b/packages/lease/src/lease-grantor.ts
@@ -11,15 +11,15 @@
 /** What a grantor needs of the core it runs in. */
 export type LeaseGrantorContext = Readonly<{
   /** Whether this core answers as an occupant of its seat. */
-  ready: () => boolean;
+  isReady: () => boolean;
   /** When this core began to answer as an occupant of its seat. */
-  openedAt: () => Instant;
+  servingSince: () => Instant;
   /** The epoch that this core counts for, by service. */
   epochs: () => Readonly<Record<string, number>>;
   /** Versions on this core's disk. */
-  configuration: () => number;
-  membership: () => number;
-  puts: () => number;
+  configurationVersion: () => number;
+  membershipVersion: () => number;
+  putCount: () => number;
   registry: MemberRegistry;
   /** A leader is missing, or about to change: edges are to report what they have seen of commits. */
   isLeaderMissing: () => boolean;
@@ -62,7 +62,7 @@
 
 /** Leases that an earlier process or occupant of this seat granted have ended by then; whom it granted them to is not known here. */
 function unknownHoldersUntil({ context, startedAt }: GrantorState): Instant {
-  return identifiers.after(laterOf(startedAt, context.openedAt()), holderMilliseconds);
+  return identifiers.after(laterOf(startedAt, context.servingSince()), holderMilliseconds);
 }
 
 /** How far commits reach, as all edges have reported that may have acknowledged one (design 8.11). */
@@ -90,7 +90,7 @@
 
 /** Whether this core is ready; nothing that was reported before it became ready is built on. */
 function observeReadiness(state: GrantorState): boolean {
-  const isReady = state.context.ready();
+  const isReady = state.context.isReady();
   if (isReady && !state.wasReady) state.updates.forgetEpochs();
   state.wasReady = isReady;
   return isReady;
@@ -113,9 +113,9 @@
     token,
     number: updates.current(),
     stances: ready ? updates.changedEpochs(context.epochs(), whole ? 0 : request.seen) : {},
-    configuration: context.configuration(),
-    membership: context.membership(),
-    puts: context.puts(),
+    configuration: context.configurationVersion(),
+    membership: context.membershipVersion(),
+    puts: context.putCount(),
     roster: [...context.registry.changedSince(whole ? 0 : updates.registryVersionAt(request.seen))],
     whole,
     edges: holders.countByArea(current),
--- a/packages/lease/src/lease-holder.ts
+++ b/packages/lease/src/lease-holder.ts
@@ -10,7 +10,7 @@
 import { coreLinks, type CoreLinks } from './core-links.js';
 import { coreReplies, type CoreReplies, type CoreReply } from './core-replies.js';
 import { fleetSearch, type FleetSearch } from './fleet-search.js';
-import { coreNames, callMilliseconds, type HolderContext, type LeaseHolderParts, type LeaseHolderSettings } from './holder-context.js';
+import { coreNames, callMilliseconds, type HolderContext, type LeaseHolderCallbacks, type LeaseHolderSettings } from './holder-context.js';
 import { holderState, type HolderState } from './holder-state.js';
 import { leaseRequests } from './lease-request.js';
 import { mergedView } from './merged-view.js';
@@ -31,19 +31,19 @@
   /** Rises with every change of `members`. */
   membersVersion: () => number;
   /** How many edges hold leases, by area, as the core that counts most of them says. */
-  edges: () => Readonly<Record<string, number>>;
+  edgeCountByArea: () => Readonly<Record<string, number>>;
   /** Statements a second that are asked of all of them, by area, as the same core says. */
-  demand: () => Readonly<Record<string, number>>;
+  statementRateByArea: () => Readonly<Record<string, number>>;
   /** How far each service's commits reach as a majority of cores covers it, and as of which of this process's own moments. */
   commitWatermarks: () => ReadonlyMap<string, CommitWatermark>;
   durableReports: DurableReports;
   coreCount: () => number;
   /** How many cores granted within the last term. */
-  grantingCores: () => number;
+  grantingCoreCount: () => number;
   /** Sends each core what the proxy says now, at once. */
   reportNow: () => void;
   /** The proxy's process has ended: each core is told that what it acknowledged last may have been reported to nobody (design 8.11). */
-  proxyRestarted: () => void;
+  onProxyRestarted: () => void;
 }>;
 
 /** The parts of a running lease holder. */
@@ -57,7 +57,7 @@
 
 const resolveMilliseconds = 200;
 
-function createContext(runtime: Runtime, settings: LeaseHolderSettings, parts: LeaseHolderParts): HolderContext {
+function createContext(runtime: Runtime, settings: LeaseHolderSettings, parts: LeaseHolderCallbacks): HolderContext {
   return {
     runtime,
     settings,
@@ -151,12 +151,12 @@
   return mergedView.commitWatermarks(state.services(), known, context.cores.length);
 }
 
-function grantingCores({ context, replies }: Assembly): number {
+function grantingCoreCount({ context, replies }: Assembly): number {
   const now = context.runtime.clock.now();
   return coreNames(context).filter((core) => now - replies.of(core).saidAt < leaseTermMilliseconds).length;
 }
 
-function create(runtime: Runtime, settings: LeaseHolderSettings, parts: LeaseHolderParts): LeaseHolder {
+function create(runtime: Runtime, settings: LeaseHolderSettings, parts: LeaseHolderCallbacks): LeaseHolder {
   const context = createContext(runtime, settings, parts);
   const assembly = assemble(context);
   const { links, replies, state, leases } = assembly;
@@ -174,16 +174,16 @@
     releaseEpoch: leases.releaseEpoch,
     members: () => mergedView.members(replies.all()),
     membersVersion: () => context.membersVersion,
-    edges: () => mergedView.mostComplete(replies.all()).edges,
-    demand: () => mergedView.mostComplete(replies.all()).demand,
+    edgeCountByArea: () => mergedView.mostComplete(replies.all()).edges,
+    statementRateByArea: () => mergedView.mostComplete(replies.all()).demand,
     commitWatermarks: () => commitWatermarksOf(assembly),
     durableReports: state.reports,
     coreCount: () => context.cores.length,
-    grantingCores: () => grantingCores(assembly),
+    grantingCoreCount: () => grantingCoreCount(assembly),
     reportNow: function reportNow() {
       for (const [core, link] of links.connected()) void requestLease(assembly, core, link, 0);
     },
-    proxyRestarted: function proxyRestarted() {
+    onProxyRestarted: function onProxyRestarted() {
       for (const reply of replies.all()) reply.isRestarted = true;
     },
   };
--- a/packages/lease/src/lease-request.ts
+++ b/packages/lease/src/lease-request.ts
@@ -19,7 +19,7 @@
 
 /** Releases that are yet to be waited for: nobody waits for one at an epoch that is elected. */
 function pendingReleases({ context, state }: LeaseRequestParts): Record<string, number> {
-  const pending = Object.entries(context.parts.released()).filter(function isPending([service, epoch]) {
+  const pending = Object.entries(context.parts.releasedEpochs()).filter(function isPending([service, epoch]) {
     const elected = state.electedPrimary(service);
     return Option.isNone(elected) || epoch > elected.value.epoch;
   });
@@ -31,7 +31,7 @@
   const isWanted = replies.all().some((reply) => reply.wantsCommits);
   if (!isWanted) return { positions: {}, marks: {}, positionsAgo: unreportedMilliseconds };
   const { parts } = context;
-  return { positions: { ...parts.positions() }, marks: { ...parts.commitWatermarks() }, positionsAgo: parts.positionsAgo() };
+  return { positions: { ...parts.commitPositions() }, marks: { ...parts.commitWatermarks() }, positionsAgo: parts.commitPositionsAge() };
 }
 
 /** All of them where none meets the condition. */
@@ -69,7 +69,7 @@
     released: pendingReleases(requestParts),
     ...commitReport(requestParts),
     notListening: [...parts.refusedMembers()],
-    demand: parts.demand(),
+    demand: parts.statementRate(),
     content: core === contentCore(requestParts),
     holds: state.contentBallot(),
     set: context.setNumber,
--- a/packages/lease/src/merged-view.ts
+++ b/packages/lease/src/merged-view.ts
@@ -43,11 +43,11 @@
  * cores covers is covered for all edges: up to the moment that a majority has reached, by the furthest position any of these reports.
  */
 function commitWatermark(reported: readonly CommitWatermark[], coreCount: number): CommitWatermark | undefined {
-  const moments = reported.map((watermark) => watermark.at);
+  const moments = reported.map((watermark) => watermark.coveredUntil);
   const at = quorum.reachedByMajority(moments, coreCount, false);
   if (at === Number.NEGATIVE_INFINITY) return undefined;
-  const covering = reported.filter((watermark) => watermark.at >= at).map((watermark) => watermark.position);
-  return { at: identifiers.instant(at), position: covering.reduce(furtherPosition) };
+  const covering = reported.filter((watermark) => watermark.coveredUntil >= at).map((watermark) => watermark.position);
+  return { coveredUntil: identifiers.instant(at), position: covering.reduce(furtherPosition) };
 }
 
 /** @param replies - of the cores of the current set */
--- a/packages/simulator/exploring-mutations.mjs
+++ b/packages/simulator/exploring-mutations.mjs
@@ -79,7 +79,7 @@
   {
     name: 'not-blind-after-it-opened',
     file: 'lease/build/lease-grantor.js',
-    from: 'laterOf(startedAt, context.openedAt())',
+    from: 'laterOf(startedAt, context.servingSince())',
     to: 'startedAt',
     story: 'A core that was given its seat anew',
   },
--- a/packages/simulator/src/core-fleet.ts
+++ b/packages/simulator/src/core-fleet.ts
@@ -236,13 +236,13 @@
       runtime,
       { node: name, area: areas[0] as string, seeds: () => edgeSeeds },
       {
-        released: () => ({}),
-        positions: () => ({}),
+        releasedEpochs: () => ({}),
+        commitPositions: () => ({}),
         commitWatermarks: () => ({}),
-        positionsAgo: () => 0,
+        commitPositionsAge: () => 0,
         isLeaderMissing: () => false,
         refusedMembers: () => [],
-        demand: () => 0,
+        statementRate: () => 0,
         onChange: () => undefined,
       },
     );
