--- a/packages/agent/src/connection-caps.ts
+++ b/packages/agent/src/connection-caps.ts
@@ -43,8 +43,8 @@
 
   function shareOf({ connectionLimit }: ServicePlacement): number {
     const table = node().membership().value;
-    const isListed = quorum.seat(table, node().settings.node) !== undefined;
-    return isListed ? placements.connectionShare(connectionLimit, table.seats.length, quorum.withRole(table, 'edge').length) : 0;
+    const isListed = quorum.findNode(table, node().settings.node) !== undefined;
+    return isListed ? placements.connectionShare(connectionLimit, table.seats.length, quorum.nodesWithRole(table, 'edge').length) : 0;
   }
 
   function mayGrow(): boolean {
--- a/packages/lease/src/merged-view.ts
+++ b/packages/lease/src/merged-view.ts
@@ -44,7 +44,7 @@
  */
 function commitWatermark(reported: readonly CommitWatermark[], coreCount: number): CommitWatermark | undefined {
   const moments = reported.map((watermark) => watermark.coveredUntil);
-  const at = quorum.reachedByMajority(moments, coreCount, false);
+  const at = quorum.latestReachedByMajority(moments, coreCount, false);
   if (at === Number.NEGATIVE_INFINITY) return undefined;
   const covering = reported.filter((watermark) => watermark.coveredUntil >= at).map((watermark) => watermark.position);
   return { coveredUntil: identifiers.instant(at), position: covering.reduce(furtherPosition) };
