--- a/packages/acceptance/src/ballots.ts
+++ b/packages/acceptance/src/ballots.ts
@@ -4,7 +4,7 @@
 import { Given, Then, When } from '@cucumber/cucumber';
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
-import { versionBytesMost, versionStore, type VersionStore } from '@stallstall/core';
+import { maxVersionBytes, versionStore, type VersionStore } from '@stallstall/core';
 import { http, identifiers, type Disk } from '@stallstall/kernel';
 import { ballotZero, type ValueDifference, type EarlierVersion } from '@stallstall/message';
 import { compressedDifference } from '@stallstall/register';
@@ -226,7 +226,7 @@
   const { runtime } = story.world.spawn('keeper', 'keeper-machine');
   const store = versionStore.create(runtime, {
     disk: story.disk,
-    newest: () => story.kept + 1,
+    currentVersion: () => story.kept + 1,
     node: {
       cores: function cores() {
         story.asked += 1;
@@ -244,7 +244,7 @@
 When('{int} versions of 1 MB each have been kept', { timeout: 60_000 }, async function when(this: BallotStory, count: number) {
   for (let version = 1; version <= count; version += 1) {
     const value = { sheet: randomBytes(750_000).toString('base64'), sendId: 'x', sentBy: 'writer', sentAt: version };
-    const keeping = this.store.keep({ ballot: ballotZero, version, value });
+    const keeping = this.store.archive({ ballot: ballotZero, version, value });
     await this.world.run(100);
     assert.ok(await keeping);
     this.kept = version;
@@ -254,7 +254,7 @@
 async function versionsOf(story: BallotStory, store: VersionStore): Promise<readonly EarlierVersion[]> {
   const found: EarlierVersion[] = [];
   for (let version = 1; version <= story.kept; version += 1) {
-    const asked = store.earlier({ versions: [version] });
+    const asked = store.readBatch({ versions: [version] });
     await story.world.run(20);
     found.push(...(await asked).found);
   }
@@ -265,11 +265,11 @@
   'the store holds {int} MB at the most, the newest among them, and says from which on',
   { timeout: 60_000 },
   async function then(this: BallotStory, megabytes: number) {
-    assert.equal(versionBytesMost, megabytes * 1024 * 1024);
+    assert.equal(maxVersionBytes, megabytes * 1024 * 1024);
     const found = await versionsOf(this, this.store);
-    assert.ok(found.reduce((sum, one) => sum + one.content.length, 0) <= versionBytesMost);
+    assert.ok(found.reduce((sum, one) => sum + one.content.length, 0) <= maxVersionBytes);
     assert.ok(found.length >= 10 && found.at(-1)?.version === this.kept);
-    assert.equal(this.store.oldest(this.kept + 1), found[0]?.version);
+    assert.equal(this.store.oldestVersion(this.kept + 1), found[0]?.version);
   },
 );
 
@@ -283,7 +283,7 @@
     const again = await startStore(this);
     await this.world.run(2_000);
     assert.deepEqual(await versionsOf(this, again), before);
-    assert.equal(again.oldest(this.kept + 1), before[0]?.version);
+    assert.equal(again.oldestVersion(this.kept + 1), before[0]?.version);
     assert.equal(this.asked, 0);
     again.stop();
   },
--- a/packages/acceptance/src/cores.ts
+++ b/packages/acceptance/src/cores.ts
@@ -276,7 +276,7 @@
   assert.equal(await platformApi.leave('bookings-1'), false);
   const replies: Either.Either<unknown, unknown>[] = [];
   void platformApi.configure({ version: 9, source: '9' }, {}).then((reply) => replies.push(reply));
-  void platformApi.source().then((reply) => replies.push(reply));
+  void platformApi.readSource().then((reply) => replies.push(reply));
   await this.cores.world.run(1);
   assert.deepEqual(replies.map(Either.isLeft), [true, true]);
   this.operator.stop();
--- a/packages/acceptance/src/cut-core.ts
+++ b/packages/acceptance/src/cut-core.ts
@@ -51,7 +51,7 @@
     case 'configuration':
       return Either.isRight(await platformApi.configure({ version, source: String(version) }, fleet.sheet));
     case 'read':
-      return Either.isRight(await platformApi.source());
+      return Either.isRight(await platformApi.readSource());
   }
 }
 
--- a/packages/acceptance/src/orders.ts
+++ b/packages/acceptance/src/orders.ts
@@ -3,7 +3,7 @@
 import { Given, Then, When } from '@cucumber/cucumber';
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
-import { claimsKept, claimTable, type ClaimTable } from '@stallstall/core';
+import { maxClaimsPerSlot, claimTable, type ClaimTable } from '@stallstall/core';
 import type { HttpReply } from '@stallstall/kernel';
 import { ballotZero, type Entry } from '@stallstall/message';
 import type { Register } from '@stallstall/register';
@@ -167,18 +167,18 @@
 
 Given('a ledger of numbers that has taken more claims than it keeps', { timeout: 60_000 }, async function given(this: OrderStory) {
   this.ledger = claimTable.create(plainRegister());
-  this.claimed = claimsKept * 100;
-  for (let number = 0; number < this.claimed; number += 1) await this.ledger.claimNumber(number, `text ${number}`, 1_000);
+  this.claimed = maxClaimsPerSlot * 100;
+  for (let number = 0; number < this.claimed; number += 1) await this.ledger.claimVersion(number, `text ${number}`, 1_000);
 });
 
 Then('the newest numbers are known, and the oldest are forgotten for any text', async function then(this: OrderStory) {
   for (let number = this.claimed - 1_000; number < this.claimed; number += 1) {
-    assert.deepEqual(await this.ledger.claimNumber(number, `text ${number}`, 1_000), Either.right('own'));
-    assert.deepEqual(await this.ledger.claimNumber(number, 'another text', 1_000), Either.right('other'));
+    assert.deepEqual(await this.ledger.claimVersion(number, `text ${number}`, 1_000), Either.right('own'));
+    assert.deepEqual(await this.ledger.claimVersion(number, 'another text', 1_000), Either.right('other'));
   }
   for (let number = 0; number < 1_000; number += 1) {
-    assert.deepEqual(await this.ledger.claimNumber(number, `text ${number}`, 1_000), Either.right('forgotten'));
-    assert.deepEqual(await this.ledger.claimNumber(number, 'another text', 1_000), Either.right('forgotten'));
+    assert.deepEqual(await this.ledger.claimVersion(number, `text ${number}`, 1_000), Either.right('forgotten'));
+    assert.deepEqual(await this.ledger.claimVersion(number, 'another text', 1_000), Either.right('forgotten'));
   }
 });
 
--- a/packages/acceptance/src/platform.ts
+++ b/packages/acceptance/src/platform.ts
@@ -488,7 +488,7 @@
       const checked = placements.check(sheet);
       return Promise.resolve(Either.isLeft(checked) ? checked : Either.right({ version: external.version }));
     },
-    source: () => Promise.resolve(Either.right('{}')),
+    readSource: () => Promise.resolve(Either.right('{}')),
     heartbeat: (registration) => Promise.resolve(this.beats.push(registration) > 0),
     leave: (member) => Promise.resolve(this.left.push(member) > 0),
   };
--- a/packages/core/src/administration/administration-context.ts
+++ b/packages/core/src/administration/administration-context.ts
@@ -23,7 +23,7 @@
   ready: () => boolean;
   diskBytes: () => number;
   /** Why this core's disk does not sync now; none while it does. */
-  diskTrouble: () => Option.Option<Fault>;
+  diskFault: () => Option.Option<Fault>;
   versions: VersionStore;
   /** The version that this core's disk holds under a key; 0 when it holds none. */
   versionOf: (key: string) => number;
@@ -42,7 +42,7 @@
   node: Node;
   register: Register;
   durableReports: DurableReports;
-  members: Liveness;
+  liveness: Liveness;
   elections: Election;
   operators: OperatorTable;
   versions: ConfigurationVersions;
--- a/packages/core/src/administration/administration.ts
+++ b/packages/core/src/administration/administration.ts
@@ -18,7 +18,7 @@
   /** Takes a configuration under its sender's own version. */
   replaceExternal: ConfigurationUpdates['replaceExternal'];
   /** The newest configuration as its sender wrote it. */
-  source: () => Promise<Either.Either<Fault, string>>;
+  readSource: () => Promise<Either.Either<Fault, string>>;
 }>;
 
 function create(runtime: Runtime, parts: AdministrationParts): Administration {
@@ -31,7 +31,7 @@
     node: parts.node,
     register,
     durableReports: runtime.services.find(durableReportsService),
-    members: runtime.services.find(livenessService),
+    liveness: runtime.services.find(livenessService),
     elections: runtime.services.find(electionService),
     operators: operators.create(runtime, parts.rootKey),
     versions,
@@ -46,7 +46,7 @@
       ...placementRoutes.create(context),
     ],
     replaceExternal: updates.replaceExternal,
-    source: () => placementRoutes.source(context),
+    readSource: () => placementRoutes.source(context),
   };
 }
 
--- a/packages/core/src/administration/authorization.ts
+++ b/packages/core/src/administration/authorization.ts
@@ -17,7 +17,7 @@
 /** A handler that only callers with a permission reach. */
 export function authorized(table: OperatorTable, permission: Permission, handle: AuthorizedHandler): HttpRoute['handle'] {
   return async function handleAuthorized(request) {
-    const caller = await table.caller(request);
+    const caller = await table.authenticate(request);
     if (Either.isLeft(caller)) return http.rejected(caller.left);
     if (!isAllowed(caller.right.scope, permission)) return http.rejected(operators.rejected(`${caller.right.operator} may not do this`));
     return handle(request, caller.right);
--- a/packages/core/src/administration/election-routes.ts
+++ b/packages/core/src/administration/election-routes.ts
@@ -28,7 +28,7 @@
 }
 
 /** Why a loss may not be accepted for a service now; none where it may. */
-function rejectionOf({ node, members }: AdministrationContext, service: string, caller: Caller): Option.Option<Fault> {
+function rejectionOf({ node, liveness: members }: AdministrationContext, service: string, caller: Caller): Option.Option<Fault> {
   const configuration = node.configuration();
   if (Option.isNone(configuration) || placements.service(configuration.value.value.sheet, service) === undefined) {
     return Option.some(
--- a/packages/core/src/administration/fleet-view.ts
+++ b/packages/core/src/administration/fleet-view.ts
@@ -69,7 +69,7 @@
   };
 }
 
-function memberRow({ runtime, node, members }: AdministrationContext, service: string, member: MemberPlacement): Row {
+function memberRow({ runtime, node, liveness: members }: AdministrationContext, service: string, member: MemberPlacement): Row {
   const elected = node.electedPrimary(service);
   const state = members.state(member.member);
   const heardAt = members.lastHeartbeatAt(member.member);
--- a/packages/core/src/administration/health-checks.ts
+++ b/packages/core/src/administration/health-checks.ts
@@ -56,7 +56,7 @@
   };
 }
 
-function checkLeaders({ node, members }: AdministrationContext): HealthCheck {
+function checkLeaders({ node, liveness: members }: AdministrationContext): HealthCheck {
   const configuration = node.configuration();
   const services = Option.isSome(configuration) ? configuration.value.value.sheet.services.map((service) => service.service) : [];
   const leaderless = services.filter(function hasNoLeader(service) {
@@ -85,7 +85,7 @@
 }
 
 function checkDiskSyncs({ parts }: AdministrationContext): HealthCheck {
-  const trouble = parts.diskTrouble();
+  const trouble = parts.diskFault();
   return {
     check: 'disk-syncs',
     sound: Option.isNone(trouble),
--- a/packages/core/src/administration/operator-routes.ts
+++ b/packages/core/src/administration/operator-routes.ts
@@ -56,7 +56,7 @@
   }
   /** The newest first. */
   async function audit(request: HttpRequest): Promise<HttpReply> {
-    const trail = await operators.trail();
+    const trail = await operators.auditTrail();
     return listed(Either.map((entries: readonly unknown[]) => [...entries].reverse())(trail), request);
   }
   return [
--- a/packages/core/src/change-subscribers.ts
+++ b/packages/core/src/change-subscribers.ts
@@ -21,7 +21,7 @@
 };
 
 /** What a node said with its newest request. The field names are those of its messages. */
-export type Acknowledgement = Pick<Request<'watch'>, 'node' | 'acknowledged' | 'obeyed' | 'content' | 'holds'>;
+export type WatchRequest = Pick<Request<'watch'>, 'node' | 'acknowledged' | 'obeyed' | 'content' | 'holds'>;
 
 export type ChangeSubscribers = Readonly<{
   /** Pushes an accepted entry to every open subscriber. */
@@ -29,7 +29,7 @@
   /** Pushes all that is watched to every open subscriber anew, as the cells hold it. */
   pushAll: (cells: Acceptor) => void;
   /** Subscribes a node, once the cells are open, and keeps its acknowledgement; undefined while they are not. */
-  subscribe: (cells: Acceptor, from: Acknowledgement, caller: Caller) => Subscriber | undefined;
+  subscribe: (cells: Acceptor, from: WatchRequest, caller: Caller) => Subscriber | undefined;
   /** The configuration version that each connected node has applied. */
   appliedVersions: () => ReadonlyMap<string, number>;
   metrics: () => Readonly<{ watching: number; pushed: number; unacknowledged: number }>;
@@ -81,7 +81,7 @@
   }
 }
 
-function add(table: SubscriberTable, cells: Acceptor, from: Acknowledgement, caller: Caller): Subscriber {
+function add(table: SubscriberTable, cells: Acceptor, from: WatchRequest, caller: Caller): Subscriber {
   const subscriber: Subscriber = {
     node: from.node,
     caller,
@@ -100,7 +100,7 @@
   for (const caller of subscribers.keys()) if (!caller.open()) subscribers.delete(caller);
 }
 
-function subscribe(table: SubscriberTable, cells: Acceptor, from: Acknowledgement, caller: Caller): Subscriber | undefined {
+function subscribe(table: SubscriberTable, cells: Acceptor, from: WatchRequest, caller: Caller): Subscriber | undefined {
   const known = table.subscribers.get(caller);
   const subscriber = known ?? (cells.ready() ? add(table, cells, from, caller) : undefined);
   forgetClosed(table);
--- a/packages/core/src/claim-table.ts
+++ b/packages/core/src/claim-table.ts
@@ -32,16 +32,16 @@
   ),
 });
 type Sends = Readonly<Static<typeof SendsSchema>>;
-export type SendClaim = Sends['claims'][number];
+export type SendIdClaim = Sends['claims'][number];
 
 /** Whose document a number stands for; `forgotten`: too old to be told. */
-export type NumberClaim = 'own' | 'other' | 'forgotten';
+export type VersionClaim = 'own' | 'other' | 'forgotten';
 
 export type ClaimTable = Readonly<{
   /** Claims a number for a document, unless it stands for one already. */
-  claimNumber: (number: number, digest: string, milliseconds: number) => Promise<Either.Either<Fault, NumberClaim>>;
+  claimVersion: (number: number, digest: string, milliseconds: number) => Promise<Either.Either<Fault, VersionClaim>>;
   /** Claims a send id, unless it is claimed already; gives the claim that stands. */
-  claimSend: (claim: SendClaim) => Promise<Either.Either<Fault, SendClaim>>;
+  claimSendId: (claim: SendIdClaim) => Promise<Either.Either<Fault, SendIdClaim>>;
   /** Keeps the version that a send was taken as. */
   recordVersion: (sendId: string, version: number) => Promise<void>;
 }>;
@@ -49,7 +49,7 @@
 /** Claims lie in so many cells, so that a change carries only a small part of them. */
 const slots = 64;
 /** So many claims are kept in each slot: 32,768 numbers in all, some 2 MB. */
-export const claimsKept = 512;
+export const maxClaimsPerSlot = 512;
 
 const noNumbers: Numbers = { forgotten: -1, claims: [] };
 const noSends: Sends = { claims: [] };
@@ -70,18 +70,18 @@
 /** Adds a claim; the lowest numbers are forgotten first, for a late copy of an order is likeliest a recent one. */
 function withNumber(numbers: Numbers, number: number, digest: string): Numbers {
   const claims = [...numbers.claims, { number, digest }].sort((left, right) => left.number - right.number);
-  const dropped = claims.slice(0, Math.max(0, claims.length - claimsKept));
+  const dropped = claims.slice(0, Math.max(0, claims.length - maxClaimsPerSlot));
   return { forgotten: Math.max(numbers.forgotten, dropped.at(-1)?.number ?? -1), claims: claims.slice(dropped.length) };
 }
 
-function claimOf(numbers: Numbers, number: number, digest: string): NumberClaim {
+function claimOf(numbers: Numbers, number: number, digest: string): VersionClaim {
   const found = numbers.claims.find((claim) => claim.number === number);
   if (found === undefined) return 'forgotten';
   return found.digest === digest ? 'own' : 'other';
 }
 
 function create(register: Register): ClaimTable {
-  async function claimNumber(number: number, digest: string, milliseconds: number): Promise<Either.Either<Fault, NumberClaim>> {
+  async function claimVersion(number: number, digest: string, milliseconds: number): Promise<Either.Either<Fault, VersionClaim>> {
     const changed = await register.change(
       `ledger/numbers/${slotOf(String(number))}`,
       function claim(current) {
@@ -95,11 +95,11 @@
     return Either.right(claimOf(numbersOf(changed.right.entry), number, digest));
   }
 
-  async function claimSend(claim: SendClaim): Promise<Either.Either<Fault, SendClaim>> {
+  async function claimSendId(claim: SendIdClaim): Promise<Either.Either<Fault, SendIdClaim>> {
     const changed = await register.change(`ledger/sends/${slotOf(claim.sendId)}`, function put(current) {
       const { claims } = sendsOf(current);
       if (claims.some((one) => one.sendId === claim.sendId)) return Option.none;
-      return Option.some({ claims: [...claims, claim].slice(-claimsKept) });
+      return Option.some({ claims: [...claims, claim].slice(-maxClaimsPerSlot) });
     });
     if (Either.isLeft(changed)) return changed;
     return Either.right(sendsOf(changed.right.entry).claims.find((one) => one.sendId === claim.sendId) ?? claim);
@@ -114,7 +114,7 @@
     });
   }
 
-  return { claimNumber, claimSend, recordVersion: settleSend };
+  return { claimVersion, claimSendId, recordVersion: settleSend };
 }
 
 export const claimTable = { create } as const;
--- a/packages/core/src/configuration-updates.ts
+++ b/packages/core/src/configuration-updates.ts
@@ -8,19 +8,19 @@
 import { claimTable } from './claim-table.js';
 import type { ConfigurationVersions } from './configuration-versions.js';
 import { externalUpdates, type ExternalVersion } from './external-updates.js';
-import { placementUpdates, type PlacementUpdate, type TakenVersion } from './placement-updates.js';
+import { placementUpdates, type PlacementUpdate, type UpdateResult } from './placement-updates.js';
 
 export type { ExternalVersion } from './external-updates.js';
-export type { PlacementUpdate, TakenVersion } from './placement-updates.js';
+export type { PlacementUpdate, UpdateResult } from './placement-updates.js';
 
 export type ConfigurationUpdates = Readonly<{
   /** Errors: `outcome-unknown`, `version-conflict` and `key-denied`. */
-  replace: (update: PlacementUpdate) => Promise<Either.Either<Fault, TakenVersion>>;
+  replace: (update: PlacementUpdate) => Promise<Either.Either<Fault, UpdateResult>>;
   /**
    * Of two external versions the higher stands; a lower one, or the same again, changes nothing and is right all the same. Errors:
    * `version-conflict`, `outcome-unknown`, and those of the register.
    */
-  replaceExternal: (external: ExternalVersion, placement: PlacementConfiguration) => Promise<Either.Either<Fault, TakenVersion>>;
+  replaceExternal: (external: ExternalVersion, placement: PlacementConfiguration) => Promise<Either.Either<Fault, UpdateResult>>;
 }>;
 
 export type ConfigurationUpdateParts = Readonly<{
--- a/packages/core/src/core.ts
+++ b/packages/core/src/core.ts
@@ -150,7 +150,7 @@
     changeMembership: table.change,
     appliedVersions: subscribers.appliedVersions,
     diskBytes: disk.size,
-    diskTrouble: disk.trouble,
+    diskFault: disk.trouble,
     versions,
     metrics: () => ({
       cells: storage.cells.keys().length,
@@ -165,7 +165,7 @@
   const { runtime, disk } = context;
   const storage: CoreStorage = coreStorage.create(context, stored, {
     onAccepted: (key, entry) => seat.publish(key, entry),
-    keepEarlier: (entry) => versions.keep(entry),
+    keepEarlier: (entry) => versions.archive(entry),
   });
   const subscribers = changeSubscribers.create(() => currentSet(storage.coreSetView));
   const node: Node = coreNode.create(context, storage, {
@@ -174,7 +174,7 @@
   });
   const services: CoreServices = { context, storage, node };
   const contact = quorumContact.create(runtime, node.majorityContactAt);
-  const versions = versionStore.create(runtime, { disk, node, newest: () => coreStorage.versionOf(storage, 'configuration') });
+  const versions = versionStore.create(runtime, { disk, node, currentVersion: () => coreStorage.versionOf(storage, 'configuration') });
   const seat: CoreSeat = coreSeats.create({ services, subscribers, contact });
   if (Option.isSome(context.parts)) {
     context.coreSet = Option.some(createCoreSet(services, seat));
--- a/packages/core/src/external-updates.ts
+++ b/packages/core/src/external-updates.ts
@@ -10,7 +10,7 @@
 import { configurationOf, recentSends } from './configuration-entry.js';
 import type { ConfigurationVersions } from './configuration-versions.js';
 import { documentDigest } from './document-digest.js';
-import type { TakenVersion } from './placement-updates.js';
+import type { UpdateResult } from './placement-updates.js';
 import { updateFaults } from './update-faults.js';
 
 /** A version that the sender counts itself, with the text as sent: it is read back unchanged. */
@@ -37,7 +37,7 @@
   if (Either.isLeft(read) || Option.isNone(read.right)) return read;
   const { external } = read.right.value.value;
   if (external === undefined || external.digest !== undefined) return Either.right(undefined);
-  return parts.claims.claimNumber(external.version, documentDigest.ofText(external.source), milliseconds);
+  return parts.claims.claimVersion(external.version, documentDigest.ofText(external.source), milliseconds);
 }
 
 /** Claims a version for a text. Errors: `version-conflict`, `outcome-unknown`, and those of the register. */
@@ -50,7 +50,7 @@
   const { claims, runtime } = parts;
   const current = await claimCurrent(parts, deadline - runtime.clock.now());
   if (Either.isLeft(current)) return current;
-  const claimed = await claims.claimNumber(version, textDigest, deadline - runtime.clock.now());
+  const claimed = await claims.claimVersion(version, textDigest, deadline - runtime.clock.now());
   if (Either.isLeft(claimed)) return claimed;
   if (claimed.right === 'other') return Either.left(updateFaults.versionTaken(version));
   if (claimed.right === 'forgotten') return Either.left(updateFaults.versionForgotten(version));
@@ -79,7 +79,7 @@
   parts: ExternalUpdateParts,
   external: ExternalVersion,
   placement: PlacementConfiguration,
-): Promise<Either.Either<Fault, TakenVersion>> {
+): Promise<Either.Either<Fault, UpdateResult>> {
   const { runtime, register } = parts;
   const deadline = runtime.clock.now() + replaceMilliseconds;
   const textDigest = documentDigest.ofText(external.source);
--- a/packages/core/src/index.ts
+++ b/packages/core/src/index.ts
@@ -1,8 +1,8 @@
 export { core, type Core } from './core.js';
 export type { CoreParts, CoreSettings } from './core-settings.js';
 export type { PlatformApi } from './platform-api.js';
-export { claimsKept, claimTable, type ClaimTable } from './claim-table.js';
-export { versionBytesMost } from './version-index.js';
+export { maxClaimsPerSlot, claimTable, type ClaimTable } from './claim-table.js';
+export { maxVersionBytes } from './version-index.js';
 export { versionStore, type VersionStore } from './version-store.js';
 
 // For the exploration of design 10.4, which runs these over a network and disks of its own.
--- a/packages/core/src/operators.ts
+++ b/packages/core/src/operators.ts
@@ -28,14 +28,14 @@
     Type.Object({ number: Type.Integer(), at: Type.Number(), by: Type.String(), action: Type.String(), detail: Type.String() }),
   ),
 });
-export type TrailEntry = Readonly<Static<typeof TrailSchema>['entries'][number]>;
+export type AuditEntry = Readonly<Static<typeof TrailSchema>['entries'][number]>;
 
 /** Who calls, and what the caller may do. */
 export type Caller = Readonly<{ operator: string; scope: Scope }>;
 
 export type OperatorTable = Readonly<{
   /** Who calls; without a root key in the settings, everyone is admitted as `anyone`. Errors: `key-denied`, and those of the register. */
-  caller: (request: HttpRequest) => Promise<Either.Either<Fault, Caller>>;
+  authenticate: (request: HttpRequest) => Promise<Either.Either<Fault, Caller>>;
   list: () => Promise<Either.Either<Fault, ReadonlyArray<Scope & Readonly<{ operator: string }>>>>;
   /** Creates a key, shown once; another one under the same name replaces it. Errors: `unsafe-step` when there are too many operators. */
   put: (operator: string, scope: Scope) => Promise<Either.Either<Fault, string>>;
@@ -44,7 +44,7 @@
   /** Adds an action to the audit trail and to the log. */
   recordAction: (by: string, action: string, detail: string) => Promise<void>;
   /** The latest actions, the oldest first. */
-  trail: () => Promise<Either.Either<Fault, readonly TrailEntry[]>>;
+  auditTrail: () => Promise<Either.Either<Fault, readonly AuditEntry[]>>;
 }>;
 
 const unrestricted: Scope = { services: ['*'], nodes: true, operators: true };
@@ -104,7 +104,7 @@
   return Option.isSome(entry) && message.matches(OperatorsSchema, entry.value.value) ? entry.value.value.operators : [];
 }
 
-function trailOf(entry: Option.Option<Entry>): readonly TrailEntry[] {
+function trailOf(entry: Option.Option<Entry>): readonly AuditEntry[] {
   return Option.isSome(entry) && message.matches(TrailSchema, entry.value.value) ? entry.value.value.entries : [];
 }
 
@@ -151,7 +151,7 @@
     const entries = trailOf(current);
     const isRecorded = entries.some((one) => one.at === at && one.by === by && one.action === action && one.detail === detail);
     if (isRecorded) return Option.none;
-    const entry: TrailEntry = { number: (entries.at(-1)?.number ?? 0) + 1, at, by, action, detail };
+    const entry: AuditEntry = { number: (entries.at(-1)?.number ?? 0) + 1, at, by, action, detail };
     return Option.some({ entries: [...entries, entry].slice(-trailKept) });
   });
   runtime.log('operator.acted', { by, action, detail, noted: Either.isRight(changed) });
@@ -161,7 +161,7 @@
 function create(runtime: Runtime, rootKey: string | undefined): OperatorTable {
   const register = runtime.services.find(registerService);
   return {
-    caller: (request) => callerOf(register, rootKey, request),
+    authenticate: (request) => callerOf(register, rootKey, request),
     put: (operator, scope) => put(runtime, register, operator, scope),
     remove: (operator) => remove(register, operator),
     recordAction: (by, action, detail) => recordAction(runtime, register, by, action, detail),
@@ -169,7 +169,7 @@
       const read = await register.read(operatorsKey);
       return Either.map((entry: Option.Option<Entry>) => operatorsOf(entry).map(({ digest: _digest, ...shown }) => shown))(read);
     },
-    trail: async function trail() {
+    auditTrail: async function trail() {
       return Either.map(trailOf)(await register.read(trailKey));
     },
   };
--- a/packages/core/src/packed-version.ts
+++ b/packages/core/src/packed-version.ts
@@ -5,32 +5,32 @@
 import { acceptor, archivePrefix, archiveStoragePrefix, type CellState } from '@stallstall/register';
 
 /** What is kept of a version: what is carried along for later sends alone is left out. */
-export type SentVersion = Omit<Configuration, 'recent' | 'history'>;
+export type ArchivedConfiguration = Omit<Configuration, 'recent' | 'history'>;
 
 /** So many versions are kept at the most; a version so many later takes the place over. */
-export const versionsKept = 10_000;
+export const maxVersions = 10_000;
 
 /** Where versions lie in the data folder. */
 export const versionStoragePrefix = `${archiveStoragePrefix}versions/`;
 
 /** Where a version lies. @internal */
 export function storageKeyOf(version: number): string {
-  return `${versionStoragePrefix}${version % versionsKept}`;
+  return `${versionStoragePrefix}${version % maxVersions}`;
 }
 
 /** The register's key where releases before kept a version, in a cell of its own. */
-export function earlierReleaseKey(version: number): string {
-  return `${archivePrefix}configuration/${version % versionsKept}`;
+export function legacyVersionKey(version: number): string {
+  return `${archivePrefix}configuration/${version % maxVersions}`;
 }
 
-function pack(version: number, kept: SentVersion): EarlierVersion {
+function pack(version: number, kept: ArchivedConfiguration): EarlierVersion {
   const content = deflateSync(JSON.stringify(kept));
   return { version, sentBy: kept.sentBy, sentAt: kept.sentAt, content: content.toString('base64') };
 }
 
-function unpack(stored: EarlierVersion): SentVersion {
+function unpack(stored: EarlierVersion): ArchivedConfiguration {
   const text = inflateSync(Buffer.from(stored.content, 'base64'));
-  return JSON.parse(text.toString()) as SentVersion;
+  return JSON.parse(text.toString()) as ArchivedConfiguration;
 }
 
 /** In the form of a cell, as the release before this one expects of all that lies there: it may be taken back. */
--- a/packages/core/src/peer-handlers.ts
+++ b/packages/core/src/peer-handlers.ts
@@ -18,7 +18,7 @@
 export type PeerHandlerParts = Readonly<{
   services: CoreServices;
   subscribers: ChangeSubscribers;
-  versions: Pick<VersionStore, 'earlier'>;
+  versions: Pick<VersionStore, 'readBatch'>;
   bootstrap: FleetBootstrap;
   table: MembershipTable;
 }>;
@@ -132,7 +132,7 @@
     watch: watchHandler(parts),
     join: async (request) => (Option.isSome(context.coreSet) ? context.coreSet.value.join(request) : table.join(request)),
     note: (request) => storeReport(reports, coreSetView, request),
-    earlier: versions.earlier,
+    earlier: versions.readBatch,
     usageLook: (request) => reports.usageOf(request.window),
     spread: spreadHandler(parts),
     lease: leaseHandler(parts),
--- a/packages/core/src/placement-updates.ts
+++ b/packages/core/src/placement-updates.ts
@@ -6,7 +6,7 @@
 import type { Configuration } from '@stallstall/node';
 import type { PlacementConfiguration } from '@stallstall/placement';
 import type { Register } from '@stallstall/register';
-import type { ClaimTable, SendClaim } from './claim-table.js';
+import type { ClaimTable, SendIdClaim } from './claim-table.js';
 import { configurationOf, recentSends, versionOf } from './configuration-entry.js';
 import type { ConfigurationVersions } from './configuration-versions.js';
 import { documentDigest } from './document-digest.js';
@@ -27,7 +27,7 @@
 }>;
 
 /** The version that an update was taken as. */
-export type TakenVersion = Readonly<{ version: number }>;
+export type UpdateResult = Readonly<{ version: number }>;
 
 /** @internal */
 export type PlacementUpdateParts = Readonly<{
@@ -46,24 +46,27 @@
 const recentSlack = 10;
 
 /** Whether the configuration still tells of every send that was claimed at that version or later. */
-function stillTellsOf(version: number, claim: SendClaim): boolean {
+function stillTellsOf(version: number, claim: SendIdClaim): boolean {
   return version - claim.since < recentKept - recentSlack;
 }
 
 /** A send id that its sender chose stands for one placement, for good. Errors: `version-conflict`, and those of the register. */
-async function claimSendId({ claims, versions }: PlacementUpdateParts, update: PlacementUpdate): Promise<Either.Either<Fault, SendClaim>> {
+async function claimSendId(
+  { claims, versions }: PlacementUpdateParts,
+  update: PlacementUpdate,
+): Promise<Either.Either<Fault, SendIdClaim>> {
   const wanted = { sendId: update.sendId, digest: documentDigest.ofDocument(update.document) };
   if (!update.isNamed) return Either.right({ ...wanted, since: Number.MAX_SAFE_INTEGER });
   const read = await versions.current();
   if (Either.isLeft(read)) return read;
   const since = Option.isSome(read.right) ? read.right.value.version : 0;
-  const claimed = await claims.claimSend({ ...wanted, since });
+  const claimed = await claims.claimSendId({ ...wanted, since });
   if (Either.isLeft(claimed)) return claimed;
   return claimed.right.digest === wanted.digest ? claimed : Either.left(updateFaults.sendIdTaken(update.sendId));
 }
 
 /** Why an update may not follow this entry; none where it may. */
-function rejectionOf(update: PlacementUpdate, claim: SendClaim, current: Option.Option<Entry>): Option.Option<Fault> {
+function rejectionOf(update: PlacementUpdate, claim: SendIdClaim, current: Option.Option<Entry>): Option.Option<Fault> {
   const version = versionOf(current);
   const allowed = operators.mayChange(update.caller, configurationOf(current)?.sheet, update.placement);
   if (!stillTellsOf(version, claim)) return Option.some(updateFaults.sendForgotten(update.sendId));
@@ -88,7 +91,7 @@
 async function write(
   { runtime, register }: PlacementUpdateParts,
   update: PlacementUpdate,
-  claim: SendClaim,
+  claim: SendIdClaim,
 ): Promise<Either.Either<Fault, Attempt>> {
   const sentAt = runtime.clock.wall();
   let rejection: Option.Option<Fault> = Option.none;
@@ -103,7 +106,7 @@
 }
 
 /** Errors: `outcome-unknown`, `version-conflict` and `key-denied`. */
-async function replace(parts: PlacementUpdateParts, update: PlacementUpdate): Promise<Either.Either<Fault, TakenVersion>> {
+async function replace(parts: PlacementUpdateParts, update: PlacementUpdate): Promise<Either.Either<Fault, UpdateResult>> {
   const claimed = await claimSendId(parts, update);
   if (Either.isLeft(claimed)) {
     const isConflict = fault.kind(claimed.left) === 'version-conflict';
--- a/packages/core/src/platform-api.ts
+++ b/packages/core/src/platform-api.ts
@@ -5,7 +5,7 @@
 import type { Registration } from '@stallstall/member-registry';
 import { placements } from '@stallstall/placement';
 import type { Administration } from './administration/administration.js';
-import type { ExternalVersion, TakenVersion } from './configuration-updates.js';
+import type { ExternalVersion, UpdateResult } from './configuration-updates.js';
 import type { MemberRegistration } from './member-registration.js';
 import type { QuorumContact } from './quorum-contact.js';
 
@@ -15,9 +15,9 @@
    * Takes a complete placement under its sender's own version; of two the higher stands, and a lower one changes nothing. Errors:
    * `bad-sheet`, `version-conflict`, `outcome-unknown`, `no-majority`.
    */
-  configure: (external: ExternalVersion, placement: unknown) => Promise<Either.Either<Fault, TakenVersion>>;
+  configure: (external: ExternalVersion, placement: unknown) => Promise<Either.Either<Fault, UpdateResult>>;
   /** The newest configuration as its sender wrote it. Errors: `not-found`, `no-majority`. */
-  source: () => Promise<Either.Either<Fault, string>>;
+  readSource: () => Promise<Either.Either<Fault, string>>;
   /** Resolves to false when no majority of cores would know of the heartbeat; that a member drains is confirmed by one. */
   heartbeat: (registration: Registration) => Promise<boolean>;
   /** Resolves to true once a majority of cores knows that the member has left. */
@@ -29,7 +29,7 @@
   isOpen: () => boolean;
   isDraining: () => boolean;
   contact: QuorumContact;
-  administration: Pick<Administration, 'replaceExternal' | 'source'>;
+  administration: Pick<Administration, 'replaceExternal' | 'readSource'>;
   registration: Option.Option<Pick<MemberRegistration, 'heartbeat' | 'leave'>>;
 }>;
 
@@ -51,7 +51,7 @@
       if (Either.isLeft(checked)) return checked;
       return contact.whileInContact(() => administration.replaceExternal(external, checked.right));
     },
-    source: async () => (isOpen() ? contact.whileInContact(administration.source) : Either.left(notOpen())),
+    readSource: async () => (isOpen() ? contact.whileInContact(administration.readSource) : Either.left(notOpen())),
     // A core that is of no fleet could tell nobody, nor one that no majority answers: whoever calls turns to another.
     heartbeat: async (given) => Option.isSome(registration) && isOpen() && registration.value.heartbeat(given),
     leave: async (member) => Option.isSome(registration) && isOpen() && registration.value.leave(member),
--- a/packages/core/src/version-index.ts
+++ b/packages/core/src/version-index.ts
@@ -2,18 +2,18 @@
 import type { EarlierVersion } from '@stallstall/message';
 
 /** What listings tell of a version; `sentAt` is the wall time in milliseconds since 1970. */
-export type VersionRow = Readonly<{ version: number; sentBy: string; sentAt: number }>;
+export type VersionSummary = Readonly<{ version: number; sentBy: string; sentAt: number }>;
 
 /** @internal */
 export type VersionIndex = {
-  readonly rows: Map<number, VersionRow & Readonly<{ bytes: number }>>;
+  readonly rows: Map<number, VersionSummary & Readonly<{ bytes: number }>>;
   bytes: number;
   /** Versions up to here were forgotten for want of room. */
   forgottenUpTo: number;
 };
 
 /** No more than so many bytes of versions are kept: the oldest go first. */
-export const versionBytesMost = 16 * 1024 * 1024;
+export const maxVersionBytes = 16 * 1024 * 1024;
 
 function create(): VersionIndex {
   return { rows: new Map(), bytes: 0, forgottenUpTo: 0 };
@@ -38,13 +38,13 @@
 
 /** The version to forget next; undefined while all that is kept is within its bound. */
 function surplus(index: VersionIndex): number | undefined {
-  const isOver = index.bytes > versionBytesMost && index.rows.size > 1;
+  const isOver = index.bytes > maxVersionBytes && index.rows.size > 1;
   return isOver ? Math.min(...index.rows.keys()) : undefined;
 }
 
 /** After a start: versions older than those found were forgotten before, if those found take much of the room. */
 function rememberForgotten(index: VersionIndex): void {
-  if (index.bytes > versionBytesMost / 2) index.forgottenUpTo = Math.min(...index.rows.keys()) - 1;
+  if (index.bytes > maxVersionBytes / 2) index.forgottenUpTo = Math.min(...index.rows.keys()) - 1;
 }
 
 /** @internal */
--- a/packages/core/src/version-store.ts
+++ b/packages/core/src/version-store.ts
@@ -7,13 +7,13 @@
 import { runtimeUtilities, owner, type Disk, type Runtime, type Owner } from '@stallstall/kernel';
 import type { EarlierVersion, Entry, Reply, Request } from '@stallstall/message';
 import type { Configuration, Node } from '@stallstall/node';
-import { packedVersion, storageKeyOf, versionsKept, versionStoragePrefix, type SentVersion } from './packed-version.js';
-import { versionIndex, type VersionIndex, type VersionRow } from './version-index.js';
+import { packedVersion, storageKeyOf, maxVersions, versionStoragePrefix, type ArchivedConfiguration } from './packed-version.js';
+import { versionIndex, type VersionIndex, type VersionSummary } from './version-index.js';
 
 export type VersionStoreParts = Readonly<{
   disk: Disk;
   /** The version of the configuration on this core's own disk. */
-  newest: () => number;
+  currentVersion: () => number;
   /** The other cores, and the links to them as far as there are any. */
   node: Pick<Node, 'cores' | 'peerOf'>;
 }>;
@@ -23,15 +23,15 @@
    * Stores an entry that is about to be replaced; with a history, as disks of format 1 have it, that too. Resolves to false when the disk
    * did not sync.
    */
-  keep: (entry: Entry) => Promise<boolean>;
+  archive: (entry: Entry) => Promise<boolean>;
   /** A version from this disk, else from any core that keeps it. */
-  read: (version: number) => Promise<Option.Option<SentVersion>>;
+  read: (version: number) => Promise<Option.Option<ArchivedConfiguration>>;
   /** What listings tell of a version, as far as it is kept on this disk. */
-  row: (version: number) => VersionRow | undefined;
+  summary: (version: number) => VersionSummary | undefined;
   /** The oldest version that may be asked for. */
-  oldest: (latest: number) => number;
+  oldestVersion: (latest: number) => number;
   /** What is kept here of the versions that another core asks for, as far as a reply may hold it. */
-  earlier: (request: Request<'earlier'>) => Promise<Reply<'earlier'>>;
+  readBatch: (request: Request<'earlier'>) => Promise<Reply<'earlier'>>;
   /** Reads which versions the disk keeps, then begins to ask the others for what is missing. */
   start: () => Promise<void>;
   stop: () => void;
@@ -66,7 +66,7 @@
   if (versionIndex.isSettled(index, version.version)) return true;
   const written = await parts.disk.put(storageKeyOf(version.version), packedVersion.toCell(version));
   if (Either.isLeft(written)) return false;
-  const replaced = version.version - versionsKept;
+  const replaced = version.version - maxVersions;
   if (index.rows.has(replaced)) versionIndex.remove(index, replaced);
   versionIndex.add(index, version);
   await forgetSurplus(store);
@@ -117,7 +117,7 @@
   return replies.flatMap((reply) => (Option.isSome(reply) ? [reply.value] : []));
 }
 
-async function read(store: StoreState, version: number): Promise<Option.Option<SentVersion>> {
+async function read(store: StoreState, version: number): Promise<Option.Option<ArchivedConfiguration>> {
   const own = await readOwn(store, version);
   if (Option.isSome(own)) return Option.some(packedVersion.unpack(own.value));
   const replies = await askOthers(store, [version]);
@@ -126,13 +126,13 @@
 }
 
 function oldest({ index }: StoreState, latest: number): number {
-  return Math.max(1, latest - versionsKept + 1, index.forgottenUpTo + 1);
+  return Math.max(1, latest - maxVersions + 1, index.forgottenUpTo + 1);
 }
 
 /** Versions to ask for now, the newest first, for these are read most. */
 function missing(store: StoreState): readonly number[] {
   const { runtime, parts, index, unavailableUntil } = store;
-  const newest = parts.newest();
+  const newest = parts.currentVersion();
   const least = oldest(store, newest);
   const found: number[] = [];
   for (let version = newest - 1; version >= least && found.length < versionsPerRequest; version -= 1) {
@@ -193,11 +193,11 @@
     isStopped: false,
   };
   return {
-    keep: (entry) => keep(store, entry),
+    archive: (entry) => keep(store, entry),
     read: (version) => read(store, version),
-    row: (version) => store.index.rows.get(version),
-    oldest: (latest) => oldest(store, latest),
-    earlier: (request) => earlier(store, request),
+    summary: (version) => store.index.rows.get(version),
+    oldestVersion: (latest) => oldest(store, latest),
+    readBatch: (request) => earlier(store, request),
     start: () => start(store),
     stop: function stop() {
       store.isStopped = true;
--- a/packages/simulator/mutations.mjs
+++ b/packages/simulator/mutations.mjs
@@ -104,7 +104,7 @@
     expect: 'configuration-missing',
     only: ['operators-race', 'key-withdrawn'],
     file: 'core/build/packed-version.js',
-    from: 'version % versionsKept',
+    from: 'version % maxVersions',
     to: '0',
   },
   {
--- a/packages/simulator/pooled-mutations.mjs
+++ b/packages/simulator/pooled-mutations.mjs
@@ -426,7 +426,7 @@
     name: 'number-not-claimed',
     story: 'Of two sheets under one number',
     file: 'core/build/external-updates.js',
-    from: 'const claimed = await claims.claimNumber(version, textDigest, deadline - runtime.clock.now());',
+    from: 'const claimed = await claims.claimVersion(version, textDigest, deadline - runtime.clock.now());',
     to: "const claimed = Either.right('own');",
   },
   {
@@ -510,14 +510,14 @@
     name: 'versions-without-bound',
     story: 'bounded in bytes, and',
     file: 'core/build/version-index.js',
-    from: 'index.bytes > versionBytesMost &&',
+    from: 'index.bytes > maxVersionBytes &&',
     to: 'false &&',
   },
   {
     name: 'forgotten-versions-asked-for',
     story: 'bounded in bytes, and',
     file: 'core/build/version-index.js',
-    from: 'index.bytes > versionBytesMost / 2',
+    from: 'index.bytes > maxVersionBytes / 2',
     to: 'false',
   },
   {
--- a/packages/simulator/src/core-fleet.ts
+++ b/packages/simulator/src/core-fleet.ts
@@ -186,7 +186,7 @@
 
   async function readAt(machine: CoreMachine): Promise<Option.Option<number>> {
     if (machine.platformApi === undefined || machine.process?.alive() !== true) return Option.none;
-    const reading = machine.platformApi.source();
+    const reading = machine.platformApi.readSource();
     let read: Option.Option<Either.Either<unknown, string>> = Option.none;
     void reading.then((text) => {
       read = Option.some(text);
@@ -211,7 +211,7 @@
       const { platformApi, process } = machine;
       const before = acknowledged;
       if (platformApi === undefined || process?.alive() !== true) return;
-      const read = await platformApi.source();
+      const read = await platformApi.readSource();
       if (Either.isRight(read) && process.alive() && Number(read.right) < before)
         violations.push(`${machine.name} read ${read.right} after ${before} was acknowledged`);
     }
--- a/packages/simulator/src/pooled-adapter.ts
+++ b/packages/simulator/src/pooled-adapter.ts
@@ -40,7 +40,7 @@
       method: 'GET',
       path: '/configuration',
       handle: async function read() {
-        const source = await platformApi.source();
+        const source = await platformApi.readSource();
         return Either.isLeft(source) ? http.rejected(source.left) : { status: 200, body: JSON.parse(source.right) as unknown };
       },
     },
