--- a/packages/acceptance/src/candidacies.ts
+++ b/packages/acceptance/src/candidacies.ts
@@ -114,7 +114,7 @@
   story.election = election.create(
     runtime,
     {
-      calls: Option.some({
+      platformCalls: Option.some({
         promotion: ({ member }) => ({ method: 'POST', path: '/promotion', body: { member }, repeatable: 'unchanged' }),
         usage: () => ({ method: 'POST', path: '/usage', body: {}, repeatable: 'unchanged' }),
         handoverDelayMilliseconds: 0,
@@ -128,8 +128,8 @@
       placement: () => Option.some(sheetOfStory(story)),
       // What this node was pushed is the epoch before, whatever the register holds.
       electedPrimary: () => Option.some(settledAtFirst),
-      platform: () => platformAddress,
-      propose: () => Promise.resolve(Option.none),
+      platformAddress: () => platformAddress,
+      sendProposal: () => Promise.resolve(Option.none),
     },
     { load: () => Promise.resolve(Either.right(Option.none)), record: () => Promise.resolve(true) },
   );
--- a/packages/acceptance/src/duties.ts
+++ b/packages/acceptance/src/duties.ts
@@ -184,7 +184,7 @@
         runtime,
         Option.some({
           readState: (_service, member) => Promise.resolve(stateOf(member, this.reported.length > 0)),
-          keepConnection: () => Promise.resolve(Either.right(null)),
+          ensureConnection: () => Promise.resolve(Either.right(null)),
         }),
       ),
     );
@@ -198,7 +198,7 @@
       runtime,
       {
         self: 'core-1',
-        calls: Option.some({
+        platformCalls: Option.some({
           promotion: () => ({ repeatable: 'unchanged', method: 'POST', path: '/promotion', body: {} }),
           usage: () => ({ repeatable: 'unchanged', method: 'POST', path: '/usage', body: {} }),
           handoverDelayMilliseconds: 0,
@@ -210,8 +210,8 @@
         membershipVersion: () => 1,
         placement: () => Option.some(sheet),
         electedPrimary: () => Option.some(settledHere()),
-        platform: () => platformAddress,
-        propose: (_node, ask) => Promise.resolve(Option.some({ accepted: true, reason: '', epoch: ask.epoch, lessees: [] })),
+        platformAddress: () => platformAddress,
+        sendProposal: (_node, ask) => Promise.resolve(Option.some({ accepted: true, reason: '', epoch: ask.epoch, lessees: [] })),
       },
       votesInMemory(),
     );
--- a/packages/acceptance/src/member-registry-steps.ts
+++ b/packages/acceptance/src/member-registry-steps.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { Given, When, Then } from '@cucumber/cucumber';
 import { livenessService, liveness } from '@stallstall/election';
-import { type Registration, type MemberRegistry, memberRegistry, type ReceivedBeat } from '@stallstall/member-registry';
+import { type Registration, type MemberRegistry, memberRegistry, type ReceivedHeartbeat } from '@stallstall/member-registry';
 import type { MemberRecord } from '@stallstall/message';
 import { type World, world as worlds } from '@stallstall/simulator';
 import * as Option from 'fp-ts/lib/Option.js';
@@ -36,24 +36,24 @@
 
 When('{string} beats with number {int} as draining', function when(this: UnitStory, member: string, sequence: number) {
   this.changesSeen = this.registry.version();
-  this.taken.set(sequence, this.registry.heartbeat(registration(member, sequence, true)));
+  this.taken.set(sequence, this.registry.recordHeartbeat(registration(member, sequence, true)));
 });
 
 When('{string} beats with number {int} as in service', function when(this: UnitStory, member: string, sequence: number) {
   this.changesSeen = this.registry.version();
-  this.taken.set(sequence, this.registry.heartbeat(registration(member, sequence, false)));
+  this.taken.set(sequence, this.registry.recordHeartbeat(registration(member, sequence, false)));
 });
 
 When('{string} leaves', function when(this: UnitStory, member: string) {
-  this.registry.leave(member);
+  this.registry.recordDeparture(member);
 });
 
 When('another core tells of a beat of {string} with number {int}', function when(this: UnitStory, member: string, sequence: number) {
-  this.registry.merge([{ entry: { ...registration(member, sequence, false), gone: false, down: false }, ago: 0 }]);
+  this.registry.mergeHeartbeats([{ entry: { ...registration(member, sequence, false), gone: false, down: false }, ago: 0 }]);
 });
 
 When('another core tells that {string} has left', function when(this: UnitStory, member: string) {
-  this.registry.merge([{ entry: { ...registration(member, 7, false), gone: true, down: false }, ago: 0 }]);
+  this.registry.mergeHeartbeats([{ entry: { ...registration(member, 7, false), gone: true, down: false }, ago: 0 }]);
 });
 
 When('{float} s pass and the registry sweeps', async function when(this: UnitStory, seconds: number) {
@@ -76,18 +76,18 @@
 
 Then('only the beat with number {int} is spread', function then(this: UnitStory, sequence: number) {
   assert.deepEqual(
-    this.registry.takeRecent().map((one) => one.entry.sequence),
+    this.registry.takeRecentHeartbeats().map((one) => one.entry.sequence),
     [sequence],
   );
-  this.registry.heartbeat(registration('member-1', sequence - 2, false));
-  assert.deepEqual(this.registry.takeRecent(), []);
+  this.registry.recordHeartbeat(registration('member-1', sequence - 2, false));
+  assert.deepEqual(this.registry.takeRecentHeartbeats(), []);
 });
 
 Then('{string} is gone, of no service, and spread as gone', function then(this: UnitStory, member: string) {
   assert.equal(known(this.registry, member).gone, true);
   assert.deepEqual(this.registry.membersOf('ferries'), []);
   assert.deepEqual(
-    this.registry.takeRecent().map((one) => [one.entry.member, one.entry.gone]),
+    this.registry.takeRecentHeartbeats().map((one) => [one.entry.member, one.entry.gone]),
     [[member, true]],
   );
 });
@@ -126,20 +126,20 @@
 Then(
   'what is spread to the other core is {string} of {int} s ago, and nothing the next time',
   function then(this: UnitStory, member: string, seconds: number) {
-    const reported: readonly ReceivedBeat[] = this.registry.takeRecent();
+    const reported: readonly ReceivedHeartbeat[] = this.registry.takeRecentHeartbeats();
     assert.deepEqual(
       reported.map((one) => one.entry.member),
       [member],
     );
     // Each process has a clock of its own, and they do not go at one rate.
     assert.ok(Math.abs((reported[0]?.ago ?? 0) - seconds * 1_000) < seconds * 20, JSON.stringify(reported));
-    assert.deepEqual(this.registry.takeRecent(), []);
-    this.other.merge(reported);
+    assert.deepEqual(this.registry.takeRecentHeartbeats(), []);
+    this.other.mergeHeartbeats(reported);
   },
 );
 
 Then('the other core spreads nothing of it, and has it down {int} s later', async function then(this: UnitStory, seconds: number) {
-  assert.deepEqual(this.other.takeRecent(), []);
+  assert.deepEqual(this.other.takeRecentHeartbeats(), []);
   this.other.sweep();
   assert.equal(known(this.other, 'member-1').down, false);
   await this.world.run(seconds * 1_000 + 150);
--- a/packages/acceptance/src/replies.ts
+++ b/packages/acceptance/src/replies.ts
@@ -102,7 +102,7 @@
 
 When('its line is held and it is asked for its STATE at once, and again later', async function when(this: ReplyStory) {
   const probes = prober.create(this.world.spawn('near', 'near-machine').runtime, plainDialect, 'tenant');
-  void probes.keepConnection('ferries', 'member-1', address, callMilliseconds);
+  void probes.ensureConnection('ferries', 'member-1', address, callMilliseconds);
   void probes.readStatus('ferries', 'member-1', address, callMilliseconds);
   await this.world.run(callMilliseconds);
   void probes.readStatus('ferries', 'member-1', address, callMilliseconds);
--- a/packages/agent/src/member-freshness.ts
+++ b/packages/agent/src/member-freshness.ts
@@ -57,7 +57,7 @@
   }
 
   function targetOf(service: string, epoch: number, member: string): Target {
-    const state = members.state(member);
+    const state = members.latestState(member);
     const applied = Option.isSome(state) ? state.value.applied : 0;
     const fresh = freshAt(service, epoch, applied);
     return {
--- a/packages/core/src/administration/fleet-view.ts
+++ b/packages/core/src/administration/fleet-view.ts
@@ -71,7 +71,7 @@
 
 function memberRow({ runtime, node, members }: AdministrationContext, service: string, member: MemberPlacement): Row {
   const elected = node.electedPrimary(service);
-  const state = members.state(member.member);
+  const state = members.latestState(member.member);
   const heardAt = members.lastHeartbeatAt(member.member);
   return {
     service,
--- a/packages/core/src/leader-watch.ts
+++ b/packages/core/src/leader-watch.ts
@@ -28,7 +28,7 @@
     const record = registry.recordOf(member);
     if (Option.isNone(record) || record.value.gone) return;
     const { service, address } = record.value;
-    void runtime.services.find(livenessService).keepConnection(service, member, address, connectMilliseconds);
+    void runtime.services.find(livenessService).ensureConnection(service, member, address, connectMilliseconds);
   }
 
   function checkLeaders(): void {
--- a/packages/core/src/member-registration.ts
+++ b/packages/core/src/member-registration.ts
@@ -6,7 +6,7 @@
   memberRegistry,
   memberRegistryService,
   type MemberRegistry,
-  type ReceivedBeat,
+  type ReceivedHeartbeat,
   type Registration,
 } from '@stallstall/member-registry';
 import type { Node } from '@stallstall/node';
@@ -36,7 +36,7 @@
   /**
    * Takes heartbeats that another core received; resolves to true once those that say that a member drains or has left are synced.
    */
-  mergeBeats: (beats: readonly ReceivedBeat[]) => Promise<boolean>;
+  mergeBeats: (beats: readonly ReceivedHeartbeat[]) => Promise<boolean>;
   start: () => void;
   stop: () => void;
 }>;
@@ -83,17 +83,17 @@
 }
 
 async function heartbeat(state: RegistrationState, registration: Registration): Promise<boolean> {
-  state.registry.heartbeat(registration);
+  state.registry.recordHeartbeat(registration);
   return state.isInContact() && (!registration.draining || confirm(state, registration.member));
 }
 
 async function leave(state: RegistrationState, member: string): Promise<boolean> {
-  state.registry.leave(member);
+  state.registry.recordDeparture(member);
   return state.isInContact() && confirm(state, member);
 }
 
-async function mergeBeats({ registry, file }: RegistrationState, beats: readonly ReceivedBeat[]): Promise<boolean> {
-  registry.merge(beats);
+async function mergeBeats({ registry, file }: RegistrationState, beats: readonly ReceivedHeartbeat[]): Promise<boolean> {
+  registry.mergeHeartbeats(beats);
   return !beats.some(({ entry }) => entry.gone || entry.draining) || file.write();
 }
 
--- a/packages/core/src/registry-broadcaster.ts
+++ b/packages/core/src/registry-broadcaster.ts
@@ -1,7 +1,7 @@
 /** Heartbeats that this core received go to the other cores; what a member builds on is confirmed by a majority (design 4.7, 7.14). */
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Runtime } from '@stallstall/kernel';
-import type { MemberRegistry, ReceivedBeat } from '@stallstall/member-registry';
+import type { MemberRegistry, ReceivedHeartbeat } from '@stallstall/member-registry';
 import type { Node } from '@stallstall/node';
 import type { Peer } from '@stallstall/peer';
 import { quorum } from '@stallstall/quorum';
@@ -36,19 +36,19 @@
     .filter((core) => core !== node.settings.node);
 }
 
-async function send(link: Peer, beats: readonly ReceivedBeat[], milliseconds: number): Promise<boolean> {
+async function send(link: Peer, beats: readonly ReceivedHeartbeat[], milliseconds: number): Promise<boolean> {
   const reply = await link.call('spread', { beats: [...beats] }, milliseconds);
   return Option.isSome(reply) && reply.value.taken;
 }
 
-async function sendRecent({ upToDate }: BroadcasterState, core: string, link: Peer, beats: readonly ReceivedBeat[]): Promise<void> {
+async function sendRecent({ upToDate }: BroadcasterState, core: string, link: Peer, beats: readonly ReceivedHeartbeat[]): Promise<void> {
   const isTaken = await send(link, beats, sendMilliseconds);
   if (!isTaken) upToDate.delete(core);
 }
 
 async function sendAll({ runtime, registry, upToDate, catchingUp }: BroadcasterState, core: string, link: Peer): Promise<void> {
   catchingUp.add(core);
-  const isTaken = await send(link, registry.all(), sendMilliseconds);
+  const isTaken = await send(link, registry.snapshot(), sendMilliseconds);
   if (isTaken) upToDate.add(core);
   // One that is there and not open yet takes nothing: it is asked again in a while, not at every broadcast.
   else await runtime.clock.sleep(retryMilliseconds);
@@ -57,7 +57,7 @@
 
 function broadcast(state: BroadcasterState): void {
   const { node, registry, upToDate, catchingUp } = state;
-  const recent = registry.takeRecent();
+  const recent = registry.takeRecentHeartbeats();
   for (const core of otherCores(state)) {
     const link = node.peerOf(core);
     if (Option.isNone(link) || !link.value.connected()) upToDate.delete(core);
@@ -85,7 +85,7 @@
 
 function confirm(state: BroadcasterState, member: string): Promise<boolean> {
   const { node, registry } = state;
-  const beats = registry.all().filter((one) => one.entry.member === member);
+  const beats = registry.snapshot().filter((one) => one.entry.member === member);
   const others = otherCores(state);
   const isCore = others.length < node.cores().length;
   const needed = quorum.majority(node.cores().length) - (isCore ? 1 : 0);
--- a/packages/election/src/candidacy.ts
+++ b/packages/election/src/candidacy.ts
@@ -127,7 +127,7 @@
   function roleOf(service: string): SingletonRole {
     const known = roles.get(service);
     if (known !== undefined) return known;
-    const handoverDelay = Option.isSome(context.calls) ? context.calls.value.handoverDelayMilliseconds : 0;
+    const handoverDelay = Option.isSome(context.platformCalls) ? context.platformCalls.value.handoverDelayMilliseconds : 0;
     const created = singletonRole.create(runtime, `promotion/${service}`, context.self, handoverDelay);
     roles.set(service, created);
     return created;
--- a/packages/election/src/candidates.ts
+++ b/packages/election/src/candidates.ts
@@ -45,7 +45,7 @@
     ({ member, state }) =>
       member.state === 'serving' &&
       (primary === undefined || member.member === primary.member) &&
-      (Option.isSome(context.calls) || state.epoch >= electedEpoch) &&
+      (Option.isSome(context.platformCalls) || state.epoch >= electedEpoch) &&
       durableWatermark.isHeldBy(state, watermark),
   );
   return Option.fromNullable(mostReceived(eligible));
@@ -60,7 +60,7 @@
  * configuration says, so of N members any N less that many hold it (design 7.5).
  */
 function coverAllCommits({ context }: ElectionServices, service: ServicePlacement, candidates: readonly Candidate[]): boolean {
-  if (Option.isNone(context.calls) || service.synchronousReplicas === 0) return true;
+  if (Option.isNone(context.platformCalls) || service.synchronousReplicas === 0) return true;
   return candidates.length >= service.members.length - service.synchronousReplicas;
 }
 
--- a/packages/election/src/election-context.ts
+++ b/packages/election/src/election-context.ts
@@ -8,7 +8,7 @@
   /** This node's id. */
   self: string;
   /** None: members are told epochs over this product's own HTTP, and edges vote. */
-  calls: Option.Option<PlatformCalls>;
+  platformCalls: Option.Option<PlatformCalls>;
   /**
    * Edges that this node granted a lease within a term and its margin; none while one that an earlier process of this node granted may
    * still run.
@@ -24,7 +24,7 @@
   placement: () => Option.Option<PlacementConfiguration>;
   electedPrimary: (service: string) => Option.Option<ElectedPrimary>;
   /** The platform's address; asked at each call, since settings may change. */
-  platform: () => string;
+  platformAddress: () => string;
   /** Asks another node for its vote; none when it does not reply. */
-  propose: (node: string, request: Request<'propose'>) => Promise<Option.Option<Reply<'propose'>>>;
+  sendProposal: (node: string, request: Request<'propose'>) => Promise<Option.Option<Reply<'propose'>>>;
 }>;
--- a/packages/election/src/election.ts
+++ b/packages/election/src/election.ts
@@ -52,7 +52,7 @@
 function startDelay(services: ElectionServices): number {
   const { runtime, context } = services;
   const rank = rankOf(services);
-  if (Option.isSome(context.calls)) return rank * rankDelayMilliseconds;
+  if (Option.isSome(context.platformCalls)) return rank * rankDelayMilliseconds;
   return (rank + runtime.randomness.fraction()) * randomizedRankDelayMilliseconds;
 }
 
--- a/packages/election/src/http-state-probes.ts
+++ b/packages/election/src/http-state-probes.ts
@@ -8,7 +8,7 @@
   /** Errors: `unreachable` when the reply cannot be read or is another member's, and those of the connection. */
   readState: (member: string, address: string, milliseconds: number) => Promise<Either.Either<Fault, MemberState>>;
   /** Closes the connections to all other members. */
-  closeOthers: (members: ReadonlySet<string>) => void;
+  closeExcept: (members: ReadonlySet<string>) => void;
 }>;
 
 type OpenProbe = Readonly<{ address: string; connection: HttpConnection }>;
@@ -41,7 +41,7 @@
     return isReadable ? Either.right(body) : Either.left(unreadable(member, address));
   }
 
-  function closeOthers(members: ReadonlySet<string>): void {
+  function closeExcept(members: ReadonlySet<string>): void {
     for (const [member, open] of probes) {
       if (members.has(member)) continue;
       open.connection.close();
@@ -49,7 +49,7 @@
     }
   }
 
-  return { readState, closeOthers };
+  return { readState, closeExcept };
 }
 
 /** @internal */
--- a/packages/election/src/liveness.ts
+++ b/packages/election/src/liveness.ts
@@ -10,24 +10,24 @@
 
 export type Liveness = Readonly<{
   /** Takes a heartbeat that carries the member's state. */
-  heartbeat: (state: MemberState) => void;
+  recordState: (state: MemberState) => void;
   /** Takes a heartbeat without a state, received here or by another node so long ago. */
-  observeHeartbeat: (member: string, agoMilliseconds: number) => void;
+  recordHeartbeat: (member: string, agoMilliseconds: number) => void;
   /** The member's machine refused a connection: stronger evidence than silence, until the member is heard again. */
-  connectionRefused: (member: string) => void;
+  recordRefusedConnection: (member: string) => void;
   /** Heard within `downAfterMilliseconds`, and not refusing connections since. */
   isAlive: (member: string) => boolean;
   /** Silent for so long as to be DOWN; a process that has only begun to listen declares nobody DOWN yet. */
   isDown: (member: string) => boolean;
   lastHeartbeatAt: (member: string) => Option.Option<Instant>;
   /** The newest state that this node was told; none if there was none yet. */
-  state: (member: string) => Option.Option<MemberState>;
+  latestState: (member: string) => Option.Option<MemberState>;
   /** Asks a member for its STATE; callers that arrive while it is asked share the reply. */
   probe: (member: string, address: string, milliseconds: number, service?: string) => Promise<Either.Either<Fault, ProbedState>>;
   /** Sees that the connection to a member is open; a refusal counts as evidence. */
-  keepConnection: (service: string, member: string, address: string, milliseconds: number) => Promise<void>;
+  ensureConnection: (service: string, member: string, address: string, milliseconds: number) => Promise<void>;
   /** Closes connections to members that no configuration names any more. */
-  keepOnly: (members: ReadonlySet<string>) => void;
+  closeConnectionsExcept: (members: ReadonlySet<string>) => void;
 }>;
 
 type LivenessState = Readonly<{
@@ -48,18 +48,18 @@
 /** A heartbeat this young outweighs earlier refusals. Unit: milliseconds. */
 const freshMilliseconds = 500;
 
-function heartbeat({ runtime, heardAt, states }: LivenessState, state: MemberState): void {
+function recordState({ runtime, heardAt, states }: LivenessState, state: MemberState): void {
   heardAt.set(state.member, runtime.clock.now());
   states.set(state.member, state);
 }
 
-function observeHeartbeat({ runtime, heardAt, refusals }: LivenessState, member: string, agoMilliseconds: number): void {
+function recordHeartbeat({ runtime, heardAt, refusals }: LivenessState, member: string, agoMilliseconds: number): void {
   const at = identifiers.after(runtime.clock.now(), -agoMilliseconds);
   if (at > (heardAt.get(member) ?? Number.NEGATIVE_INFINITY)) heardAt.set(member, at);
   if (agoMilliseconds < freshMilliseconds) refusals.delete(member);
 }
 
-function connectionRefused({ refusals }: LivenessState, member: string): void {
+function recordRefusedConnection({ refusals }: LivenessState, member: string): void {
   refusals.set(member, (refusals.get(member) ?? 0) + 1);
 }
 
@@ -80,7 +80,7 @@
 
 /** A failed connection tells of a refusal where the member's machine replied at all. */
 function observeFailure(liveness: LivenessState, member: string, failure: Fault): void {
-  if (fault.kind(failure) === 'not-listening') connectionRefused(liveness, member);
+  if (fault.kind(failure) === 'not-listening') recordRefusedConnection(liveness, member);
 }
 
 async function readThroughProbe(
@@ -96,7 +96,7 @@
     return state;
   }
   liveness.refusals.delete(member);
-  heartbeat(liveness, state.right);
+  recordState(liveness, state.right);
   return Either.right({ sentAt, state: state.right });
 }
 
@@ -110,7 +110,7 @@
   const state = await liveness.httpProbes.readState(member, address, milliseconds);
   liveness.probing.delete(member);
   if (Either.isLeft(state)) return state;
-  heartbeat(liveness, state.right);
+  recordState(liveness, state.right);
   return Either.right({ sentAt, state: state.right });
 }
 
@@ -130,7 +130,7 @@
   return started;
 }
 
-async function keepConnection(
+async function ensureConnection(
   liveness: LivenessState,
   service: string,
   member: string,
@@ -140,7 +140,7 @@
   const { memberProbe, keepingConnection } = liveness;
   if (Option.isNone(memberProbe) || keepingConnection.has(member)) return;
   keepingConnection.add(member);
-  const kept = await memberProbe.value.keepConnection(service, member, address, milliseconds);
+  const kept = await memberProbe.value.ensureConnection(service, member, address, milliseconds);
   keepingConnection.delete(member);
   if (Either.isRight(kept)) liveness.refusals.delete(member);
   else observeFailure(liveness, member, kept.left);
@@ -160,16 +160,16 @@
     keepingConnection: new Set(),
   };
   return {
-    heartbeat: (memberState) => heartbeat(state, memberState),
-    observeHeartbeat: (member, agoMilliseconds) => observeHeartbeat(state, member, agoMilliseconds),
-    connectionRefused: (member) => connectionRefused(state, member),
+    recordState: (memberState) => recordState(state, memberState),
+    recordHeartbeat: (member, agoMilliseconds) => recordHeartbeat(state, member, agoMilliseconds),
+    recordRefusedConnection: (member) => recordRefusedConnection(state, member),
     isAlive: (member) => isAlive(state, member),
     isDown: (member) => isDown(state, member),
     lastHeartbeatAt: (member) => Option.fromNullable(state.heardAt.get(member)),
-    state: (member) => Option.fromNullable(state.states.get(member)),
+    latestState: (member) => Option.fromNullable(state.states.get(member)),
     probe: (member, address, milliseconds, service = '') => probe(state, member, address, milliseconds, service),
-    keepConnection: (service, member, address, milliseconds) => keepConnection(state, service, member, address, milliseconds),
-    keepOnly: state.httpProbes.closeOthers,
+    ensureConnection: (service, member, address, milliseconds) => ensureConnection(state, service, member, address, milliseconds),
+    closeConnectionsExcept: state.httpProbes.closeExcept,
   };
 }
 
--- a/packages/election/src/member-state.ts
+++ b/packages/election/src/member-state.ts
@@ -23,5 +23,5 @@
   /** Asks a member for its STATE. Errors: `not-listening` when its machine refuses the connection, and those of the connection. */
   readState: (service: string, member: string, address: string, milliseconds: number) => Promise<Either.Either<Fault, MemberState>>;
   /** Sees that the connection is open without asking anything: a probe has its price, an open connection has none. */
-  keepConnection: (service: string, member: string, address: string, milliseconds: number) => Promise<Either.Either<Fault, null>>;
+  ensureConnection: (service: string, member: string, address: string, milliseconds: number) => Promise<Either.Either<Fault, null>>;
 }>;
--- a/packages/election/src/promotion.ts
+++ b/packages/election/src/promotion.ts
@@ -30,7 +30,7 @@
   const { member, address } = chosen.member;
   const probed = await liveness.probe(member, address, candidates.probeMilliseconds, service);
   if (Either.isLeft(probed) || probed.right.state.role !== 'primary') return false;
-  if (Option.isNone(context.calls)) return probed.right.state.epoch === epoch;
+  if (Option.isNone(context.platformCalls)) return probed.right.state.epoch === epoch;
   // Members count terms of their own: only a promotion that this candidacy asked for can have raised it.
   return chosen.state.role === 'primary' || (probed.right.state.term ?? 0) > (chosen.state.term ?? 0);
 }
@@ -38,7 +38,8 @@
 function requestOf({ context }: ElectionServices, { service, chosen, epoch, role }: Promotion): PlatformCall {
   const { member } = chosen.member;
   const { fencingToken } = role;
-  if (Option.isSome(context.calls)) return context.calls.value.promotion({ service, member, epoch, fencingToken, holder: context.self });
+  if (Option.isSome(context.platformCalls))
+    return context.platformCalls.value.promotion({ service, member, epoch, fencingToken, holder: context.self });
   return { repeatable: 'unchanged', method: 'POST', path: '/v1/promotions', body: { service, member, epoch, turn: fencingToken } };
 }
 
@@ -53,8 +54,8 @@
 
 async function callPlatform(services: ElectionServices, promotion: Promotion): Promise<Either.Either<Fault, null>> {
   const { context } = services;
-  const timeout = Option.isSome(context.calls) ? repeatableCallTimeoutMilliseconds : callTimeoutMilliseconds;
-  const reply = await promotion.role.call(identifiers.address(context.platform()), requestOf(services, promotion), timeout);
+  const timeout = Option.isSome(context.platformCalls) ? repeatableCallTimeoutMilliseconds : callTimeoutMilliseconds;
+  const reply = await promotion.role.call(identifiers.address(context.platformAddress()), requestOf(services, promotion), timeout);
   if (Either.isLeft(reply)) return reply;
   return reply.right.status === 200 ? Either.right(null) : Either.left(rejectedByPlatform(reply.right.status));
 }
@@ -114,7 +115,7 @@
     if (outcome.kind === 'promoted') return Either.right(null);
     if (outcome.kind === 'overtaken') return Either.left(overtaken);
     if (Either.isRight(outcome.reply)) {
-      if (Option.isNone(context.calls) || (await takesEffect(services, promotion))) return Either.right(null);
+      if (Option.isNone(context.platformCalls) || (await takesEffect(services, promotion))) return Either.right(null);
       lastReason = 'the platform took the promotion, and the candidate does not lead yet';
       continue;
     }
--- a/packages/election/src/proposals.ts
+++ b/packages/election/src/proposals.ts
@@ -30,7 +30,7 @@
   const isRecorded = await epochs.vote(request.service, { epoch: request.epoch, candidate: request.candidate, proposer: request.node });
   const leaseHolders = context.leaseHolders();
   // A vote that became durable as the set of cores changed is of no set: the barrier was asked for without it (design 4.8).
-  const isSameSet = Option.isNone(context.calls) || request.membership === context.membershipVersion();
+  const isSameSet = Option.isNone(context.platformCalls) || request.membership === context.membershipVersion();
   const accepted = isRecorded && isSameSet;
   return {
     accepted,
--- a/packages/election/src/succession-wait.ts
+++ b/packages/election/src/succession-wait.ts
@@ -18,7 +18,7 @@
 async function waitForLeases(services: ElectionServices, service: string, epoch: number, majority: Majority): Promise<void> {
   const { runtime, context } = services;
   const expiresAt: Instant = identifiers.after(majority.at, leaseTermMilliseconds + leaseMarginMilliseconds);
-  const mayBeReleased = Option.isSome(context.calls);
+  const mayBeReleased = Option.isSome(context.platformCalls);
 
   function isReleased(): boolean {
     if (!mayBeReleased || Option.isNone(majority.leaseHolders)) return false;
@@ -38,7 +38,7 @@
   members: readonly Candidate[],
   candidate: Candidate | undefined,
 ): boolean {
-  if (Option.isNone(services.context.calls) || service.synchronousReplicas === 0) return true;
+  if (Option.isNone(services.context.platformCalls) || service.synchronousReplicas === 0) return true;
   const furthest = candidates.mostReceived(members);
   if (furthest === undefined) return true;
   return (
@@ -78,7 +78,7 @@
   await waitForLeases(services, service.service, epoch, majority);
   const deadline = identifiers.after(runtime.clock.now(), catchUpTimeoutMilliseconds);
   const before = primaryOf(context, service)?.member;
-  const poll = Option.isSome(context.calls) ? catchUpPollMilliseconds : httpCatchUpPollMilliseconds;
+  const poll = Option.isSome(context.platformCalls) ? catchUpPollMilliseconds : httpCatchUpPollMilliseconds;
   while (runtime.clock.now() < deadline && !epochs.isOvertaken(service.service, epoch)) {
     // Read after the wait: what any edge has acknowledged under the older epoch is on a majority of disks by now.
     if (await isCaughtUp(services, service, chosen, before)) return true;
--- a/packages/election/src/vote-collection.ts
+++ b/packages/election/src/vote-collection.ts
@@ -42,7 +42,7 @@
   const tally: Tally = { accepted: 0, outstanding: nodes.length, lastReason: 'no answer', leaseHolders: new Set(), isIncomplete: false };
 
   function askNode(node: string): Promise<Option.Option<Reply<'propose'>>> {
-    return node === context.self ? proposals.handle(services, request).then(Option.some) : context.propose(node, request);
+    return node === context.self ? proposals.handle(services, request).then(Option.some) : context.sendProposal(node, request);
   }
 
   function majority(): Majority {
--- a/packages/member-registry/src/member-records.ts
+++ b/packages/member-registry/src/member-records.ts
@@ -5,7 +5,7 @@
 export type Registration = Omit<MemberRecord, 'gone' | 'down'>;
 
 /** A record as a core received it. `ago`: how long ago it was received, in milliseconds. */
-export type ReceivedBeat = Readonly<{ entry: MemberRecord; ago: number }>;
+export type ReceivedHeartbeat = Readonly<{ entry: MemberRecord; ago: number }>;
 
 /** Whether two records say the same of a member; the sequence says nothing of it. @internal */
 export function isSameRecord(left: MemberRecord, right: MemberRecord): boolean {
--- a/packages/member-registry/src/member-registry.ts
+++ b/packages/member-registry/src/member-registry.ts
@@ -4,23 +4,23 @@
 import { identifiers, runtimeUtilities, type Instant, type Runtime } from '@stallstall/kernel';
 import type { MemberRecord } from '@stallstall/message';
 import type { MemberPlacement } from '@stallstall/placement';
-import { isSameRecord, unknownMember, type ReceivedBeat, type Registration } from './member-records.js';
+import { isSameRecord, unknownMember, type ReceivedHeartbeat, type Registration } from './member-records.js';
 
-export type { ReceivedBeat, Registration } from './member-records.js';
+export type { ReceivedHeartbeat, Registration } from './member-records.js';
 
 export type MemberRegistry = Readonly<{
   /** Takes a heartbeat that reached this core; false when a later one of the same member was received before. */
-  heartbeat: (registration: Registration) => boolean;
+  recordHeartbeat: (registration: Registration) => boolean;
   /** The member has left for good. */
-  leave: (member: string) => void;
+  recordDeparture: (member: string) => void;
   /** Takes heartbeats that another core received. */
-  merge: (beats: readonly ReceivedBeat[]) => void;
+  mergeHeartbeats: (beats: readonly ReceivedHeartbeat[]) => void;
   /** Takes what was known before a restart: of use until heartbeats tell, and never later than any of them. */
   restore: (records: readonly MemberRecord[]) => void;
   /** Heartbeats received here since the last call, for the other cores. */
-  takeRecent: () => readonly ReceivedBeat[];
+  takeRecentHeartbeats: () => readonly ReceivedHeartbeat[];
   /** All that is known here of members, for a core that has missed some of it. */
-  all: () => readonly ReceivedBeat[];
+  snapshot: () => readonly ReceivedHeartbeat[];
   /** Rises with every change that a reader must know of. */
   version: () => number;
   changedSince: (version: number) => readonly MemberRecord[];
@@ -72,20 +72,20 @@
   const { runtime, liveness, members } = registry;
   const takenAt = identifiers.after(runtime.clock.now(), -ago);
   if (isLate(registry, entry, takenAt)) return false;
-  if (!entry.gone) liveness.observeHeartbeat(entry.member, ago);
+  if (!entry.gone) liveness.recordHeartbeat(entry.member, ago);
   const known = members.get(entry.member);
   const newest = identifiers.instant(Math.max(takenAt, known?.takenAt ?? Number.NEGATIVE_INFINITY));
   put(registry, { ...entry, down: !entry.gone && liveness.isDown(entry.member) }, newest, entry.gone);
   return true;
 }
 
-function heartbeat(registry: RegistryState, registration: Registration): boolean {
+function recordHeartbeat(registry: RegistryState, registration: Registration): boolean {
   const isTaken = receive(registry, { ...registration, gone: false, down: false }, 0);
   if (isTaken) registry.recent.set(registration.member, registry.runtime.clock.now());
   return isTaken;
 }
 
-function leave(registry: RegistryState, member: string): void {
+function recordDeparture(registry: RegistryState, member: string): void {
   const { runtime, members, recent } = registry;
   const known = members.get(member);
   if (known?.left === true) return;
@@ -100,9 +100,9 @@
   }
 }
 
-function takeRecent({ runtime, members, recent }: RegistryState): readonly ReceivedBeat[] {
+function takeRecentHeartbeats({ runtime, members, recent }: RegistryState): readonly ReceivedHeartbeat[] {
   const now = runtime.clock.now();
-  const beats = [...recent].flatMap(function beatOf([member, at]): readonly ReceivedBeat[] {
+  const beats = [...recent].flatMap(function beatOf([member, at]): readonly ReceivedHeartbeat[] {
     const known = members.get(member);
     return known === undefined ? [] : [{ entry: known.entry, ago: Math.max(0, now - at) }];
   });
@@ -111,7 +111,7 @@
 }
 
 /** One that is gone by its silence alone is left out: reported as gone it would never come back. */
-function all({ runtime, members }: RegistryState): readonly ReceivedBeat[] {
+function snapshot({ runtime, members }: RegistryState): readonly ReceivedHeartbeat[] {
   const now = runtime.clock.now();
   return [...members.values()]
     .filter((known) => known.left || !known.entry.gone)
@@ -169,14 +169,14 @@
     version: 0,
   };
   return {
-    heartbeat: (registration) => heartbeat(registry, registration),
-    leave: (member) => leave(registry, member),
-    merge: function merge(beats) {
+    recordHeartbeat: (registration) => recordHeartbeat(registry, registration),
+    recordDeparture: (member) => recordDeparture(registry, member),
+    mergeHeartbeats: function mergeHeartbeats(beats) {
       for (const { entry, ago } of beats) receive(registry, entry, ago);
     },
     restore: (records) => restore(registry, records),
-    takeRecent: () => takeRecent(registry),
-    all: () => all(registry),
+    takeRecentHeartbeats: () => takeRecentHeartbeats(registry),
+    snapshot: () => snapshot(registry),
     version: () => registry.version,
     changedSince: function changedSince(version) {
       return [...registry.members.values()].filter((known) => known.changedAt > version).map((known) => known.entry);
--- a/packages/node/src/member-routes.ts
+++ b/packages/node/src/member-routes.ts
@@ -31,7 +31,7 @@
     if (Option.isNone(current) || placements.member(current.value, body.member) === undefined) {
       return http.rejected(unknownMember(body.member));
     }
-    members.heartbeat(body);
+    members.recordState(body);
     return { status: 200, body: { heard: true } };
   }
 
--- a/packages/node/src/node.ts
+++ b/packages/node/src/node.ts
@@ -108,7 +108,7 @@
 function stop({ context, links, members }: Assembly): void {
   context.isStopped = true;
   links.closeAll();
-  members.keepOnly(new Set());
+  members.closeConnectionsExcept(new Set());
 }
 
 /** Ends the process, which must not go on. */
@@ -212,7 +212,7 @@
     runtime,
     {
       self: settings.node,
-      calls: Option.isSome(registration) ? Option.some(registration.value.calls) : Option.none,
+      platformCalls: Option.isSome(registration) ? Option.some(registration.value.calls) : Option.none,
       leaseHolders: () => (Option.isSome(registration) ? registration.value.leaseHolders() : Option.none),
       hasReleased: (service, epoch, holders) => Option.isSome(registration) && registration.value.hasReleased(service, epoch, holders),
       onEpochRaised: () => (Option.isSome(registration) ? registration.value.onEpochRaised() : undefined),
@@ -220,8 +220,8 @@
       membershipVersion: () => applied.membership().version,
       placement: applied.placement,
       electedPrimary: applied.electedPrimary,
-      platform: settings.platform,
-      propose: async function propose(node, request): Promise<Option.Option<Reply<'propose'>>> {
+      platformAddress: settings.platform,
+      sendProposal: async function sendProposal(node, request): Promise<Option.Option<Reply<'propose'>>> {
         const link = links.of(node);
         return link === undefined ? Option.none : link.call('propose', request, proposeMilliseconds);
       },
@@ -314,7 +314,7 @@
   elections.tick();
   const current = applied.placement();
   if (Option.isNone(current)) return;
-  members.keepOnly(new Set(current.value.services.flatMap((service) => service.members.map((member) => member.member))));
+  members.closeConnectionsExcept(new Set(current.value.services.flatMap((service) => service.members.map((member) => member.member))));
 }
 
 function start(assembly: Assembly): void {
--- a/packages/session-protocol/src/member-prober.ts
+++ b/packages/session-protocol/src/member-prober.ts
@@ -10,7 +10,7 @@
    * Keeps a connection open without asking anything: that it breaks, and that another is refused, tells of the member's end at once.
    * Errors: those of `memberConnection.open`.
    */
-  keepConnection: (service: string, member: string, address: string, milliseconds: number) => Promise<Either.Either<Fault, null>>;
+  ensureConnection: (service: string, member: string, address: string, milliseconds: number) => Promise<Either.Either<Fault, null>>;
   /** Errors: `reply-lost`, `overloaded` when the member gives no STATE, and those of `memberConnection.open`. */
   readStatus: (service: string, member: string, address: string, milliseconds: number) => Promise<Either.Either<Fault, MemberStatus>>;
 }>;
@@ -100,7 +100,7 @@
   const prober: ProberState = { runtime, dialect, tenant, open: new Map(), opening: new Map() };
   return {
     readStatus: (service, member, address, milliseconds) => readStatus(prober, { service, member, address }, milliseconds),
-    keepConnection: async function keepConnection(service, member, address, milliseconds) {
+    ensureConnection: async function ensureConnection(service, member, address, milliseconds) {
       const connection = await connectionTo(prober, { service, member, address }, milliseconds);
       return Either.isLeft(connection) ? connection : Either.right(null);
     },
--- a/packages/simulator/pooled-mutations.mjs
+++ b/packages/simulator/pooled-mutations.mjs
@@ -468,7 +468,7 @@
     name: 'promotion-believed-on-its-reply',
     story: 'before its promotion has taken effect',
     file: 'election/build/promotion.js',
-    from: 'Option.isNone(context.calls) || (await takesEffect(',
+    from: 'Option.isNone(context.platformCalls) || (await takesEffect(',
     to: 'true || (await takesEffect(',
   },
   {
--- a/packages/simulator/src/core-fleet.ts
+++ b/packages/simulator/src/core-fleet.ts
@@ -122,7 +122,7 @@
         probe: {
           readState: () =>
             Promise.resolve(Either.left(fault.create({ kind: 'unreachable', message: 'no member runs here', remedy: 'none is needed' }))),
-          keepConnection: () => Promise.resolve(Either.right(null)),
+          ensureConnection: () => Promise.resolve(Either.right(null)),
         },
         routes: function capture(platformApi) {
           machine.platformApi = platformApi;
--- a/packages/simulator/src/pooled-adapter.ts
+++ b/packages/simulator/src/pooled-adapter.ts
@@ -68,7 +68,7 @@
 function memberProbe(runtime: Runtime): MemberProbe {
   const probes = prober.create(runtime, plainDialect, ownTenant);
   return {
-    keepConnection: probes.keepConnection,
+    ensureConnection: probes.ensureConnection,
     readState: async function ask(service, member, address, milliseconds) {
       const standing = await probes.readStatus(service, member, address, milliseconds);
       if (Either.isLeft(standing)) return standing;
