--- a/packages/simulator/pooled-mutations.mjs
+++ b/packages/simulator/pooled-mutations.mjs
@@ -468,7 +468,7 @@
     name: 'promotion-believed-on-its-reply',
     story: 'before its promotion has taken effect',
     file: 'election/build/promotion.js',
-    from: 'Option.isNone(context.calls) || (await takesEffect(',
+    from: 'Option.isNone(context.platformCalls) || (await takesEffect(',
     to: 'true || (await takesEffect(',
   },
   {
@@ -676,7 +676,7 @@
     name: 'marks-moved-past-strangers',
     story: 'A core that has just begun to answer',
     file: 'lease/build/commit-watermarks.js',
-    from: 'if (watermark.at < holders.unknownHoldersUntil)',
+    from: 'if (watermark.coveredUntil < holders.unknownHoldersUntil)',
     to: 'if (false)',
   },
   {
