--- a/packages/acceptance/src/ballots.ts
+++ b/packages/acceptance/src/ballots.ts
@@ -71,8 +71,8 @@
       const wanted = valueOf(routes);
       const differs = compressedDifference.between(base, wanted);
       assert.ok(differs !== undefined);
-      assert.deepEqual(compressedDifference.join(base, differs), Either.right(wanted));
-      assert.ok(Either.isLeft(compressedDifference.join(before, differs)));
+      assert.deepEqual(compressedDifference.apply(base, differs), Either.right(wanted));
+      assert.ok(Either.isLeft(compressedDifference.apply(before, differs)));
       before = base;
     }
   },
@@ -107,9 +107,9 @@
   );
   spoilt.push({ ...differs, digest: 'x' }, { ...differs, pieces: [] }, { ...differs, pieces: differs.pieces.slice(1) });
   for (const one of spoilt) {
-    const joined = compressedDifference.join(base, one);
+    const joined = compressedDifference.apply(base, one);
     // A spoilt bit of the padding may change nothing.
-    if (Either.isRight(joined)) assert.deepEqual(joined, compressedDifference.join(base, differs));
+    if (Either.isRight(joined)) assert.deepEqual(joined, compressedDifference.apply(base, differs));
   }
 });
 
--- a/packages/acceptance/src/contents.ts
+++ b/packages/acceptance/src/contents.ts
@@ -162,7 +162,7 @@
     },
   };
   const held = contentFetcher.create({ clock } as Runtime, {
-    set: () => 0,
+    coreSetNumber: () => 0,
     deliver: (core, change) => void taken.push({ core, value: change.entry.value, at: simulated.now() }),
     stopped: () => false,
   });
@@ -203,7 +203,7 @@
     },
   };
   const fetcher = contentFetcher.create({ clock } as Runtime, {
-    set: () => 0,
+    coreSetNumber: () => 0,
     deliver: function deliver(_core, change) {
       versions.push(change.entry.version);
       longest = Math.max(longest, simulated.now() - deliveredAt);
@@ -240,7 +240,7 @@
     call: () => Promise.resolve(Option.some({ ready: true, agreed: true, promised: ballot(2), accepted: second })),
   };
   const fetcher = contentFetcher.create({ clock } as Runtime, {
-    set: () => 0,
+    coreSetNumber: () => 0,
     deliver: (_core, change) => void taken.push([change.entry.version, change.entry.value]),
     stopped: () => false,
   });
--- a/packages/core/src/core-set-manager.ts
+++ b/packages/core/src/core-set-manager.ts
@@ -153,7 +153,7 @@
   const membership = coreSetMembership.create(state);
   const changes = coreSetChanges.create({
     set: membership.set,
-    registerInSet: parts.register.forCoreSet,
+    registerForCoreSet: parts.register.forCoreSet,
     adopt: (seat, set) => requestAdopt(manager, seat, set),
     observe: membership.observe,
   });
--- a/packages/core/src/learner.ts
+++ b/packages/core/src/learner.ts
@@ -56,7 +56,7 @@
   runtime.log('core.copying', { set: set.number, seated: isSeated(learner, set) });
   return catchUp.copyFromEnough(
     otherSeats(learner, set),
-    catchUp.sourcesNeeded(set.seats.length),
+    catchUp.requiredSources(set.seats.length),
     (source, isUnneeded) => parts.transfer.copyFrom(source, Option.some(since), epochs, isUnneeded),
     () => !parts.isWanted() || !isNewest(learner, set),
   );
--- a/packages/core/src/usage-reporting.ts
+++ b/packages/core/src/usage-reporting.ts
@@ -10,7 +10,7 @@
   registerService,
   reportStore,
   usageWindowMilliseconds,
-  usageWindowsKept,
+  retainedUsageWindows,
   type Register,
   type ReportStore,
 } from '@stallstall/register';
@@ -92,7 +92,7 @@
   });
   const grace = Option.isSome(leased) ? sessionGraceMilliseconds : graceMilliseconds;
   if (!isComplete && runtime.clock.wall() < end + grace) return Option.none;
-  return Option.some(reportStore.sumReports(replies.flatMap((reply) => reply.reports)));
+  return Option.some(reportStore.sumUsageReports(replies.flatMap((reply) => reply.reports)));
 }
 
 async function fixWindow({ runtime, register }: ReportingState, window: number, counts: Readonly<Record<string, number>>): Promise<void> {
@@ -127,7 +127,7 @@
 async function fixEnded(state: ReportingState, known: readonly UsageWindow[]): Promise<void> {
   const last = Math.floor((state.runtime.clock.wall() - clockSkewMilliseconds) / usageWindowMilliseconds) - 1;
   const newest = known.at(-1)?.window ?? last - 1;
-  const first = Math.max(newest + 1, last - usageWindowsKept + 2);
+  const first = Math.max(newest + 1, last - retainedUsageWindows + 2);
   for (let window = first; window <= last; window += 1) {
     const counts = await collectCounts(state, window);
     if (Option.isNone(counts)) return;
--- a/packages/core/src/usage-windows.ts
+++ b/packages/core/src/usage-windows.ts
@@ -4,7 +4,7 @@
 import { Type, type Static } from '@sinclair/typebox';
 import type { Fault } from '@stallstall/kernel';
 import { message, type Entry } from '@stallstall/message';
-import { usageWindowsKept, type Register } from '@stallstall/register';
+import { retainedUsageWindows, type Register } from '@stallstall/register';
 
 /** `counts`: statements that began to run in the window, by tenant or service. The field names are those of stored data. */
 const UsageSchema = Type.Object({
@@ -21,7 +21,7 @@
 const usageKey = 'usage';
 const registerMilliseconds = 1_000;
 const fixMilliseconds = 1_500;
-const windowsKept = 2 * usageWindowsKept;
+const windowsKept = 2 * retainedUsageWindows;
 
 function windowsOf(entry: Option.Option<Entry>): readonly UsageWindow[] {
   return Option.isSome(entry) && message.matches(UsageSchema, entry.value.value) ? entry.value.value.windows : [];
--- a/packages/lease/src/holder-state.ts
+++ b/packages/lease/src/holder-state.ts
@@ -91,7 +91,7 @@
     cores: { number: coreSets.number, includes: (core) => context.cores.some((one) => one.node === core) },
   });
   const contents = contentFetcher.create(runtime, {
-    set: coreSets.number,
+    coreSetNumber: coreSets.number,
     deliver: watch.receive,
     stopped: () => context.isStopped,
   });
--- a/packages/node/src/applied-state.ts
+++ b/packages/node/src/applied-state.ts
@@ -45,7 +45,7 @@
   });
   // A core accepts nearly every configuration itself: what the others push of it needs no content (design 5.6).
   const contents = contentFetcher.create(runtime, {
-    set: coreSets.number,
+    coreSetNumber: coreSets.number,
     deliver: watch.receive,
     stopped: () => context.isStopped,
   });
--- a/packages/quorum-lease/src/quorum-lease.ts
+++ b/packages/quorum-lease/src/quorum-lease.ts
@@ -3,28 +3,28 @@
 import { quorum } from '@stallstall/quorum';
 import { leaseTermMilliseconds } from './lease-timing.js';
 
-/** A peer's reply to a heartbeat. `sentAt` is when the heartbeat left this node; `epochs` is the peer's epoch for each service. */
+/** A peer's reply to a heartbeat: `sentAt` is when this node sent the heartbeat, `epochs` is the peer's epoch for each service. */
 export type HeartbeatEcho = Readonly<{ sentAt: Instant; epochs: Readonly<Record<string, number>> }>;
 
-/** Whose echoes grant a lease, and for what. */
+/** Which service and epoch a lease is for, and which peers grant it. */
 export type LeaseQuery = Readonly<{
   service: string;
   epoch: number;
   /** The other voters. */
   peers: readonly string[];
-  /** The number of voters, this node included where it is one. */
+  /** The number of voters, including this node if it votes. */
   voterCount: number;
-  /** Whether this node votes itself; an edge does not: cores alone grant its lease (design 7.12). @default true */
+  /** Whether this node is itself a voter. An edge is not: only cores grant its lease (design 7.12). @default true */
   isVoter?: boolean;
 }>;
 
 export type QuorumLease = Readonly<{
-  /** Keeps the echo of the heartbeat that was sent last; an overtaken echo is dropped. */
+  /** Records a peer's echo, unless an echo of a later heartbeat is already recorded. */
   recordEcho: (peer: string, echo: HeartbeatEcho) => void;
   forget: (peer: string) => void;
-  /** When the lease ends; in the past when no majority agrees on the epoch. */
+  /** When the lease expires; a moment in the past when no majority agrees on the epoch. */
   validUntil: (query: LeaseQuery) => Instant;
-  /** How many nodes, this one included, have echoed a heartbeat within the last term, at whatever epoch. */
+  /** How many nodes, including this one, have echoed a heartbeat within the last lease term, at any epoch. */
   reachableCount: (now: Instant, peers: readonly string[]) => number;
 }>;
 
@@ -37,12 +37,12 @@
 
 function validUntil(echoes: Echoes, { service, epoch, peers, voterCount, isVoter = true }: LeaseQuery): Instant {
   if (epoch === 0) return identifiers.instant(Number.NEGATIVE_INFINITY);
-  const agreeing: number[] = [];
+  const sentTimes: number[] = [];
   for (const peer of peers) {
     const echo = echoes.get(peer);
-    if (echo !== undefined && echo.epochs[service] === epoch) agreeing.push(echo.sentAt);
+    if (echo !== undefined && echo.epochs[service] === epoch) sentTimes.push(echo.sentAt);
   }
-  const grantedAt = identifiers.instant(quorum.latestReachedByMajority(agreeing, voterCount, isVoter));
+  const grantedAt = identifiers.instant(quorum.latestReachedByMajority(sentTimes, voterCount, isVoter));
   return identifiers.after(grantedAt, leaseTermMilliseconds);
 }
 
@@ -61,7 +61,7 @@
   };
 }
 
-/** The name under which a process's other services find its lease. */
+/** The name under which the other services of a process look up its lease. */
 export const quorumLeaseService = runtimeUtilities.serviceName<QuorumLease>('quorum-lease');
 
 export const quorumLease = { create } as const;
--- a/packages/quorum/src/index.ts
+++ b/packages/quorum/src/index.ts
@@ -1,47 +1,46 @@
-/** Majority arithmetic and the membership table (design 4). */
+/** Majority arithmetic and operations on the membership table (design 4). */
 import type { Membership, NodeRole, Seat } from '@stallstall/message';
 
-/** The least number of `total` that any two of are bound to share one. */
+/** The smallest group size out of `total` for which any two groups overlap. */
 function majority(total: number): number {
   return Math.floor(total / 2) + 1;
 }
 
 /**
- * The latest moment that a majority of `total` has reached. `own`: this process is one of them and has reached every moment. Terms are
- * reckoned by this, since a term runs from the send time of what a majority echoed.
+ * The latest moment that a majority of `total` processes has reached. With `includesSelf`, this process is one of them and counts as having
+ * reached every moment. Lease terms are computed with this, because a term starts when the heartbeat that a majority echoed was sent.
  */
-function latestReachedByMajority(moments: readonly number[], total: number, own: boolean): number {
-  const needed = majority(total) - (own ? 1 : 0);
+function latestReachedByMajority(moments: readonly number[], total: number, includesSelf: boolean): number {
+  const needed = majority(total) - (includesSelf ? 1 : 0);
   if (needed <= 0) return Number.POSITIVE_INFINITY;
   const sorted = [...moments].sort((left, right) => right - left);
   return sorted[needed - 1] ?? Number.NEGATIVE_INFINITY;
 }
 
-/** The node's entry; undefined when it is no member. */
+/** The table's entry for a node; undefined when the node is not listed. */
 function findNode(membership: Membership, node: string): Seat | undefined {
-  return membership.seats.find((candidate) => candidate.node === node);
+  return membership.seats.find((entry) => entry.node === node);
 }
 
-/** The entries of a role. */
+/** The entries of all nodes with this role. */
 function nodesWithRole(membership: Membership, role: NodeRole): readonly Seat[] {
-  return membership.seats.filter((candidate) => candidate.role === role);
+  return membership.seats.filter((entry) => entry.role === role);
 }
 
-/** Adds an entry, or replaces the one of the same node. */
+/** Adds an entry, or replaces the existing entry of the same node. */
 function putNode(membership: Membership, added: Seat): Membership {
-  const others = membership.seats.filter((candidate) => candidate.node !== added.node);
-  return { ...membership, seats: [...others, added].sort(byName) };
+  const others = membership.seats.filter((entry) => entry.node !== added.node);
+  return { ...membership, seats: [...others, added].sort(compareNodeNames) };
 }
 
-/** Takes a node out. */
 function removeNode(membership: Membership, node: string): Membership {
   return {
     ...membership,
-    seats: membership.seats.filter((candidate) => candidate.node !== node),
+    seats: membership.seats.filter((entry) => entry.node !== node),
   };
 }
 
-function byName(left: Seat, right: Seat): number {
+function compareNodeNames(left: Seat, right: Seat): number {
   return left.node < right.node ? -1 : 1;
 }
 
--- a/packages/register/src/acceptor.ts
+++ b/packages/register/src/acceptor.ts
@@ -29,7 +29,7 @@
   ready: () => boolean;
 }>;
 
-export type AcceptorParts = Readonly<{
+export type AcceptorOptions = Readonly<{
   disk: Disk;
   /** What the disk held when the process started. */
   stored: ReadonlyMap<string, unknown>;
@@ -50,7 +50,7 @@
   readonly disk: Disk;
   readonly table: CellTable;
   readonly coreSet: CoreSetView;
-  readonly onAccepted: AcceptorParts['onAccepted'];
+  readonly onAccepted: AcceptorOptions['onAccepted'];
   readonly archiveEntry: (entry: Entry) => Promise<boolean>;
   isOpen: boolean;
 };
@@ -86,7 +86,7 @@
 function entryOf(request: Request<'accept'>, { accepted }: CellState): Option.Option<Entry> {
   if (request.base === undefined) return Option.some(request.entry);
   if (accepted === null || message.compareBallots(accepted.ballot, request.base.ballot) !== 0) return Option.none;
-  const joined = compressedDifference.join(accepted.value, request.base.difference);
+  const joined = compressedDifference.apply(accepted.value, request.base.difference);
   return Either.isLeft(joined) ? Option.none : Option.some({ ...request.entry, value: joined.right });
 }
 
@@ -130,7 +130,7 @@
   });
 }
 
-function create(parts: AcceptorParts): Acceptor {
+function create(parts: AcceptorOptions): Acceptor {
   const { disk, stored, onAccepted, onDamaged, coreSet = fixedCoreSetView } = parts;
   const table = cellTable.create(disk, stored, onDamaged);
   const acceptor: AcceptorState = {
--- a/packages/register/src/awaited-changes.ts
+++ b/packages/register/src/awaited-changes.ts
@@ -27,7 +27,7 @@
 /** Differences follow one another: with a content found, so many that came behind it can be applied. */
 const changesKept = 16;
 
-function isAfter(left: Ballot, right: Ballot): boolean {
+function isHigherBallot(left: Ballot, right: Ballot): boolean {
   return message.compareBallots(left, right) > 0;
 }
 
@@ -41,7 +41,7 @@
       superseded += Math.max(0, known.length - changesKept);
     },
     remove: function remove(core, through) {
-      const left = (byCore.get(core) ?? []).filter(({ change }) => isAfter(change.entry.ballot, through));
+      const left = (byCore.get(core) ?? []).filter(({ change }) => isHigherBallot(change.entry.ballot, through));
       if (left.length > 0) byCore.set(core, left);
       else byCore.delete(core);
     },
@@ -52,4 +52,4 @@
 }
 
 /** @internal */
-export const awaitedChanges = { create, isAfter } as const;
+export const awaitedChanges = { create, isHigherBallot } as const;
--- a/packages/register/src/ballot-round.ts
+++ b/packages/register/src/ballot-round.ts
@@ -31,7 +31,7 @@
 export type RoundSet = Readonly<{
   replicas: readonly RegisterReplica[];
   /** To be sent with each call. */
-  set: Readonly<{ set?: number }>;
+  setField: Readonly<{ set?: number }>;
   isMajority: (replies: readonly ReplicaReply[]) => boolean;
 }>;
 
@@ -62,13 +62,13 @@
   const number = coreSets.number();
   return {
     replicas: replicas(),
-    set: number === 0 ? {} : { set: number },
+    setField: number === 0 ? {} : { set: number },
     isMajority: (replies) => size > 0 && replies.length >= quorum.majority(size),
   };
 }
 
 /** The ballot of the entry that this process holds: replies leave that entry out. */
-function holdsOf(known: Option.Option<Entry>): Readonly<{ holds?: Ballot }> {
+function holdsField(known: Option.Option<Entry>): Readonly<{ holds?: Ballot }> {
   return Option.isNone(known) ? {} : { holds: known.value.ballot };
 }
 
@@ -77,7 +77,7 @@
   return key === versionedKey && Option.isSome(current) ? { after: current.value.ballot } : {};
 }
 
-function isRemoteHolder({ held, target }: ReplicaReply): boolean {
+function isRemoteHolder({ isEntryOmitted: held, target }: ReplicaReply): boolean {
   return held && target.local !== true;
 }
 
@@ -95,12 +95,12 @@
   key: string,
   ballot: Ballot,
   known: Option.Option<Entry>,
-  { replicas, set, isMajority }: RoundSet,
+  { replicas, setField: set, isMajority }: RoundSet,
 ): Promise<readonly ReplicaReply[]> {
   const replies = await replicaCalls.sendToAll(context.runtime, {
     targets: replicas,
     call: 'prepare',
-    bodyFor: () => ({ key, ballot, ...set, ...holdsOf(known) }),
+    bodyFor: () => ({ key, ballot, ...set, ...holdsField(known) }),
     isEnough: (received) => isMajority(replicaCalls.agreed(received)),
     observe: context.coreSets.observe,
     lingerMilliseconds: promiseLingerMilliseconds,
@@ -134,7 +134,7 @@
 async function run(context: RoundContext, key: string, decide: Decision): Promise<Option.Option<ChangeOutcome>> {
   const ballot = context.counter.next();
   const roundSet = currentSet(context);
-  const { set, isMajority } = roundSet;
+  const { setField: set, isMajority } = roundSet;
   const known = context.localEntry(key);
   const promises = await collectPromises(context, key, ballot, known, roundSet);
   if (!isMajority(promises)) return Option.none;
@@ -150,4 +150,4 @@
 }
 
 /** @internal */
-export const ballotRound = { createCounter, currentSet, holdsOf, run } as const;
+export const ballotRound = { createCounter, currentSet, holdsField, run } as const;
--- a/packages/register/src/catch-up.ts
+++ b/packages/register/src/catch-up.ts
@@ -19,7 +19,7 @@
  * How many other cores must be copied: whatever a majority of the seats held or promised, this seat among them, one of any
  * so many others holds as well, also when some of them are blank themselves.
  */
-function sourcesNeeded(seats: number): number {
+function requiredSources(seats: number): number {
   return seats - quorum.majority(seats) + 1;
 }
 
@@ -75,4 +75,4 @@
   return true;
 }
 
-export const catchUp = { sourcesNeeded, isEligibleSource, copyFromEnough, completeUnresolved } as const;
+export const catchUp = { requiredSources, isEligibleSource, copyFromEnough, completeUnresolved } as const;
--- a/packages/register/src/compressed-difference.ts
+++ b/packages/register/src/compressed-difference.ts
@@ -56,7 +56,7 @@
 }
 
 /** The value that a difference leads to; left where the base is not the one that it was taken from. */
-function join(base: unknown, difference: ValueDifference): Either.Either<Fault, unknown> {
+function apply(base: unknown, difference: ValueDifference): Either.Either<Fault, unknown> {
   try {
     const from = textOf(base);
     const text = Buffer.concat(
@@ -73,4 +73,4 @@
   }
 }
 
-export const compressedDifference = { between, join } as const;
+export const compressedDifference = { between, apply } as const;
--- a/packages/register/src/content-fetcher.ts
+++ b/packages/register/src/content-fetcher.ts
@@ -9,9 +9,9 @@
   call: (kind: 'look', body: Request<'look'>, milliseconds: number) => Promise<Option.Option<Reply<'look'>>>;
 }>;
 
-export type ContentFetcherParts = Readonly<{
+export type ContentFetcherOptions = Readonly<{
   /** The number of the set of cores that is followed; 0 where it never changes (design 4.8). */
-  set: () => number;
+  coreSetNumber: () => number;
   /** Called with a change and its content. */
   deliver: (core: string, change: Change) => void;
   stopped: () => boolean;
@@ -34,7 +34,7 @@
 
 type FetcherState = {
   readonly runtime: Runtime;
-  readonly parts: ContentFetcherParts;
+  readonly options: ContentFetcherOptions;
   /** The latest contents, by their identity, oldest first. */
   readonly contents: Map<string, unknown>;
   readonly awaited: AwaitedChanges;
@@ -67,7 +67,7 @@
 
 /** Contents newer than the latest that are awaited: an older one would not be applied any more. */
 function missing({ awaited, latest }: FetcherState): readonly AwaitedChange[] {
-  return awaited.newest().filter(({ change }) => awaitedChanges.isAfter(change.entry.ballot, latest));
+  return awaited.newest().filter(({ change }) => awaitedChanges.isHigherBallot(change.entry.ballot, latest));
 }
 
 /** A newer content is progress: whatever is missing by now has been so from this moment. */
@@ -81,7 +81,7 @@
   contents.delete(identity);
   contents.set(identity, content);
   for (const old of [...contents.keys()].slice(0, -contentsKept)) contents.delete(old);
-  if (!awaitedChanges.isAfter(ballot, fetcher.latest)) return;
+  if (!awaitedChanges.isHigherBallot(ballot, fetcher.latest)) return;
   fetcher.latest = ballot;
   restartWait(fetcher);
 }
@@ -102,7 +102,7 @@
     fetcher.awaited.remove(core, change.entry.ballot);
     keep(fetcher, change.entry.ballot, content);
   }
-  fetcher.parts.deliver(core, withContent(change, content));
+  fetcher.options.deliver(core, withContent(change, content));
 }
 
 /** Delivers what waited for a content that is known by now; each may be what the next differs from. */
@@ -138,7 +138,7 @@
 
 /** Newer changes do not put off the fetch, only newer contents do: a stream of changes would put it off for good. */
 async function fetchWhenDue(fetcher: FetcherState): Promise<void> {
-  const { runtime, parts, missingSince } = fetcher;
+  const { runtime, options: parts, missingSince } = fetcher;
   if (parts.stopped()) return;
   const isDue = Option.isSome(missingSince) && runtime.clock.now() - missingSince.value >= waitMilliseconds;
   if (isDue) await fetchNewest(fetcher);
@@ -152,14 +152,14 @@
   const responsive = candidates.filter(({ core }) => core !== fetcher.unresponsive);
   const choices = responsive.length > 0 ? responsive : candidates;
   return choices.reduce<AwaitedChange | undefined>(function newer(best, one) {
-    return best === undefined || awaitedChanges.isAfter(one.change.entry.ballot, best.change.entry.ballot) ? one : best;
+    return best === undefined || awaitedChanges.isHigherBallot(one.change.entry.ballot, best.change.entry.ballot) ? one : best;
   }, undefined);
 }
 
 async function fetchNewest(fetcher: FetcherState): Promise<void> {
   const source = sourceOf(fetcher);
   if (source === undefined || Option.isNone(source.link)) return restartWait(fetcher);
-  const reply = await source.link.value.call('look', { key: contentKey, set: fetcher.parts.set() }, fetchMilliseconds);
+  const reply = await source.link.value.call('look', { key: contentKey, set: fetcher.options.coreSetNumber() }, fetchMilliseconds);
   const entry = Option.isSome(reply) ? reply.value.accepted : null;
   restartWait(fetcher);
   if (entry === null) {
@@ -173,10 +173,10 @@
   deliverAwaited(fetcher);
 }
 
-function create(runtime: Runtime, parts: ContentFetcherParts): ContentFetcher {
+function create(runtime: Runtime, parts: ContentFetcherOptions): ContentFetcher {
   const fetcher: FetcherState = {
     runtime,
-    parts,
+    options: parts,
     contents: new Map(),
     awaited: awaitedChanges.create(),
     missingSince: Option.none,
--- a/packages/register/src/core-set-changes.ts
+++ b/packages/register/src/core-set-changes.ts
@@ -6,10 +6,10 @@
 import { quorum } from '@stallstall/quorum';
 import type { CoreSetRegister } from './register.js';
 
-export type CoreSetChangeParts = Readonly<{
+export type CoreSetChangeOptions = Readonly<{
   /** The set that this core is in. */
   set: () => CoreSet;
-  registerInSet: CoreSetRegister['forCoreSet'];
+  registerForCoreSet: CoreSetRegister['forCoreSet'];
   /** Asks a core to adopt a set; none when it does not reply. */
   adopt: (seat: Seat, set: CoreSet) => Promise<Option.Option<Reply<'adopt'>>>;
   /** Called with a newer set that a core reports. */
@@ -65,7 +65,7 @@
 }
 
 /** Asks seats to adopt a set and tells which have; whoever is further reports it. */
-async function confirm({ adopt, observe }: CoreSetChangeParts, set: CoreSet, seats: readonly Seat[]): Promise<ConfirmedCores> {
+async function confirm({ adopt, observe }: CoreSetChangeOptions, set: CoreSet, seats: readonly Seat[]): Promise<ConfirmedCores> {
   const replies = await Promise.all(seats.map(async (seat) => ({ seat, reply: await adopt(seat, set) })));
   const upToDate: string[] = [];
   const silent: Array<ReadonlySet<string>> = [];
@@ -83,7 +83,7 @@
 }
 
 /** Tells both sets; whoever is not reached learns of it from whoever is. True once a majority of the new set has adopted it. */
-async function spread(parts: CoreSetChangeParts, before: CoreSet, set: CoreSet): Promise<boolean> {
+async function spread(parts: CoreSetChangeOptions, before: CoreSet, set: CoreSet): Promise<boolean> {
   for (const seat of set.seats) {
     const wasListed = before.seats.some((one) => one.node === seat.node && one.address === seat.address);
     if (!wasListed) void parts.adopt(seat, set);
@@ -103,8 +103,8 @@
 }
 
 /** Has the next set chosen; right with the set that was, which may be another's. */
-async function decide({ registerInSet }: CoreSetChangeParts, set: CoreSet, wanted: CoreSet): Promise<Either.Either<Fault, CoreSet>> {
-  const written = await registerInSet(set.number).change(
+async function decide({ registerForCoreSet }: CoreSetChangeOptions, set: CoreSet, wanted: CoreSet): Promise<Either.Either<Fault, CoreSet>> {
+  const written = await registerForCoreSet(set.number).change(
     coreSetKey(set.number),
     (current) => (Option.isSome(current) ? Option.none : Option.some(wanted)),
     decideMilliseconds,
@@ -114,7 +114,11 @@
   return message.matches(CoreSetSchema, decided) ? Either.right(decided) : unchanged('its cell holds no set');
 }
 
-async function replaceNode(parts: CoreSetChangeParts, occupant: Seat, vacancies: FindVacantNodes): Promise<Either.Either<Fault, CoreSet>> {
+async function replaceNode(
+  parts: CoreSetChangeOptions,
+  occupant: Seat,
+  vacancies: FindVacantNodes,
+): Promise<Either.Either<Fault, CoreSet>> {
   const set = parts.set();
   if (isSeated(set, occupant)) return Either.right(set);
   const confirmed = await confirm(parts, set, set.seats);
@@ -133,14 +137,14 @@
   return isSeated(decided.right, occupant) ? decided : unchanged('another step was decided');
 }
 
-async function completeInterrupted(parts: CoreSetChangeParts): Promise<void> {
+async function completeInterrupted(parts: CoreSetChangeOptions): Promise<void> {
   const set = parts.set();
-  const read = await parts.registerInSet(set.number).change(coreSetKey(set.number), () => Option.none);
+  const read = await parts.registerForCoreSet(set.number).change(coreSetKey(set.number), () => Option.none);
   const entry: Option.Option<Entry> = Either.isRight(read) ? read.right.entry : Option.none;
   if (Option.isSome(entry) && message.matches(CoreSetSchema, entry.value.value)) await spread(parts, set, entry.value.value);
 }
 
-function create(parts: CoreSetChangeParts): CoreSetChanges {
+function create(parts: CoreSetChangeOptions): CoreSetChanges {
   const commands = owner.create('core set changes', null);
   return {
     replaceNode: (occupant, vacancies) => commands.run(() => replaceNode(parts, occupant, vacancies)),
--- a/packages/register/src/proposer.ts
+++ b/packages/register/src/proposer.ts
@@ -15,7 +15,7 @@
 } from './register.js';
 import { replicaCalls } from './replica-calls.js';
 
-export type ProposerParts = Readonly<{
+export type ProposerOptions = Readonly<{
   /** This node's id. */
   name: string;
   /** The disks that are asked, looked up at each round. */
@@ -81,9 +81,9 @@
   milliseconds = defaultTimeoutMilliseconds,
 ): Promise<Either.Either<Fault, Option.Option<Entry>>> {
   if (!isCurrent()) return Either.left(noMajority(context, key));
-  const { replicas, set, isMajority } = ballotRound.currentSet(context);
+  const { replicas, setField: set, isMajority } = ballotRound.currentSet(context);
   const known = context.localEntry(key);
-  const request: Request<'look'> = { key, ...set, ...ballotRound.holdsOf(known) };
+  const request: Request<'look'> = { key, ...set, ...ballotRound.holdsField(known) };
   const replies = await replicaCalls.sendToAll(context.runtime, {
     targets: replicas,
     call: 'look',
@@ -98,7 +98,7 @@
   return Either.isLeft(completed) ? completed : Either.right(completed.right.entry);
 }
 
-function create(runtime: Runtime, parts: ProposerParts): CoreSetRegister {
+function create(runtime: Runtime, parts: ProposerOptions): CoreSetRegister {
   const proposerName = `${parts.name}#${runtime.randomness.token()}`;
   const coreSets = parts.coreSets ?? fixedCoreSet;
   const context: RoundContext = {
--- a/packages/register/src/replica-calls.ts
+++ b/packages/register/src/replica-calls.ts
@@ -5,7 +5,7 @@
 import type { CoreSetSource, RegisterCall, RegisterReplica } from './register.js';
 
 /** `held`: the replica left its entry out, for it is the one that the proposer holds. @internal */
-export type ReplicaReply = Readonly<{ target: RegisterReplica; reply: Reply<'prepare'>; held: boolean }>;
+export type ReplicaReply = Readonly<{ target: RegisterReplica; reply: Reply<'prepare'>; isEntryOmitted: boolean }>;
 
 /** @internal */
 export type CallPlan<Call extends RegisterCall> = Readonly<{
@@ -41,7 +41,7 @@
       const reply = await target.send(call, bodyFor(target), callMilliseconds);
       outstanding -= 1;
       if (Option.isSome(reply) && reply.value.newer !== undefined) observe(reply.value.newer);
-      if (Option.isSome(reply) && reply.value.ready) replies.push({ target, reply: reply.value, held: false });
+      if (Option.isSome(reply) && reply.value.ready) replies.push({ target, reply: reply.value, isEntryOmitted: false });
       if (outstanding === 0) return finish();
       if (isLingering || !isEnough(replies)) return;
       if (lingerMilliseconds === 0) return finish();
@@ -57,7 +57,7 @@
 function withLocalEntry(replies: readonly ReplicaReply[], known: Option.Option<Entry>): readonly ReplicaReply[] {
   return replies.map(function fill(one) {
     if (one.reply.held !== true || Option.isNone(known)) return one;
-    return { ...one, reply: { ...one.reply, accepted: known.value }, held: true };
+    return { ...one, reply: { ...one.reply, accepted: known.value }, isEntryOmitted: true };
   });
 }
 
--- a/packages/register/src/report-store.ts
+++ b/packages/register/src/report-store.ts
@@ -21,7 +21,7 @@
 /** The length of a usage window. Unit: milliseconds. */
 export const usageWindowMilliseconds = 5_000;
 /** Windows older than this can no longer be sent in time. */
-export const usageWindowsKept = 6;
+export const retainedUsageWindows = 6;
 /** Entries on the disk: each holds the watermarks and one window's reports, and a window so many later takes it over. */
 export const reportStoragePrefix = 'notes/';
 const storageSlots = 8;
@@ -47,7 +47,7 @@
 }
 
 /** Adds up reports of one window: of each process the newest counts. */
-function sumReports(reports: readonly UsageReport[]): Readonly<Record<string, number>> {
+function sumUsageReports(reports: readonly UsageReport[]): Readonly<Record<string, number>> {
   const latest = new Map<string, UsageReport>();
   for (const report of reports) {
     const known = latest.get(processOf(report));
@@ -86,7 +86,7 @@
   for (const [edge, moment] of Object.entries(request.through)) {
     store.through.set(edge, Math.max(moment, store.through.get(edge) ?? 0));
   }
-  const oldest = currentWindow(store) - usageWindowsKept;
+  const oldest = currentWindow(store) - retainedUsageWindows;
   for (const report of request.reports) {
     if (report.window < oldest) continue;
     mergeReport(store, report);
@@ -177,4 +177,4 @@
   };
 }
 
-export const reportStore = { create, sumReports } as const;
+export const reportStore = { create, sumUsageReports } as const;
--- a/packages/register/src/watcher.ts
+++ b/packages/register/src/watcher.ts
@@ -29,7 +29,7 @@
 /** Which cores are counted, and the number of their set, where it may change. */
 export type CountedCores = Readonly<{ number: () => number; includes: (core: string) => boolean }>;
 
-export type WatcherParts = Readonly<{
+export type WatcherOptions = Readonly<{
   register: Register;
   coreCount: () => number;
   /** Called once a new version of a key is applied. */
@@ -53,7 +53,7 @@
   runtime: Runtime;
   register: Register;
   coreCount: () => number;
-  onApplied: WatcherParts['onApplied'];
+  onApplied: WatcherOptions['onApplied'];
   cores: CountedCores;
   keys: Map<string, WatchedKey>;
 }>;
@@ -167,7 +167,7 @@
   }
 }
 
-function create(runtime: Runtime, { register, coreCount, onApplied, cores = everyCore }: WatcherParts): Watcher {
+function create(runtime: Runtime, { register, coreCount, onApplied, cores = everyCore }: WatcherOptions): Watcher {
   const state: WatcherState = { runtime, register, coreCount, onApplied, cores, keys: new Map() };
   return {
     receive: (core, change) => receive(state, core, change),
--- a/packages/simulator/src/schedules.ts
+++ b/packages/simulator/src/schedules.ts
@@ -112,7 +112,7 @@
     level: async function level(name, sources) {
       const enough = await catchUp.copyFromEnough(
         [...sources].map(seatOf),
-        catchUp.sourcesNeeded(secondSeats.length),
+        catchUp.requiredSources(secondSeats.length),
         async function copy(source) {
           if (!catchUp.isEligibleSource(2, core(source.node).set)) return false;
           const page = await core(source.node).cells.page('');
