--- a/packages/acceptance/src/cores.ts
+++ b/packages/acceptance/src/cores.ts
@@ -149,7 +149,7 @@
     await fleet.world.run(1);
   }
   await fleet.world.run(2);
-  assert.equal(machine.running?.open(), false);
+  assert.equal(machine.running?.isOpen(), false);
   fleet.kill(machine);
   return machine;
 }
@@ -173,7 +173,7 @@
     assert.ok(spent < 10_000, 'it was given no seat');
     await this.cores.world.run(1);
   }
-  assert.equal(machine.running?.open(), false);
+  assert.equal(machine.running?.isOpen(), false);
   this.cores.kill(machine);
 });
 
--- a/packages/acceptance/src/cut-core.ts
+++ b/packages/acceptance/src/cut-core.ts
@@ -232,7 +232,7 @@
     machine.disk.entries.delete('roster');
     await this.cores.world.run(seconds * 1_000);
     await this.cores.start(machine, false);
-    assert.ok(await this.cores.until(() => machine.running?.open() === true, 5_000));
+    assert.ok(await this.cores.until(() => machine.running?.isOpen() === true, 5_000));
     // In touch with the others, and not a moment longer: a later one would have been told by them.
     await this.cores.world.run(lookMilliseconds);
   },
@@ -320,7 +320,7 @@
 
 /** All that run and are open stand at one set. */
 function standTogether(fleet: CoreFleet): boolean {
-  const sets = fleet.machines.filter((machine) => machine.running?.open() === true).map((machine) => fleet.setOf(machine));
+  const sets = fleet.machines.filter((machine) => machine.running?.isOpen() === true).map((machine) => fleet.setOf(machine));
   return sets.length >= 3 && sets.every((set) => set.number === sets[0]?.number);
 }
 
--- a/packages/acceptance/src/disks.ts
+++ b/packages/acceptance/src/disks.ts
@@ -135,10 +135,10 @@
   const slot = coreOf(story, core);
   const from = story.fleet.world.logs.length;
   await story.fleet.startCore(slot);
-  await story.fleet.until(() => slot.running?.open() === true || slot.process?.alive() === false, patienceMilliseconds);
+  await story.fleet.until(() => slot.running?.isOpen() === true || slot.process?.alive() === false, patienceMilliseconds);
   const stoppedBy = slot.process?.stoppedBy() ?? Option.none;
   if (Option.isSome(stoppedBy)) return fault.kind(stoppedBy.value) === 'foreign-disk' ? 'refused' : fault.kind(stoppedBy.value);
-  assert.equal(slot.running?.open(), true, 'it did not open');
+  assert.equal(slot.running?.isOpen(), true, 'it did not open');
   const logged = loggedSince(story, core, from);
   assert.ok(logged.has('core.copying'), 'it copied nothing');
   return logged.has('disk.replaced') ? 'replaced' : logged.has('core.old-disk') ? 'old' : 'copying';
@@ -167,7 +167,7 @@
 
 Then('no core is open, and each has logged {string}', function then(this: Story, event: string) {
   for (const slot of this.fleet.cores) {
-    assert.equal(slot.running?.open(), false, slot.name);
+    assert.equal(slot.running?.isOpen(), false, slot.name);
     assert.ok(loggedSince(this, slot.name, 0).has(event));
   }
 });
--- a/packages/acceptance/src/orders.ts
+++ b/packages/acceptance/src/orders.ts
@@ -66,7 +66,7 @@
 );
 
 async function open(fleet: PooledFleet): Promise<void> {
-  assert.ok(await fleet.until(() => fleet.cores.every((slot) => slot.running?.open() === true), 20_000));
+  assert.ok(await fleet.until(() => fleet.cores.every((slot) => slot.running?.isOpen() === true), 20_000));
 }
 
 When('each core in turn comes back with an empty disk', async function when(this: OrderStory) {
--- a/packages/acceptance/src/platform.ts
+++ b/packages/acceptance/src/platform.ts
@@ -285,8 +285,8 @@
       probe: platformCalls.memberProbe(spawned.runtime),
       routes: pages.control,
       platformApiAddress: `${host}:7003`,
-      founds: !alone,
-      founders,
+      mayFound: !alone,
+      founderAddresses: founders,
     }),
   );
   assert.ok(Either.isRight(started));
--- a/packages/acceptance/src/pooled-heartbeat-steps.ts
+++ b/packages/acceptance/src/pooled-heartbeat-steps.ts
@@ -19,7 +19,10 @@
 
 When('the other cores start and the fleet is formed', async function when(this: PooledStory) {
   for (const slot of this.pooled.cores.slice(1)) await this.pooled.startCore(slot);
-  assert.ok(await this.pooled.until(() => this.pooled.cores.every((slot) => slot.running?.open() === true), 8_000), 'no fleet was formed');
+  assert.ok(
+    await this.pooled.until(() => this.pooled.cores.every((slot) => slot.running?.isOpen() === true), 8_000),
+    'no fleet was formed',
+  );
 });
 
 Then('a beat to it is taken', async function then(this: PooledStory) {
--- a/packages/acceptance/src/replaced-core-steps.ts
+++ b/packages/acceptance/src/replaced-core-steps.ts
@@ -23,7 +23,7 @@
 );
 
 Then('{word} logs {string} and opens within {int} s', async function then(this: Story, core: string, event: string, seconds: number) {
-  assert.ok(await this.fleet.until(() => coreOf(this, core).running?.open() === true, seconds * 1_000), 'it did not open');
+  assert.ok(await this.fleet.until(() => coreOf(this, core).running?.isOpen() === true, seconds * 1_000), 'it did not open');
   assert.ok(
     this.fleet.world.logs.some((line) => line.process === core && line.event === event),
     `no ${event}`,
@@ -61,7 +61,7 @@
 
 Then('{word} denies another proposal for epoch {int}', async function then(this: Story, core: string, epoch: number) {
   const slot = coreOf(this, core);
-  assert.ok(await this.fleet.until(() => slot.running?.open() === true, 2_000), 'it did not open');
+  assert.ok(await this.fleet.until(() => slot.running?.isOpen() === true, 2_000), 'it did not open');
   // Long enough that it obeys the membership table and the sheet again: nothing but its vote may stand in the way.
   await this.fleet.world.run(1_000);
   assert.equal(await proposeTo(this, this.fleet.place(slot).address, 'edge-2', epoch), false);
--- a/packages/acceptance/src/simulator.ts
+++ b/packages/acceptance/src/simulator.ts
@@ -238,7 +238,7 @@
 
 Then('the last one serves within {int} s', async function then(this: SimulatorStory, seconds: number) {
   const last = this.pooled.cores.at(-1);
-  assert(await this.pooled.until(() => last?.running?.open() === true, seconds * 1_000));
+  assert(await this.pooled.until(() => last?.running?.isOpen() === true, seconds * 1_000));
 });
 
 type SeededOutcome = Readonly<{ seeds: readonly number[]; failed: readonly number[] }>;
--- a/packages/bench/src/soak/soak-roles.ts
+++ b/packages/bench/src/soak/soak-roles.ts
@@ -60,8 +60,8 @@
       probe: pooledAdapter.memberProbe(runtime),
       routes: pooledAdapter.pages,
       platformApiAddress,
-      founds,
-      founders,
+      mayFound: founds,
+      founderAddresses: founders,
     }),
   );
   if (Either.isLeft(started)) throw started.left;
--- a/packages/core/src/core-node.ts
+++ b/packages/core/src/core-node.ts
@@ -4,7 +4,7 @@
 import { node as nodes, type Node, type NodeSettings, type RegistrationSupport } from '@stallstall/node';
 import type { RegisterReplica } from '@stallstall/register';
 import type { CoreContext, CoreStorage } from './core-context.js';
-import type { CoreParts } from './core-settings.js';
+import type { PlatformIntegration } from './core-settings.js';
 import { storeReport } from './report-handling.js';
 
 /** @internal */
@@ -26,7 +26,7 @@
   };
 }
 
-function registrationSupport(context: CoreContext, { calls, probe }: CoreParts, events: CoreNodeEvents): RegistrationSupport {
+function registrationSupport(context: CoreContext, { calls, probe }: PlatformIntegration, events: CoreNodeEvents): RegistrationSupport {
   return {
     calls,
     probe,
@@ -40,7 +40,7 @@
 }
 
 /** A fleet is found again though the seeds may by now name none of its cores (design 4.8). */
-function withKnownCores({ settings, parts }: CoreContext, { record }: CoreStorage): NodeSettings {
+function withKnownCores({ settings, platform: parts }: CoreContext, { recordStore: record }: CoreStorage): NodeSettings {
   if (Option.isNone(parts)) return settings;
   function seeds(): readonly string[] {
     const known = record.current();
@@ -51,7 +51,7 @@
 }
 
 function create(context: CoreContext, storage: CoreStorage, events: CoreNodeEvents): Node {
-  const { parts, runtime } = context;
+  const { platform: parts, runtime } = context;
   const { cells, reports, votes, coreSetView } = storage;
   return nodes.create(runtime, withKnownCores(context, storage), {
     role: 'core',
--- a/packages/core/src/core-routes.ts
+++ b/packages/core/src/core-routes.ts
@@ -27,7 +27,7 @@
 
 async function serve({ services, administration, contact, platformApi }: CoreRouteParts): Promise<CoreRoutes> {
   const { context, node } = services;
-  const { runtime, settings, parts } = context;
+  const { runtime, settings, platform: parts } = context;
   const platformRoutes = Option.isSome(parts) ? parts.value.routes(platformApi) : [];
   const platformNames = new Set(platformRoutes.map(nameOf));
   const counted = http.countInFlight([...node.routes, ...administration.routes.map(contact.guard), ...platformRoutes]);
--- a/packages/core/src/core-seat.ts
+++ b/packages/core/src/core-seat.ts
@@ -4,16 +4,16 @@
 import { watcher } from '@stallstall/register';
 import { withoutHistory, type ChangeSubscribers } from './change-subscribers.js';
 import type { CoreServices } from './core-context.js';
-import { setOf, type Fleet } from './fleet-record.js';
+import { coreSetOf, type FleetRecord } from './fleet-record.js';
 import { currentSet } from './peer-handlers.js';
 import type { QuorumContact } from './quorum-contact.js';
 
 /** @internal */
 export type CoreSeat = Readonly<{
   /** Begins to answer ballots as the record says. */
-  open: (known: Fleet) => void;
+  open: (known: FleetRecord) => void;
   /** Answers in another set than before: what is watched is pushed anew at every set. */
-  changeSet: (known: Fleet) => void;
+  changeSet: (known: FleetRecord) => void;
   /** Answers nothing any more, and goes on asking whoever has the seats by now: what is in flight here is still finished. */
   close: (set: CoreSet) => void;
   /** Pushes an entry that this core's disk has accepted. */
@@ -48,10 +48,10 @@
     }
   }
 
-  function open(known: Fleet): void {
+  function open(known: FleetRecord): void {
     node.setFleet(known.fleet);
-    if (Option.isNone(context.parts)) node.setCores(known.cores);
-    else node.followCoreSet(setOf(known));
+    if (Option.isNone(context.platform)) node.setCores(known.cores);
+    else node.followCoreSet(coreSetOf(known));
     context.openedAt = context.runtime.clock.now();
     cells.open();
     reports.open();
@@ -61,8 +61,8 @@
     context.runtime.log('core.open', { fleet: known.fleet, cores: known.cores.length });
   }
 
-  function changeSet(known: Fleet): void {
-    node.followCoreSet(setOf(known));
+  function changeSet(known: FleetRecord): void {
+    node.followCoreSet(coreSetOf(known));
     subscribers.pushAll(cells);
     pushToOwnNode();
     notifyLeaseHolders();
--- a/packages/core/src/core-set-manager.ts
+++ b/packages/core/src/core-set-manager.ts
@@ -18,7 +18,7 @@
   /** Some core reported this set. */
   observe: (set: CoreSet) => void;
   /** A formed fleet was found that this core is not, or not any more, a core of. */
-  fleetFound: (fleet: string, set: CoreSet) => void;
+  onFleetFound: (fleet: string, set: CoreSet) => void;
   /** This disk cannot be trusted to hold what it promised: the core goes on as one that lost its disk. */
   abandonDisk: () => Promise<boolean>;
   /** Offers this core's own seat, until a learner that waits for one has it, or until the deadline. */
@@ -54,10 +54,10 @@
 async function adopt({ state, membership }: Manager, request: Request<'adopt'>): Promise<Reply<'adopt'>> {
   const { parts, commands } = state;
   // A blank core may know no seed that still runs, while the cores of the fleet go on calling it where it was seated.
-  if (Option.isNone(parts.fleet()) && !state.isStopped && !state.isLeaving)
+  if (Option.isNone(parts.record()) && !state.isStopped && !state.isLeaving)
     void commands.run(() => membership.becomeLearner(request.fleet, request.set));
   const adopted = await commands.run(() => membership.adopt(request.fleet, request.set));
-  const known = parts.fleet();
+  const known = parts.record();
   const isFormed = Option.isSome(known) && known.value.fleet === request.fleet && known.value.stage === 'formed';
   const own = membership.set();
   const silent = [...silentCores(state, own)];
@@ -68,7 +68,7 @@
 async function requestAdopt(manager: Manager, seat: Seat, set: CoreSet): Promise<Option.Option<Reply<'adopt'>>> {
   const { state, membership } = manager;
   const { parts } = state;
-  const known = parts.fleet();
+  const known = parts.record();
   if (Option.isNone(known)) return Option.none;
   const request: Request<'adopt'> = { fleet: known.value.fleet, set };
   if (seat.address === parts.node.ownSeat().address) return Option.some(await adopt(manager, request));
@@ -170,7 +170,7 @@
     observe: membership.observe,
     handOverSeat: (deadline) => handOverSeat(manager, deadline),
     abandonDisk: () => state.commands.run(membership.abandonDisk),
-    fleetFound: function fleetFound(fleet, set) {
+    onFleetFound: function fleetFound(fleet, set) {
       if (!state.isStopped && !state.isLeaving) void state.commands.run(() => membership.becomeLearner(fleet, set));
     },
     start: () => start(manager),
--- a/packages/core/src/core-set-membership.ts
+++ b/packages/core/src/core-set-membership.ts
@@ -3,7 +3,7 @@
 import type { CoreSet, Seat } from '@stallstall/message';
 import { isSameOccupant } from '@stallstall/register';
 import type { CoreSetState } from './core-set-state.js';
-import { setOf, type Fleet } from './fleet-record.js';
+import { coreSetOf, type FleetRecord } from './fleet-record.js';
 import { learner } from './learner.js';
 
 /** Commands that change the record are to be run one at a time. @internal */
@@ -25,12 +25,12 @@
 const noSet: CoreSet = { number: 0, seats: [], epochs: {} };
 
 /** The record in a set. */
-function inSet(known: Fleet, set: CoreSet): Fleet {
+function inSet(known: FleetRecord, set: CoreSet): FleetRecord {
   return { ...known, cores: set.seats, number: set.number, epochs: set.epochs };
 }
 
 /** The record of a core that promised nothing to anybody: it has a disk of its own name, which no set lists yet. */
-function learnerRecord({ runtime, parts }: CoreSetState, fleet: string, set: CoreSet): Fleet {
+function learnerRecord({ runtime, parts }: CoreSetState, fleet: string, set: CoreSet): FleetRecord {
   return {
     fleet,
     node: parts.node.settings.node,
@@ -47,12 +47,12 @@
   const { node, cells } = parts;
 
   function set(): CoreSet {
-    const known = parts.fleet();
-    return Option.isSome(known) ? setOf(known.value) : noSet;
+    const known = parts.record();
+    return Option.isSome(known) ? coreSetOf(known.value) : noSet;
   }
 
   function ownSeat(): Seat {
-    const known = parts.fleet();
+    const known = parts.record();
     const disk = Option.isSome(known) ? known.value.disk : undefined;
     return { ...node.ownSeat(), ...(disk === undefined ? {} : { disk }) };
   }
@@ -77,10 +77,10 @@
   }
 
   async function openIn(given: CoreSet): Promise<boolean> {
-    const known = parts.fleet();
+    const known = parts.record();
     if (state.isStopped || state.isLeaving || Option.isNone(known) || known.value.stage === 'formed' || !isListed(given)) return false;
-    const next: Fleet = { ...inSet(known.value, given), stage: 'formed' };
-    if (!(await parts.keepFleet(next))) return false;
+    const next: FleetRecord = { ...inSet(known.value, given), stage: 'formed' };
+    if (!(await parts.saveRecord(next))) return false;
     enter(given);
     parts.open(next);
     return true;
@@ -93,24 +93,24 @@
     learning.observe(given);
   }
 
-  async function moveTo(known: Fleet, given: CoreSet): Promise<boolean> {
+  async function moveTo(known: FleetRecord, given: CoreSet): Promise<boolean> {
     const listed = isListed(given);
-    parts.onBetweenSets(true);
-    const isKept = await parts.keepFleet(listed ? inSet(known, given) : learnerRecord(state, known.fleet, given));
-    parts.onBetweenSets(false);
+    parts.onChangingSet(true);
+    const isKept = await parts.saveRecord(listed ? inSet(known, given) : learnerRecord(state, known.fleet, given));
+    parts.onChangingSet(false);
     if (!isKept) return false;
     if (!listed) {
       leaveSet(given);
       return false;
     }
     enter(given);
-    const record = parts.fleet();
+    const record = parts.record();
     if (cells.ready() && Option.isSome(record)) parts.changeSet(record.value);
     return true;
   }
 
   async function adopt(fleet: string, given: CoreSet): Promise<boolean> {
-    const known = parts.fleet();
+    const known = parts.record();
     if (state.isStopped || Option.isNone(known) || known.value.fleet !== fleet) return false;
     if (known.value.stage === 'founding') return openIn(given);
     if (known.value.stage !== 'formed') {
@@ -122,25 +122,25 @@
   }
 
   function observe(given: CoreSet): void {
-    const known = parts.fleet();
+    const known = parts.record();
     if (Option.isNone(known)) return;
     const isNewer = known.value.stage !== 'formed' || given.number > set().number;
     if (isNewer) void commands.run(() => adopt(known.value.fleet, given));
   }
 
   async function becomeLearner(fleet: string, given: CoreSet): Promise<void> {
-    const known = parts.fleet();
+    const known = parts.record();
     const stage = Option.isSome(known) ? known.value.stage : undefined;
     if (stage === 'formed' || cells.ready()) return;
     const isLearner = Option.isSome(known) && known.value.disk !== undefined && stage === 'joining';
-    if (!isLearner && !(await parts.keepFleet(learnerRecord(state, fleet, given)))) return;
+    if (!isLearner && !(await parts.saveRecord(learnerRecord(state, fleet, given)))) return;
     node.setFleet(fleet);
     learning.observe(given);
   }
 
   async function abandonDisk(): Promise<boolean> {
-    const known = parts.fleet();
-    return Option.isSome(known) && (await parts.keepFleet(learnerRecord(state, known.value.fleet, set())));
+    const known = parts.record();
+    return Option.isSome(known) && (await parts.saveRecord(learnerRecord(state, known.value.fleet, set())));
   }
 
   return { set, ownSeat, adopt, observe, becomeLearner, abandonDisk };
--- a/packages/core/src/core-set-state.ts
+++ b/packages/core/src/core-set-state.ts
@@ -5,7 +5,7 @@
 import type { Node } from '@stallstall/node';
 import type { Acceptor, NumberedRegister } from '@stallstall/register';
 import type { CoreCall } from './core-calls.js';
-import type { Fleet } from './fleet-record.js';
+import type { FleetRecord } from './fleet-record.js';
 import type { StateTransfer } from './state-transfer.js';
 
 export type CoreSetManagerParts = Readonly<{
@@ -14,17 +14,17 @@
   callCore: CoreCall;
   cells: Acceptor;
   transfer: StateTransfer;
-  fleet: () => Option.Option<Fleet>;
+  record: () => Option.Option<FleetRecord>;
   /** Resolves to true once the record is synced. */
-  keepFleet: (next: Fleet) => Promise<boolean>;
+  saveRecord: (next: FleetRecord) => Promise<boolean>;
   /** Begins to answer as the fleet record says. */
-  open: (known: Fleet) => void;
+  open: (known: FleetRecord) => void;
   /** Answers in another set than before. */
-  changeSet: (known: Fleet) => void;
+  changeSet: (known: FleetRecord) => void;
   /** Answers nothing any more: its seat was given to another. */
   close: (set: CoreSet) => void;
   /** Called with true before this disk leaves a set and with false once it is in the next. */
-  onBetweenSets: (isBetween: boolean) => void;
+  onChangingSet: (isBetween: boolean) => void;
 }>;
 
 /** @internal */
--- a/packages/core/src/core-settings.ts
+++ b/packages/core/src/core-settings.ts
@@ -14,7 +14,7 @@
   }>;
 
 /** How a fleet runs where members register, edges hold leases, and the platform has words of its own (design 9.6). */
-export type CoreParts = FoundingSettings &
+export type PlatformIntegration = FoundingSettings &
   Readonly<{
     calls: PlatformCalls;
     probe: MemberProbe;
--- a/packages/core/src/core-storage.ts
+++ b/packages/core/src/core-storage.ts
@@ -5,7 +5,7 @@
 import { acceptor, reportStore } from '@stallstall/register';
 import { coreCalls } from './core-calls.js';
 import type { CoreContext, CoreStorage } from './core-context.js';
-import { coreSetViewOf, fleetRecord } from './fleet-record.js';
+import { createCoreSetView, fleetRecordStore } from './fleet-record.js';
 import { stateTransfer } from './state-transfer.js';
 import { coreVoteStore } from './vote-store.js';
 
@@ -28,8 +28,8 @@
 function create(context: CoreContext, stored: ReadonlyMap<string, unknown>, { onAccepted, keepEarlier }: StorageEvents): CoreStorage {
   const { runtime, disk } = context;
   logDiskTrouble(runtime, disk);
-  const record = fleetRecord.create(disk, stored);
-  const coreSetView = Option.isNone(context.parts) ? undefined : coreSetViewOf(record.current, () => context.isBetweenSets);
+  const record = fleetRecordStore.create(disk, stored);
+  const coreSetView = Option.isNone(context.platform) ? undefined : createCoreSetView(record.current, () => context.isChangingSet);
   const cells = acceptor.create({
     disk,
     stored,
@@ -48,7 +48,7 @@
     votes,
     stopped: () => context.isStopped,
   });
-  return { record, coreSetView, cells, reports, votes, calls, transfer };
+  return { recordStore: record, coreSetView, cells, reports, votes, calls, transfer };
 }
 
 /** The version of a key that the disk holds, chosen or not; 0 when it holds none. */
--- a/packages/core/src/core.ts
+++ b/packages/core/src/core.ts
@@ -12,7 +12,7 @@
 import { coreRoutes, type CoreRoutes } from './core-routes.js';
 import { coreSeats, type CoreSeat } from './core-seat.js';
 import { coreSetManager, type CoreSetManager } from './core-set-manager.js';
-import type { CoreParts, CoreSettings } from './core-settings.js';
+import type { PlatformIntegration, CoreSettings } from './core-settings.js';
 import { coreStorage } from './core-storage.js';
 import { readFolder, registryKey } from './data-folder.js';
 import { fleetBootstrap, type FleetBootstrap } from './fleet-bootstrap.js';
@@ -27,7 +27,7 @@
 export type Core = Readonly<{
   node: Node;
   /** Whether this core answers ballots. */
-  open: () => boolean;
+  isOpen: () => boolean;
   /** Ends without losing a request that has arrived. */
   drain: () => Promise<void>;
   /** Ends at once. */
@@ -56,16 +56,16 @@
 /** An edge that held a lease so lately may still have counts to report. */
 const edgeMemoryMilliseconds = 12_000;
 
-function createContext(runtime: Runtime, settings: CoreSettings, parts: Option.Option<CoreParts>, disk: Disk): CoreContext {
+function createContext(runtime: Runtime, settings: CoreSettings, parts: Option.Option<PlatformIntegration>, disk: Disk): CoreContext {
   return {
     runtime,
     settings,
-    parts,
+    platform: parts,
     disk,
     registration: Option.none,
     coreSet: Option.none,
     openedAt: runtime.clock.now(),
-    isBetweenSets: false,
+    isChangingSet: false,
     isDraining: false,
     isStopped: false,
   };
@@ -83,13 +83,13 @@
     callCore: storage.calls.call,
     cells: storage.cells,
     transfer: storage.transfer,
-    fleet: storage.record.current,
-    keepFleet: storage.record.keep,
+    record: storage.recordStore.current,
+    saveRecord: storage.recordStore.save,
     open: seat.open,
     changeSet: seat.changeSet,
     close: seat.close,
-    onBetweenSets: function onBetweenSets(isBetween) {
-      context.isBetweenSets = isBetween;
+    onChangingSet: function onBetweenSets(isBetween) {
+      context.isChangingSet = isBetween;
     },
   });
 }
@@ -116,21 +116,21 @@
     node,
     cells: storage.cells,
     disk: context.disk,
-    record: storage.record,
+    recordStore: storage.recordStore,
     transfer: storage.transfer,
     votes: storage.votes,
     coreSet: () => context.coreSet,
-    founding: context.parts,
+    founding: context.platform,
     open: seat.open,
     stopped: () => context.isStopped,
   });
 }
 
 function createUsage({ context, storage, node }: CoreServices): UsageReporting {
-  const leased = Option.map((parts: CoreParts) => ({
+  const leased = Option.map((parts: PlatformIntegration) => ({
     calls: parts.calls,
     edges: () => (Option.isSome(context.registration) ? context.registration.value.grantor.recentHolders(edgeMemoryMilliseconds) : []),
-  }))(context.parts);
+  }))(context.platform);
   return usageReporting.create(context.runtime, node, storage.reports, leased);
 }
 
@@ -176,7 +176,7 @@
   const contact = quorumContact.create(runtime, node.majorityContactAt);
   const versions = versionStore.create(runtime, { disk, node, newest: () => coreStorage.versionOf(storage, 'configuration') });
   const seat: CoreSeat = coreSeats.create({ services, subscribers, contact });
-  if (Option.isSome(context.parts)) {
+  if (Option.isSome(context.platform)) {
     context.coreSet = Option.some(createCoreSet(services, seat));
     context.registration = Option.some(createRegistration(services, contact, stored.get(registryKey)));
   }
@@ -249,7 +249,7 @@
 async function start(
   runtime: Runtime,
   settings: CoreSettings,
-  parts: Option.Option<CoreParts> = Option.none,
+  parts: Option.Option<PlatformIntegration> = Option.none,
 ): Promise<Either.Either<Fault, Core>> {
   if (Option.isNone(runtime.disk)) {
     return Either.left(fault.create({ kind: 'bad-settings', message: 'a core needs a data folder', remedy: 'name one with --data' }));
@@ -264,7 +264,7 @@
   await startServices(assembly);
   return Either.right({
     node,
-    open: storage.cells.ready,
+    isOpen: storage.cells.ready,
     stop: () => stop(assembly, routes.listening),
     drain: () => drain(assembly, routes),
   });
--- a/packages/core/src/disk-recovery.ts
+++ b/packages/core/src/disk-recovery.ts
@@ -4,7 +4,7 @@
 import { heartbeatMilliseconds } from '@stallstall/node';
 import { diskFormat } from './data-folder.js';
 import type { FleetBootstrapParts } from './fleet-bootstrap.js';
-import { setOf, type Fleet } from './fleet-record.js';
+import { coreSetOf, type FleetRecord } from './fleet-record.js';
 import type { KnownCores } from './known-cores.js';
 
 /** @internal */
@@ -12,7 +12,7 @@
   /** Answers ballots again once a majority of the fleet was found and has not heard of later puts than the disk holds. */
   reopen: () => Promise<void>;
   /** A blank disk in a formed fleet has been lost: it answers no ballot before it holds what all the others hold. */
-  copyFleet: (known: Fleet) => Promise<void>;
+  copyFleet: (known: FleetRecord) => Promise<void>;
   /** Another process has heard that this disk had taken so many puts. */
   observePuts: (puts: number) => void;
 }>;
@@ -28,9 +28,9 @@
   node: string,
   parts: FleetBootstrapParts,
   cores: KnownCores,
-  becomeFormed: (known: Fleet) => Promise<void>,
+  becomeFormed: (known: FleetRecord) => Promise<void>,
 ): DiskRecovery {
-  const { cells, disk, record, transfer } = parts;
+  const { cells, disk, recordStore: record, transfer } = parts;
   let isCopying = false;
   let knownPuts = 0;
 
@@ -38,10 +38,10 @@
     return !parts.stopped() && !cells.ready();
   }
 
-  async function copyFleet(known: Fleet): Promise<void> {
+  async function copyFleet(known: FleetRecord): Promise<void> {
     if (isCopying) return;
     isCopying = true;
-    while (!(await record.keep(known))) await runtime.clock.sleep(heartbeatMilliseconds);
+    while (!(await record.save(known))) await runtime.clock.sleep(heartbeatMilliseconds);
     parts.node.setFleet(known.fleet);
     runtime.log('core.copying', { fleet: known.fleet });
     const epochs: Record<string, number> = { ...(await parts.votes.epochs()) };
@@ -56,7 +56,7 @@
   }
 
   /** Goes on as a core that lost its disk; resolves to false when that could not be written down. */
-  async function startAsLost(known: Fleet): Promise<boolean> {
+  async function startAsLost(known: FleetRecord): Promise<boolean> {
     runtime.log('core.old-disk', { puts: disk.puts(), known: knownPuts });
     const coreSet = parts.coreSet();
     if (Option.isNone(coreSet)) {
@@ -64,12 +64,12 @@
       return true;
     }
     if (!(await coreSet.value.abandonDisk())) return false;
-    coreSet.value.fleetFound(known.fleet, setOf(known));
+    coreSet.value.onFleetFound(known.fleet, coreSetOf(known));
     return true;
   }
 
   /** Resolves to true once there is nothing more to do. */
-  async function tryReopen(known: Fleet): Promise<boolean> {
+  async function tryReopen(known: FleetRecord): Promise<boolean> {
     // A disk that has taken fewer puts than others have heard of is an old copy: as good as lost.
     if (knownPuts > disk.puts()) return startAsLost(known);
     if (!cores.includesMajority(known)) return false;
--- a/packages/core/src/fleet-bootstrap.ts
+++ b/packages/core/src/fleet-bootstrap.ts
@@ -6,7 +6,7 @@
 import type { Acceptor } from '@stallstall/register';
 import type { CoreSetManager } from './core-set-manager.js';
 import { diskRecovery, type DiskRecovery } from './disk-recovery.js';
-import type { Fleet, FleetRecord } from './fleet-record.js';
+import type { FleetRecord, FleetRecordStore } from './fleet-record.js';
 import { foundings, type Founding } from './founding.js';
 import { knownCores, type KnownCores } from './known-cores.js';
 import type { StateTransfer } from './state-transfer.js';
@@ -15,23 +15,23 @@
 /** Who may found a fleet where the set of cores changes by itself (design 4.8). */
 export type FoundingSettings = Readonly<{
   /** Whether this core may form a fleet: only at the very first start of all. */
-  founds: boolean;
+  mayFound: boolean;
   /** Addresses of the seeds of the first start: the lowest of them proposes the fleet, once all have been found. */
-  founders: readonly string[];
+  founderAddresses: readonly string[];
 }>;
 
 export type FleetBootstrapParts = Readonly<{
   node: Pick<Node, 'ownSeat' | 'setFleet'>;
   cells: Pick<Acceptor, 'ready'>;
   disk: Pick<Disk, 'puts' | 'lost'>;
-  record: FleetRecord;
+  recordStore: FleetRecordStore;
   transfer: StateTransfer;
   votes: Pick<CoreVoteStore, 'epochs'>;
   /** None where an operator runs the set of cores. */
   coreSet: () => Option.Option<CoreSetManager>;
   founding: Option.Option<FoundingSettings>;
   /** Begins to answer ballots as the record says. */
-  open: (known: Fleet) => void;
+  open: (known: FleetRecord) => void;
   stopped: () => boolean;
 }>;
 
@@ -60,7 +60,7 @@
   cores: KnownCores;
   recovery: DiskRecovery;
   founding: Founding;
-  becomeFormed: (known: Fleet) => Promise<void>;
+  becomeFormed: (known: FleetRecord) => Promise<void>;
 }>;
 
 function foreignDisk(ownFleet: string, reply: Reply<'hello'>): Fault {
@@ -74,15 +74,15 @@
 /** A formed fleet was found where the set of cores changes by itself. */
 function observeFleet({ parts }: Bootstrap, coreSet: CoreSetManager, { fleet, set }: Reply<'hello'>): void {
   if (set === undefined) return;
-  const stage = parts.record.stage();
+  const stage = parts.recordStore.stage();
   if (stage === 'formed') coreSet.observe(set);
-  else if (stage !== 'founding') coreSet.fleetFound(fleet, set);
+  else if (stage !== 'founding') coreSet.onFleetFound(fleet, set);
 }
 
 /** A formed fleet was found that this core is, or may become, a core of. */
 function onFormedFleet(bootstrap: Bootstrap, reply: Reply<'hello'>): void {
   const { settings, parts, recovery, becomeFormed } = bootstrap;
-  const { record } = parts;
+  const { recordStore: record } = parts;
   const known = record.current();
   if (record.stage() === 'founding' && Option.isSome(known)) void becomeFormed(known.value);
   const coreSet = parts.coreSet();
@@ -98,19 +98,19 @@
   cores.observe({ ...parts.node.ownSeat(), node: reply.node, address }, reply.fleet);
   recovery.observePuts(reply.knownPuts);
   if (reply.fleet === '') return;
-  const known = parts.record.current();
+  const known = parts.recordStore.current();
   if (Option.isSome(known) && known.value.fleet !== reply.fleet) runtime.stop(foreignDisk(known.value.fleet, reply));
   else onFormedFleet(bootstrap, reply);
 }
 
 /** Blank cores that the seeds do not name are founders as well: the fleet has so many seats as there are cores at its first start. */
 function onHelloReceived({ parts, cores }: Bootstrap, { seat, fleet }: Request<'hello'>): void {
-  const isFounder = Option.isSome(parts.founding) && parts.record.stage() === 'blank' && seat.role === 'core' && fleet === '';
+  const isFounder = Option.isSome(parts.founding) && parts.recordStore.stage() === 'blank' && seat.role === 'core' && fleet === '';
   if (isFounder) cores.observe(seat, '');
 }
 
 function start({ parts, recovery, founding }: Bootstrap): void {
-  const { record, disk } = parts;
+  const { recordStore: record, disk } = parts;
   const current = record.current();
   if (record.stage() === 'formed') {
     void recovery.reopen();
@@ -121,15 +121,15 @@
     return;
   }
   // One that lost what it held founds nothing: there was a fleet, and what it acknowledged must not be forgotten (design 4.3).
-  const mayFound = Option.isNone(parts.founding) || parts.founding.value.founds;
+  const mayFound = Option.isNone(parts.founding) || parts.founding.value.mayFound;
   if (Option.isNone(disk.lost()) && mayFound) void founding.run();
 }
 
 function create(runtime: Runtime, settings: FleetBootstrapSettings, parts: FleetBootstrapParts): FleetBootstrap {
   const cores = knownCores.create(runtime);
 
-  async function becomeFormed(known: Fleet): Promise<void> {
-    const isKept = await parts.record.keep({ ...known, stage: 'formed' });
+  async function becomeFormed(known: FleetRecord): Promise<void> {
+    const isKept = await parts.recordStore.save({ ...known, stage: 'formed' });
     if (isKept) parts.open(known);
   }
 
--- a/packages/core/src/fleet-record.ts
+++ b/packages/core/src/fleet-record.ts
@@ -10,14 +10,14 @@
  * founding: agreed to, not yet formed; copying: a blank disk of a set that never changes; joining: a learner, which answers
  * nothing until it is seated and level; formed: answers. `copied` and `out` were written by earlier versions, for learners.
  */
-export type Stage = 'founding' | 'copying' | 'joining' | 'copied' | 'formed' | 'out';
+export type FleetStage = 'founding' | 'copying' | 'joining' | 'copied' | 'formed' | 'out';
 
-export type Fleet = Readonly<{
+export type FleetRecord = Readonly<{
   format?: number;
   fleet: string;
   node: string;
   cores: readonly Seat[];
-  stage: Stage;
+  stage: FleetStage;
   /** Of the set of cores, where it may change. */
   number?: number;
   epochs?: Readonly<Record<string, number>>;
@@ -26,24 +26,24 @@
 }>;
 
 /** The record as this core's disk holds it. */
-export type FleetRecord = Readonly<{
-  current: () => Option.Option<Fleet>;
+export type FleetRecordStore = Readonly<{
+  current: () => Option.Option<FleetRecord>;
   /** `blank` while the disk belongs to no fleet. */
-  stage: () => 'blank' | Stage;
+  stage: () => 'blank' | FleetStage;
   /** Resolves to true once the record is synced; only then does `current` return it. */
-  keep: (next: Fleet) => Promise<boolean>;
+  save: (next: FleetRecord) => Promise<boolean>;
 }>;
 
 const fleetKey = 'fleet';
 
 /** `stored` is what the disk held when the process started. */
-function create(disk: Disk, stored: ReadonlyMap<string, unknown>): FleetRecord {
-  let fleet: Option.Option<Fleet> = Option.fromNullable(stored.get(fleetKey) as Fleet | undefined);
+function create(disk: Disk, stored: ReadonlyMap<string, unknown>): FleetRecordStore {
+  let fleet: Option.Option<FleetRecord> = Option.fromNullable(stored.get(fleetKey) as FleetRecord | undefined);
   return {
     current: () => fleet,
     stage: () => (Option.isNone(fleet) ? 'blank' : fleet.value.stage),
-    keep: async function keep(next) {
-      const written: Fleet = { ...next, format: diskFormat };
+    save: async function keep(next) {
+      const written: FleetRecord = { ...next, format: diskFormat };
       const kept = await disk.put(fleetKey, written);
       if (Either.isRight(kept)) fleet = Option.some(written);
       return Either.isRight(kept);
@@ -51,23 +51,23 @@
   };
 }
 
-export const fleetRecord = { create } as const;
+export const fleetRecordStore = { create } as const;
 
-export function setOf(fleet: Fleet): CoreSet {
+export function coreSetOf(fleet: FleetRecord): CoreSet {
   return { number: fleet.number ?? 1, seats: [...fleet.cores], epochs: { ...fleet.epochs } };
 }
 
 /** Where this disk stands; at no set while it is between two, or of none. */
-export function coreSetViewOf(fleet: () => Option.Option<Fleet>, between: () => boolean): CoreSetView {
+export function createCoreSetView(fleet: () => Option.Option<FleetRecord>, between: () => boolean): CoreSetView {
   function number(): number {
     const known = fleet();
-    return between() || Option.isNone(known) || known.value.stage !== 'formed' ? -1 : setOf(known.value).number;
+    return between() || Option.isNone(known) || known.value.stage !== 'formed' ? -1 : coreSetOf(known.value).number;
   }
   return {
     number,
     newerThan: function newer(told) {
       const known = fleet();
-      return number() > told && Option.isSome(known) ? setOf(known.value) : undefined;
+      return number() > told && Option.isSome(known) ? coreSetOf(known.value) : undefined;
     },
   };
 }
--- a/packages/core/src/founding.ts
+++ b/packages/core/src/founding.ts
@@ -5,7 +5,7 @@
 import { heartbeatMilliseconds } from '@stallstall/node';
 import { peer } from '@stallstall/peer';
 import type { FleetBootstrapParts, FleetBootstrapSettings } from './fleet-bootstrap.js';
-import type { Fleet } from './fleet-record.js';
+import type { FleetRecord } from './fleet-record.js';
 import type { KnownCores } from './known-cores.js';
 
 /** @internal */
@@ -46,12 +46,12 @@
 }
 
 /** Where an operator names how many cores there are: the lowest proposes once all were found. */
-function proposeOnceComplete({ cores, node }: FleetBootstrapSettings): ProposalRule {
+function proposeOnceComplete({ cores: cores, node }: FleetBootstrapSettings): ProposalRule {
   return (everyone) => everyone.length === cores && everyone[0]?.node === node;
 }
 
 /** Sends one step of the founding to all other cores; resolves to true when all agreed. */
-async function sendToFounders(runtime: Runtime, fleet: Fleet, others: readonly Seat[], step: 'propose' | 'formed'): Promise<boolean> {
+async function sendToFounders(runtime: Runtime, fleet: FleetRecord, others: readonly Seat[], step: 'propose' | 'formed'): Promise<boolean> {
   const replies = await Promise.all(
     others.map(async function send(core) {
       const link = peer.dial(runtime, identifiers.address(core.address));
@@ -70,19 +70,19 @@
   settings: FleetBootstrapSettings,
   parts: FleetBootstrapParts,
   cores: KnownCores,
-  becomeFormed: (known: Fleet) => Promise<void>,
+  becomeFormed: (known: FleetRecord) => Promise<void>,
 ): Founding {
-  const { node, disk, record } = parts;
+  const { node, disk, recordStore: record } = parts;
   const mayPropose = Option.isSome(parts.founding)
-    ? proposeOnceGathered(runtime, settings.address, parts.founding.value.founders)
+    ? proposeOnceGathered(runtime, settings.address, parts.founding.value.founderAddresses)
     : proposeOnceComplete(settings);
 
   /** The fleet that this core has agreed to or proposes; none when it could not be written down. */
-  async function proposedFleet(everyone: readonly Seat[]): Promise<Option.Option<Fleet>> {
+  async function proposedFleet(everyone: readonly Seat[]): Promise<Option.Option<FleetRecord>> {
     const current = record.current();
     if (Option.isSome(current)) return current;
-    const proposed: Fleet = { fleet: runtime.randomness.token(), node: settings.node, cores: everyone, stage: 'founding' };
-    return (await record.keep(proposed)) ? Option.some(proposed) : Option.none;
+    const proposed: FleetRecord = { fleet: runtime.randomness.token(), node: settings.node, cores: everyone, stage: 'founding' };
+    return (await record.save(proposed)) ? Option.some(proposed) : Option.none;
   }
 
   async function propose(): Promise<void> {
@@ -108,7 +108,7 @@
     const isBlank = record.stage() === 'blank';
     if (isBlank && Option.isSome(disk.lost())) return { agreed: false };
     if (isBlank && step === 'propose') {
-      const isKept = await record.keep({ fleet, node: settings.node, cores: founders, stage: 'founding' });
+      const isKept = await record.save({ fleet, node: settings.node, cores: founders, stage: 'founding' });
       if (!isKept) return { agreed: false };
     }
     const current = record.current();
--- a/packages/core/src/index.ts
+++ b/packages/core/src/index.ts
@@ -1,5 +1,5 @@
 export { core, type Core } from './core.js';
-export type { CoreParts, CoreSettings } from './core-settings.js';
+export type { PlatformIntegration as CoreParts, CoreSettings } from './core-settings.js';
 export type { PlatformApi } from './platform-api.js';
 export { claimsKept, claimTable, type ClaimTable } from './claim-table.js';
 export { versionBytesMost } from './version-index.js';
@@ -8,5 +8,5 @@
 // For the exploration of design 10.4, which runs these over a network and disks of its own.
 export type { CoreCall } from './core-calls.js';
 export { coreSetManager, type CoreSetManager } from './core-set-manager.js';
-export { coreSetViewOf, setOf, type Fleet } from './fleet-record.js';
+export { createCoreSetView as coreSetViewOf, coreSetOf as setOf, type FleetRecord as Fleet } from './fleet-record.js';
 export { stateTransfer } from './state-transfer.js';
--- a/packages/core/src/known-cores.ts
+++ b/packages/core/src/known-cores.ts
@@ -2,7 +2,7 @@
 import type { Instant, Runtime } from '@stallstall/kernel';
 import type { Seat } from '@stallstall/message';
 import { quorum } from '@stallstall/quorum';
-import type { Fleet } from './fleet-record.js';
+import type { FleetRecord } from './fleet-record.js';
 
 /** `fleet` is the fleet that it says it is of; empty if it is of none. @internal */
 export type KnownCore = Readonly<{ seat: Seat; fleet: string; at: Instant }>;
@@ -13,7 +13,7 @@
   /** Cores that were heard within the last seconds. */
   recent: () => readonly KnownCore[];
   /** Whether this core and those that were heard of its fleet are a majority. */
-  includesMajority: (known: Fleet) => boolean;
+  includesMajority: (known: FleetRecord) => boolean;
 }>;
 
 /** A core that was heard longer ago is not counted among those that found a fleet. */
@@ -22,7 +22,7 @@
 function create(runtime: Runtime): KnownCores {
   const known = new Map<string, KnownCore>();
 
-  function includesMajority({ fleet, cores }: Fleet): boolean {
+  function includesMajority({ fleet, cores }: FleetRecord): boolean {
     const names = new Set(cores.map((core) => core.node));
     const heard = [...known.values()].filter((core) => core.fleet === fleet && names.has(core.seat.node));
     return heard.length >= quorum.majority(cores.length) - 1;
--- a/packages/core/src/peer-handlers.ts
+++ b/packages/core/src/peer-handlers.ts
@@ -10,7 +10,7 @@
 import type { CoreServices, CoreStorage } from './core-context.js';
 import { coreStorage } from './core-storage.js';
 import type { FleetBootstrap } from './fleet-bootstrap.js';
-import { setOf } from './fleet-record.js';
+import { coreSetOf } from './fleet-record.js';
 import type { MembershipTable } from './membership-table.js';
 import { storeReport } from './report-handling.js';
 import type { VersionStore } from './version-store.js';
@@ -45,7 +45,7 @@
   return async function hello(request, caller) {
     const reply = await (node.handlers.hello as NonNullable<Handlers['hello']>)(request, caller);
     bootstrap.onHelloReceived(request);
-    const known = storage.record.current();
+    const known = storage.recordStore.current();
     if (Option.isNone(known)) return { ...reply, fleet: '', founding: '', cores: [] };
     const { fleet, stage, cores } = known.value;
     if (stage !== 'formed') return { ...reply, fleet: '', founding: fleet, cores: [] };
@@ -54,7 +54,7 @@
       fleet,
       founding: fleet,
       cores: cores.map((core) => quorum.seat(node.membership().value, core.node) ?? core),
-      ...(Option.isSome(context.coreSet) ? { set: setOf(known.value) } : {}),
+      ...(Option.isSome(context.coreSet) ? { set: coreSetOf(known.value) } : {}),
     };
   };
 }
--- a/packages/simulator/src/core-fleet.ts
+++ b/packages/simulator/src/core-fleet.ts
@@ -129,8 +129,8 @@
           return [];
         },
         platformApiAddress: machine.outward.replace(':7001', ':7002'),
-        founds,
-        founders: seeds,
+        mayFound: founds,
+        founderAddresses: seeds,
       }),
     );
     if (Either.isRight(started)) machine.running = started.right;
@@ -267,7 +267,7 @@
   }
 
   function everyFounded(): boolean {
-    return machines.every((machine) => machine.running?.open() === true) && edge.coreCount() === founded;
+    return machines.every((machine) => machine.running?.isOpen() === true) && edge.coreCount() === founded;
   }
 
   if (!(await until(everyFounded, 10_000))) throw new Error('the cores did not found a fleet');
@@ -323,7 +323,7 @@
       const membership = machine.running?.node.membership();
       return {
         number: membership?.version ?? 0,
-        cores: machine.running?.open() === true ? (membership?.value.seats ?? []).map((seat) => seat.node).sort() : [],
+        cores: machine.running?.isOpen() === true ? (membership?.value.seats ?? []).map((seat) => seat.node).sort() : [],
       };
     },
   };
--- a/packages/simulator/src/explored-machines.ts
+++ b/packages/simulator/src/explored-machines.ts
@@ -257,8 +257,8 @@
         votes: { epochs: () => Promise.resolve({}), record: () => Promise.resolve(true) },
         stopped: () => !alive(),
       }),
-      fleet: () => running.fleet,
-      keepFleet: async function keepFleet(next) {
+      record: () => running.fleet,
+      saveRecord: async function keepFleet(next) {
         await disk.put('fleet', next);
         running.fleet = Option.some(next);
         return true;
@@ -266,7 +266,7 @@
       open: cells.open,
       changeSet: () => undefined,
       close: cells.close,
-      onBetweenSets: function onBetweenSets(isBetween) {
+      onChangingSet: function onBetweenSets(isBetween) {
         between = isBetween;
       },
     });
@@ -300,7 +300,7 @@
       hears: function hears(set) {
         if (state.running === undefined) return;
         if (Option.isSome(level())) state.running.cores.observe(set);
-        else state.running.cores.fleetFound('explored', set);
+        else state.running.cores.onFleetFound('explored', set);
       },
       leave: function leave() {
         void state.running?.cores.handOverSeat(identifiers.instant(Number.POSITIVE_INFINITY));
--- a/packages/simulator/src/fleet.ts
+++ b/packages/simulator/src/fleet.ts
@@ -379,7 +379,7 @@
       (slot) =>
         slot.process?.alive() === true &&
         !world.frozen(slot.process) &&
-        slot.running?.open() === true &&
+        slot.running?.isOpen() === true &&
         !slot.disk.trouble.failing &&
         slot.disk.trouble.slowMilliseconds < 300,
     );
--- a/packages/simulator/src/pooled-fleet.ts
+++ b/packages/simulator/src/pooled-fleet.ts
@@ -159,8 +159,8 @@
       probe: pooledAdapter.memberProbe(spawned.runtime),
       routes: pooledAdapter.pages,
       platformApiAddress,
-      founds: first,
-      founders,
+      mayFound: first,
+      founderAddresses: founders,
     };
     const started = await core.start(
       spawned.runtime,
--- a/packages/simulator/src/storm.ts
+++ b/packages/simulator/src/storm.ts
@@ -38,7 +38,7 @@
 const sampleMilliseconds = 10;
 
 function clearBlanking(fleet: Fleet, storm: Storm): void {
-  if (storm.blanking && fleet.cores.every((slot) => slot.process?.alive() === true && slot.running !== undefined && slot.running.open()))
+  if (storm.blanking && fleet.cores.every((slot) => slot.process?.alive() === true && slot.running !== undefined && slot.running.isOpen()))
     storm.blanking = false;
 }
 
