--- a/packages/core/src/core-calls.ts
+++ b/packages/core/src/core-calls.ts
@@ -14,27 +14,31 @@
 
 export type CoreCalls = Readonly<{ call: CoreCall; stop: () => void }>;
 
-type Held = { readonly peer: Peer; usedAt: Instant; open: number };
+type CachedLink = { readonly peer: Peer; usedAt: Instant; pendingCalls: number };
 
-const idleMilliseconds = 3_000;
-const dialLookMilliseconds = 20;
-const dialLooks = 10;
+const idleCloseMilliseconds = 3_000;
+const connectPollMilliseconds = 20;
+const connectPolls = 10;
 
 function create(runtime: Runtime): CoreCalls {
-  const links = new Map<string, Held>();
+  const links = new Map<string, CachedLink>();
 
   function closeIdle(): void {
     const now = runtime.clock.now();
     for (const [address, held] of links) {
-      if (held.open > 0 || now - held.usedAt < idleMilliseconds) continue;
+      if (held.pendingCalls > 0 || now - held.usedAt < idleCloseMilliseconds) continue;
       held.peer.close();
       links.delete(address);
     }
   }
 
-  function linkTo(address: string): Held {
+  function linkTo(address: string): CachedLink {
     closeIdle();
-    const held = links.get(address) ?? { peer: peer.dial(runtime, identifiers.address(address)), usedAt: runtime.clock.now(), open: 0 };
+    const held = links.get(address) ?? {
+      peer: peer.dial(runtime, identifiers.address(address)),
+      usedAt: runtime.clock.now(),
+      pendingCalls: 0,
+    };
     links.set(address, held);
     return held;
   }
@@ -46,12 +50,12 @@
     milliseconds: number,
   ): Promise<Option.Option<Reply<Kind>>> {
     const held = linkTo(address);
-    held.open += 1;
-    for (let looks = 0; looks < dialLooks && !held.peer.connected(); looks += 1) await runtime.clock.sleep(dialLookMilliseconds);
+    held.pendingCalls += 1;
+    for (let looks = 0; looks < connectPolls && !held.peer.connected(); looks += 1) await runtime.clock.sleep(connectPollMilliseconds);
     const reply = await held.peer.call(kind, body, milliseconds);
-    held.open -= 1;
+    held.pendingCalls -= 1;
     held.usedAt = runtime.clock.now();
-    runtime.clock.startTimer(idleMilliseconds, closeIdle);
+    runtime.clock.startTimer(idleCloseMilliseconds, closeIdle);
     return reply;
   }
 
--- a/packages/core/src/core-context.ts
+++ b/packages/core/src/core-context.ts
@@ -25,7 +25,7 @@
   /** When this core began to answer as an occupant of its seat. */
   openedAt: Instant;
   /** While the disk moves from one set of cores to the next. */
-  isChangingSet: boolean;
+  isInSetTransition: boolean;
   isDraining: boolean;
   isStopped: boolean;
 };
--- a/packages/core/src/core-seat.ts
+++ b/packages/core/src/core-lifecycle.ts
@@ -9,7 +9,7 @@
 import type { QuorumContact } from './quorum-contact.js';
 
 /** @internal */
-export type CoreSeat = Readonly<{
+export type CoreLifecycle = Readonly<{
   /** Begins to answer ballots as the record says. */
   open: (known: FleetRecord) => void;
   /** Answers in another set than before: what is watched is pushed anew at every set. */
@@ -22,13 +22,13 @@
 }>;
 
 /** @internal */
-export type CoreSeatParts = Readonly<{
+export type CoreLifecycleParts = Readonly<{
   services: CoreServices;
   subscribers: ChangeSubscribers;
   contact: QuorumContact;
 }>;
 
-function create({ services, subscribers, contact }: CoreSeatParts): CoreSeat {
+function create({ services, subscribers, contact }: CoreLifecycleParts): CoreLifecycle {
   const { context, storage, node } = services;
   const { cells, reports, coreSetView } = storage;
   let lastNumber = 0;
@@ -55,7 +55,7 @@
     context.openedAt = context.runtime.clock.now();
     cells.open();
     reports.open();
-    contact.opened();
+    contact.markOpened();
     pushToOwnNode();
     notifyLeaseHolders();
     context.runtime.log('core.open', { fleet: known.fleet, cores: known.cores.length });
@@ -86,4 +86,4 @@
 }
 
 /** @internal */
-export const coreSeats = { create } as const;
+export const coreLifecycle = { create } as const;
--- a/packages/core/src/core-routes.ts
+++ b/packages/core/src/core-routes.ts
@@ -30,7 +30,7 @@
   const { runtime, settings, platform: parts } = context;
   const platformRoutes = Option.isSome(parts) ? parts.value.routes(platformApi) : [];
   const platformNames = new Set(platformRoutes.map(nameOf));
-  const counted = http.countInFlight([...node.routes, ...administration.routes.map(contact.guard), ...platformRoutes]);
+  const counted = http.countInFlight([...node.routes, ...administration.routes.map(contact.guardRoute), ...platformRoutes]);
 
   function isPlatformRoute(route: HttpRoute): boolean {
     return platformNames.has(nameOf(route));
--- a/packages/core/src/core-set-membership.ts
+++ b/packages/core/src/core-set-membership.ts
@@ -65,9 +65,9 @@
     callCore: parts.callCore,
     cells,
     transfer: parts.transfer,
-    seat: ownSeat,
+    ownSeat,
     seeds: node.settings.seeds,
-    isWanted: () => !state.isStopped && !state.isLeaving && !cells.ready(),
+    shouldRun: () => !state.isStopped && !state.isLeaving && !cells.ready(),
     open: (given) => commands.run(() => openIn(given)),
   });
 
@@ -95,9 +95,9 @@
 
   async function moveTo(known: FleetRecord, given: CoreSet): Promise<boolean> {
     const listed = isListed(given);
-    parts.onChangingSet(true);
+    parts.onSetTransition(true);
     const isKept = await parts.saveRecord(listed ? inSet(known, given) : learnerRecord(state, known.fleet, given));
-    parts.onChangingSet(false);
+    parts.onSetTransition(false);
     if (!isKept) return false;
     if (!listed) {
       leaveSet(given);
--- a/packages/core/src/core-set-state.ts
+++ b/packages/core/src/core-set-state.ts
@@ -24,7 +24,7 @@
   /** Answers nothing any more: its seat was given to another. */
   close: (set: CoreSet) => void;
   /** Called with true before this disk leaves a set and with false once it is in the next. */
-  onChangingSet: (isBetween: boolean) => void;
+  onSetTransition: (isBetween: boolean) => void;
 }>;
 
 /** @internal */
--- a/packages/core/src/core-storage.ts
+++ b/packages/core/src/core-storage.ts
@@ -29,7 +29,7 @@
   const { runtime, disk } = context;
   logDiskTrouble(runtime, disk);
   const record = fleetRecordStore.create(disk, stored);
-  const coreSetView = Option.isNone(context.platform) ? undefined : createCoreSetView(record.current, () => context.isChangingSet);
+  const coreSetView = Option.isNone(context.platform) ? undefined : createCoreSetView(record.current, () => context.isInSetTransition);
   const cells = acceptor.create({
     disk,
     stored,
--- a/packages/core/src/core.ts
+++ b/packages/core/src/core.ts
@@ -10,11 +10,11 @@
 import type { CoreContext, CoreServices, CoreStorage } from './core-context.js';
 import { coreNode } from './core-node.js';
 import { coreRoutes, type CoreRoutes } from './core-routes.js';
-import { coreSeats, type CoreSeat } from './core-seat.js';
+import { coreLifecycle, type CoreLifecycle } from './core-lifecycle.js';
 import { coreSetManager, type CoreSetManager } from './core-set-manager.js';
 import type { PlatformIntegration, CoreSettings } from './core-settings.js';
 import { coreStorage } from './core-storage.js';
-import { readFolder, registryKey } from './data-folder.js';
+import { readDataFolder, registryKey } from './data-folder.js';
 import { fleetBootstrap, type FleetBootstrap } from './fleet-bootstrap.js';
 import { memberRegistration, type MemberRegistration } from './member-registration.js';
 import { membershipTable, type MembershipTable } from './membership-table.js';
@@ -65,7 +65,7 @@
     registration: Option.none,
     coreSet: Option.none,
     openedAt: runtime.clock.now(),
-    isChangingSet: false,
+    isInSetTransition: false,
     isDraining: false,
     isStopped: false,
   };
@@ -76,7 +76,7 @@
   return storage.cells.ready() && !context.isDraining;
 }
 
-function createCoreSet({ context, storage, node }: CoreServices, seat: CoreSeat): CoreSetManager {
+function createCoreSet({ context, storage, node }: CoreServices, seat: CoreLifecycle): CoreSetManager {
   return coreSetManager.create(context.runtime, {
     node,
     register: context.runtime.services.find(registerService),
@@ -88,8 +88,8 @@
     open: seat.open,
     changeSet: seat.changeSet,
     close: seat.close,
-    onChangingSet: function onBetweenSets(isBetween) {
-      context.isChangingSet = isBetween;
+    onSetTransition: function onBetweenSets(isBetween) {
+      context.isInSetTransition = isBetween;
     },
   });
 }
@@ -111,7 +111,7 @@
   });
 }
 
-function createBootstrap({ context, storage, node }: CoreServices, seat: CoreSeat): FleetBootstrap {
+function createBootstrap({ context, storage, node }: CoreServices, seat: CoreLifecycle): FleetBootstrap {
   return fleetBootstrap.create(context.runtime, context.settings, {
     node,
     cells: storage.cells,
@@ -175,7 +175,7 @@
   const services: CoreServices = { context, storage, node };
   const contact = quorumContact.create(runtime, node.majorityContactAt);
   const versions = versionStore.create(runtime, { disk, node, newest: () => coreStorage.versionOf(storage, 'configuration') });
-  const seat: CoreSeat = coreSeats.create({ services, subscribers, contact });
+  const seat: CoreLifecycle = coreLifecycle.create({ services, subscribers, contact });
   if (Option.isSome(context.platform)) {
     context.coreSet = Option.some(createCoreSet(services, seat));
     context.registration = Option.some(createRegistration(services, contact, stored.get(registryKey)));
@@ -255,7 +255,7 @@
     return Either.left(fault.create({ kind: 'bad-settings', message: 'a core needs a data folder', remedy: 'name one with --data' }));
   }
   const disk = runtime.disk.value;
-  const folder = await readFolder(runtime, disk, settings.node);
+  const folder = await readDataFolder(runtime, disk, settings.node);
   if (Either.isLeft(folder)) return folder;
   const assembly = assemble(createContext(runtime, settings, parts, disk), folder.right);
   const { context, storage, node } = assembly.services;
--- a/packages/core/src/data-folder.ts
+++ b/packages/core/src/data-folder.ts
@@ -73,7 +73,11 @@
 }
 
 /** All that the folder holds but the archive; nothing, once a broken store has been given up for an empty one. */
-export async function readFolder(runtime: Runtime, disk: Disk, node: string): Promise<Either.Either<Fault, ReadonlyMap<string, unknown>>> {
+export async function readDataFolder(
+  runtime: Runtime,
+  disk: Disk,
+  node: string,
+): Promise<Either.Either<Fault, ReadonlyMap<string, unknown>>> {
   const loaded = await disk.load(archiveStoragePrefix);
   const lost = disk.lost();
   if (Option.isSome(lost) && Either.isRight(loaded) && !loaded.right.has('fleet')) runtime.log('disk.replaced', { reason: lost.value });
--- a/packages/core/src/known-cores.ts
+++ b/packages/core/src/discovered-cores.ts
@@ -5,13 +5,13 @@
 import type { FleetRecord } from './fleet-record.js';
 
 /** `fleet` is the fleet that it says it is of; empty if it is of none. @internal */
-export type KnownCore = Readonly<{ seat: Seat; fleet: string; at: Instant }>;
+export type DiscoveredCore = Readonly<{ seat: Seat; fleet: string; seenAt: Instant }>;
 
 /** @internal */
-export type KnownCores = Readonly<{
+export type DiscoveredCores = Readonly<{
   observe: (seat: Seat, fleet: string) => void;
   /** Cores that were heard within the last seconds. */
-  recent: () => readonly KnownCore[];
+  recent: () => readonly DiscoveredCore[];
   /** Whether this core and those that were heard of its fleet are a majority. */
   includesMajority: (known: FleetRecord) => boolean;
 }>;
@@ -19,8 +19,8 @@
 /** A core that was heard longer ago is not counted among those that found a fleet. */
 const recentMilliseconds = 2_000;
 
-function create(runtime: Runtime): KnownCores {
-  const known = new Map<string, KnownCore>();
+function create(runtime: Runtime): DiscoveredCores {
+  const known = new Map<string, DiscoveredCore>();
 
   function includesMajority({ fleet, cores }: FleetRecord): boolean {
     const names = new Set(cores.map((core) => core.node));
@@ -29,11 +29,11 @@
   }
 
   return {
-    observe: (seat, fleet) => void known.set(seat.node, { seat, fleet, at: runtime.clock.now() }),
-    recent: () => [...known.values()].filter((core) => runtime.clock.now() - core.at < recentMilliseconds),
+    observe: (seat, fleet) => void known.set(seat.node, { seat, fleet, seenAt: runtime.clock.now() }),
+    recent: () => [...known.values()].filter((core) => runtime.clock.now() - core.seenAt < recentMilliseconds),
     includesMajority,
   };
 }
 
 /** @internal */
-export const knownCores = { create } as const;
+export const discoveredCores = { create } as const;
--- a/packages/core/src/disk-recovery.ts
+++ b/packages/core/src/disk-recovery.ts
@@ -5,16 +5,16 @@
 import { diskFormat } from './data-folder.js';
 import type { FleetBootstrapParts } from './fleet-bootstrap.js';
 import { coreSetOf, type FleetRecord } from './fleet-record.js';
-import type { KnownCores } from './known-cores.js';
+import type { DiscoveredCores } from './discovered-cores.js';
 
 /** @internal */
 export type DiskRecovery = Readonly<{
   /** Answers ballots again once a majority of the fleet was found and has not heard of later puts than the disk holds. */
   reopen: () => Promise<void>;
   /** A blank disk in a formed fleet has been lost: it answers no ballot before it holds what all the others hold. */
-  copyFleet: (known: FleetRecord) => Promise<void>;
+  rebuildFromPeers: (known: FleetRecord) => Promise<void>;
   /** Another process has heard that this disk had taken so many puts. */
-  observePuts: (puts: number) => void;
+  observeKnownPuts: (puts: number) => void;
 }>;
 
 const reopenPollMilliseconds = 10;
@@ -27,7 +27,7 @@
   runtime: Runtime,
   node: string,
   parts: FleetBootstrapParts,
-  cores: KnownCores,
+  cores: DiscoveredCores,
   becomeFormed: (known: FleetRecord) => Promise<void>,
 ): DiskRecovery {
   const { cells, disk, recordStore: record, transfer } = parts;
@@ -93,7 +93,7 @@
     knownPuts = Math.max(knownPuts, puts);
   }
 
-  return { reopen, copyFleet, observePuts };
+  return { reopen, rebuildFromPeers: copyFleet, observeKnownPuts: observePuts };
 }
 
 /** @internal */
--- a/packages/core/src/fleet-bootstrap.ts
+++ b/packages/core/src/fleet-bootstrap.ts
@@ -7,8 +7,8 @@
 import type { CoreSetManager } from './core-set-manager.js';
 import { diskRecovery, type DiskRecovery } from './disk-recovery.js';
 import type { FleetRecord, FleetRecordStore } from './fleet-record.js';
-import { foundings, type Founding } from './founding.js';
-import { knownCores, type KnownCores } from './known-cores.js';
+import { fleetFounding, type Founding } from './founding.js';
+import { discoveredCores, type DiscoveredCores } from './discovered-cores.js';
 import type { StateTransfer } from './state-transfer.js';
 import type { CoreVoteStore } from './vote-store.js';
 
@@ -57,7 +57,7 @@
   runtime: Runtime;
   settings: FleetBootstrapSettings;
   parts: FleetBootstrapParts;
-  cores: KnownCores;
+  cores: DiscoveredCores;
   recovery: DiskRecovery;
   founding: Founding;
   becomeFormed: (known: FleetRecord) => Promise<void>;
@@ -89,14 +89,14 @@
   if (Option.isSome(coreSet)) return observeFleet(bootstrap, coreSet.value, reply);
   const isListed = reply.cores.some((core) => core.node === settings.node);
   if (record.stage() !== 'blank' || !isListed) return;
-  void recovery.copyFleet({ fleet: reply.fleet, node: settings.node, cores: reply.cores, stage: 'copying' });
+  void recovery.rebuildFromPeers({ fleet: reply.fleet, node: settings.node, cores: reply.cores, stage: 'copying' });
 }
 
 function onHelloReply(bootstrap: Bootstrap, reply: Reply<'hello'>, address: string): void {
   const { runtime, settings, parts, cores, recovery } = bootstrap;
   if (reply.role !== 'core' || reply.node === settings.node) return;
   cores.observe({ ...parts.node.ownSeat(), node: reply.node, address }, reply.fleet);
-  recovery.observePuts(reply.knownPuts);
+  recovery.observeKnownPuts(reply.knownPuts);
   if (reply.fleet === '') return;
   const known = parts.recordStore.current();
   if (Option.isSome(known) && known.value.fleet !== reply.fleet) runtime.stop(foreignDisk(known.value.fleet, reply));
@@ -117,7 +117,7 @@
     return;
   }
   if (Option.isNone(parts.coreSet()) && record.stage() === 'copying' && Option.isSome(current)) {
-    void recovery.copyFleet(current.value);
+    void recovery.rebuildFromPeers(current.value);
     return;
   }
   // One that lost what it held founds nothing: there was a fleet, and what it acknowledged must not be forgotten (design 4.3).
@@ -126,7 +126,7 @@
 }
 
 function create(runtime: Runtime, settings: FleetBootstrapSettings, parts: FleetBootstrapParts): FleetBootstrap {
-  const cores = knownCores.create(runtime);
+  const cores = discoveredCores.create(runtime);
 
   async function becomeFormed(known: FleetRecord): Promise<void> {
     const isKept = await parts.recordStore.save({ ...known, stage: 'formed' });
@@ -139,7 +139,7 @@
     parts,
     cores,
     recovery: diskRecovery.create(runtime, settings.node, parts, cores, becomeFormed),
-    founding: foundings.create(runtime, settings, parts, cores, becomeFormed),
+    founding: fleetFounding.create(runtime, settings, parts, cores, becomeFormed),
     becomeFormed,
   };
   return {
--- a/packages/core/src/founding.ts
+++ b/packages/core/src/founding.ts
@@ -6,7 +6,7 @@
 import { peer } from '@stallstall/peer';
 import type { FleetBootstrapParts, FleetBootstrapSettings } from './fleet-bootstrap.js';
 import type { FleetRecord } from './fleet-record.js';
-import type { KnownCores } from './known-cores.js';
+import type { DiscoveredCores } from './discovered-cores.js';
 
 /** @internal */
 export type Founding = Readonly<{
@@ -69,7 +69,7 @@
   runtime: Runtime,
   settings: FleetBootstrapSettings,
   parts: FleetBootstrapParts,
-  cores: KnownCores,
+  cores: DiscoveredCores,
   becomeFormed: (known: FleetRecord) => Promise<void>,
 ): Founding {
   const { node, disk, recordStore: record } = parts;
@@ -121,4 +121,4 @@
 }
 
 /** @internal */
-export const foundings = { create } as const;
+export const fleetFounding = { create } as const;
--- a/packages/core/src/leader-watch.ts
+++ b/packages/core/src/leader-watch.ts
@@ -8,9 +8,9 @@
 /** @internal */
 export type LeaderWatch = Readonly<{
   /** Sees that this core's own connection to a member is open; a refusal counts as evidence. */
-  check: (member: string) => void;
+  checkConnection: (member: string) => void;
   /** The same for every leader. */
-  checkLeaders: () => void;
+  checkLeaderConnections: () => void;
   /** Whether some service has no leader that is up, or one whose epoch has been overtaken. */
   isLeaderMissing: () => boolean;
 }>;
@@ -51,7 +51,7 @@
     return registeredServices().some((service) => lacksLeader(service, epochs[service] ?? 0));
   }
 
-  return { check, checkLeaders, isLeaderMissing };
+  return { checkConnection: check, checkLeaderConnections: checkLeaders, isLeaderMissing };
 }
 
 /** @internal */
--- a/packages/core/src/learner.ts
+++ b/packages/core/src/learner.ts
@@ -11,11 +11,11 @@
   cells: Acceptor;
   transfer: StateTransfer;
   /** This node with the disk that it has now. */
-  seat: () => Seat;
+  ownSeat: () => Seat;
   /** Where the fleet may be found besides the cores that are known. */
   seeds: () => readonly string[];
   /** Whether this core is still to be given a seat. */
-  isWanted: () => boolean;
+  shouldRun: () => boolean;
   /** Begins to answer in this set, once that is on the disk; resolves to false when it may not. */
   open: (set: CoreSet) => Promise<boolean>;
 }>;
@@ -28,7 +28,7 @@
 type LearnerState = {
   readonly runtime: Runtime;
   readonly parts: LearnerParts;
-  newest: Option.Option<CoreSet>;
+  newestSet: Option.Option<CoreSet>;
   isRunning: boolean;
   lastReason: string;
 };
@@ -38,39 +38,39 @@
 const nextCoreMilliseconds = 400;
 const pauseMilliseconds = 100;
 
-function isNewest({ newest }: LearnerState, set: CoreSet): boolean {
+function isNewest({ newestSet: newest }: LearnerState, set: CoreSet): boolean {
   return Option.isSome(newest) && newest.value.number === set.number;
 }
 
-function isSeated({ parts }: LearnerState, set: CoreSet): boolean {
-  return set.seats.some((seat) => isSameOccupant(seat, parts.seat()));
+function isListed({ parts }: LearnerState, set: CoreSet): boolean {
+  return set.seats.some((seat) => isSameOccupant(seat, parts.ownSeat()));
 }
 
-function otherSeats({ parts }: LearnerState, set: CoreSet): readonly Seat[] {
-  return set.seats.filter((seat) => seat.node !== parts.seat().node);
+function peerSeats({ parts }: LearnerState, set: CoreSet): readonly Seat[] {
+  return set.seats.filter((seat) => seat.node !== parts.ownSeat().node);
 }
 
 /** Copies enough of the others that are in no earlier set than `since`; abandoned once a newer set is known. */
-function copyOthers(learner: LearnerState, set: CoreSet, epochs: Record<string, number>, since: number): Promise<boolean> {
+function copyFromPeers(learner: LearnerState, set: CoreSet, epochs: Record<string, number>, since: number): Promise<boolean> {
   const { runtime, parts } = learner;
-  runtime.log('core.copying', { set: set.number, seated: isSeated(learner, set) });
+  runtime.log('core.copying', { set: set.number, seated: isListed(learner, set) });
   return catchUp.copyEnough(
-    otherSeats(learner, set),
+    peerSeats(learner, set),
     catchUp.sourcesNeeded(set.seats.length),
     (source, isUnneeded) => parts.transfer.copyFrom(source, Option.some(since), epochs, isUnneeded),
-    () => !parts.isWanted() || !isNewest(learner, set),
+    () => !parts.shouldRun() || !isNewest(learner, set),
   );
 }
 
 /** The register as the others serve it: this core asks, and counts for nothing. */
-function registerOver(learner: LearnerState, set: CoreSet): NumberedRegister {
+function createRemoteRegister(learner: LearnerState, set: CoreSet): NumberedRegister {
   const { runtime, parts } = learner;
-  const replicas = otherSeats(learner, set).map((seat): RegisterReplica => ({
+  const replicas = peerSeats(learner, set).map((seat): RegisterReplica => ({
     core: seat.node,
     send: (call, body, milliseconds) => parts.callCore(seat.address, call, body, milliseconds),
   }));
   return proposer.create(runtime, {
-    name: parts.seat().node,
+    name: parts.ownSeat().node,
     replicas: () => replicas,
     replicaCount: () => set.seats.length,
     coreSets: {
@@ -82,24 +82,24 @@
 }
 
 /** Catches up in the set that lists this core, and opens there. */
-async function becomeLevel(learner: LearnerState, set: CoreSet): Promise<void> {
+async function catchUpAndOpen(learner: LearnerState, set: CoreSet): Promise<void> {
   const { parts } = learner;
   const epochs: Record<string, number> = { ...set.epochs };
-  if (!(await copyOthers(learner, set, epochs, set.number))) return;
+  if (!(await copyFromPeers(learner, set, epochs, set.number))) return;
   await parts.transfer.abstain(epochs);
-  const register = registerOver(learner, set).inSet(set.number);
+  const register = createRemoteRegister(learner, set).inSet(set.number);
   if (!(await catchUp.completeUnresolved(parts.cells, register))) return;
-  if (isNewest(learner, set) && parts.isWanted()) await parts.open(set);
+  if (isNewest(learner, set) && parts.shouldRun()) await parts.open(set);
 }
 
 /** Asks one core for a seat; what it replies later than it is waited for is taken all the same. */
-async function askForSeat(learner: LearnerState, set: CoreSet, attempt: number): Promise<void> {
+async function requestJoin(learner: LearnerState, set: CoreSet, attempt: number): Promise<void> {
   const { runtime, parts } = learner;
-  const addresses = [...otherSeats(learner, set).map((seat) => seat.address), ...parts.seeds()];
-  const others = [...new Set(addresses)].filter((address) => address !== parts.seat().address);
+  const addresses = [...peerSeats(learner, set).map((seat) => seat.address), ...parts.seeds()];
+  const others = [...new Set(addresses)].filter((address) => address !== parts.ownSeat().address);
   const address = others[attempt % others.length];
   if (address === undefined) return;
-  const join = parts.callCore(address, 'join', { seat: parts.seat() }, joinMilliseconds).then(function onReply(reply) {
+  const join = parts.callCore(address, 'join', { seat: parts.ownSeat() }, joinMilliseconds).then(function onReply(reply) {
     if (Option.isNone(reply)) return;
     const { joined, reason, set: reported } = reply.value;
     if (reported !== undefined) observe(learner, reported);
@@ -113,28 +113,28 @@
   const { runtime, parts } = learner;
   let isCopied = false;
   let attempts = 0;
-  while (parts.isWanted() && Option.isSome(learner.newest)) {
-    const set = learner.newest.value;
-    if (isSeated(learner, set)) await becomeLevel(learner, set);
-    else if (!isCopied) isCopied = await copyOthers(learner, set, {}, 0);
+  while (parts.shouldRun() && Option.isSome(learner.newestSet)) {
+    const set = learner.newestSet.value;
+    if (isListed(learner, set)) await catchUpAndOpen(learner, set);
+    else if (!isCopied) isCopied = await copyFromPeers(learner, set, {}, 0);
     else {
       attempts += 1;
-      await askForSeat(learner, set, attempts);
+      await requestJoin(learner, set, attempts);
     }
-    if (parts.isWanted() && isNewest(learner, set)) await runtime.clock.sleep(pauseMilliseconds);
+    if (parts.shouldRun() && isNewest(learner, set)) await runtime.clock.sleep(pauseMilliseconds);
   }
   learner.isRunning = false;
 }
 
 function observe(learner: LearnerState, set: CoreSet): void {
-  if (Option.isNone(learner.newest) || set.number > learner.newest.value.number) learner.newest = Option.some(set);
-  if (learner.isRunning || !learner.parts.isWanted()) return;
+  if (Option.isNone(learner.newestSet) || set.number > learner.newestSet.value.number) learner.newestSet = Option.some(set);
+  if (learner.isRunning || !learner.parts.shouldRun()) return;
   learner.isRunning = true;
   void run(learner);
 }
 
 function create(runtime: Runtime, parts: LearnerParts): Learner {
-  const learner: LearnerState = { runtime, parts, newest: Option.none, isRunning: false, lastReason: '' };
+  const learner: LearnerState = { runtime, parts, newestSet: Option.none, isRunning: false, lastReason: '' };
   return { observe: (set) => observe(learner, set) };
 }
 
--- a/packages/core/src/member-registration.ts
+++ b/packages/core/src/member-registration.ts
@@ -115,7 +115,7 @@
     broadcast(state);
   }
   void runtimeUtilities.every(runtime.clock, broadcastMilliseconds, sweepAndBroadcast, isRunning);
-  void runtimeUtilities.every(runtime.clock, leaderCheckMilliseconds, leaders.checkLeaders, isRunning);
+  void runtimeUtilities.every(runtime.clock, leaderCheckMilliseconds, leaders.checkLeaderConnections, isRunning);
 }
 
 function stop(state: RegistrationState): void {
@@ -133,7 +133,7 @@
     epochs: node.epochs,
     registry,
     isLeaderMissing: leaders.isLeaderMissing,
-    onConnectionRefused: leaders.check,
+    onConnectionRefused: leaders.checkConnection,
   });
   const state: RegistrationState = {
     runtime,
--- a/packages/core/src/platform-api.ts
+++ b/packages/core/src/platform-api.ts
@@ -49,9 +49,9 @@
       if (!isOpen()) return Either.left(notOpen());
       const checked = placements.check(placement);
       if (Either.isLeft(checked)) return checked;
-      return contact.whileInContact(() => administration.replaceExternal(external, checked.right));
+      return contact.runInContact(() => administration.replaceExternal(external, checked.right));
     },
-    source: async () => (isOpen() ? contact.whileInContact(administration.source) : Either.left(notOpen())),
+    source: async () => (isOpen() ? contact.runInContact(administration.source) : Either.left(notOpen())),
     // A core that is of no fleet could tell nobody, nor one that no majority answers: whoever calls turns to another.
     heartbeat: async (given) => Option.isSome(registration) && isOpen() && registration.value.heartbeat(given),
     leave: async (member) => Option.isSome(registration) && isOpen() && registration.value.leave(member),
--- a/packages/core/src/quorum-contact.ts
+++ b/packages/core/src/quorum-contact.ts
@@ -4,13 +4,13 @@
 
 export type QuorumContact = Readonly<{
   /** Called once this core answers ballots: it has met a majority on the way there. */
-  opened: () => void;
+  markOpened: () => void;
   /** Whether a majority of cores, this one included, answered what it was sent within the last moment. */
   isInContact: () => boolean;
   /** Does the work while contact lasts; without contact, or once it is lost, the caller is told so at once. */
-  whileInContact: <Result>(work: () => Promise<Either.Either<Fault, Result>>) => Promise<Either.Either<Fault, Result>>;
+  runInContact: <Result>(work: () => Promise<Either.Either<Fault, Result>>) => Promise<Either.Either<Fault, Result>>;
   /** The same for a page: only those that need no majority are let through. */
-  guard: (mapping: HttpRoute) => HttpRoute;
+  guardRoute: (mapping: HttpRoute) => HttpRoute;
 }>;
 
 /**
@@ -87,12 +87,12 @@
   }
 
   return {
-    opened: function opened() {
+    markOpened: function opened() {
       openedAt = runtime.clock.now();
     },
     isInContact: inTouch,
-    whileInContact: during,
-    guard,
+    runInContact: during,
+    guardRoute: guard,
   };
 }
 
--- a/packages/simulator/exploring-mutations.mjs
+++ b/packages/simulator/exploring-mutations.mjs
@@ -21,7 +21,7 @@
   {
     name: 'answers-before-it-is-level',
     file: 'core/build/learner.js',
-    from: 'if (!(await copyOthers(learner, set, epochs, set.number)))',
+    from: 'if (!(await copyFromPeers(learner, set, epochs, set.number)))',
     to: 'if (false)',
   },
   {
--- a/packages/simulator/pooled-mutations.mjs
+++ b/packages/simulator/pooled-mutations.mjs
@@ -278,7 +278,7 @@
     name: 'administration-held-without-contact',
     story: 'pages of the administration are answered',
     file: 'core/build/core-routes.js',
-    from: 'administration.routes.map(contact.guard)',
+    from: 'administration.routes.map(contact.guardRoute)',
     to: 'administration.routes',
   },
   {
@@ -712,7 +712,7 @@
     name: 'blank-core-that-is-called-stays-blank',
     story: 'knows no seed that still runs',
     file: 'core/build/core-set-manager.js',
-    from: 'if (Option.isNone(parts.fleet()) && !state.isStopped && !state.isLeaving)',
+    from: 'if (Option.isNone(parts.record()) && !state.isStopped && !state.isLeaving)',
     to: 'if (false)',
   },
   {
--- a/packages/simulator/src/explored-machines.ts
+++ b/packages/simulator/src/explored-machines.ts
@@ -266,7 +266,7 @@
       open: cells.open,
       changeSet: () => undefined,
       close: cells.close,
-      onChangingSet: function onBetweenSets(isBetween) {
+      onSetTransition: function onBetweenSets(isBetween) {
         between = isBetween;
       },
     });
