--- a/packages/core/src/core.ts
+++ b/packages/core/src/core.ts
@@ -101,11 +101,11 @@
     disk: context.disk,
     storedRegistry,
     grantorContext: {
-      ready: () => isReady(services),
-      openedAt: () => context.openedAt,
-      configuration: () => coreStorage.versionOf(storage, 'configuration'),
-      membership: () => coreStorage.membershipVersion(storage),
-      puts: context.disk.puts,
+      isReady: () => isReady(services),
+      servingSince: () => context.openedAt,
+      configurationVersion: () => coreStorage.versionOf(storage, 'configuration'),
+      membershipVersion: () => coreStorage.membershipVersion(storage),
+      putCount: context.disk.puts,
     },
     isInContact: contact.isInContact,
   });
@@ -150,7 +150,7 @@
     changeMembership: table.change,
     appliedVersions: subscribers.appliedVersions,
     diskBytes: disk.size,
-    diskTrouble: disk.trouble,
+    diskFault: disk.trouble,
     versions,
     metrics: () => ({
       cells: storage.cells.keys().length,
@@ -165,7 +165,7 @@
   const { runtime, disk } = context;
   const storage: CoreStorage = coreStorage.create(context, stored, {
     onAccepted: (key, entry) => seat.publish(key, entry),
-    keepEarlier: (entry) => versions.keep(entry),
+    keepEarlier: (entry) => versions.archive(entry),
   });
   const subscribers = changeSubscribers.create(() => currentSet(storage.coreSetView));
   const node: Node = coreNode.create(context, storage, {
--- a/packages/core/src/learner.ts
+++ b/packages/core/src/learner.ts
@@ -2,7 +2,7 @@
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Runtime } from '@stallstall/kernel';
 import type { CoreSet, Seat } from '@stallstall/message';
-import { catchUp, isSameOccupant, proposer, type Acceptor, type NumberedRegister, type RegisterReplica } from '@stallstall/register';
+import { catchUp, isSameNodeAndDisk, proposer, type Acceptor, type CoreSetRegister, type RegisterReplica } from '@stallstall/register';
 import type { CoreCall } from './core-calls.js';
 import type { StateTransfer } from './state-transfer.js';
 
--- a/packages/node/src/node.ts
+++ b/packages/node/src/node.ts
@@ -108,7 +108,7 @@
 function stop({ context, links, members }: Assembly): void {
   context.isStopped = true;
   links.closeAll();
-  members.keepOnly(new Set());
+  members.closeConnectionsExcept(new Set());
 }
 
 /** Ends the process, which must not go on. */
@@ -130,12 +130,12 @@
   const { context, links, heartbeats, lease, applied, wasListed } = assembly;
   const { settings } = context;
   const table = applied.membership().value;
-  const isListed = quorum.seat(table, settings.node) !== undefined;
+  const isListed = quorum.findNode(table, settings.node) !== undefined;
   // A core that is of its set no more goes on without a seat, and may be given another (design 4.8).
   if (wasListed.current && !isListed && Option.isNone(context.coreSet)) return endProcess(assembly, departedFault(settings.node));
   wasListed.current = isListed;
   for (const seat of table.seats) if (seat.node !== settings.node) links.ensure(seat);
-  const closed = links.retain((node) => quorum.seat(table, node) !== undefined || context.cores.some((core) => core.node === node));
+  const closed = links.retain((node) => quorum.findNode(table, node) !== undefined || context.cores.some((core) => core.node === node));
   for (const node of closed) {
     heartbeats.forget(node);
     lease.forget(node);
@@ -177,7 +177,7 @@
   const elected = applied.electedPrimary(service);
   const ownEpoch = elections.epochOf(service);
   const table = applied.membership().value;
-  const isListed = quorum.seat(table, context.settings.node) !== undefined;
+  const isListed = quorum.findNode(table, context.settings.node) !== undefined;
   if (Option.isNone(elected) || Option.isNone(ownEpoch) || !isListed || ownEpoch.value !== elected.value.epoch) {
     return identifiers.instant(Number.NEGATIVE_INFINITY);
   }
@@ -192,7 +192,7 @@
 
 function connectionCapsOfOthers({ context, applied, heartbeats }: Assembly): ReadonlyArray<Option.Option<ConnectionCaps>> {
   return quorum
-    .withRole(applied.membership().value, 'edge')
+    .nodesWithRole(applied.membership().value, 'edge')
     .filter((seat) => seat.node !== context.settings.node)
     .map((seat) => Option.map((report: HeartbeatReport) => report.caps)(heartbeats.reportOf(seat.node)));
 }
@@ -212,7 +212,7 @@
     runtime,
     {
       self: settings.node,
-      calls: Option.isSome(registration) ? Option.some(registration.value.calls) : Option.none,
+      platformCalls: Option.isSome(registration) ? Option.some(registration.value.calls) : Option.none,
       leaseHolders: () => (Option.isSome(registration) ? registration.value.leaseHolders() : Option.none),
       hasReleased: (service, epoch, holders) => Option.isSome(registration) && registration.value.hasReleased(service, epoch, holders),
       onEpochRaised: () => (Option.isSome(registration) ? registration.value.onEpochRaised() : undefined),
@@ -220,8 +220,8 @@
       membershipVersion: () => applied.membership().version,
       placement: applied.placement,
       electedPrimary: applied.electedPrimary,
-      platform: settings.platform,
-      propose: async function propose(node, request): Promise<Option.Option<Reply<'propose'>>> {
+      platformAddress: settings.platform,
+      sendProposal: async function sendProposal(node, request): Promise<Option.Option<Reply<'propose'>>> {
         const link = links.of(node);
         return link === undefined ? Option.none : link.call('propose', request, proposeMilliseconds);
       },
@@ -266,7 +266,7 @@
   });
   const discovery = seedDiscovery.create(context, {
     incarnations,
-    hasJoined: () => incarnations.own() > 0 && quorum.seat(applied.membership().value, settings.node) !== undefined,
+    hasJoined: () => incarnations.own() > 0 && quorum.findNode(applied.membership().value, settings.node) !== undefined,
     setCores: (cores) => setCores(assembly, cores),
     onSuperseded,
   });
@@ -314,7 +314,7 @@
   elections.tick();
   const current = applied.placement();
   if (Option.isNone(current)) return;
-  members.keepOnly(new Set(current.value.services.flatMap((service) => service.members.map((member) => member.member))));
+  members.closeConnectionsExcept(new Set(current.value.services.flatMap((service) => service.members.map((member) => member.member))));
 }
 
 function start(assembly: Assembly): void {
