--- a/packages/core/src/core.ts
+++ b/packages/core/src/core.ts
@@ -174,7 +174,7 @@
   });
   const services: CoreServices = { context, storage, node };
   const contact = quorumContact.create(runtime, node.majorityContactAt);
-  const versions = versionStore.create(runtime, { disk, node, newest: () => coreStorage.versionOf(storage, 'configuration') });
+  const versions = versionStore.create(runtime, { disk, node, currentVersion: () => coreStorage.versionOf(storage, 'configuration') });
   const seat: CoreLifecycle = coreLifecycle.create({ services, subscribers, contact });
   if (Option.isSome(context.platform)) {
     context.coreSet = Option.some(createCoreSet(services, seat));
--- a/packages/core/src/learner.ts
+++ b/packages/core/src/learner.ts
@@ -43,7 +43,7 @@
 }
 
 function isListed({ parts }: LearnerState, set: CoreSet): boolean {
-  return set.seats.some((seat) => isSameOccupant(seat, parts.ownSeat()));
+  return set.seats.some((seat) => isSameNodeAndDisk(seat, parts.ownSeat()));
 }
 
 function peerSeats({ parts }: LearnerState, set: CoreSet): readonly Seat[] {
@@ -54,7 +54,7 @@
 function copyFromPeers(learner: LearnerState, set: CoreSet, epochs: Record<string, number>, since: number): Promise<boolean> {
   const { runtime, parts } = learner;
   runtime.log('core.copying', { set: set.number, seated: isListed(learner, set) });
-  return catchUp.copyEnough(
+  return catchUp.copyFromEnough(
     peerSeats(learner, set),
     catchUp.sourcesNeeded(set.seats.length),
     (source, isUnneeded) => parts.transfer.copyFrom(source, Option.some(since), epochs, isUnneeded),
@@ -63,7 +63,7 @@
 }
 
 /** The register as the others serve it: this core asks, and counts for nothing. */
-function createRemoteRegister(learner: LearnerState, set: CoreSet): NumberedRegister {
+function createRemoteRegister(learner: LearnerState, set: CoreSet): CoreSetRegister {
   const { runtime, parts } = learner;
   const replicas = peerSeats(learner, set).map((seat): RegisterReplica => ({
     core: seat.node,
@@ -87,7 +87,7 @@
   const epochs: Record<string, number> = { ...set.epochs };
   if (!(await copyFromPeers(learner, set, epochs, set.number))) return;
   await parts.transfer.abstain(epochs);
-  const register = createRemoteRegister(learner, set).inSet(set.number);
+  const register = createRemoteRegister(learner, set).forCoreSet(set.number);
   if (!(await catchUp.completeUnresolved(parts.cells, register))) return;
   if (isNewest(learner, set) && parts.shouldRun()) await parts.open(set);
 }
--- a/packages/core/src/peer-handlers.ts
+++ b/packages/core/src/peer-handlers.ts
@@ -53,7 +53,7 @@
       ...reply,
       fleet,
       founding: fleet,
-      cores: cores.map((core) => quorum.seat(node.membership().value, core.node) ?? core),
+      cores: cores.map((core) => quorum.findNode(node.membership().value, core.node) ?? core),
       ...(Option.isSome(context.coreSet) ? { set: coreSetOf(known.value) } : {}),
     };
   };
--- a/packages/core/src/platform-api.ts
+++ b/packages/core/src/platform-api.ts
@@ -51,7 +51,7 @@
       if (Either.isLeft(checked)) return checked;
       return contact.runInContact(() => administration.replaceExternal(external, checked.right));
     },
-    readSource: async () => (isOpen() ? contact.whileInContact(administration.readSource) : Either.left(notOpen())),
+    readSource: async () => (isOpen() ? contact.runInContact(administration.readSource) : Either.left(notOpen())),
     // A core that is of no fleet could tell nobody, nor one that no majority answers: whoever calls turns to another.
     heartbeat: async (given) => Option.isSome(registration) && isOpen() && registration.value.heartbeat(given),
     leave: async (member) => Option.isSome(registration) && isOpen() && registration.value.leave(member),
