--- a/packages/core/src/core.ts
+++ b/packages/core/src/core.ts
@@ -10,11 +10,11 @@
 import type { CoreContext, CoreServices, CoreStorage } from './core-context.js';
 import { coreNode } from './core-node.js';
 import { coreRoutes, type CoreRoutes } from './core-routes.js';
-import { coreSeats, type CoreSeat } from './core-seat.js';
+import { coreLifecycle, type CoreLifecycle } from './core-lifecycle.js';
 import { coreSetManager, type CoreSetManager } from './core-set-manager.js';
-import type { CoreParts, CoreSettings } from './core-settings.js';
+import type { PlatformIntegration, CoreSettings } from './core-settings.js';
 import { coreStorage } from './core-storage.js';
-import { readFolder, registryKey } from './data-folder.js';
+import { readDataFolder, registryKey } from './data-folder.js';
 import { fleetBootstrap, type FleetBootstrap } from './fleet-bootstrap.js';
 import { memberRegistration, type MemberRegistration } from './member-registration.js';
 import { membershipTable, type MembershipTable } from './membership-table.js';
@@ -27,7 +27,7 @@
 export type Core = Readonly<{
   node: Node;
   /** Whether this core answers ballots. */
-  open: () => boolean;
+  isOpen: () => boolean;
   /** Ends without losing a request that has arrived. */
   drain: () => Promise<void>;
   /** Ends at once. */
@@ -56,16 +56,16 @@
 /** An edge that held a lease so lately may still have counts to report. */
 const edgeMemoryMilliseconds = 12_000;
 
-function createContext(runtime: Runtime, settings: CoreSettings, parts: Option.Option<CoreParts>, disk: Disk): CoreContext {
+function createContext(runtime: Runtime, settings: CoreSettings, parts: Option.Option<PlatformIntegration>, disk: Disk): CoreContext {
   return {
     runtime,
     settings,
-    parts,
+    platform: parts,
     disk,
     registration: Option.none,
     coreSet: Option.none,
     openedAt: runtime.clock.now(),
-    isBetweenSets: false,
+    isInSetTransition: false,
     isDraining: false,
     isStopped: false,
   };
@@ -76,20 +76,20 @@
   return storage.cells.ready() && !context.isDraining;
 }
 
-function createCoreSet({ context, storage, node }: CoreServices, seat: CoreSeat): CoreSetManager {
+function createCoreSet({ context, storage, node }: CoreServices, seat: CoreLifecycle): CoreSetManager {
   return coreSetManager.create(context.runtime, {
     node,
     register: context.runtime.services.find(registerService),
     callCore: storage.calls.call,
     cells: storage.cells,
     transfer: storage.transfer,
-    fleet: storage.record.current,
-    keepFleet: storage.record.keep,
+    record: storage.recordStore.current,
+    saveRecord: storage.recordStore.save,
     open: seat.open,
     changeSet: seat.changeSet,
     close: seat.close,
-    onBetweenSets: function onBetweenSets(isBetween) {
-      context.isBetweenSets = isBetween;
+    onSetTransition: function onBetweenSets(isBetween) {
+      context.isInSetTransition = isBetween;
     },
   });
 }
@@ -111,26 +111,26 @@
   });
 }
 
-function createBootstrap({ context, storage, node }: CoreServices, seat: CoreSeat): FleetBootstrap {
+function createBootstrap({ context, storage, node }: CoreServices, seat: CoreLifecycle): FleetBootstrap {
   return fleetBootstrap.create(context.runtime, context.settings, {
     node,
     cells: storage.cells,
     disk: context.disk,
-    record: storage.record,
+    recordStore: storage.recordStore,
     transfer: storage.transfer,
     votes: storage.votes,
     coreSet: () => context.coreSet,
-    founding: context.parts,
+    founding: context.platform,
     open: seat.open,
     stopped: () => context.isStopped,
   });
 }
 
 function createUsage({ context, storage, node }: CoreServices): UsageReporting {
-  const leased = Option.map((parts: CoreParts) => ({
+  const leased = Option.map((parts: PlatformIntegration) => ({
     calls: parts.calls,
     edges: () => (Option.isSome(context.registration) ? context.registration.value.grantor.recentHolders(edgeMemoryMilliseconds) : []),
-  }))(context.parts);
+  }))(context.platform);
   return usageReporting.create(context.runtime, node, storage.reports, leased);
 }
 
@@ -175,8 +175,8 @@
   const services: CoreServices = { context, storage, node };
   const contact = quorumContact.create(runtime, node.majorityContactAt);
   const versions = versionStore.create(runtime, { disk, node, currentVersion: () => coreStorage.versionOf(storage, 'configuration') });
-  const seat: CoreSeat = coreSeats.create({ services, subscribers, contact });
-  if (Option.isSome(context.parts)) {
+  const seat: CoreLifecycle = coreLifecycle.create({ services, subscribers, contact });
+  if (Option.isSome(context.platform)) {
     context.coreSet = Option.some(createCoreSet(services, seat));
     context.registration = Option.some(createRegistration(services, contact, stored.get(registryKey)));
   }
@@ -249,13 +249,13 @@
 async function start(
   runtime: Runtime,
   settings: CoreSettings,
-  parts: Option.Option<CoreParts> = Option.none,
+  parts: Option.Option<PlatformIntegration> = Option.none,
 ): Promise<Either.Either<Fault, Core>> {
   if (Option.isNone(runtime.disk)) {
     return Either.left(fault.create({ kind: 'bad-settings', message: 'a core needs a data folder', remedy: 'name one with --data' }));
   }
   const disk = runtime.disk.value;
-  const folder = await readFolder(runtime, disk, settings.node);
+  const folder = await readDataFolder(runtime, disk, settings.node);
   if (Either.isLeft(folder)) return folder;
   const assembly = assemble(createContext(runtime, settings, parts, disk), folder.right);
   const { context, storage, node } = assembly.services;
@@ -264,7 +264,7 @@
   await startServices(assembly);
   return Either.right({
     node,
-    open: storage.cells.ready,
+    isOpen: storage.cells.ready,
     stop: () => stop(assembly, routes.listening),
     drain: () => drain(assembly, routes),
   });
