--- a/packages/core/src/learner.ts
+++ b/packages/core/src/learner.ts
@@ -56,7 +56,7 @@
   runtime.log('core.copying', { set: set.number, seated: isListed(learner, set) });
   return catchUp.copyFromEnough(
     peerSeats(learner, set),
-    catchUp.sourcesNeeded(set.seats.length),
+    catchUp.requiredSources(set.seats.length),
     (source, isUnneeded) => parts.transfer.copyFrom(source, Option.some(since), epochs, isUnneeded),
     () => !parts.shouldRun() || !isNewest(learner, set),
   );
