--- a/packages/register/src/ballot-round.ts
+++ b/packages/register/src/ballot-round.ts
@@ -1,4 +1,4 @@
-/** One attempt to change a key: a ballot is promised by a majority of replicas, then accepted by a majority of those (design 5.1). */
+/** One attempt to change a key: a majority of replicas promises a ballot, then a majority accepts the entry under it (design 5.1). */
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Runtime } from '@stallstall/kernel';
 import type { Ballot, Entry, Request } from '@stallstall/message';
@@ -10,12 +10,12 @@
 /** @internal */
 export type RoundContext = Readonly<{
   runtime: Runtime;
-  /** Names the proposer: no other has ballots of this name. */
+  /** A name unique to this proposer, so that no other proposer uses the same ballots. */
   proposer: string;
   replicas: () => readonly RegisterReplica[];
   replicaCount: () => number;
   coreSets: CoreSetSource;
-  /** What this process holds of a key already: its entry need not be sent here again (design 5.7). */
+  /** The entry of a key that this process already has, which replicas need not send again (design 5.7). */
   localEntry: (key: string) => Option.Option<Entry>;
   counter: BallotCounter;
 }>;
@@ -23,21 +23,21 @@
 /** @internal */
 export type BallotCounter = Readonly<{
   next: () => Ballot;
-  /** The next ballot is higher than all that these replicas promised. */
+  /** Makes the next ballot higher than every ballot that these replicas promised. */
   observe: (replies: readonly ReplicaReply[]) => void;
 }>;
 
-/** The replicas, the majority and the number of one set of cores, taken once for a whole round (design 4.8). @internal */
+/** The replicas, the majority size and the number of one core set, determined once for an entire round (design 4.8). @internal */
 export type RoundSet = Readonly<{
   replicas: readonly RegisterReplica[];
-  /** To be sent with each call. */
+  /** The field with the number of the core set, to be sent with each call. */
   setField: Readonly<{ set?: number }>;
   isMajority: (replies: readonly ReplicaReply[]) => boolean;
 }>;
 
 /**
- * So much longer promises are waited for: a replica that is asked to accept as well does not fall behind, and its cell is never in doubt
- * later. Unit: milliseconds.
+ * How long to wait for further promises once a majority has promised. A replica whose promise arrives within this time is also sent the
+ * accept request, so that it does not fall behind and its cell does not have to be resolved later. Unit: milliseconds.
  */
 const promiseLingerMilliseconds = 6;
 /** The key whose earlier versions are kept (design 5.4). */
@@ -56,7 +56,7 @@
   };
 }
 
-/** The set of cores as it is now. */
+/** A snapshot of the current core set. */
 function currentSet({ replicas, replicaCount, coreSets }: RoundContext): RoundSet {
   const size = replicaCount();
   const number = coreSets.number();
@@ -67,85 +67,89 @@
   };
 }
 
-/** The ballot of the entry that this process holds: replies leave that entry out. */
-function holdsField(known: Option.Option<Entry>): Readonly<{ holds?: Ballot }> {
-  return Option.isNone(known) ? {} : { holds: known.value.ballot };
+/** The field with the ballot of the entry that this process already has; replies omit that entry. */
+function holdsField(localEntry: Option.Option<Entry>): Readonly<{ holds?: Ballot }> {
+  return Option.isNone(localEntry) ? {} : { holds: localEntry.value.ballot };
 }
 
-/** The ballot that an entry succeeds, for the key whose earlier versions are kept. */
-function afterOf(key: string, current: Option.Option<Entry>): Readonly<{ after?: Ballot }> {
+/** The field with the ballot of the entry that is succeeded, for the key whose earlier versions are kept. */
+function afterField(key: string, current: Option.Option<Entry>): Readonly<{ after?: Ballot }> {
   return key === versionedKey && Option.isSome(current) ? { after: current.value.ballot } : {};
 }
 
-function isRemoteHolder({ isEntryOmitted: held, target }: ReplicaReply): boolean {
-  return held && target.local !== true;
+function isRemoteWithLocalEntry({ isEntryOmitted, target }: ReplicaReply): boolean {
+  return isEntryOmitted && target.local !== true;
 }
 
-/** The same request with the difference from the known entry alone, where any remote replica holds that entry. */
-function withoutContent(complete: Request<'accept'>, known: Option.Option<Entry>, promises: readonly ReplicaReply[]): Request<'accept'> {
-  if (Option.isNone(known) || !promises.some(isRemoteHolder)) return complete;
-  const difference = compressedDifference.between(known.value.value, complete.entry.value);
+/** The request with only the difference from the local entry, if any remote replica has that entry; otherwise the complete request. */
+function differenceRequest(
+  complete: Request<'accept'>,
+  localEntry: Option.Option<Entry>,
+  promises: readonly ReplicaReply[],
+): Request<'accept'> {
+  if (Option.isNone(localEntry) || !promises.some(isRemoteWithLocalEntry)) return complete;
+  const difference = compressedDifference.between(localEntry.value.value, complete.entry.value);
   if (difference === undefined) return complete;
-  return { ...complete, entry: { ...complete.entry, value: null }, base: { ballot: known.value.ballot, difference } };
+  return { ...complete, entry: { ...complete.entry, value: null }, base: { ballot: localEntry.value.ballot, difference } };
 }
 
-/** Has a ballot promised; resolves to the promises, which may be fewer than a majority. */
+/** Asks all replicas to promise a ballot; resolves to the promises, which may be fewer than a majority. */
 async function collectPromises(
   context: RoundContext,
   key: string,
   ballot: Ballot,
-  known: Option.Option<Entry>,
-  { replicas, setField: set, isMajority }: RoundSet,
+  localEntry: Option.Option<Entry>,
+  { replicas, setField, isMajority }: RoundSet,
 ): Promise<readonly ReplicaReply[]> {
   const replies = await replicaCalls.sendToAll(context.runtime, {
     targets: replicas,
     call: 'prepare',
-    bodyFor: () => ({ key, ballot, ...set, ...holdsField(known) }),
-    isEnough: (received) => isMajority(replicaCalls.agreed(received)),
+    bodyFor: () => ({ key, ballot, ...setField, ...holdsField(localEntry) }),
+    isEnough: (received) => isMajority(replicaCalls.agreeing(received)),
     observe: context.coreSets.observe,
     lingerMilliseconds: promiseLingerMilliseconds,
   });
   context.counter.observe(replies);
-  return replicaCalls.agreed(replicaCalls.withLocalEntry(replies, known));
+  return replicaCalls.agreeing(replicaCalls.withLocalEntry(replies, localEntry));
 }
 
-/** Sends an entry to those whose promises were counted; only they may accept it (design 5.1). Resolves to whether it was chosen. */
+/** Sends an entry to the replicas whose promises were counted; only these may accept it (design 5.1). Resolves to whether it was chosen. */
 async function collectAccepts(
   context: RoundContext,
   complete: Request<'accept'>,
-  known: Option.Option<Entry>,
+  localEntry: Option.Option<Entry>,
   promises: readonly ReplicaReply[],
   { isMajority }: RoundSet,
 ): Promise<boolean> {
-  const slim = withoutContent(complete, known, promises);
-  const holding = new Set(promises.filter(isRemoteHolder).map((one) => one.target.core));
+  const withDifference = differenceRequest(complete, localEntry, promises);
+  const coresWithLocalEntry = new Set(promises.filter(isRemoteWithLocalEntry).map((promise) => promise.target.core));
   const replies = await replicaCalls.sendToAll(context.runtime, {
-    targets: promises.map((one) => replicaCalls.withCompleteEntryOnRequest(one.target, complete)),
+    targets: promises.map((promise) => replicaCalls.withCompleteEntryOnRequest(promise.target, complete)),
     call: 'accept',
-    bodyFor: (target) => (holding.has(target.core) ? slim : complete),
-    isEnough: (received) => isMajority(replicaCalls.agreed(received)),
+    bodyFor: (target) => (coresWithLocalEntry.has(target.core) ? withDifference : complete),
+    isEnough: (received) => isMajority(replicaCalls.agreeing(received)),
     observe: context.coreSets.observe,
   });
   context.counter.observe(replies);
-  return isMajority(replicaCalls.agreed(replies));
+  return isMajority(replicaCalls.agreeing(replies));
 }
 
-/** None where the fate of the attempt is not known: it may still be chosen. */
+/** Runs one round. Resolves to none when the outcome is unknown: the entry may still be chosen. */
 async function run(context: RoundContext, key: string, decide: Decision): Promise<Option.Option<ChangeOutcome>> {
   const ballot = context.counter.next();
   const roundSet = currentSet(context);
-  const { setField: set, isMajority } = roundSet;
-  const known = context.localEntry(key);
-  const promises = await collectPromises(context, key, ballot, known, roundSet);
+  const { setField, isMajority } = roundSet;
+  const localEntry = context.localEntry(key);
+  const promises = await collectPromises(context, key, ballot, localEntry, roundSet);
   if (!isMajority(promises)) return Option.none;
   const current = replicaCalls.highestEntry(promises);
   const decided = decide(current);
   if (Option.isNone(decided) && replicaCalls.isUnanimous(promises)) return Option.some({ wrote: false, entry: current });
   const entry: Entry = Option.isSome(decided)
-    ? { ballot, version: Option.isSome(current) ? current.value.version + 1 : 1, value: decided.value, ...afterOf(key, current) }
+    ? { ballot, version: Option.isSome(current) ? current.value.version + 1 : 1, value: decided.value, ...afterField(key, current) }
     : { ...(current as Option.Some<Entry>).value, ballot };
-  const complete = { key, entry, ...set };
-  const isChosen = await collectAccepts(context, complete, known, promises, roundSet);
+  const complete = { key, entry, ...setField };
+  const isChosen = await collectAccepts(context, complete, localEntry, promises, roundSet);
   return isChosen ? Option.some({ wrote: Option.isSome(decided), entry: Option.some(entry) }) : Option.none;
 }
 
--- a/packages/register/src/catch-up.ts
+++ b/packages/register/src/catch-up.ts
@@ -1,6 +1,6 @@
 /**
- * How the occupant of a seat that holds nothing yet catches up with the others, so that it may answer (design 4.3, 4.8). A core that takes
- * over a seat and one that lost its disk are the same case.
+ * How a core without data catches up with the others before it answers requests (design 4.3, 4.8). A core that replaces another one and a
+ * core that lost its disk are the same case.
  */
 import * as Either from 'fp-ts/lib/Either.js';
 import { message, type Seat } from '@stallstall/message';
@@ -9,32 +9,32 @@
 import type { CellState } from './cell-state.js';
 import type { Register } from './register.js';
 
-/** Copies all that another core holds; resolves to false once `isUnneeded` says that the copy is no longer wanted. */
+/** Copies all data of another core; resolves to false once `isUnneeded` reports that the copy is no longer needed. */
 export type CopyFromCore = (source: Seat, isUnneeded: () => boolean) => Promise<boolean>;
 
-/** Rounds that complete unresolved cells run so many at a time. */
-const roundsAtOnce = 32;
+/** How many rounds that complete unresolved cells run concurrently. */
+const concurrentRounds = 32;
 
 /**
- * How many other cores must be copied: whatever a majority of the seats held or promised, this seat among them, one of any
- * so many others holds as well, also when some of them are blank themselves.
+ * How many other cores must be copied. Anything that a majority of the cores accepted or promised, counting this core, is also present on
+ * at least one of any group of other cores of this size, even when some of these are blank themselves.
  */
-function requiredSources(seats: number): number {
-  return seats - quorum.majority(seats) + 1;
+function requiredSources(coreCount: number): number {
+  return coreCount - quorum.majority(coreCount) + 1;
 }
 
 /**
- * Whether a core may be copied: it must have left every set before the one that gave this core its seat, for then it agrees to nothing
- * there any more.
+ * Whether a core may be copied: it must have left every core set before the one that added this core, because it then no longer accepts or
+ * promises anything in those.
  *
- * @param since - the number of the set that gave this core its seat
- * @param reported - the number of the set that the other core is in; undefined while it is in none
+ * @param joinedSet - the number of the core set that added this core
+ * @param reportedSet - the number of the core set that the other core is in; undefined while it is in none
  */
-function isEligibleSource(since: number, reported: number | undefined): boolean {
-  return reported !== undefined && reported >= since;
+function isEligibleSource(joinedSet: number, reportedSet: number | undefined): boolean {
+  return reportedSet !== undefined && reportedSet >= joinedSet;
 }
 
-/** Copies from all sources at once and settles with the first that are enough: none that is out of reach is waited for. */
+/** Copies from all sources at once and resolves as soon as enough copies are complete, without waiting for unreachable sources. */
 function copyFromEnough(sources: readonly Seat[], needed: number, copy: CopyFromCore, isAbandoned: () => boolean): Promise<boolean> {
   return new Promise(function collect(resolve) {
     let copied = 0;
@@ -54,21 +54,24 @@
 }
 
 /**
- * A copied value may have been accepted by fewer than a majority, while a higher ballot that never saw it was promised by the former
- * occupant of this seat. Counted as accepted here, it would look chosen and could still be overtaken by that ballot.
+ * A copied value may have been accepted by less than a majority, while the core that this one replaces promised a higher ballot whose
+ * proposer never saw the value. If it counted as accepted here, it would look chosen and could still be overwritten under that ballot.
  */
 function isUnresolved({ promised, accepted }: CellState): boolean {
   return accepted !== null && message.compareBallots(promised, accepted.ballot) > 0;
 }
 
-/** Has the other cores choose, beyond all promises copied, what each unresolved cell holds; false when no majority of them replied. */
-async function completeUnresolved(cells: Acceptor, register: Register): Promise<boolean> {
-  const keys = cells
+/**
+ * Lets the other cores choose the value of each unresolved cell under a ballot higher than all copied promises. Resolves to false when no
+ * majority of them replied.
+ */
+async function completeUnresolved(acceptor: Acceptor, register: Register): Promise<boolean> {
+  const keys = acceptor
     .cells()
     .filter((cell) => isUnresolved(cell.state))
     .map((cell) => cell.key);
-  for (let first = 0; first < keys.length; first += roundsAtOnce) {
-    const rounds = keys.slice(first, first + roundsAtOnce).map((key) => register.read(key));
+  for (let first = 0; first < keys.length; first += concurrentRounds) {
+    const rounds = keys.slice(first, first + concurrentRounds).map((key) => register.read(key));
     const replies = await Promise.all(rounds);
     if (replies.some(Either.isLeft)) return false;
   }
--- a/packages/register/src/core-set-changes.ts
+++ b/packages/register/src/core-set-changes.ts
@@ -1,4 +1,4 @@
-/** Changes the set of cores by the occupant of one seat at a time, each step decided in the register under the set before it (design 4.8). */
+/** Changes the core set by replacing one core at a time. Each step is decided in the register under the preceding set (design 4.8). */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { fault, owner, type Fault } from '@stallstall/kernel';
@@ -7,49 +7,49 @@
 import type { CoreSetRegister } from './register.js';
 
 export type CoreSetChangeOptions = Readonly<{
-  /** The set that this core is in. */
+  /** The core set that this core belongs to. */
   set: () => CoreSet;
   registerForCoreSet: CoreSetRegister['forCoreSet'];
-  /** Asks a core to adopt a set; none when it does not reply. */
-  adopt: (seat: Seat, set: CoreSet) => Promise<Option.Option<Reply<'adopt'>>>;
-  /** Called with a newer set that a core reports. */
+  /** Asks a core to adopt a core set; none when it does not reply. */
+  adopt: (core: Seat, set: CoreSet) => Promise<Option.Option<Reply<'adopt'>>>;
+  /** Called with a newer core set that a core reports. */
   observe: (set: CoreSet) => void;
 }>;
 
-/** Up-to-date cores that are in a set, and cores that every one of these has not heard for long. */
+/** The cores of a set that have adopted it and are up to date, and the cores that all of these report as unreachable for long. */
 export type ConfirmedCores = Readonly<{ upToDate: readonly string[]; unreachable: ReadonlySet<string> }>;
 
-/** Nodes whose seat may be given to another, those that should go first before the others. */
-export type FindVacantNodes = (set: CoreSet, confirmed: ConfirmedCores) => readonly string[];
+/** Finds the nodes of a core set that may be replaced, in order of preference. */
+export type FindReplaceableNodes = (set: CoreSet, confirmed: ConfirmedCores) => readonly string[];
 
 export type CoreSetChanges = Readonly<{
   /**
-   * Gives a vacant seat to this occupant; right, with the set that lists it, once a majority of the new set has adopted it. Errors:
-   * `no-majority`, and those of the register.
+   * Replaces one of the replaceable nodes by a joining core. Resolves to the set that lists the joining core once a majority of that set
+   * has adopted it. Errors: `no-majority`, and those of the register.
    */
-  replaceNode: (occupant: Seat, vacancies: FindVacantNodes) => Promise<Either.Either<Fault, CoreSet>>;
-  /** Completes a step whose proposer fell silent. */
+  replaceNode: (joiningCore: Seat, findReplaceableNodes: FindReplaceableNodes) => Promise<Either.Either<Fault, CoreSet>>;
+  /** Completes a change whose proposer stopped responding. */
   completeInterrupted: () => Promise<void>;
 }>;
 
-/** What was confirmed is old by then: whoever was silent may be heard again. */
-const decideMilliseconds = 1_000;
+/** Time limit of a decision. After longer than this the confirmations are stale: an unreachable core may be reachable again. */
+const decisionTimeoutMilliseconds = 1_000;
 
-/** The register's key that decides which set follows a set: written once, under that set. */
-export function coreSetKey(after: number): string {
-  return `cores/${after + 1}`;
+/** The register key that decides which core set follows set `previous`. It is written once, under the previous set. */
+export function coreSetKey(previous: number): string {
+  return `cores/${previous + 1}`;
 }
 
-/** A node that lost its disk is another occupant than before: it remembers none of its promises (design 4.3). */
-export function isSameNodeAndDisk(one: Seat, other: Seat): boolean {
-  return one.node === other.node && one.disk === other.disk;
+/** A node that lost its disk counts as a different core than before, because its earlier promises are lost (design 4.3). */
+export function isSameNodeAndDisk(left: Seat, right: Seat): boolean {
+  return left.node === right.node && left.disk === right.disk;
 }
 
-function unchanged(reason: string): Either.Either<Fault, never> {
+function notChanged(reason: string): Either.Either<Fault, never> {
   return Either.left(
     fault.create({
       kind: 'no-majority',
-      message: `the set of cores did not change: ${reason}`,
+      message: `the core set was not changed: ${reason}`,
       remedy: 'try again',
       retryAfterSeconds: 1,
     }),
@@ -57,98 +57,108 @@
 }
 
 function isMajority(set: CoreSet, nodes: readonly string[]): boolean {
-  return set.seats.filter((seat) => nodes.includes(seat.node)).length >= quorum.majority(set.seats.length);
+  return set.seats.filter((core) => nodes.includes(core.node)).length >= quorum.majority(set.seats.length);
 }
 
-function isSeated(set: CoreSet, occupant: Seat): boolean {
-  return set.seats.some((seat) => isSameNodeAndDisk(seat, occupant) && seat.address === occupant.address);
+function isListed(set: CoreSet, joiningCore: Seat): boolean {
+  return set.seats.some((core) => isSameNodeAndDisk(core, joiningCore) && core.address === joiningCore.address);
 }
 
-/** Asks seats to adopt a set and tells which have; whoever is further reports it. */
-async function confirm({ adopt, observe }: CoreSetChangeOptions, set: CoreSet, seats: readonly Seat[]): Promise<ConfirmedCores> {
-  const replies = await Promise.all(seats.map(async (seat) => ({ seat, reply: await adopt(seat, set) })));
+/** Asks cores to adopt a set and returns those that did; a core that is at a newer set reports that set. */
+async function confirm({ adopt, observe }: CoreSetChangeOptions, set: CoreSet, cores: readonly Seat[]): Promise<ConfirmedCores> {
+  const replies = await Promise.all(cores.map(async (core) => ({ core, reply: await adopt(core, set) })));
   const upToDate: string[] = [];
-  const silent: Array<ReadonlySet<string>> = [];
-  for (const { seat, reply } of replies) {
+  const unreachableReports: Array<ReadonlySet<string>> = [];
+  for (const { core, reply } of replies) {
     if (Option.isNone(reply)) continue;
     if (reply.value.newer !== undefined) observe(reply.value.newer);
     if (!reply.value.adopted) continue;
-    upToDate.push(seat.node);
-    silent.push(new Set(reply.value.silent));
+    upToDate.push(core.node);
+    unreachableReports.push(new Set(reply.value.silent));
   }
-  const silentForAll = set.seats
-    .map((seat) => seat.node)
-    .filter((node) => silent.length > 0 && silent.every((reported) => reported.has(node)));
-  return { upToDate, unreachable: new Set(silentForAll) };
+  const unreachable = set.seats
+    .map((core) => core.node)
+    .filter((node) => unreachableReports.length > 0 && unreachableReports.every((reported) => reported.has(node)));
+  return { upToDate, unreachable: new Set(unreachable) };
 }
 
-/** Tells both sets; whoever is not reached learns of it from whoever is. True once a majority of the new set has adopted it. */
-async function spread(parts: CoreSetChangeOptions, before: CoreSet, set: CoreSet): Promise<boolean> {
-  for (const seat of set.seats) {
-    const wasListed = before.seats.some((one) => one.node === seat.node && one.address === seat.address);
-    if (!wasListed) void parts.adopt(seat, set);
+/**
+ * Sends a new core set to the cores of the previous and the new set. A core that is not reached learns of it from one that is. Resolves to
+ * true once a majority of the new set has adopted it.
+ */
+async function distribute(options: CoreSetChangeOptions, previous: CoreSet, set: CoreSet): Promise<boolean> {
+  for (const core of set.seats) {
+    const wasListed = previous.seats.some((known) => known.node === core.node && known.address === core.address);
+    if (!wasListed) void options.adopt(core, set);
   }
-  const { upToDate } = await confirm(parts, set, before.seats);
+  const { upToDate } = await confirm(options, set, previous.seats);
   return isMajority(set, upToDate);
 }
 
-/** Without the former occupant a majority must be up to date: the newcomer copies them, and they serve until it is as well. */
-function leavesMajority(set: CoreSet, upToDate: readonly string[], vacated: string, occupant: Seat): boolean {
-  const listed = quorum.findNode(set, vacated);
-  const isMoving = listed !== undefined && isSameNodeAndDisk(listed, occupant);
+/**
+ * Whether a majority is up to date without the replaced node: the joining core copies from these cores, and they serve until it is up to
+ * date as well. A core that only changes its address remains up to date.
+ */
+function leavesMajority(set: CoreSet, upToDate: readonly string[], replacedNode: string, joiningCore: Seat): boolean {
+  const listed = quorum.findNode(set, replacedNode);
+  const isSameCore = listed !== undefined && isSameNodeAndDisk(listed, joiningCore);
   return isMajority(
     set,
-    upToDate.filter((node) => node !== vacated || isMoving),
+    upToDate.filter((node) => node !== replacedNode || isSameCore),
   );
 }
 
-/** Has the next set chosen; right with the set that was, which may be another's. */
-async function decide({ registerForCoreSet }: CoreSetChangeOptions, set: CoreSet, wanted: CoreSet): Promise<Either.Either<Fault, CoreSet>> {
+/** Proposes the next core set; resolves to the set that was decided, which may be that of another proposer. */
+async function decide(
+  { registerForCoreSet }: CoreSetChangeOptions,
+  set: CoreSet,
+  proposed: CoreSet,
+): Promise<Either.Either<Fault, CoreSet>> {
   const written = await registerForCoreSet(set.number).change(
     coreSetKey(set.number),
-    (current) => (Option.isSome(current) ? Option.none : Option.some(wanted)),
-    decideMilliseconds,
+    (current) => (Option.isSome(current) ? Option.none : Option.some(proposed)),
+    decisionTimeoutMilliseconds,
   );
   if (Either.isLeft(written)) return written;
   const decided = Option.isSome(written.right.entry) ? written.right.entry.value.value : null;
-  return message.matches(CoreSetSchema, decided) ? Either.right(decided) : unchanged('its cell holds no set');
+  return message.matches(CoreSetSchema, decided) ? Either.right(decided) : notChanged('the stored value is not a valid core set');
 }
 
 async function replaceNode(
-  parts: CoreSetChangeOptions,
-  occupant: Seat,
-  vacancies: FindVacantNodes,
+  options: CoreSetChangeOptions,
+  joiningCore: Seat,
+  findReplaceableNodes: FindReplaceableNodes,
 ): Promise<Either.Either<Fault, CoreSet>> {
-  const set = parts.set();
-  if (isSeated(set, occupant)) return Either.right(set);
-  const confirmed = await confirm(parts, set, set.seats);
-  if (!isMajority(set, confirmed.upToDate)) return unchanged(`no majority holds set ${set.number} yet`);
-  const vacant = vacancies(set, confirmed);
-  if (vacant.length === 0) return unchanged('no seat is vacant');
-  const vacated = vacant.find((node) => leavesMajority(set, confirmed.upToDate, node, occupant));
-  if (vacated === undefined) return unchanged('too few level cores would be left beside the newcomer');
-  const decided = await decide(parts, set, {
+  const set = options.set();
+  if (isListed(set, joiningCore)) return Either.right(set);
+  const confirmed = await confirm(options, set, set.seats);
+  if (!isMajority(set, confirmed.upToDate)) return notChanged(`no majority has adopted core set ${set.number} yet`);
+  const replaceable = findReplaceableNodes(set, confirmed);
+  if (replaceable.length === 0) return notChanged('no core of the set may be replaced');
+  const replacedNode = replaceable.find((node) => leavesMajority(set, confirmed.upToDate, node, joiningCore));
+  if (replacedNode === undefined) return notChanged('too few up-to-date cores would remain beside the joining core');
+  const decided = await decide(options, set, {
     number: set.number + 1,
-    seats: set.seats.map((seat) => (seat.node === vacated ? occupant : seat)),
+    seats: set.seats.map((core) => (core.node === replacedNode ? joiningCore : core)),
     epochs: set.epochs,
   });
   if (Either.isLeft(decided)) return decided;
-  if (!(await spread(parts, set, decided.right))) return unchanged('no majority of the new set stands at it yet');
-  return isSeated(decided.right, occupant) ? decided : unchanged('another step was decided');
+  if (!(await distribute(options, set, decided.right))) return notChanged('no majority of the new core set has adopted it yet');
+  return isListed(decided.right, joiningCore) ? decided : notChanged('another change was decided instead');
 }
 
-async function completeInterrupted(parts: CoreSetChangeOptions): Promise<void> {
-  const set = parts.set();
-  const read = await parts.registerForCoreSet(set.number).change(coreSetKey(set.number), () => Option.none);
+async function completeInterrupted(options: CoreSetChangeOptions): Promise<void> {
+  const set = options.set();
+  const read = await options.registerForCoreSet(set.number).change(coreSetKey(set.number), () => Option.none);
   const entry: Option.Option<Entry> = Either.isRight(read) ? read.right.entry : Option.none;
-  if (Option.isSome(entry) && message.matches(CoreSetSchema, entry.value.value)) await spread(parts, set, entry.value.value);
+  if (Option.isSome(entry) && message.matches(CoreSetSchema, entry.value.value)) await distribute(options, set, entry.value.value);
 }
 
-function create(parts: CoreSetChangeOptions): CoreSetChanges {
+function create(options: CoreSetChangeOptions): CoreSetChanges {
   const commands = owner.create('core set changes', null);
   return {
-    replaceNode: (occupant, vacancies) => commands.run(() => replaceNode(parts, occupant, vacancies)),
-    completeInterrupted: () => commands.run(() => completeInterrupted(parts)),
+    replaceNode: (joiningCore, findReplaceableNodes) => commands.run(() => replaceNode(options, joiningCore, findReplaceableNodes)),
+    completeInterrupted: () => commands.run(() => completeInterrupted(options)),
   };
 }
 
--- a/packages/register/src/proposer.ts
+++ b/packages/register/src/proposer.ts
@@ -1,4 +1,4 @@
-/** The proposing half of the register: majority read, majority write, compare-and-swap on top (design 5.1). */
+/** The proposer role of the register: majority reads and majority writes, with compare-and-swap on top of them (design 5.1). */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { fault, identifiers, type Fault, type Runtime } from '@stallstall/kernel';
@@ -18,39 +18,39 @@
 export type ProposerOptions = Readonly<{
   /** This node's id. */
   name: string;
-  /** The disks that are asked, looked up at each round. */
+  /** The replicas to call; evaluated at each round. */
   replicas: () => readonly RegisterReplica[];
-  /** How many disks there are: a majority is counted of these. */
+  /** The total number of replicas, of which a majority is needed. */
   replicaCount: () => number;
-  /** @default a set that never changes */
+  /** @default a core set that never changes */
   coreSets?: CoreSetSource;
   /**
-   * What this process holds of a key already: its entry need not be sent here again (design 5.7).
-   * @default nothing
+   * The entry of a key that this process already has, which replicas need not send again (design 5.7).
+   * @default none
    */
   localEntry?: (key: string) => Option.Option<Entry>;
 }>;
 
 const defaultTimeoutMilliseconds = 4_000;
 const backoffMilliseconds = 20;
-/** The backoff grows with each attempt up to so many times its first span. */
-const backoffStepsMost = 10;
+/** The backoff grows linearly with each attempt, up to this multiple of the first one. */
+const maxBackoffSteps = 10;
 
 function noMajority({ replicaCount }: RoundContext, key: string): Fault {
   return fault.create({
     kind: 'no-majority',
-    message: `the register did not settle ${key}: no majority of its ${replicaCount()} disks answered in time`,
-    remedy: 'bring a core back, then try again',
+    message: `the register could not complete the operation on ${key}: no majority of its ${replicaCount()} replicas replied in time`,
+    remedy: 'restore an unavailable core, then try again',
     retryAfterSeconds: 1,
   });
 }
 
 function backoff({ runtime }: RoundContext, attempts: number): number {
   const jitter = 0.5 + runtime.randomness.fraction();
-  return backoffMilliseconds * Math.min(attempts, backoffStepsMost) * jitter;
+  return backoffMilliseconds * Math.min(attempts, maxBackoffSteps) * jitter;
 }
 
-/** @param isCurrent - whether attempts may go on: false once the set of cores is another than the caller's */
+/** @param isCurrent - whether further attempts are allowed: false once the core set differs from the caller's */
 async function change(
   context: RoundContext,
   isCurrent: () => boolean,
@@ -81,9 +81,9 @@
   milliseconds = defaultTimeoutMilliseconds,
 ): Promise<Either.Either<Fault, Option.Option<Entry>>> {
   if (!isCurrent()) return Either.left(noMajority(context, key));
-  const { replicas, setField: set, isMajority } = ballotRound.currentSet(context);
-  const known = context.localEntry(key);
-  const request: Request<'look'> = { key, ...set, ...ballotRound.holdsField(known) };
+  const { replicas, setField, isMajority } = ballotRound.currentSet(context);
+  const localEntry = context.localEntry(key);
+  const request: Request<'look'> = { key, ...setField, ...ballotRound.holdsField(localEntry) };
   const replies = await replicaCalls.sendToAll(context.runtime, {
     targets: replicas,
     call: 'look',
@@ -91,23 +91,23 @@
     isEnough: isMajority,
     observe: context.coreSets.observe,
   });
-  const filled = replicaCalls.withLocalEntry(replies, known);
+  const filled = replicaCalls.withLocalEntry(replies, localEntry);
   if (isMajority(filled) && replicaCalls.isUnanimous(filled)) return Either.right(replicaCalls.highestEntry(filled));
-  // Replicas differ, so a round may have been interrupted: it is completed before anything is read.
+  // The replicas differ, so a round may have been interrupted. It is completed before a value is returned.
   const completed = await change(context, isCurrent, key, keepCurrent, milliseconds);
   return Either.isLeft(completed) ? completed : Either.right(completed.right.entry);
 }
 
-function create(runtime: Runtime, parts: ProposerOptions): CoreSetRegister {
-  const proposerName = `${parts.name}#${runtime.randomness.token()}`;
-  const coreSets = parts.coreSets ?? fixedCoreSet;
+function create(runtime: Runtime, options: ProposerOptions): CoreSetRegister {
+  const proposerName = `${options.name}#${runtime.randomness.token()}`;
+  const coreSets = options.coreSets ?? fixedCoreSet;
   const context: RoundContext = {
     runtime,
     proposer: proposerName,
-    replicas: parts.replicas,
-    replicaCount: parts.replicaCount,
+    replicas: options.replicas,
+    replicaCount: options.replicaCount,
     coreSets,
-    localEntry: parts.localEntry ?? (() => Option.none),
+    localEntry: options.localEntry ?? (() => Option.none),
     counter: ballotRound.createCounter(proposerName),
   };
 
@@ -118,7 +118,7 @@
     };
   }
 
-  // The set can only change between two rounds of a caller that looks at it in the same turn in which a round begins.
+  // The core set is checked in the same event-loop turn in which a round takes its snapshot, so it cannot change between the two.
   return { ...registerWhile(() => true), forCoreSet: (set) => registerWhile(() => coreSets.number() === set) };
 }
 
--- a/packages/register/src/replica-calls.ts
+++ b/packages/register/src/replica-calls.ts
@@ -1,32 +1,32 @@
-/** Calls to all replicas of the register at once, and what their replies say together (design 5.1, 5.7). */
+/** Calls to all replicas of the register at once, and the evaluation of their replies (design 5.1, 5.7). */
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Runtime } from '@stallstall/kernel';
 import { ballotZero, message, type Entry, type Reply, type Request } from '@stallstall/message';
 import type { CoreSetSource, RegisterCall, RegisterReplica } from './register.js';
 
-/** `held`: the replica left its entry out, for it is the one that the proposer holds. @internal */
+/** `isEntryOmitted`: the replica omitted its entry, because it is the one the proposer already has. @internal */
 export type ReplicaReply = Readonly<{ target: RegisterReplica; reply: Reply<'prepare'>; isEntryOmitted: boolean }>;
 
 /** @internal */
 export type CallPlan<Call extends RegisterCall> = Readonly<{
   targets: readonly RegisterReplica[];
   call: Call;
-  /** The same for all replicas, or by what each holds. */
+  /** The request for one replica. */
   bodyFor: (target: RegisterReplica) => Request<Call>;
-  /** When no further reply is needed. */
+  /** Whether these replies suffice. */
   isEnough: (replies: readonly ReplicaReply[]) => boolean;
-  /** Called with a newer set of cores that a replica reports. */
+  /** Called with a newer core set that a replica reports. */
   observe: CoreSetSource['observe'];
-  /** So much longer replies are waited for once they are enough. @default 0 */
+  /** How long to wait for further replies once there are enough. @default 0 */
   lingerMilliseconds?: number;
 }>;
 
-/** What one call to a replica may take. */
-const callMilliseconds = 800;
+/** Timeout of one call to a replica. */
+const callTimeoutMilliseconds = 800;
 
 /**
- * Sends a call to every replica. Resolves to the replies of those that take part, once they are enough and those that were about to reply
- * had a moment more, or when all have replied or fallen silent.
+ * Sends a call to every replica. Resolves to the replies of the replicas that take part, as soon as these suffice and the linger time has
+ * passed, or when every replica has replied or timed out.
  */
 function sendToAll<Call extends RegisterCall>(runtime: Runtime, plan: CallPlan<Call>): Promise<readonly ReplicaReply[]> {
   const { targets, call, bodyFor, isEnough, observe, lingerMilliseconds = 0 } = plan;
@@ -38,7 +38,7 @@
       resolve([...replies]);
     }
     async function send(target: RegisterReplica): Promise<void> {
-      const reply = await target.send(call, bodyFor(target), callMilliseconds);
+      const reply = await target.send(call, bodyFor(target), callTimeoutMilliseconds);
       outstanding -= 1;
       if (Option.isSome(reply) && reply.value.newer !== undefined) observe(reply.value.newer);
       if (Option.isSome(reply) && reply.value.ready) replies.push({ target, reply: reply.value, isEntryOmitted: false });
@@ -53,15 +53,15 @@
   });
 }
 
-/** Puts the entry back that replicas left out. */
-function withLocalEntry(replies: readonly ReplicaReply[], known: Option.Option<Entry>): readonly ReplicaReply[] {
-  return replies.map(function fill(one) {
-    if (one.reply.held !== true || Option.isNone(known)) return one;
-    return { ...one, reply: { ...one.reply, accepted: known.value }, isEntryOmitted: true };
+/** Fills in the entry that replicas omitted because the proposer already has it. */
+function withLocalEntry(replies: readonly ReplicaReply[], localEntry: Option.Option<Entry>): readonly ReplicaReply[] {
+  return replies.map(function fill(received) {
+    if (received.reply.held !== true || Option.isNone(localEntry)) return received;
+    return { ...received, reply: { ...received.reply, accepted: localEntry.value }, isEntryOmitted: true };
   });
 }
 
-/** A replica that is sent the complete entry when its held value does not fit the difference it was sent. */
+/** A replica that is sent the complete entry if it replies that the difference does not apply to its own entry. */
 function withCompleteEntryOnRequest(target: RegisterReplica, complete: Request<'accept'>): RegisterReplica {
   return {
     ...target,
@@ -73,9 +73,9 @@
   };
 }
 
-/** The replies that agree: that promise, or that accepted. */
-function agreed(replies: readonly ReplicaReply[]): readonly ReplicaReply[] {
-  return replies.filter((one) => one.reply.agreed);
+/** The replies that promise the ballot, or that accepted the entry. */
+function agreeing(replies: readonly ReplicaReply[]): readonly ReplicaReply[] {
+  return replies.filter((received) => received.reply.agreed);
 }
 
 /** The accepted entry with the highest ballot. */
@@ -89,11 +89,11 @@
   return Option.fromNullable(highest);
 }
 
-/** Whether all of them hold the entry of the same ballot. */
+/** Whether all replicas have an entry with the same ballot. */
 function isUnanimous(replies: readonly ReplicaReply[]): boolean {
   const first = replies[0]?.reply.accepted?.ballot ?? ballotZero;
   return replies.every(({ reply }) => message.compareBallots(reply.accepted?.ballot ?? ballotZero, first) === 0);
 }
 
 /** @internal */
-export const replicaCalls = { sendToAll, withLocalEntry, withCompleteEntryOnRequest, agreed, highestEntry, isUnanimous } as const;
+export const replicaCalls = { sendToAll, withLocalEntry, withCompleteEntryOnRequest, agreeing, highestEntry, isUnanimous } as const;
--- a/packages/simulator/pooled-mutations.mjs
+++ b/packages/simulator/pooled-mutations.mjs
@@ -475,14 +475,14 @@
     name: 'whole-in-each-ballot',
     story: 'A change moves little',
     file: 'register/build/ballot-round.js',
-    from: 'holding.has(target.core) ? slim : complete',
+    from: 'coresWithLocalEntry.has(target.core) ? withDifference : complete',
     to: 'complete',
   },
   {
     name: 'held-entry-sent-again',
     story: 'A change moves little',
     file: 'register/build/acceptor.js',
-    from: 'return held ?',
+    from: 'return isHeld ?',
     to: 'return false ?',
   },
   {
