--- a/packages/election/src/candidacy.ts
+++ b/packages/election/src/candidacy.ts
@@ -1,4 +1,7 @@
-/** One candidacy, in its order: STATE, proposal, wait, promotion, the elected primary in the register (design 7.2 to 7.6, 7.14). */
+/**
+ * Runs one candidacy: reads the members' STATE, proposes a candidate, waits, has it promoted, and writes the elected primary to the register
+ * (design 7.2 to 7.6, 7.14).
+ */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { identifiers } from '@stallstall/kernel';
@@ -14,18 +17,18 @@
 import { successionWait } from './succession-wait.js';
 import { voteCollection } from './vote-collection.js';
 
-/** Runs candidacies of one process. @internal */
-export type Candidacies = Readonly<{
-  /** Resolves to what became of it, in words for operators. */
+/** Runs the candidacies of one process. @internal */
+export type CandidacyRunner = Readonly<{
+  /** Resolves to the outcome, as a text for operators. */
   run: (service: ServicePlacement) => Promise<string>;
 }>;
 
-/** What has been decided by a majority before the winner promotes anybody. */
-type Victory = Readonly<{ epoch: number; candidate: Candidate }>;
+/** The epoch and the candidate for which a majority has voted. */
+type WonElection = Readonly<{ epoch: number; candidate: Candidate }>;
 
 const roleTimeoutMilliseconds = 2 * (leaseTermMilliseconds + leaseMarginMilliseconds);
 const rolePollMilliseconds = 250;
-const registerMilliseconds = 1_000;
+const registerTimeoutMilliseconds = 1_000;
 
 function electedKey(service: string): string {
   return `epoch/${service}`;
@@ -36,25 +39,25 @@
 }
 
 /**
- * Whether a majority of cores knows of no epoch as late, asked under the role: a node that was frozen or cut off since it won learns here
- * what was elected meanwhile, before it promotes anybody (design 7.14).
+ * Whether a majority of cores has no primary elected at this or a later epoch. Read while holding the promotion role: a node that was frozen
+ * or partitioned since it won thereby learns of later elections before it promotes a member (design 7.14).
  */
-async function isStillOpen({ register }: ElectionServices, service: string, epoch: number): Promise<boolean> {
-  const read = await register.read(electedKey(service), registerMilliseconds);
+async function isNotYetElected({ register }: ElectionServices, service: string, epoch: number): Promise<boolean> {
+  const read = await register.read(electedKey(service), registerTimeoutMilliseconds);
   if (Either.isLeft(read)) return false;
-  const settled = electedEpochOf(read.right);
-  return settled < epoch;
+  const electedEpoch = electedEpochOf(read.right);
+  return electedEpoch < epoch;
 }
 
-/** Writes the elected primary; false when a later one stands, or when no majority of cores took it. */
-async function commit({ register }: ElectionServices, service: string, elected: ElectedPrimary): Promise<boolean> {
+/** Writes the elected primary; false when the register has one of the same or a later epoch, or when no majority of cores accepted it. */
+async function recordElected({ register }: ElectionServices, service: string, elected: ElectedPrimary): Promise<boolean> {
   const written = await register.change(electedKey(service), function next(current) {
     return Option.isSome(current) && electedEpochOf(current) >= elected.epoch ? Option.none : Option.some(elected);
   });
   return Either.isRight(written) && Option.isSome(written.right.entry) && electedEpochOf(written.right.entry) === elected.epoch;
 }
 
-/** Takes the promotion role; none when another holds it, or when an epoch as late was elected. */
+/** Acquires the promotion role; none when another process holds it, or when a primary was elected at this or a later epoch. */
 async function acquireRole(
   services: ElectionServices,
   role: SingletonRole,
@@ -63,10 +66,10 @@
 ): Promise<Option.Option<RoleLease>> {
   const { runtime, epochs } = services;
   const deadline = identifiers.after(runtime.clock.now(), roleTimeoutMilliseconds);
-  while (runtime.clock.now() < deadline && !epochs.isOvertaken(service, epoch)) {
+  while (runtime.clock.now() < deadline && !epochs.isSuperseded(service, epoch)) {
     const lease = await role.tryAcquire();
     if (Option.isSome(lease)) {
-      if (await isStillOpen(services, service, epoch)) return lease;
+      if (await isNotYetElected(services, service, epoch)) return lease;
       await lease.value.release();
       return Option.none;
     }
@@ -84,49 +87,51 @@
     candidates.readStates(services, service),
     durableWatermark.read(services, service.service),
   ]);
-  if (Option.isNone(watermark)) return Either.left('what was acknowledged cannot be read: no majority of cores replies');
+  if (Option.isNone(watermark)) return Either.left('the watermark of acknowledged commits cannot be read: no majority of cores replies');
   if (!candidates.coverAllCommits(services, service, members)) {
-    return Either.left('too few members gave their STATE: an acknowledged commit may be on another alone');
+    return Either.left('too few members replied to STATE: an acknowledged commit may be only on members that did not reply');
   }
   const chosen = candidates.choose(services, service, members, watermark.value);
-  if (Option.isNone(chosen)) return Either.left('no eligible replica: each is out of reach or lacks acknowledged writes');
+  if (Option.isNone(chosen)) return Either.left('no eligible replica: each is unreachable, not serving or lacks acknowledged writes');
   const highestEpoch = Math.max(services.epochs.currentEpoch(service.service), ...members.map(({ state }) => state.epoch));
   return Either.right({ candidate: chosen.value, highestEpoch });
 }
 
-/** Promotes the winner under the role and commits it; the role is released whatever becomes of it. */
-async function promoteAndCommit(
+/** Promotes the candidate under the role and writes it to the register as elected; releases the role in any case. */
+async function promoteAndRecord(
   services: ElectionServices,
   service: string,
-  { epoch, candidate }: Victory,
-  role: RoleLease,
+  { epoch, candidate }: WonElection,
+  roleLease: RoleLease,
 ): Promise<string> {
   const { runtime, context } = services;
-  const promoted = await promotions.promote(services, { service, chosen: candidate, epoch, role });
+  const promoted = await promotions.promote(services, { service, candidate, epoch, roleLease });
   if (Either.isLeft(promoted)) {
-    await role.release();
-    return `epoch ${epoch} given up: ${promoted.left}`;
+    await roleLease.release();
+    return `epoch ${epoch} abandoned: ${promoted.left}`;
   }
-  // Committed before the role is released: whoever takes it next reads it, however long it was away (design 7.14).
-  const isCommitted = await commit(services, service, {
+  // Written before the role is released, so that the next holder reads it, however long it was frozen or partitioned (design 7.14).
+  const isRecorded = await recordElected(services, service, {
     epoch,
-    primary: candidate.member.member,
+    primary: candidate.placement.member,
     wonBy: context.self,
     position: candidate.state.received,
     settledAt: runtime.clock.wall(),
   });
-  await role.release();
-  return isCommitted ? `epoch ${epoch} settled on ${candidate.member.member}` : `epoch ${epoch} promoted but not settled`;
+  await roleLease.release();
+  return isRecorded
+    ? `epoch ${epoch}: ${candidate.placement.member} elected`
+    : `epoch ${epoch}: candidate promoted, but not recorded as elected`;
 }
 
-function create(services: ElectionServices): Candidacies {
+function create(services: ElectionServices): CandidacyRunner {
   const { runtime, context } = services;
   const roles = new Map<string, SingletonRole>();
 
-  /** One for each service and process: it remembers when it acted last. */
-  function roleOf(service: string): SingletonRole {
-    const known = roles.get(service);
-    if (known !== undefined) return known;
+  /** Creates one role per service and keeps it, since it remembers when this process called the platform last. */
+  function promotionRoleOf(service: string): SingletonRole {
+    const existing = roles.get(service);
+    if (existing !== undefined) return existing;
     const handoverDelay = Option.isSome(context.platformCalls) ? context.platformCalls.value.handoverDelayMilliseconds : 0;
     const created = singletonRole.create(runtime, `promotion/${service}`, context.self, handoverDelay);
     roles.set(service, created);
@@ -140,27 +145,28 @@
     const proposal = {
       service: service.service,
       epoch: highestEpoch + 1,
-      candidate: candidate.member.member,
+      candidate: candidate.placement.member,
       position: candidate.state.received,
     };
     const { epoch } = proposal;
     runtime.log('election.propose', proposal);
     const majority = await voteCollection.collect(services, { ...proposal, node: context.self, membership: context.membershipVersion() });
     if (Either.isLeft(majority)) return `epoch ${epoch} not won: ${majority.left}`;
-    const [isCaughtUp, role] = await Promise.all([
+    const [isCaughtUp, roleLease] = await Promise.all([
       successionWait.wait(services, service, candidate, epoch, majority.right),
-      acquireRole(services, roleOf(service.service), service.service, epoch),
+      acquireRole(services, promotionRoleOf(service.service), service.service, epoch),
     ]);
-    if (Option.isNone(role)) return `epoch ${epoch} given up: another holds the promotion duty, or has settled an epoch as late`;
+    if (Option.isNone(roleLease))
+      return `epoch ${epoch} abandoned: another process holds the promotion role, or a primary was elected at this or a later epoch`;
     if (!isCaughtUp) {
-      await role.value.release();
-      return `epoch ${epoch} given up: the candidate never held all acknowledged writes`;
+      await roleLease.value.release();
+      return `epoch ${epoch} abandoned: the candidate did not catch up with all acknowledged writes in time`;
     }
-    return promoteAndCommit(services, service.service, { epoch, candidate }, role.value);
+    return promoteAndRecord(services, service.service, { epoch, candidate }, roleLease.value);
   }
 
   return { run };
 }
 
 /** @internal */
-export const candidacies = { create } as const;
+export const candidacyRunner = { create } as const;
--- a/packages/election/src/election-context.ts
+++ b/packages/election/src/election-context.ts
@@ -1,30 +1,30 @@
-/** What an election needs of the node it runs in. */
+/** What an election needs from the node that it runs in. */
 import type * as Option from 'fp-ts/lib/Option.js';
 import type { ElectedPrimary, Membership, Reply, Request } from '@stallstall/message';
 import type { PlacementConfiguration } from '@stallstall/placement';
 import type { PlatformCalls } from './platform-calls.js';
 
 export type ElectionContext = Readonly<{
-  /** This node's id. */
+  /** The id of this node. */
   self: string;
-  /** None: members are told epochs over this product's own HTTP, and edges vote. */
+  /** Requests in the platform's own format. None: members learn epochs over this product's own HTTP API, and edges vote too. */
   platformCalls: Option.Option<PlatformCalls>;
   /**
-   * Edges that this node granted a lease within a term and its margin; none while one that an earlier process of this node granted may
-   * still run.
+   * Edges to which this node granted a lease that may still be valid (granted within the last term and margin). None while a lease that an
+   * earlier process of this node granted may still be valid.
    */
   leaseHolders: () => Option.Option<readonly string[]>;
-  /** Whether these edges have reported that nothing of theirs is in flight below an epoch (design 7.12). */
+  /** Whether all these edges have reported that they have nothing in flight below an epoch (design 7.12). */
   hasReleased: (service: string, epoch: number, leaseHolders: readonly string[]) => boolean;
-  /** Called once this node has voted for a later epoch. */
+  /** Called each time this node votes, which raises its epoch. */
   onEpochRaised: () => void;
   membership: () => Membership;
   membershipVersion: () => number;
-  /** The placement configuration that is applied here. */
+  /** The placement configuration that this node has applied. */
   placement: () => Option.Option<PlacementConfiguration>;
   electedPrimary: (service: string) => Option.Option<ElectedPrimary>;
-  /** The platform's address; asked at each call, since settings may change. */
+  /** The platform's address; read before each call, since settings may change at run time. */
   platformAddress: () => string;
-  /** Asks another node for its vote; none when it does not reply. */
+  /** Sends a proposal to another node and resolves to its vote; none when it does not reply. */
   sendProposal: (node: string, request: Request<'propose'>) => Promise<Option.Option<Reply<'propose'>>>;
 }>;
--- a/packages/election/src/election.ts
+++ b/packages/election/src/election.ts
@@ -1,4 +1,4 @@
-/** The election that runs inside every node and decides each service's primary (design 7). */
+/** The election of each service's primary, run by every node (design 7). */
 import * as Option from 'fp-ts/lib/Option.js';
 import { identifiers, runtimeUtilities, type Instant, type Runtime } from '@stallstall/kernel';
 import type { Reply, Request } from '@stallstall/message';
@@ -6,7 +6,7 @@
 import { quorum } from '@stallstall/quorum';
 import { leaseMarginMilliseconds, leaseTermMilliseconds, quorumLeaseService, type QuorumLease } from '@stallstall/quorum-lease';
 import { durableReportsService, registerService } from '@stallstall/register';
-import { candidacies, type Candidacies } from './candidacy.js';
+import { candidacyRunner, type CandidacyRunner } from './candidacy.js';
 import type { ElectionContext } from './election-context.js';
 import { primaryOf, type ElectionServices } from './election-services.js';
 import { downAfterMilliseconds, livenessService } from './liveness.js';
@@ -16,37 +16,41 @@
 import type { VoteStore } from './vote.js';
 
 export type Election = Readonly<{
-  /** Votes on another node's proposal, or on this node's own. */
+  /** Votes on a proposal of another node. */
   handleProposal: (request: Request<'propose'>) => Promise<Reply<'propose'>>;
-  /** The epoch that this node counts for; none while its own vote is not yet read back. */
+  /** The highest epoch that this node has voted for or seen elected; none until its own stored vote is loaded. */
   epochOf: (service: string) => Option.Option<number>;
-  /** Looks at every service and begins a candidacy where one is due. */
+  /** Checks every service, and starts a candidacy where one is due. Called periodically. */
   tick: () => void;
-  /** A row for each service, for operators. */
+  /** One row per service, for operators. */
   describe: () => ReadonlyArray<Readonly<Record<string, string | number>>>;
 }>;
 
-type ElectionSchedule = Readonly<{ services: ElectionServices; lease: QuorumLease; runs: Candidacies }>;
+type ElectionSchedule = Readonly<{ services: ElectionServices; lease: QuorumLease; runner: CandidacyRunner }>;
 
-/** How long a vote without an elected primary is given before another candidacy. Unit: milliseconds. */
+/** How long after a vote no new candidacy starts while no primary has been elected for its epoch. Unit: milliseconds. */
 const pendingTimeoutMilliseconds = leaseTermMilliseconds + leaseMarginMilliseconds + electionTimeoutMilliseconds;
-/** Nodes become candidates one after the other, further apart than they look for elections: the second sees the vote of the first. */
+/** Where members implement this product's own HTTP API, a node delays its candidacy by a partly random time that rises with its rank. */
 const randomizedRankDelayMilliseconds = 120;
+/**
+ * Elsewhere, nodes become candidates one after the other by rank. The step is longer than the interval of `tick`, so that the second node
+ * has received the first one's proposal.
+ */
 const rankDelayMilliseconds = 450;
 
-/** Whether a service has no primary that could go on: none was elected, or it is down or is taken out of service. */
+/** Whether a service has no usable primary: none was elected, or it is down, draining or no longer a member. */
 function lacksPrimary({ runtime, context, liveness }: ElectionServices, service: ServicePlacement, state: ServiceState): boolean {
-  const isPastGracePeriod = runtime.clock.now() - state.knownSince >= downAfterMilliseconds;
+  const isPastGracePeriod = runtime.clock.now() - state.trackedSince >= downAfterMilliseconds;
   if (Option.isNone(context.electedPrimary(service.service))) return isPastGracePeriod;
   const primary = primaryOf(context, service);
   if (primary === undefined || primary.state === 'draining') return true;
   return !liveness.isAlive(primary.member) && isPastGracePeriod;
 }
 
-/** The place of this node among the voters; the first where it is none. */
+/** The index of this node among the voters; 0 if it is not a voter. */
 function rankOf({ context }: ElectionServices): number {
-  const place = context.membership().seats.findIndex((seat) => seat.node === context.self);
-  return Math.max(0, place);
+  const index = context.membership().seats.findIndex((seat) => seat.node === context.self);
+  return Math.max(0, index);
 }
 
 function startDelay(services: ElectionServices): number {
@@ -58,12 +62,12 @@
 
 function isDue(services: ElectionServices, service: ServicePlacement, state: ServiceState): boolean {
   const { runtime, epochs } = services;
-  const isPending = epochs.votedEpoch(service.service) > epochs.electedEpoch(service.service);
-  if (isPending) return runtime.clock.now() - state.votedAt >= pendingTimeoutMilliseconds;
+  const hasPendingVote = epochs.votedEpoch(service.service) > epochs.electedEpoch(service.service);
+  if (hasPendingVote) return runtime.clock.now() - state.votedAt >= pendingTimeoutMilliseconds;
   return lacksPrimary(services, service, state);
 }
 
-/** A node that sees no majority is no candidate: it would only raise its own epoch out of step with the rest. */
+/** A node that does not reach a majority must not be a candidate: it could not win, and would only raise its own epoch above the others'. */
 function mayBeCandidate({ services, lease }: ElectionSchedule, now: Instant): boolean {
   const { context } = services;
   const { seats } = context.membership();
@@ -72,30 +76,32 @@
   return isVoter && lease.reachableCount(now, peers) >= quorum.majority(seats.length);
 }
 
-async function runCandidacy({ services, runs }: ElectionSchedule, service: ServicePlacement, state: ServiceState): Promise<void> {
+async function runCandidacy({ services, runner }: ElectionSchedule, service: ServicePlacement, state: ServiceState): Promise<void> {
   state.isCandidate = true;
-  state.lastOutcome = await runs.run(service);
+  state.lastOutcome = await runner.run(service);
   services.runtime.log('election.outcome', { service: service.service, outcome: state.lastOutcome });
   state.isCandidate = false;
-  state.startsAt = Option.none;
+  state.candidacyStartsAt = Option.none;
 }
 
 function tickService(schedule: ElectionSchedule, service: ServicePlacement): void {
   const { services } = schedule;
   const state = services.epochs.stateOf(service.service);
-  if (!state.loaded) {
+  if (!state.isVoteLoaded) {
     void services.epochs.load(service.service);
     return;
   }
   if (state.isCandidate) return;
   if (!isDue(services, service, state)) {
-    state.startsAt = Option.none;
+    state.candidacyStartsAt = Option.none;
     return;
   }
   const now = services.runtime.clock.now();
-  const startsAt = Option.isSome(state.startsAt) ? state.startsAt.value : identifiers.after(now, startDelay(services));
-  state.startsAt = Option.some(startsAt);
-  if (now < startsAt || !mayBeCandidate(schedule, now)) return;
+  const candidacyStartsAt = Option.isSome(state.candidacyStartsAt)
+    ? state.candidacyStartsAt.value
+    : identifiers.after(now, startDelay(services));
+  state.candidacyStartsAt = Option.some(candidacyStartsAt);
+  if (now < candidacyStartsAt || !mayBeCandidate(schedule, now)) return;
   void runCandidacy(schedule, service, state);
 }
 
@@ -124,12 +130,12 @@
   const schedule: ElectionSchedule = {
     services,
     lease: runtime.services.find(quorumLeaseService),
-    runs: candidacies.create(services),
+    runner: candidacyRunner.create(services),
   };
   return {
     handleProposal: (request) => proposals.handle(services, request),
     epochOf: function epochOf(service) {
-      return services.epochs.stateOf(service).loaded ? Option.some(services.epochs.currentEpoch(service)) : Option.none;
+      return services.epochs.stateOf(service).isVoteLoaded ? Option.some(services.epochs.currentEpoch(service)) : Option.none;
     },
     tick: function tick() {
       const placement = context.placement();
@@ -140,7 +146,7 @@
   };
 }
 
-/** The name under which a process's other services find its election. */
+/** The name under which other services of the process find its election. */
 export const electionService = runtimeUtilities.serviceName<Election>('election');
 
 export const election = { create } as const;
--- a/packages/election/src/liveness.ts
+++ b/packages/election/src/liveness.ts
@@ -1,32 +1,35 @@
-/** Failure detection: what this node itself has heard of each member, by heartbeats and by STATE over its own connection (design 7.1). */
+/** Failure detection of members, by heartbeats and by STATE requests over this node's own connections (design 7.1). */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { fault, identifiers, runtimeUtilities, type Fault, type Instant, type Runtime } from '@stallstall/kernel';
 import { httpStateProbes, type HttpStateProbes } from './http-state-probes.js';
 import type { MemberProbe, MemberState, ProbedState } from './member-state.js';
 
-/** A member silent for so long is DOWN (the paper's down_after). Unit: milliseconds. */
+/** A member that has been silent for this long is DOWN (the paper's down_after). Unit: milliseconds. */
 export const downAfterMilliseconds = 5_000;
 
 export type Liveness = Readonly<{
-  /** Takes a heartbeat that carries the member's state. */
+  /** Records a state that a member has just sent, in a heartbeat or a reply to STATE. */
   recordState: (state: MemberState) => void;
-  /** Takes a heartbeat without a state, received here or by another node so long ago. */
+  /** Records a heartbeat without a state, which this or another node received `agoMilliseconds` ago. */
   recordHeartbeat: (member: string, agoMilliseconds: number) => void;
-  /** The member's machine refused a connection: stronger evidence than silence, until the member is heard again. */
+  /** Records that the member's machine refused a connection: stronger evidence than silence, until the next sign of life. */
   recordRefusedConnection: (member: string) => void;
-  /** Heard within `downAfterMilliseconds`, and not refusing connections since. */
+  /** Whether a heartbeat was received within `downAfterMilliseconds`, and connections were not refused repeatedly since. */
   isAlive: (member: string) => boolean;
-  /** Silent for so long as to be DOWN; a process that has only begun to listen declares nobody DOWN yet. */
+  /**
+   * Whether the member has been silent for `downAfterMilliseconds`, or refuses connections. A member that was never heard counts as silent
+   * since this process started.
+   */
   isDown: (member: string) => boolean;
   lastHeartbeatAt: (member: string) => Option.Option<Instant>;
-  /** The newest state that this node was told; none if there was none yet. */
+  /** The latest state received from the member; none if no state was received yet. */
   latestState: (member: string) => Option.Option<MemberState>;
-  /** Asks a member for its STATE; callers that arrive while it is asked share the reply. */
-  probe: (member: string, address: string, milliseconds: number, service?: string) => Promise<Either.Either<Fault, ProbedState>>;
-  /** Sees that the connection to a member is open; a refusal counts as evidence. */
-  ensureConnection: (service: string, member: string, address: string, milliseconds: number) => Promise<void>;
-  /** Closes connections to members that no configuration names any more. */
+  /** Requests a member's STATE. Callers that arrive while a request is in progress share its reply. */
+  probe: (member: string, address: string, timeoutMilliseconds: number, service?: string) => Promise<Either.Either<Fault, ProbedState>>;
+  /** Opens the connection to a member if it is not open; a refused connection is recorded. */
+  ensureConnection: (service: string, member: string, address: string, timeoutMilliseconds: number) => Promise<void>;
+  /** Closes the connections to all members but these, which the applied configuration contains. */
   closeConnectionsExcept: (members: ReadonlySet<string>) => void;
 }>;
 
@@ -35,28 +38,28 @@
   memberProbe: Option.Option<MemberProbe>;
   httpProbes: HttpStateProbes;
   listeningSince: Instant;
-  heardAt: Map<string, Instant>;
-  states: Map<string, MemberState>;
-  /** Refused connections in a row, by member. */
+  lastHeartbeatAt: Map<string, Instant>;
+  latestStates: Map<string, MemberState>;
+  /** Consecutive refused connections, by member. */
   refusals: Map<string, number>;
-  probing: Map<string, Promise<Either.Either<Fault, ProbedState>>>;
-  keepingConnection: Set<string>;
+  pendingProbes: Map<string, Promise<Either.Either<Fault, ProbedState>>>;
+  connecting: Set<string>;
 }>;
 
-/** So many refusals in a row, with no heartbeat in between, make a member DOWN before its silence does. */
+/** A member is DOWN after this many consecutive refused connections, even if it has not been silent for `downAfterMilliseconds`. */
 const refusalsUntilDown = 2;
-/** A heartbeat this young outweighs earlier refusals. Unit: milliseconds. */
-const freshMilliseconds = 500;
+/** A heartbeat received less than this long ago resets the count of refused connections. Unit: milliseconds. */
+const freshHeartbeatMilliseconds = 500;
 
-function recordState({ runtime, heardAt, states }: LivenessState, state: MemberState): void {
-  heardAt.set(state.member, runtime.clock.now());
-  states.set(state.member, state);
+function recordState({ runtime, lastHeartbeatAt, latestStates }: LivenessState, state: MemberState): void {
+  lastHeartbeatAt.set(state.member, runtime.clock.now());
+  latestStates.set(state.member, state);
 }
 
-function recordHeartbeat({ runtime, heardAt, refusals }: LivenessState, member: string, agoMilliseconds: number): void {
-  const at = identifiers.after(runtime.clock.now(), -agoMilliseconds);
-  if (at > (heardAt.get(member) ?? Number.NEGATIVE_INFINITY)) heardAt.set(member, at);
-  if (agoMilliseconds < freshMilliseconds) refusals.delete(member);
+function recordHeartbeat({ runtime, lastHeartbeatAt, refusals }: LivenessState, member: string, agoMilliseconds: number): void {
+  const receivedAt = identifiers.after(runtime.clock.now(), -agoMilliseconds);
+  if (receivedAt > (lastHeartbeatAt.get(member) ?? Number.NEGATIVE_INFINITY)) lastHeartbeatAt.set(member, receivedAt);
+  if (agoMilliseconds < freshHeartbeatMilliseconds) refusals.delete(member);
 }
 
 function recordRefusedConnection({ refusals }: LivenessState, member: string): void {
@@ -68,31 +71,36 @@
 }
 
 function isAlive(liveness: LivenessState, member: string): boolean {
-  const heardAt = liveness.heardAt.get(member);
+  const lastHeartbeatAt = liveness.lastHeartbeatAt.get(member);
   if (isRefusing(liveness, member)) return false;
-  return heardAt !== undefined && liveness.runtime.clock.now() - heardAt < downAfterMilliseconds;
+  return lastHeartbeatAt !== undefined && liveness.runtime.clock.now() - lastHeartbeatAt < downAfterMilliseconds;
 }
 
 function isDown(liveness: LivenessState, member: string): boolean {
-  const silentSince = liveness.heardAt.get(member) ?? liveness.listeningSince;
+  const silentSince = liveness.lastHeartbeatAt.get(member) ?? liveness.listeningSince;
   return isRefusing(liveness, member) || liveness.runtime.clock.now() - silentSince >= downAfterMilliseconds;
 }
 
-/** A failed connection tells of a refusal where the member's machine replied at all. */
-function observeFailure(liveness: LivenessState, member: string, failure: Fault): void {
+/** Records a failed connection if the member's machine replied with a refusal; a machine that does not reply only counts as silent. */
+function recordFailure(liveness: LivenessState, member: string, failure: Fault): void {
   if (fault.kind(failure) === 'not-listening') recordRefusedConnection(liveness, member);
 }
 
-async function readThroughProbe(
+async function readThroughMemberProbe(
   liveness: LivenessState,
   memberProbe: MemberProbe,
-  { service, member, address, milliseconds }: Readonly<{ service: string; member: string; address: string; milliseconds: number }>,
+  {
+    service,
+    member,
+    address,
+    timeoutMilliseconds,
+  }: Readonly<{ service: string; member: string; address: string; timeoutMilliseconds: number }>,
 ): Promise<Either.Either<Fault, ProbedState>> {
   const sentAt = liveness.runtime.clock.now();
-  const state = await memberProbe.readState(service, member, address, milliseconds);
-  liveness.probing.delete(member);
+  const state = await memberProbe.readState(service, member, address, timeoutMilliseconds);
+  liveness.pendingProbes.delete(member);
   if (Either.isLeft(state)) {
-    observeFailure(liveness, member, state.left);
+    recordFailure(liveness, member, state.left);
     return state;
   }
   liveness.refusals.delete(member);
@@ -104,11 +112,11 @@
   liveness: LivenessState,
   member: string,
   address: string,
-  milliseconds: number,
+  timeoutMilliseconds: number,
 ): Promise<Either.Either<Fault, ProbedState>> {
   const sentAt = liveness.runtime.clock.now();
-  const state = await liveness.httpProbes.readState(member, address, milliseconds);
-  liveness.probing.delete(member);
+  const state = await liveness.httpProbes.readState(member, address, timeoutMilliseconds);
+  liveness.pendingProbes.delete(member);
   if (Either.isLeft(state)) return state;
   recordState(liveness, state.right);
   return Either.right({ sentAt, state: state.right });
@@ -118,16 +126,16 @@
   liveness: LivenessState,
   member: string,
   address: string,
-  milliseconds: number,
+  timeoutMilliseconds: number,
   service: string,
 ): Promise<Either.Either<Fault, ProbedState>> {
-  const underWay = liveness.probing.get(member);
-  if (underWay !== undefined) return underWay;
-  const started = Option.isSome(liveness.memberProbe)
-    ? readThroughProbe(liveness, liveness.memberProbe.value, { service, member, address, milliseconds })
-    : readThroughHttp(liveness, member, address, milliseconds);
-  liveness.probing.set(member, started);
-  return started;
+  const pending = liveness.pendingProbes.get(member);
+  if (pending !== undefined) return pending;
+  const probing = Option.isSome(liveness.memberProbe)
+    ? readThroughMemberProbe(liveness, liveness.memberProbe.value, { service, member, address, timeoutMilliseconds })
+    : readThroughHttp(liveness, member, address, timeoutMilliseconds);
+  liveness.pendingProbes.set(member, probing);
+  return probing;
 }
 
 async function ensureConnection(
@@ -135,29 +143,29 @@
   service: string,
   member: string,
   address: string,
-  milliseconds: number,
+  timeoutMilliseconds: number,
 ): Promise<void> {
-  const { memberProbe, keepingConnection } = liveness;
-  if (Option.isNone(memberProbe) || keepingConnection.has(member)) return;
-  keepingConnection.add(member);
-  const kept = await memberProbe.value.ensureConnection(service, member, address, milliseconds);
-  keepingConnection.delete(member);
-  if (Either.isRight(kept)) liveness.refusals.delete(member);
-  else observeFailure(liveness, member, kept.left);
+  const { memberProbe, connecting } = liveness;
+  if (Option.isNone(memberProbe) || connecting.has(member)) return;
+  connecting.add(member);
+  const connected = await memberProbe.value.ensureConnection(service, member, address, timeoutMilliseconds);
+  connecting.delete(member);
+  if (Either.isRight(connected)) liveness.refusals.delete(member);
+  else recordFailure(liveness, member, connected.left);
 }
 
-/** @param memberProbe - how members are reached; none where they speak this product's own HTTP */
+/** @param memberProbe - reads the state of members; none where members implement this product's own HTTP API */
 function create(runtime: Runtime, memberProbe: Option.Option<MemberProbe> = Option.none): Liveness {
   const state: LivenessState = {
     runtime,
     memberProbe,
     httpProbes: httpStateProbes.create(runtime),
     listeningSince: runtime.clock.now(),
-    heardAt: new Map(),
-    states: new Map(),
+    lastHeartbeatAt: new Map(),
+    latestStates: new Map(),
     refusals: new Map(),
-    probing: new Map(),
-    keepingConnection: new Set(),
+    pendingProbes: new Map(),
+    connecting: new Set(),
   };
   return {
     recordState: (memberState) => recordState(state, memberState),
@@ -165,15 +173,16 @@
     recordRefusedConnection: (member) => recordRefusedConnection(state, member),
     isAlive: (member) => isAlive(state, member),
     isDown: (member) => isDown(state, member),
-    lastHeartbeatAt: (member) => Option.fromNullable(state.heardAt.get(member)),
-    latestState: (member) => Option.fromNullable(state.states.get(member)),
-    probe: (member, address, milliseconds, service = '') => probe(state, member, address, milliseconds, service),
-    ensureConnection: (service, member, address, milliseconds) => ensureConnection(state, service, member, address, milliseconds),
+    lastHeartbeatAt: (member) => Option.fromNullable(state.lastHeartbeatAt.get(member)),
+    latestState: (member) => Option.fromNullable(state.latestStates.get(member)),
+    probe: (member, address, timeoutMilliseconds, service = '') => probe(state, member, address, timeoutMilliseconds, service),
+    ensureConnection: (service, member, address, timeoutMilliseconds) =>
+      ensureConnection(state, service, member, address, timeoutMilliseconds),
     closeConnectionsExcept: state.httpProbes.closeExcept,
   };
 }
 
-/** The name under which a process's other services find what is known of its members. */
+/** The name under which other services of the process find the liveness of members. */
 export const livenessService = runtimeUtilities.serviceName<Liveness>('liveness');
 
 export const liveness = { create } as const;
--- a/packages/election/src/member-state.ts
+++ b/packages/election/src/member-state.ts
@@ -1,4 +1,4 @@
-/** What a member says of itself when it is asked for its STATE (design 7.1). */
+/** The state that a member reports in its heartbeats and in reply to a STATE request (design 7.1). */
 import type * as Either from 'fp-ts/lib/Either.js';
 import { Type, type Static } from '@sinclair/typebox';
 import type { Fault, Instant } from '@stallstall/kernel';
@@ -7,21 +7,23 @@
   member: Type.String({ minLength: 1, maxLength: 200 }),
   role: Type.Union([Type.Literal('primary'), Type.Literal('replica')]),
   epoch: Type.Integer({ minimum: 0 }),
-  /** Positions of the member's log: received, and applied. */
+  /** Positions in the member's log: the last one received, and the last one applied. */
   received: Type.Integer({ minimum: 0 }),
   applied: Type.Integer({ minimum: 0 }),
-  /** The member's own term, where members count terms beside the epochs of this fleet. */
+  /** The term that the member counts itself, where members do so independently of this product's epochs. */
   term: Type.Optional(Type.Integer({ minimum: 0 })),
 });
 export type MemberState = Readonly<Static<typeof MemberStateSchema>>;
 
-/** A member's state. `sentAt` is when the question left, also for a caller that joined a question already under way. */
+/** A member's state. `sentAt` is when the request was sent, also for a caller that joined a request already in progress. */
 export type ProbedState = Readonly<{ sentAt: Instant; state: MemberState }>;
 
-/** How members are reached where they do not speak this product's own HTTP. */
+/** Reads the state of members that do not implement this product's own HTTP API. */
 export type MemberProbe = Readonly<{
-  /** Asks a member for its STATE. Errors: `not-listening` when its machine refuses the connection, and those of the connection. */
-  readState: (service: string, member: string, address: string, milliseconds: number) => Promise<Either.Either<Fault, MemberState>>;
-  /** Sees that the connection is open without asking anything: a probe has its price, an open connection has none. */
-  ensureConnection: (service: string, member: string, address: string, milliseconds: number) => Promise<Either.Either<Fault, null>>;
+  /**
+   * Requests a member's STATE. Errors: `not-listening` when the member's machine refuses the connection, and the errors of the connection.
+   */
+  readState: (service: string, member: string, address: string, timeoutMilliseconds: number) => Promise<Either.Either<Fault, MemberState>>;
+  /** Opens the connection if it is not open, and sends no request: a request costs the member work, an idle connection does not. */
+  ensureConnection: (service: string, member: string, address: string, timeoutMilliseconds: number) => Promise<Either.Either<Fault, null>>;
 }>;
--- a/packages/election/src/platform-calls.ts
+++ b/packages/election/src/platform-calls.ts
@@ -1,15 +1,15 @@
-/** How the platform is called where it does not speak this product's own HTTP (design 7.13). */
+/** Requests to a platform that does not implement this product's own HTTP API (design 7.13). */
 import type { OutgoingHttpRequest, Repeatable } from '@stallstall/kernel';
 
 /**
- * A call that is retried unchanged until its outcome is known: whoever puts it into a platform's words states that the platform takes it
- * once (design 8.14).
+ * A request that is retried unchanged until its outcome is known. The adapter that builds it thereby declares that the platform applies a
+ * repeated request only once (design 8.14).
  */
 export type PlatformCall = OutgoingHttpRequest & Readonly<{ repeatable: Extract<Repeatable, 'unchanged'> }>;
 
 export type PromotionCall = Readonly<{ service: string; member: string; epoch: number; fencingToken: number; holder: string }>;
 
-/** `counts`: statements that began to run in the window, by tenant. */
+/** `counts`: statements that started in the window, by tenant. */
 export type UsageCall = Readonly<{
   window: number;
   counts: Readonly<Record<string, number>>;
@@ -17,9 +17,10 @@
   holder: string;
 }>;
 
+/** Builds the platform's requests. */
 export type PlatformCalls = Readonly<{
   promotion: (call: PromotionCall) => PlatformCall;
   usage: (call: UsageCall) => PlatformCall;
-  /** How long a holder that has acted waits before it acts again, should another have acted in between. */
+  /** How long a holder that has called the platform waits before it calls again, if another holder has called it in between. */
   handoverDelayMilliseconds: number;
 }>;
--- a/packages/election/src/promotion.ts
+++ b/packages/election/src/promotion.ts
@@ -1,4 +1,4 @@
-/** Has the platform promote the member that won an election, until its own STATE shows that it leads (design 7.6, 7.13). */
+/** Calls the platform to promote the candidate that won an election, until the candidate's own STATE shows it as primary (design 7.6, 7.13). */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { fault, identifiers, type Fault } from '@stallstall/kernel';
@@ -8,36 +8,36 @@
 import type { RoleLease } from './role-lease.js';
 
 /** @internal */
-export type Promotion = Readonly<{ service: string; chosen: Candidate; epoch: number; role: RoleLease }>;
+export type Promotion = Readonly<{ service: string; candidate: Candidate; epoch: number; roleLease: RoleLease }>;
 
 const promotionTimeoutMilliseconds = 12_000;
-/** A platform may be slow: the role is renewed beside the call, and the candidate's own STATE is read meanwhile. */
+/** Long, since the platform may be slow: meanwhile the role is renewed and the candidate's own STATE is read. */
 const callTimeoutMilliseconds = 8_000;
-/** Where a promotion may be retried unchanged, a platform that does not reply is asked again this soon. */
+/** Shorter where a promotion may be retried unchanged: a platform that does not reply is called again after this time. */
 const repeatableCallTimeoutMilliseconds = 1_500;
 const retryMilliseconds = 200;
 const statePollMilliseconds = 300;
-/** So long a promotion that the platform has accepted may need to take effect before it is requested again. */
+/** How long a promotion that the platform has accepted may take until the candidate is primary; after that it is requested again. */
 const effectTimeoutMilliseconds = 3_000;
 const effectPollMilliseconds = 40;
-/** The role is renewed this often while a promotion takes effect. */
+/** How often the role is renewed while a promotion takes effect. */
 const effectRenewMilliseconds = 500;
 
-const overtaken = 'a later epoch was voted';
+const supersededReason = 'this node voted for a later epoch, or a primary was elected at this or a later one';
 
-/** Only the call under this token can have told a member this epoch, so its own STATE is proof that the call took effect. */
-async function isPromoted({ context, liveness }: ElectionServices, { service, chosen, epoch }: Promotion): Promise<boolean> {
-  const { member, address } = chosen.member;
-  const probed = await liveness.probe(member, address, candidates.probeMilliseconds, service);
+/** A member can have learnt this epoch only from a call under this fencing token, so its own STATE proves that the call took effect. */
+async function isPromoted({ context, liveness }: ElectionServices, { service, candidate, epoch }: Promotion): Promise<boolean> {
+  const { member, address } = candidate.placement;
+  const probed = await liveness.probe(member, address, candidates.probeTimeoutMilliseconds, service);
   if (Either.isLeft(probed) || probed.right.state.role !== 'primary') return false;
   if (Option.isNone(context.platformCalls)) return probed.right.state.epoch === epoch;
-  // Members count terms of their own: only a promotion that this candidacy asked for can have raised it.
-  return chosen.state.role === 'primary' || (probed.right.state.term ?? 0) > (chosen.state.term ?? 0);
+  // Members count their own terms: only the promotion that this candidacy requested can have raised the candidate's term.
+  return candidate.state.role === 'primary' || (probed.right.state.term ?? 0) > (candidate.state.term ?? 0);
 }
 
-function requestOf({ context }: ElectionServices, { service, chosen, epoch, role }: Promotion): PlatformCall {
-  const { member } = chosen.member;
-  const { fencingToken } = role;
+function requestOf({ context }: ElectionServices, { service, candidate, epoch, roleLease }: Promotion): PlatformCall {
+  const { member } = candidate.placement;
+  const { fencingToken } = roleLease;
   if (Option.isSome(context.platformCalls))
     return context.platformCalls.value.promotion({ service, member, epoch, fencingToken, holder: context.self });
   return { repeatable: 'unchanged', method: 'POST', path: '/v1/promotions', body: { service, member, epoch, turn: fencingToken } };
@@ -47,32 +47,32 @@
   const isSuperseded = status === 409;
   return fault.create({
     kind: isSuperseded ? 'superseded' : 'unreachable',
-    message: `the platform replied a promotion with ${status}`,
-    remedy: isSuperseded ? 'a later fencing token is known there; this one is over' : 'it is asked again',
+    message: `the platform rejected the promotion with status ${status}`,
+    remedy: isSuperseded ? 'none: the platform has seen a later fencing token, so this candidacy ends' : 'none: the call is retried',
   });
 }
 
 async function callPlatform(services: ElectionServices, promotion: Promotion): Promise<Either.Either<Fault, null>> {
   const { context } = services;
   const timeout = Option.isSome(context.platformCalls) ? repeatableCallTimeoutMilliseconds : callTimeoutMilliseconds;
-  const reply = await promotion.role.call(identifiers.address(context.platformAddress()), requestOf(services, promotion), timeout);
+  const reply = await promotion.roleLease.call(identifiers.address(context.platformAddress()), requestOf(services, promotion), timeout);
   if (Either.isLeft(reply)) return reply;
   return reply.right.status === 200 ? Either.right(null) : Either.left(rejectedByPlatform(reply.right.status));
 }
 
 /**
- * Waits until the candidate leads by its own STATE. Its log may lack what was acknowledged until then, so no lease may be granted for
- * it on the platform's reply alone (design 7.13).
+ * Waits until the candidate's own STATE shows it as primary. Until then its log may lack acknowledged commits, so the platform's reply alone
+ * is not enough to grant leases at the new epoch (design 7.13).
  */
 async function takesEffect(services: ElectionServices, promotion: Promotion): Promise<boolean> {
   const { runtime, epochs } = services;
-  const { service, epoch, role } = promotion;
+  const { service, epoch, roleLease } = promotion;
   const deadline = identifiers.after(runtime.clock.now(), effectTimeoutMilliseconds);
   let renewsAt = identifiers.after(runtime.clock.now(), effectRenewMilliseconds);
-  while (runtime.clock.now() < deadline && !epochs.isOvertaken(service, epoch)) {
+  while (runtime.clock.now() < deadline && !epochs.isSuperseded(service, epoch)) {
     if (await isPromoted(services, promotion)) return true;
     if (runtime.clock.now() >= renewsAt) {
-      if (!(await role.renew())) return false;
+      if (!(await roleLease.renew())) return false;
       renewsAt = identifiers.after(runtime.clock.now(), effectRenewMilliseconds);
     }
     await runtime.clock.sleep(effectPollMilliseconds);
@@ -80,43 +80,43 @@
   return false;
 }
 
-/** How one call ended: `promoted` and `overtaken` may be known before the platform replies. */
+/** The outcome of one call. `promoted` and `superseded` may be detected before the platform replies. */
 type CallOutcome =
-  Readonly<{ kind: 'promoted' }> | Readonly<{ kind: 'overtaken' }> | Readonly<{ kind: 'replied'; reply: Either.Either<Fault, null> }>;
+  Readonly<{ kind: 'promoted' }> | Readonly<{ kind: 'superseded' }> | Readonly<{ kind: 'replied'; reply: Either.Either<Fault, null> }>;
 
-/** Makes one call, reading the candidate's STATE while the platform does not reply. */
+/** Makes one call, and reads the candidate's STATE while the platform has not replied. */
 async function callOnce(services: ElectionServices, promotion: Promotion): Promise<CallOutcome> {
-  let replied: Option.Option<Either.Either<Fault, null>> = Option.none;
-  const call = callPlatform(services, promotion).then(function keep(reply) {
-    replied = Option.some(reply);
+  let received: Option.Option<Either.Either<Fault, null>> = Option.none;
+  const call = callPlatform(services, promotion).then(function storeReply(reply) {
+    received = Option.some(reply);
   });
   function currentReply(): Option.Option<Either.Either<Fault, null>> {
-    return replied;
+    return received;
   }
   for (;;) {
     await Promise.race([call, services.runtime.clock.sleep(statePollMilliseconds)]);
     const reply = currentReply();
     if (Option.isSome(reply)) return { kind: 'replied', reply: reply.value };
     if (await isPromoted(services, promotion)) return { kind: 'promoted' };
-    if (services.epochs.isOvertaken(promotion.service, promotion.epoch)) return { kind: 'overtaken' };
-    const replyMeanwhile = currentReply();
-    if (Option.isSome(replyMeanwhile)) return { kind: 'replied', reply: replyMeanwhile.value };
+    if (services.epochs.isSuperseded(promotion.service, promotion.epoch)) return { kind: 'superseded' };
+    const replyAfterProbe = currentReply();
+    if (Option.isSome(replyAfterProbe)) return { kind: 'replied', reply: replyAfterProbe.value };
   }
 }
 
-/** Right once the candidate leads; left with the reason when it was given up. */
+/** Right once the candidate is primary; left with the reason when the promotion is abandoned. */
 async function promote(services: ElectionServices, promotion: Promotion): Promise<Either.Either<string, null>> {
   const { runtime, context, epochs } = services;
   const deadline = identifiers.after(runtime.clock.now(), promotionTimeoutMilliseconds);
   let lastReason = 'no call was made';
   while (runtime.clock.now() < deadline) {
-    if (epochs.isOvertaken(promotion.service, promotion.epoch)) return Either.left(overtaken);
+    if (epochs.isSuperseded(promotion.service, promotion.epoch)) return Either.left(supersededReason);
     const outcome = await callOnce(services, promotion);
     if (outcome.kind === 'promoted') return Either.right(null);
-    if (outcome.kind === 'overtaken') return Either.left(overtaken);
+    if (outcome.kind === 'superseded') return Either.left(supersededReason);
     if (Either.isRight(outcome.reply)) {
       if (Option.isNone(context.platformCalls) || (await takesEffect(services, promotion))) return Either.right(null);
-      lastReason = 'the platform took the promotion, and the candidate does not lead yet';
+      lastReason = 'the platform accepted the promotion, but the candidate is not primary yet';
       continue;
     }
     if (await isPromoted(services, promotion)) return Either.right(null);
--- a/packages/election/src/role-lease.ts
+++ b/packages/election/src/role-lease.ts
@@ -1,4 +1,4 @@
-/** A singleton role while it is held: its renewal, its release, and the calls made under its fencing token (design 7.6). */
+/** A held singleton role: its renewal, its release, and calls made under its fencing token (design 7.6). */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import {
@@ -14,51 +14,52 @@
 } from '@stallstall/kernel';
 import { leaseTermMilliseconds } from '@stallstall/quorum-lease';
 import type { Register } from '@stallstall/register';
-import { recordOf, registerMilliseconds } from './role-record.js';
+import { recordOf, registerTimeoutMilliseconds } from './role-record.js';
 
 export type RoleLease = Readonly<{
-  /** Rises with each new holder: whoever is called refuses a lower one than it has seen. */
+  /** Rises with each new holder: the callee rejects a token lower than one it has seen. */
   fencingToken: number;
   /**
-   * Makes one call under this token. It leaves only while the term has room for its way; the role is renewed while the call is under way,
-   * and should the term run out all the same, the call is withdrawn. Errors: `superseded` when there is no room, and those of the connection.
+   * Makes one call under this token. The request is sent only if enough of the term remains for it to reach the callee. The role is renewed
+   * while the call is in progress; if the term expires nevertheless, the call is aborted. Errors: `superseded` when too little of the term
+   * remains, and the errors of the connection.
    */
-  call: (address: Address, request: OutgoingHttpRequest, milliseconds: number) => Promise<Either.Either<Fault, HttpReply>>;
-  /** Resolves to true when the role is still held. */
+  call: (address: Address, request: OutgoingHttpRequest, timeoutMilliseconds: number) => Promise<Either.Either<Fault, HttpReply>>;
+  /** Extends the term; resolves to false when the role is no longer held or no majority of cores replied. */
   renew: () => Promise<boolean>;
-  /** Withdraws every call under way and lets the next holder take the role at once. */
+  /** Aborts every call in progress and releases the role, so that another process can acquire it at once. */
   release: () => Promise<void>;
 }>;
 
-/** What all leases of one role in this process share. */
+/** State shared by all leases of one role in this process. */
 export type RoleContext = {
   readonly runtime: Runtime;
   readonly register: Register;
   readonly key: string;
   readonly name: string;
   readonly holder: string;
-  /** The token and the moment of the last call that this process made or had answered. */
-  lastAct: Option.Option<Readonly<{ fencingToken: number; at: Instant }>>;
+  /** The token of the last call that this process made, and when the call was sent or last received a reply. */
+  lastCall: Option.Option<Readonly<{ fencingToken: number; at: Instant }>>;
 };
 
 type LeaseState = {
   readonly context: RoleContext;
   readonly fencingToken: number;
   readonly connections: Set<HttpConnection>;
-  until: Instant;
-  renewing: Promise<boolean> | undefined;
+  expiresAt: Instant;
+  pendingRenewal: Promise<boolean> | undefined;
   released: boolean;
 };
 
 const renewMilliseconds = 500;
-/** What a call may take to reach whom it is for. */
+/** The minimum remaining term for sending a call: the time that the request may take to reach the callee. */
 const transitMilliseconds = 400;
 
 function remaining(lease: LeaseState): number {
-  return lease.until - lease.context.runtime.clock.now();
+  return lease.expiresAt - lease.context.runtime.clock.now();
 }
 
-async function writeRenewal(lease: LeaseState, isLast: boolean): Promise<boolean> {
+async function writeRenewal(lease: LeaseState, isRelease: boolean): Promise<boolean> {
   const { runtime, register, key, holder } = lease.context;
   const sentAt = runtime.clock.now();
   const changed = await register.change(
@@ -67,72 +68,72 @@
       const record = recordOf(entry);
       const isHeld =
         Option.isSome(record) && record.value.holder === holder && record.value.turn === lease.fencingToken && !record.value.released;
-      return isHeld ? Option.some({ ...record.value, renewals: record.value.renewals + 1, released: isLast }) : Option.none;
+      return isHeld ? Option.some({ ...record.value, renewals: record.value.renewals + 1, released: isRelease }) : Option.none;
     },
-    registerMilliseconds,
+    registerTimeoutMilliseconds,
   );
   const isRenewed = Either.isRight(changed) && changed.right.wrote;
-  if (isRenewed && !lease.released) lease.until = identifiers.after(sentAt, leaseTermMilliseconds);
+  if (isRenewed && !lease.released) lease.expiresAt = identifiers.after(sentAt, leaseTermMilliseconds);
   return isRenewed;
 }
 
-/** Callers that arrive while a renewal is under way share it. */
+/** Callers that arrive while a renewal is in progress share its result. */
 function renew(lease: LeaseState): Promise<boolean> {
-  lease.renewing ??= writeRenewal(lease, false).finally(() => {
-    lease.renewing = undefined;
+  lease.pendingRenewal ??= writeRenewal(lease, false).finally(() => {
+    lease.pendingRenewal = undefined;
   });
-  return lease.renewing;
+  return lease.pendingRenewal;
 }
 
-function noRoom({ context, fencingToken }: LeaseState): Fault {
+function termTooShort({ context, fencingToken }: LeaseState): Fault {
   return fault.create({
     kind: 'superseded',
-    message: `the term of ${context.name} under turn ${fencingToken} has no room for a call`,
-    remedy: 'who holds the duty next makes it',
+    message: `the remaining term of role ${context.name} under fencing token ${fencingToken} is too short for a call`,
+    remedy: 'none: the next holder of the role makes the call',
   });
 }
 
-/** Closes a connection once the term has run out, for as long as its call is under way. */
-function closeAtExpiry(lease: LeaseState, connection: HttpConnection, isUnderWay: () => boolean): void {
-  if (!isUnderWay()) return;
-  const left = remaining(lease);
-  if (left <= 0) connection.close();
-  else lease.context.runtime.clock.startTimer(left, () => closeAtExpiry(lease, connection, isUnderWay));
+/** Closes a call's connection when the term expires, unless the call has ended by then. */
+function closeAtExpiry(lease: LeaseState, connection: HttpConnection, isInProgress: () => boolean): void {
+  if (!isInProgress()) return;
+  const remainingMilliseconds = remaining(lease);
+  if (remainingMilliseconds <= 0) connection.close();
+  else lease.context.runtime.clock.startTimer(remainingMilliseconds, () => closeAtExpiry(lease, connection, isInProgress));
 }
 
-async function renewWhile(lease: LeaseState, isUnderWay: () => boolean): Promise<void> {
+async function renewWhile(lease: LeaseState, isInProgress: () => boolean): Promise<void> {
   const { clock } = lease.context.runtime;
   await clock.sleep(renewMilliseconds);
-  while (isUnderWay()) {
+  while (isInProgress()) {
     await renew(lease);
     await clock.sleep(renewMilliseconds);
   }
 }
 
-function recordAct({ context, fencingToken }: LeaseState): void {
-  context.lastAct = Option.some({ fencingToken, at: context.runtime.clock.now() });
+function recordCall({ context, fencingToken }: LeaseState): void {
+  context.lastCall = Option.some({ fencingToken, at: context.runtime.clock.now() });
 }
 
 async function call(
   lease: LeaseState,
   address: Address,
   request: OutgoingHttpRequest,
-  milliseconds: number,
+  timeoutMilliseconds: number,
 ): Promise<Either.Either<Fault, HttpReply>> {
   if (remaining(lease) < leaseTermMilliseconds / 2) await renew(lease);
-  if (remaining(lease) < transitMilliseconds) return Either.left(noRoom(lease));
+  if (remaining(lease) < transitMilliseconds) return Either.left(termTooShort(lease));
   const connection = lease.context.runtime.network.connect(address);
   lease.connections.add(connection);
-  let underWay = true;
-  function isUnderWay(): boolean {
-    return underWay;
+  let inProgress = true;
+  function isInProgress(): boolean {
+    return inProgress;
   }
-  closeAtExpiry(lease, connection, isUnderWay);
-  void renewWhile(lease, isUnderWay);
-  recordAct(lease);
-  const reply = await connection.exchange({ ...request, leaveBefore: lease.until }, milliseconds);
-  recordAct(lease);
-  underWay = false;
+  closeAtExpiry(lease, connection, isInProgress);
+  void renewWhile(lease, isInProgress);
+  recordCall(lease);
+  const reply = await connection.exchange({ ...request, leaveBefore: lease.expiresAt }, timeoutMilliseconds);
+  recordCall(lease);
+  inProgress = false;
   lease.connections.delete(connection);
   connection.close();
   return reply;
@@ -140,25 +141,25 @@
 
 async function release(lease: LeaseState): Promise<void> {
   lease.released = true;
-  lease.until = lease.context.runtime.clock.now();
-  // The next holder may act as soon as the release is chosen, so nothing of this one may still arrive.
+  lease.expiresAt = lease.context.runtime.clock.now();
+  // The next holder may make calls as soon as the register has accepted the release, so no call of this one may arrive after that.
   for (const connection of lease.connections) connection.close();
   await writeRenewal(lease, true);
 }
 
-/** @param acquiredAt - when the request that took the role was sent; the term runs from then */
+/** @param acquiredAt - when the request that acquired the role was sent; the term starts then */
 function create(context: RoleContext, fencingToken: number, acquiredAt: Instant): RoleLease {
   const lease: LeaseState = {
     context,
     fencingToken,
     connections: new Set(),
-    until: identifiers.after(acquiredAt, leaseTermMilliseconds),
-    renewing: undefined,
+    expiresAt: identifiers.after(acquiredAt, leaseTermMilliseconds),
+    pendingRenewal: undefined,
     released: false,
   };
   return {
     fencingToken,
-    call: (address, request, milliseconds) => call(lease, address, request, milliseconds),
+    call: (address, request, timeoutMilliseconds) => call(lease, address, request, timeoutMilliseconds),
     renew: () => renew(lease),
     release: () => release(lease),
   };
--- a/packages/election/src/service-epochs.ts
+++ b/packages/election/src/service-epochs.ts
@@ -1,4 +1,4 @@
-/** For each service: the epochs this node knows of, its own vote, and whether a candidacy of its own is under way. */
+/** Per service: the epochs known to this node, this node's vote, and the state of its own candidacy. */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Clock, Instant } from '@stallstall/kernel';
@@ -9,14 +9,15 @@
 export type ServiceState = {
   vote: Option.Option<Vote>;
   votedAt: Instant;
-  /** Whether this node's vote was read back since it started. */
-  loaded: boolean;
-  loading: boolean;
-  knownSince: Instant;
-  /** When this node's next candidacy begins; none while none is wanted. */
-  startsAt: Option.Option<Instant>;
+  /** Whether this node's stored vote has been read since the process started. */
+  isVoteLoaded: boolean;
+  isVoteLoading: boolean;
+  /** When this node first looked at the service. For a grace period from then it starts no candidacy for want of a live primary. */
+  trackedSince: Instant;
+  /** When this node's next candidacy starts; none while no candidacy is due. */
+  candidacyStartsAt: Option.Option<Instant>;
   isCandidate: boolean;
-  /** Of this node's last candidacy, for operators. */
+  /** The outcome of this node's last candidacy, for operators. */
   lastOutcome: string;
 };
 
@@ -24,28 +25,28 @@
 export type ServiceEpochs = Readonly<{
   stateOf: (service: string) => ServiceState;
   all: () => ReadonlyArray<readonly [string, ServiceState]>;
-  /** Reads this node's vote back, once. */
+  /** Reads this node's stored vote, unless it has been read before. */
   load: (service: string) => Promise<void>;
-  /** Votes in memory, then on disk; resolves to whether the vote is durable. */
+  /** Records a vote in memory, then on disk. Resolves to whether the vote is durable. */
   vote: (service: string, vote: Vote) => Promise<boolean>;
-  /** The epoch of the primary elected last; 0 if there was none. */
+  /** The epoch of the last elected primary; 0 if none was elected. */
   electedEpoch: (service: string) => number;
-  /** The highest epoch this node has voted for, or that was voted before its membership table was made (design 4.2). */
+  /** The highest epoch that this node has voted for, or that was voted for before its membership table was written (design 4.2). */
   votedEpoch: (service: string) => number;
-  /** The later of both: what this node counts for. */
+  /** The higher of the elected and the voted epoch: the epoch at which this node counts towards a lease. */
   currentEpoch: (service: string) => number;
-  /** Whether an election has overtaken an epoch. */
-  isOvertaken: (service: string, epoch: number) => boolean;
+  /** Whether a primary was elected at this or a later epoch, or this node has voted for a later one. */
+  isSuperseded: (service: string, epoch: number) => boolean;
 }>;
 
 function initialState(now: Instant): ServiceState {
   return {
     vote: Option.none,
     votedAt: now,
-    loaded: false,
-    loading: false,
-    knownSince: now,
-    startsAt: Option.none,
+    isVoteLoaded: false,
+    isVoteLoading: false,
+    trackedSince: now,
+    candidacyStartsAt: Option.none,
     isCandidate: false,
     lastOutcome: 'none yet',
   };
@@ -55,8 +56,8 @@
   const states = new Map<string, ServiceState>();
 
   function stateOf(service: string): ServiceState {
-    const known = states.get(service);
-    if (known !== undefined) return known;
+    const existing = states.get(service);
+    if (existing !== undefined) return existing;
     const created = initialState(clock.now());
     states.set(service, created);
     return created;
@@ -74,23 +75,23 @@
 
   async function load(service: string): Promise<void> {
     const state = stateOf(service);
-    if (state.loaded || state.loading) return;
-    state.loading = true;
+    if (state.isVoteLoaded || state.isVoteLoading) return;
+    state.isVoteLoading = true;
     const loaded = await votes.load(service);
-    state.loading = false;
+    state.isVoteLoading = false;
     if (Either.isLeft(loaded)) return;
     if (Option.isSome(loaded.right) && loaded.right.value.epoch > votedEpoch(service)) state.vote = loaded.right;
     state.votedAt = clock.now();
-    state.loaded = true;
+    state.isVoteLoaded = true;
   }
 
-  function vote(service: string, cast: Vote): Promise<boolean> {
+  function vote(service: string, newVote: Vote): Promise<boolean> {
     const state = stateOf(service);
-    // Raised in memory before the write begins: from here on this node no longer counts for the older epoch (design 7.3).
-    state.vote = Option.some(cast);
+    // Set in memory before the write starts, so that from now on this node counts towards no lease at an older epoch (design 7.3).
+    state.vote = Option.some(newVote);
     state.votedAt = clock.now();
     context.onEpochRaised();
-    return votes.record(service, cast);
+    return votes.record(service, newVote);
   }
 
   return {
@@ -101,7 +102,7 @@
     electedEpoch,
     votedEpoch,
     currentEpoch: (service) => Math.max(electedEpoch(service), votedEpoch(service)),
-    isOvertaken: (service, epoch) => electedEpoch(service) >= epoch || votedEpoch(service) > epoch,
+    isSuperseded: (service, epoch) => electedEpoch(service) >= epoch || votedEpoch(service) > epoch,
   };
 }
 
--- a/packages/election/src/singleton-role.ts
+++ b/packages/election/src/singleton-role.ts
@@ -1,18 +1,18 @@
-/** A role that one process holds at a time, by a fencing token and a term in the register (design 7.6). */
+/** A role that only one process holds at a time, under a fencing token and a term kept in the register (design 7.6). */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Runtime } from '@stallstall/kernel';
 import { leaseMarginMilliseconds, leaseTermMilliseconds } from '@stallstall/quorum-lease';
 import { registerService } from '@stallstall/register';
 import { roleLeases, type RoleContext, type RoleLease } from './role-lease.js';
-import { recordOf, registerMilliseconds, type RoleRecord } from './role-record.js';
+import { recordOf, registerTimeoutMilliseconds, type RoleRecord } from './role-record.js';
 
 export type SingletonRole = Readonly<{
-  /** One attempt to take the role; none while another holder's term may still run, or while no majority of cores replies. */
+  /** Tries once to acquire the role; none while another holder's term may still be running, or while no majority of cores replies. */
   tryAcquire: () => Promise<Option.Option<RoleLease>>;
 }>;
 
-/** The record as this process read it first, and since when it has not changed. */
+/** The latest state of the record that this process has read, and when it first read it in that state. */
 type Observation = Readonly<{ record: RoleRecord; since: number }>;
 
 function isUnchanged(observed: RoleRecord, current: RoleRecord): boolean {
@@ -22,8 +22,8 @@
 /**
  * @param name - names the role in the register, as in `promotion/bookings`
  * @param self - this node's id
- * @param handoverDelayMilliseconds - should another have held the role since this process acted last, it does not take the role back
- *   before so long after that act, so that no platform sees the same two holders alternate (design 7.6)
+ * @param handoverDelayMilliseconds - if another process has held the role since this one last called the platform, this one does not
+ *   acquire the role again until this long after its own last call, so that the platform does not see two holders alternate (design 7.6)
  */
 function create(runtime: Runtime, name: string, self: string, handoverDelayMilliseconds = 0): SingletonRole {
   const context: RoleContext = {
@@ -31,9 +31,9 @@
     register: runtime.services.find(registerService),
     key: `duty/${name}`,
     name,
-    // A restarted process is another holder: what its predecessor began is not its own.
+    // A restarted process is a different holder: calls that the earlier process had started are not its own.
     holder: `${self}#${runtime.randomness.token()}`,
-    lastAct: Option.none,
+    lastCall: Option.none,
   };
   let observation: Option.Option<Observation> = Option.none;
 
@@ -42,14 +42,14 @@
     observation = Option.some({ record, since: runtime.clock.now() });
   }
 
-  /** Another process has held the role since this one acted, and the platform must not see this one again yet. */
+  /** Whether another process has held the role since this one last called the platform, and the delay after that call is not over. */
   function isWithinHandoverDelay(record: RoleRecord): boolean {
-    if (Option.isNone(context.lastAct)) return false;
-    const { fencingToken, at } = context.lastAct.value;
+    if (Option.isNone(context.lastCall)) return false;
+    const { fencingToken, at } = context.lastCall.value;
     return record.turn !== fencingToken && runtime.clock.now() - at < handoverDelayMilliseconds;
   }
 
-  /** The holder has renewed nothing for a whole term and its margin, as this process's own clock measures it. */
+  /** Whether the holder has not renewed for a whole term and its margin, measured by this process's own clock. */
   function hasExpired(record: RoleRecord): boolean {
     if (Option.isNone(observation) || !isUnchanged(observation.value.record, record)) return false;
     return runtime.clock.now() - observation.value.since >= leaseTermMilliseconds + leaseMarginMilliseconds;
@@ -61,7 +61,7 @@
   }
 
   async function tryAcquire(): Promise<Option.Option<RoleLease>> {
-    const read = await context.register.read(context.key, registerMilliseconds);
+    const read = await context.register.read(context.key, registerTimeoutMilliseconds);
     if (Either.isLeft(read)) return Option.none;
     const current = recordOf(read.right);
     if (Option.isSome(current)) {
@@ -77,7 +77,7 @@
         if (!isAvailable(record.value)) return Option.none;
         return Option.some({ holder: context.holder, turn: record.value.turn + 1, renewals: 0, released: false });
       },
-      registerMilliseconds,
+      registerTimeoutMilliseconds,
     );
     if (Either.isLeft(changed) || !changed.right.wrote) return Option.none;
     const acquired = recordOf(changed.right.entry);
--- a/packages/election/src/succession-wait.ts
+++ b/packages/election/src/succession-wait.ts
@@ -1,4 +1,4 @@
-/** What the winner of an election waits for before it promotes its candidate (design 7.4, 7.5, 7.12). */
+/** The conditions that the winner of an election waits for before it promotes its candidate (design 7.4, 7.5, 7.12). */
 import * as Option from 'fp-ts/lib/Option.js';
 import { identifiers, type Instant } from '@stallstall/kernel';
 import type { ServicePlacement } from '@stallstall/placement';
@@ -11,28 +11,31 @@
 const catchUpTimeoutMilliseconds = 5_000;
 const releasePollMilliseconds = 10;
 const catchUpPollMilliseconds = 20;
-/** Where members speak this product's own HTTP, each poll asks all of them. */
+/** Longer where members implement this product's own HTTP API, since each poll sends a request to every member. */
 const httpCatchUpPollMilliseconds = 100;
 
-/** Waits until no node can act on an older epoch any more: every lease has run out, or every edge that holds one has released it. */
+/** Waits until no node can act on an older epoch any more: every lease has expired, or every edge that holds one has released it. */
 async function waitForLeases(services: ElectionServices, service: string, epoch: number, majority: Majority): Promise<void> {
   const { runtime, context } = services;
-  const expiresAt: Instant = identifiers.after(majority.at, leaseTermMilliseconds + leaseMarginMilliseconds);
-  const mayBeReleased = Option.isSome(context.platformCalls);
+  const expiresAt: Instant = identifiers.after(majority.reachedAt, leaseTermMilliseconds + leaseMarginMilliseconds);
+  const canBeReleased = Option.isSome(context.platformCalls);
 
   function isReleased(): boolean {
-    if (!mayBeReleased || Option.isNone(majority.leaseHolders)) return false;
+    if (!canBeReleased || Option.isNone(majority.leaseHolders)) return false;
     return context.hasReleased(service, epoch, majority.leaseHolders.value);
   }
 
   while (runtime.clock.now() < expiresAt && !isReleased()) {
-    const left = expiresAt - runtime.clock.now();
-    await runtime.clock.sleep(mayBeReleased ? Math.min(releasePollMilliseconds, left) : left);
+    const remaining = expiresAt - runtime.clock.now();
+    await runtime.clock.sleep(canBeReleased ? Math.min(releasePollMilliseconds, remaining) : remaining);
   }
 }
 
-/** Where replicas are synchronous, whoever holds most of what was received when all were asked holds all that was acknowledged. */
-function holdsMost(
+/**
+ * Whether the candidate's log is as long as any that a member has reported. Where replicas are synchronous and enough members have replied,
+ * the longest log contains every acknowledged commit.
+ */
+function hasLongestLog(
   services: ElectionServices,
   service: ServicePlacement,
   members: readonly Candidate[],
@@ -49,23 +52,28 @@
   );
 }
 
-/** Whether the candidate holds everything that may have been acknowledged under the older epoch. */
-async function isCaughtUp(services: ElectionServices, service: ServicePlacement, chosen: Candidate, before?: string): Promise<boolean> {
+/** Whether the candidate has every commit that may have been acknowledged under the older epoch. */
+async function isCaughtUp(
+  services: ElectionServices,
+  service: ServicePlacement,
+  chosen: Candidate,
+  formerPrimaryId?: string,
+): Promise<boolean> {
   const [members, watermark] = await Promise.all([
     candidates.readStates(services, service),
     durableWatermark.read(services, service.service),
   ]);
-  const candidate = members.find((one) => one.member.member === chosen.member.member);
+  const candidate = members.find((member) => member.placement.member === chosen.placement.member);
   if (candidate === undefined || Option.isNone(watermark)) return false;
-  if (!holdsMost(services, service, members, candidate)) return false;
-  const formerPrimary = members.find((one) => one.member.member === before && one.state.epoch === chosen.state.epoch);
-  const target = formerPrimary === undefined || formerPrimary === candidate ? 0 : formerPrimary.state.received;
-  return durableWatermark.isHeldBy(candidate.state, watermark.value) && candidate.state.received >= target;
+  if (!hasLongestLog(services, service, members, candidate)) return false;
+  const formerPrimary = members.find((member) => member.placement.member === formerPrimaryId && member.state.epoch === chosen.state.epoch);
+  const requiredPosition = formerPrimary === undefined || formerPrimary === candidate ? 0 : formerPrimary.state.received;
+  return durableWatermark.isReachedBy(candidate.state, watermark.value) && candidate.state.received >= requiredPosition;
 }
 
 /**
- * Waits for the leases of older epochs, then until the candidate has caught up. Resolves to false when it did not in time, or when a later
- * epoch has overtaken this one.
+ * Waits until the leases of older epochs are over, then until the candidate has caught up. Resolves to false when it did not catch up within
+ * the time limit, or when the epoch was superseded by a later one.
  */
 async function wait(
   services: ElectionServices,
@@ -77,12 +85,12 @@
   const { runtime, context, epochs } = services;
   await waitForLeases(services, service.service, epoch, majority);
   const deadline = identifiers.after(runtime.clock.now(), catchUpTimeoutMilliseconds);
-  const before = primaryOf(context, service)?.member;
-  const poll = Option.isSome(context.platformCalls) ? catchUpPollMilliseconds : httpCatchUpPollMilliseconds;
-  while (runtime.clock.now() < deadline && !epochs.isOvertaken(service.service, epoch)) {
-    // Read after the wait: what any edge has acknowledged under the older epoch is on a majority of disks by now.
-    if (await isCaughtUp(services, service, chosen, before)) return true;
-    await runtime.clock.sleep(poll);
+  const formerPrimaryId = primaryOf(context, service)?.member;
+  const pollMilliseconds = Option.isSome(context.platformCalls) ? catchUpPollMilliseconds : httpCatchUpPollMilliseconds;
+  while (runtime.clock.now() < deadline && !epochs.isSuperseded(service.service, epoch)) {
+    // Read only now: everything that an edge acknowledged under the older epoch is on a majority of core disks once the leases are over.
+    if (await isCaughtUp(services, service, chosen, formerPrimaryId)) return true;
+    await runtime.clock.sleep(pollMilliseconds);
   }
   return false;
 }
--- a/packages/election/src/vote-collection.ts
+++ b/packages/election/src/vote-collection.ts
@@ -1,4 +1,4 @@
-/** The proposing half of an election: asks every node for its vote (design 7.2). */
+/** The proposing side of an election: requests a vote from every node and counts the replies (design 7.2). */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Instant } from '@stallstall/kernel';
@@ -10,53 +10,63 @@
 /** The paper's election timeout. Unit: milliseconds. */
 export const electionTimeoutMilliseconds = 3_000;
 
-/** When the majority was complete, and which edges its voters had granted leases; none if one of them cannot say. @internal */
-export type Majority = Readonly<{ at: Instant; leaseHolders: Option.Option<readonly string[]> }>;
+/** When the majority was reached, and the edges to which its voters had granted leases; none if a voter does not know them. @internal */
+export type Majority = Readonly<{ reachedAt: Instant; leaseHolders: Option.Option<readonly string[]> }>;
 
 type Tally = {
-  accepted: number;
-  outstanding: number;
-  lastReason: string;
+  acceptedCount: number;
+  outstandingCount: number;
+  lastRejection: string;
   readonly leaseHolders: Set<string>;
-  /** A voter cannot say whom it granted leases. */
-  isIncomplete: boolean;
+  /** Set when a voter does not know to whom it granted leases. */
+  hasUnknownLeaseHolders: boolean;
 };
 
-function count(tally: Tally, reply: Option.Option<Reply<'propose'>>): void {
-  tally.outstanding -= 1;
+function countReply(tally: Tally, reply: Option.Option<Reply<'propose'>>): void {
+  tally.outstandingCount -= 1;
   if (Option.isNone(reply)) return;
   if (!reply.value.accepted) {
-    tally.lastReason = reply.value.reason;
+    tally.lastRejection = reply.value.reason;
     return;
   }
-  tally.accepted += 1;
-  if (reply.value.lessees === undefined) tally.isIncomplete = true;
-  for (const holder of reply.value.lessees ?? []) tally.leaseHolders.add(holder);
+  tally.acceptedCount += 1;
+  if (reply.value.lessees === undefined) tally.hasUnknownLeaseHolders = true;
+  for (const leaseHolder of reply.value.lessees ?? []) tally.leaseHolders.add(leaseHolder);
 }
 
-/** Resolves to the majority as soon as it is complete, or to the reason why there is none within the election timeout. */
+/** Resolves to the majority as soon as it is reached, or to the reason why it was not reached within the election timeout. */
 function collect(services: ElectionServices, request: Request<'propose'>): Promise<Either.Either<string, Majority>> {
   const { runtime, context } = services;
   const nodes = context.membership().seats.map((seat) => seat.node);
   const needed = quorum.majority(nodes.length);
-  const tally: Tally = { accepted: 0, outstanding: nodes.length, lastReason: 'no answer', leaseHolders: new Set(), isIncomplete: false };
+  const tally: Tally = {
+    acceptedCount: 0,
+    outstandingCount: nodes.length,
+    lastRejection: 'none',
+    leaseHolders: new Set(),
+    hasUnknownLeaseHolders: false,
+  };
 
-  function askNode(node: string): Promise<Option.Option<Reply<'propose'>>> {
+  function requestVote(node: string): Promise<Option.Option<Reply<'propose'>>> {
     return node === context.self ? proposals.handle(services, request).then(Option.some) : context.sendProposal(node, request);
   }
 
   function majority(): Majority {
-    return { at: runtime.clock.now(), leaseHolders: tally.isIncomplete ? Option.none : Option.some([...tally.leaseHolders]) };
+    return {
+      reachedAt: runtime.clock.now(),
+      leaseHolders: tally.hasUnknownLeaseHolders ? Option.none : Option.some([...tally.leaseHolders]),
+    };
   }
 
   return new Promise(function collectVotes(resolve) {
     runtime.clock.startTimer(electionTimeoutMilliseconds, function timeOut() {
-      resolve(Either.left(`${tally.accepted} of ${needed} ACCEPTs in time; ${tally.lastReason}`));
+      resolve(Either.left(`${tally.acceptedCount} of ${needed} required votes before the timeout; last rejection: ${tally.lastRejection}`));
     });
     async function collectVote(node: string): Promise<void> {
-      count(tally, await askNode(node));
-      if (tally.accepted >= needed) resolve(Either.right(majority()));
-      else if (tally.outstanding === 0) resolve(Either.left(`${tally.accepted} of ${needed} ACCEPTs; ${tally.lastReason}`));
+      countReply(tally, await requestVote(node));
+      if (tally.acceptedCount >= needed) resolve(Either.right(majority()));
+      else if (tally.outstandingCount === 0)
+        resolve(Either.left(`${tally.acceptedCount} of ${needed} required votes; last rejection: ${tally.lastRejection}`));
     }
     for (const node of nodes) void collectVote(node);
   });
--- a/packages/simulator/mutations.mjs
+++ b/packages/simulator/mutations.mjs
@@ -24,8 +24,8 @@
     expect: 'two-epochs-open',
     only: losses,
     file: 'election/build/succession-wait.js',
-    from: 'majority.at, leaseTermMilliseconds + leaseMarginMilliseconds);',
-    to: 'majority.at, 0);',
+    from: 'majority.reachedAt, leaseTermMilliseconds + leaseMarginMilliseconds);',
+    to: 'majority.reachedAt, 0);',
   },
   {
     name: 'write-leaves-twice',
@@ -137,7 +137,7 @@
     expect: 'recovery-late|usage-off',
     only: ['kill-primary', 'all-stop'],
     file: 'election/build/role-lease.js',
-    from: 'void renewWhile(lease, isUnderWay);',
+    from: 'void renewWhile(lease, isInProgress);',
     to: '',
   },
   {
