--- a/packages/member-registry/src/member-records.ts
+++ b/packages/member-registry/src/member-records.ts
@@ -1,13 +1,13 @@
 /** Records of members that register by their heartbeats (design 4.7). */
 import type { MemberRecord } from '@stallstall/message';
 
-/** What a member says of itself with each heartbeat. */
+/** The part of a record that a member reports with each heartbeat. */
 export type Registration = Omit<MemberRecord, 'gone' | 'down'>;
 
-/** A record as a core received it. `ago`: how long ago it was received, in milliseconds. */
+/** A member's record, and how many milliseconds ago a core received it from the member. */
 export type ReceivedHeartbeat = Readonly<{ entry: MemberRecord; ago: number }>;
 
-/** Whether two records say the same of a member; the sequence says nothing of it. @internal */
+/** Whether two records of a member are equal apart from the heartbeat's sequence number. @internal */
 export function isSameRecord(left: MemberRecord, right: MemberRecord): boolean {
   return (
     left.address === right.address &&
@@ -21,7 +21,7 @@
   );
 }
 
-/** The record of a member of which no heartbeat was received here: all that is known of it is that it has left. @internal */
+/** A placeholder record for a member that has left and from which this core received no heartbeat. @internal */
 export function unknownMember(member: string): MemberRecord {
   return {
     member,
--- a/packages/member-registry/src/member-registry.ts
+++ b/packages/member-registry/src/member-registry.ts
@@ -1,4 +1,4 @@
-/** The registry of members that register by their heartbeats: one core receives a heartbeat, all cores know it (design 4.7). */
+/** The registry of members that register by their heartbeats. One core receives a heartbeat, and passes it on to the others (design 4.7). */
 import * as Option from 'fp-ts/lib/Option.js';
 import { livenessService, type Liveness } from '@stallstall/election';
 import { identifiers, runtimeUtilities, type Instant, type Runtime } from '@stallstall/kernel';
@@ -9,185 +9,190 @@
 export type { ReceivedHeartbeat, Registration } from './member-records.js';
 
 export type MemberRegistry = Readonly<{
-  /** Takes a heartbeat that reached this core; false when a later one of the same member was received before. */
+  /** Applies a heartbeat that a member sent to this core; false when it is outdated or the member has left. */
   recordHeartbeat: (registration: Registration) => boolean;
-  /** The member has left for good. */
+  /** Records that the member has announced its departure, which is final. */
   recordDeparture: (member: string) => void;
-  /** Takes heartbeats that another core received. */
-  mergeHeartbeats: (beats: readonly ReceivedHeartbeat[]) => void;
-  /** Takes what was known before a restart: of use until heartbeats tell, and never later than any of them. */
+  /** Applies heartbeats that another core received. */
+  mergeHeartbeats: (heartbeats: readonly ReceivedHeartbeat[]) => void;
+  /** Adds records stored before a restart. They serve until heartbeats arrive, and never replace a record that is already there. */
   restore: (records: readonly MemberRecord[]) => void;
-  /** Heartbeats received here since the last call, for the other cores. */
+  /** Returns the heartbeats and departures that this core received since the last call, to be sent to the other cores. */
   takeRecentHeartbeats: () => readonly ReceivedHeartbeat[];
-  /** All that is known here of members, for a core that has missed some of it. */
+  /** All records, for a core that has missed some heartbeats. */
   snapshot: () => readonly ReceivedHeartbeat[];
-  /** Rises with every change that a reader must know of. */
+  /** Rises with every change of a record; a heartbeat that only has a new sequence number is no change. */
   version: () => number;
   changedSince: (version: number) => readonly MemberRecord[];
   recordOf: (member: string) => Option.Option<MemberRecord>;
   membersOf: (service: string) => readonly MemberPlacement[];
-  /** Looks for members that went silent, or are heard again. */
+  /** Updates which members are down, marks long silent members as gone and removes old records of gone members. Called periodically. */
   sweep: () => void;
 }>;
 
-/** `left`: it said so itself; one that is gone by its silence alone is back with its next heartbeat. */
-type KnownMember = Readonly<{ entry: MemberRecord; changedAt: number; takenAt: Instant; left: boolean }>;
+/**
+ * `changedAt`: the registry's version at the last change. `hasLeft`: the member announced its departure; a member that is gone only because
+ * it was silent returns with its next heartbeat.
+ */
+type RegisteredMember = Readonly<{ record: MemberRecord; changedAt: number; receivedAt: Instant; hasLeft: boolean }>;
 
 type RegistryState = {
   readonly runtime: Runtime;
   readonly liveness: Liveness;
   readonly onChange: () => void;
-  readonly members: Map<string, KnownMember>;
-  /** Members to be sent to the other cores, and when they were heard here. */
-  readonly recent: Map<string, Instant>;
+  readonly members: Map<string, RegisteredMember>;
+  /** Members whose records are to be sent to the other cores, and when this core received their heartbeat or departure. */
+  readonly unsent: Map<string, Instant>;
   version: number;
 };
 
-/** No heartbeat is late by more than this: a lower count after such a silence is that of a member that was restarted. */
-const lateMilliseconds = 3_000;
-/** A member that left is remembered so long, so that no late heartbeat brings it back. */
-const goneMilliseconds = 120_000;
-/** A member silent for so long is of no service any more: it crashed for good and said nothing. */
-const forgetMilliseconds = 60_000;
+/** Heartbeats are delayed by less than this: a lower sequence number after a longer silence means that the member was restarted. */
+const maximumDelayMilliseconds = 3_000;
+/** How long the record of a gone member is kept, so that a delayed heartbeat does not add the member again. */
+const goneRetentionMilliseconds = 120_000;
+/** A member that is silent for this long is taken for crashed, without having announced its departure, and is marked as gone. */
+const silentUntilGoneMilliseconds = 60_000;
 
-function put(registry: RegistryState, entry: MemberRecord, takenAt: Instant, left: boolean): void {
-  const known = registry.members.get(entry.member);
-  const isChanged = known === undefined || !isSameRecord(known.entry, entry);
+function setRecord(registry: RegistryState, record: MemberRecord, receivedAt: Instant, hasLeft: boolean): void {
+  const previous = registry.members.get(record.member);
+  const isChanged = previous === undefined || !isSameRecord(previous.record, record);
   if (isChanged) registry.version += 1;
-  registry.members.set(entry.member, { entry, changedAt: isChanged ? registry.version : known.changedAt, takenAt, left });
+  registry.members.set(record.member, { record, changedAt: isChanged ? registry.version : previous.changedAt, receivedAt, hasLeft });
   if (isChanged) registry.onChange();
 }
 
-/** A member that left never comes back, and of two heartbeats the later one stands. */
-function isLate({ members }: RegistryState, entry: MemberRecord, takenAt: Instant): boolean {
-  const known = members.get(entry.member);
-  if (known === undefined) return false;
+/** Whether a heartbeat is ignored: the member has left, which is final, or a later heartbeat was received shortly before. */
+function isOutdated({ members }: RegistryState, record: MemberRecord, receivedAt: Instant): boolean {
+  const previous = members.get(record.member);
+  if (previous === undefined) return false;
   return (
-    (known.left && !entry.gone) || (!entry.gone && entry.sequence < known.entry.sequence && takenAt - known.takenAt < lateMilliseconds)
+    (previous.hasLeft && !record.gone) ||
+    (!record.gone && record.sequence < previous.record.sequence && receivedAt - previous.receivedAt < maximumDelayMilliseconds)
   );
 }
 
-/** Takes a record that was received so long ago; false when it came too late. */
-function receive(registry: RegistryState, entry: MemberRecord, ago: number): boolean {
+/** Applies a record that a core received `ago` milliseconds ago; false when it is outdated. */
+function applyRecord(registry: RegistryState, record: MemberRecord, ago: number): boolean {
   const { runtime, liveness, members } = registry;
-  const takenAt = identifiers.after(runtime.clock.now(), -ago);
-  if (isLate(registry, entry, takenAt)) return false;
-  if (!entry.gone) liveness.recordHeartbeat(entry.member, ago);
-  const known = members.get(entry.member);
-  const newest = identifiers.instant(Math.max(takenAt, known?.takenAt ?? Number.NEGATIVE_INFINITY));
-  put(registry, { ...entry, down: !entry.gone && liveness.isDown(entry.member) }, newest, entry.gone);
+  const receivedAt = identifiers.after(runtime.clock.now(), -ago);
+  if (isOutdated(registry, record, receivedAt)) return false;
+  if (!record.gone) liveness.recordHeartbeat(record.member, ago);
+  const previous = members.get(record.member);
+  const latestReceivedAt = identifiers.instant(Math.max(receivedAt, previous?.receivedAt ?? Number.NEGATIVE_INFINITY));
+  setRecord(registry, { ...record, down: !record.gone && liveness.isDown(record.member) }, latestReceivedAt, record.gone);
   return true;
 }
 
 function recordHeartbeat(registry: RegistryState, registration: Registration): boolean {
-  const isTaken = receive(registry, { ...registration, gone: false, down: false }, 0);
-  if (isTaken) registry.recent.set(registration.member, registry.runtime.clock.now());
-  return isTaken;
+  const isApplied = applyRecord(registry, { ...registration, gone: false, down: false }, 0);
+  if (isApplied) registry.unsent.set(registration.member, registry.runtime.clock.now());
+  return isApplied;
 }
 
 function recordDeparture(registry: RegistryState, member: string): void {
-  const { runtime, members, recent } = registry;
-  const known = members.get(member);
-  if (known?.left === true) return;
-  put(registry, { ...(known?.entry ?? unknownMember(member)), gone: true }, runtime.clock.now(), true);
-  recent.set(member, runtime.clock.now());
+  const { runtime, members, unsent } = registry;
+  const previous = members.get(member);
+  if (previous?.hasLeft === true) return;
+  setRecord(registry, { ...(previous?.record ?? unknownMember(member)), gone: true }, runtime.clock.now(), true);
+  unsent.set(member, runtime.clock.now());
 }
 
 function restore(registry: RegistryState, records: readonly MemberRecord[]): void {
   for (const record of records) {
     if (registry.members.has(record.member)) continue;
-    put(registry, { ...record, down: false }, registry.runtime.clock.now(), record.gone);
+    setRecord(registry, { ...record, down: false }, registry.runtime.clock.now(), record.gone);
   }
 }
 
-function takeRecentHeartbeats({ runtime, members, recent }: RegistryState): readonly ReceivedHeartbeat[] {
+function takeRecentHeartbeats({ runtime, members, unsent }: RegistryState): readonly ReceivedHeartbeat[] {
   const now = runtime.clock.now();
-  const beats = [...recent].flatMap(function beatOf([member, at]): readonly ReceivedHeartbeat[] {
-    const known = members.get(member);
-    return known === undefined ? [] : [{ entry: known.entry, ago: Math.max(0, now - at) }];
+  const heartbeats = [...unsent].flatMap(function toHeartbeat([member, receivedAt]): readonly ReceivedHeartbeat[] {
+    const registered = members.get(member);
+    return registered === undefined ? [] : [{ entry: registered.record, ago: Math.max(0, now - receivedAt) }];
   });
-  recent.clear();
-  return beats;
+  unsent.clear();
+  return heartbeats;
 }
 
-/** One that is gone by its silence alone is left out: reported as gone it would never come back. */
+/** Leaves out members that are gone only because they were silent: another core would take a record marked as gone for a final departure. */
 function snapshot({ runtime, members }: RegistryState): readonly ReceivedHeartbeat[] {
   const now = runtime.clock.now();
   return [...members.values()]
-    .filter((known) => known.left || !known.entry.gone)
-    .map((known) => ({ entry: known.entry, ago: Math.max(0, now - known.takenAt) }));
+    .filter((registered) => registered.hasLeft || !registered.record.gone)
+    .map((registered) => ({ entry: registered.record, ago: Math.max(0, now - registered.receivedAt) }));
 }
 
-function sweepMember(registry: RegistryState, member: string, known: KnownMember): void {
+function sweepMember(registry: RegistryState, member: string, registered: RegisteredMember): void {
   const { runtime, liveness, members } = registry;
   const now = runtime.clock.now();
-  const silentMilliseconds = now - known.takenAt;
-  if (known.entry.gone && silentMilliseconds > goneMilliseconds) {
+  const silentMilliseconds = now - registered.receivedAt;
+  if (registered.record.gone && silentMilliseconds > goneRetentionMilliseconds) {
     members.delete(member);
     return;
   }
-  if (!known.entry.gone && silentMilliseconds > forgetMilliseconds) {
-    put(registry, { ...known.entry, gone: true }, now, false);
+  if (!registered.record.gone && silentMilliseconds > silentUntilGoneMilliseconds) {
+    setRecord(registry, { ...registered.record, gone: true }, now, false);
     return;
   }
-  const down = !known.entry.gone && liveness.isDown(member);
-  if (down !== known.entry.down) put(registry, { ...known.entry, down }, known.takenAt, known.left);
+  const down = !registered.record.gone && liveness.isDown(member);
+  if (down !== registered.record.down) setRecord(registry, { ...registered.record, down }, registered.receivedAt, registered.hasLeft);
 }
 
 function sweep(registry: RegistryState): void {
-  for (const [member, known] of registry.members) sweepMember(registry, member, known);
+  for (const [member, registered] of registry.members) sweepMember(registry, member, registered);
 }
 
-function placementOf(entry: MemberRecord): MemberPlacement {
+function placementOf(record: MemberRecord): MemberPlacement {
   return {
-    member: entry.member,
-    area: entry.area,
-    address: entry.address,
-    state: entry.draining ? 'draining' : 'serving',
+    member: record.member,
+    area: record.area,
+    address: record.address,
+    state: record.draining ? 'draining' : 'serving',
   };
 }
 
-function byName(left: MemberPlacement, right: MemberPlacement): number {
+function byId(left: MemberPlacement, right: MemberPlacement): number {
   return left.member < right.member ? -1 : 1;
 }
 
 function membersOf({ members }: RegistryState, service: string): readonly MemberPlacement[] {
   return [...members.values()]
-    .filter((known) => known.entry.service === service && !known.entry.gone)
-    .map((known) => placementOf(known.entry))
-    .sort(byName);
+    .filter((registered) => registered.record.service === service && !registered.record.gone)
+    .map((registered) => placementOf(registered.record))
+    .sort(byId);
 }
 
-/** @param onChange - called once anything that a reader must know of has changed */
+/** @param onChange - called after each change that raises the registry's version */
 function create(runtime: Runtime, onChange: () => void): MemberRegistry {
   const registry: RegistryState = {
     runtime,
     liveness: runtime.services.find(livenessService),
     onChange,
     members: new Map(),
-    recent: new Map(),
+    unsent: new Map(),
     version: 0,
   };
   return {
     recordHeartbeat: (registration) => recordHeartbeat(registry, registration),
     recordDeparture: (member) => recordDeparture(registry, member),
-    mergeHeartbeats: function mergeHeartbeats(beats) {
-      for (const { entry, ago } of beats) receive(registry, entry, ago);
+    mergeHeartbeats: function mergeHeartbeats(heartbeats) {
+      for (const { entry, ago } of heartbeats) applyRecord(registry, entry, ago);
     },
     restore: (records) => restore(registry, records),
     takeRecentHeartbeats: () => takeRecentHeartbeats(registry),
     snapshot: () => snapshot(registry),
     version: () => registry.version,
     changedSince: function changedSince(version) {
-      return [...registry.members.values()].filter((known) => known.changedAt > version).map((known) => known.entry);
+      return [...registry.members.values()].filter((registered) => registered.changedAt > version).map((registered) => registered.record);
     },
-    recordOf: (member) => Option.map((known: KnownMember) => known.entry)(Option.fromNullable(registry.members.get(member))),
+    recordOf: (member) =>
+      Option.map((registered: RegisteredMember) => registered.record)(Option.fromNullable(registry.members.get(member))),
     membersOf: (service) => membersOf(registry, service),
     sweep: () => sweep(registry),
   };
 }
 
-/** The name under which a process's other services find its registry. */
+/** The name under which other services of the process find its registry. */
 export const memberRegistryService = runtimeUtilities.serviceName<MemberRegistry>('member-registry');
 
 export const memberRegistry = { create } as const;
