--- a/packages/simulator/pooled-mutations.mjs
+++ b/packages/simulator/pooled-mutations.mjs
@@ -278,7 +278,7 @@
     name: 'administration-held-without-contact',
     story: 'pages of the administration are answered',
     file: 'core/build/core-routes.js',
-    from: 'administration.routes.map(contact.guard)',
+    from: 'administration.routes.map(contact.guardRoute)',
     to: 'administration.routes',
   },
   {
@@ -426,7 +426,7 @@
     name: 'number-not-claimed',
     story: 'Of two sheets under one number',
     file: 'core/build/external-updates.js',
-    from: 'const claimed = await claims.claimNumber(version, textDigest, deadline - runtime.clock.now());',
+    from: 'const claimed = await claims.claimVersion(version, textDigest, deadline - runtime.clock.now());',
     to: "const claimed = Either.right('own');",
   },
   {
@@ -496,7 +496,7 @@
     name: 'earlier-version-not-kept',
     story: 'A core that missed changes',
     file: 'register/build/acceptor.js',
-    from: 'return keepEarlier(accepted);',
+    from: 'return archiveEntry(accepted);',
     to: 'return true;',
   },
   {
@@ -510,14 +510,14 @@
     name: 'versions-without-bound',
     story: 'bounded in bytes, and',
     file: 'core/build/version-index.js',
-    from: 'index.bytes > versionBytesMost &&',
+    from: 'index.bytes > maxVersionBytes &&',
     to: 'false &&',
   },
   {
     name: 'forgotten-versions-asked-for',
     story: 'bounded in bytes, and',
     file: 'core/build/version-index.js',
-    from: 'index.bytes > versionBytesMost / 2',
+    from: 'index.bytes > maxVersionBytes / 2',
     to: 'false',
   },
   {
@@ -712,7 +712,7 @@
     name: 'blank-core-that-is-called-stays-blank',
     story: 'knows no seed that still runs',
     file: 'core/build/core-set-manager.js',
-    from: 'if (Option.isNone(parts.fleet()) && !state.isStopped && !state.isLeaving)',
+    from: 'if (Option.isNone(parts.record()) && !state.isStopped && !state.isLeaving)',
     to: 'if (false)',
   },
   {
