--- a/packages/acceptance/features/candidacies.feature
+++ b/packages/acceptance/features/candidacies.feature
@@ -1,22 +1,22 @@
-Feature: One candidacy alone, over a register and a platform that say what they are told to
+Feature: A single candidacy over a stub register and a stub platform
 
-  Scenario: A winner that was held up finds a later epoch settled, and promotes nobody
-    Given a candidate for "ferries" whose pushes are behind
-    When epoch 9 is settled by another node while the candidate takes the promotion duty
-    And the candidate's primary is silent for 12 s
-    Then the platform was asked for no promotion
-    And the promotion duty is released
+  Scenario: A winner that was delayed finds a later epoch elected, and promotes no member
+    Given a candidate for "ferries" that is not notified of later elections
+    When another node records epoch 9 as elected while the candidate acquires the promotion role
+    And the service's primary is silent for 12 s
+    Then the platform received no promotion request
+    And the promotion role is released
 
-  Scenario: The next holder of the duty finds the epoch of the one before settled
-    Given a candidate for "ferries" whose pushes are behind
-    When the candidate's primary is silent for 12 s
-    Then the platform was asked for a promotion
-    And the epoch was settled before the promotion duty was released
+  Scenario: The next holder of the promotion role finds the previous holder's election recorded
+    Given a candidate for "ferries" that is not notified of later elections
+    When the service's primary is silent for 12 s
+    Then the platform received a promotion request
+    And the election was recorded before the promotion role was released
 
-  Scenario: Where commits wait for a replica, nobody is promoted before one of those who must hold them all has replied
-    Given a candidate for "ferries", whose commits wait for one of two replicas, and of these only ferries-2 replies, at position 10
-    When the candidate's primary is silent for 20 s
-    Then nobody was promoted
+  Scenario: Where commits wait for a replica, no member is promoted until enough have replied that one of them has every acknowledged commit
+    Given a candidate for "ferries", whose commits wait for one of two replicas, of which only ferries-2 replies, at position 10
+    When the service's primary is silent for 20 s
+    Then no member was promoted
     When ferries-3 replies as well, at position 12
-    And the candidate's primary is silent for 12 s
-    Then ferries-3 alone was promoted
+    And the service's primary is silent for 12 s
+    Then only ferries-3 was promoted
--- a/packages/acceptance/features/traffic.feature
+++ b/packages/acceptance/features/traffic.feature
@@ -9,6 +9,6 @@
     And those that waited are denied within 3 s as "read-only" or "stale-configuration"
 
   Scenario: A STATE question that was under way is reckoned from its own start
-    Given a member that answers STATE after 500 ms
-    When a node asks it, and asks again 250 ms later
-    Then both answers count from the first question
+    Given a member that replies to STATE after 500 ms
+    When a node requests its STATE, and requests it again 250 ms later
+    Then both replies carry the send time of the first request
--- a/packages/acceptance/features/units.feature
+++ b/packages/acceptance/features/units.feature
@@ -4,54 +4,54 @@
 
   Scenario: A late beat changes nothing
     Given a member registry
-    When "member-1" beats with number 7 as draining
-    And "member-1" beats with number 6 as in service
-    Then the beat with number 6 was not taken, and "member-1" is draining
-    And only the beat with number 7 is spread
+    When "member-1" sends a draining heartbeat with sequence number 7
+    And "member-1" sends a serving heartbeat with sequence number 6
+    Then the heartbeat with sequence number 6 was ignored, and "member-1" is draining
+    And only the heartbeat with sequence number 7 is sent to other cores
 
   Scenario: What has left is never back, whoever tells of it
     Given a member registry
-    When "member-1" beats with number 7 as in service
-    And "member-1" leaves
-    And "member-1" beats with number 8 as in service
-    And another core tells of a beat of "member-1" with number 9
-    Then "member-1" is gone, of no service, and spread as gone
+    When "member-1" sends a serving heartbeat with sequence number 7
+    And "member-1" announces its departure
+    And "member-1" sends a serving heartbeat with sequence number 8
+    And another core forwards a heartbeat of "member-1" with sequence number 9
+    Then "member-1" is gone, belongs to no service, and its departure is sent to other cores
 
   Scenario: What left at another core is gone here too
     Given a member registry
-    When "member-1" beats with number 7 as in service
-    And another core tells that "member-1" has left
-    And "member-1" beats with number 8 as in service
-    Then "member-1" is gone, of no service
+    When "member-1" sends a serving heartbeat with sequence number 7
+    And another core forwards the departure of "member-1"
+    And "member-1" sends a serving heartbeat with sequence number 8
+    Then "member-1" is gone and belongs to no service
 
   Scenario: A silent member is down, and up again with its next beat
     Given a member registry
-    When "member-1" beats with number 7 as in service
+    When "member-1" sends a serving heartbeat with sequence number 7
     And 4.9 s pass and the registry sweeps
     Then "member-1" is up
     When 0.3 s pass and the registry sweeps
-    Then "member-1" is down, and its readers are told of one more change
-    When "member-1" beats with number 8 as in service
-    Then "member-1" is up, and its readers are told of one more change
-    When "member-1" beats with number 9 as in service
-    Then its readers are told of no change
+    Then "member-1" is down, and readers see one change
+    When "member-1" sends a serving heartbeat with sequence number 8
+    Then "member-1" is up, and readers see one change
+    When "member-1" sends a serving heartbeat with sequence number 9
+    Then readers see no change
 
   Scenario: A member that was silent for long is of no service, and is back with its next beat
     Given a member registry
-    When "member-1" beats with number 7 as in service
+    When "member-1" sends a serving heartbeat with sequence number 7
     And 61 s pass and the registry sweeps
-    Then "member-1" is gone, of no service
-    When "member-1" beats with number 8 as in service
+    Then "member-1" is gone and belongs to no service
+    When "member-1" sends a serving heartbeat with sequence number 8
     Then "member-1" is up
-    And "member-1" is of its service
+    And "member-1" belongs to its service
 
   Scenario: Beats are spread once, with their age, and counted from when they were taken
     Given a member registry
     And the member registry of another core
-    When "member-1" beats with number 7 as in service
+    When "member-1" sends a serving heartbeat with sequence number 7
     And 3 s pass and the registry sweeps
-    Then what is spread to the other core is "member-1" of 3 s ago, and nothing the next time
-    And the other core spreads nothing of it, and has it down 2 s later
+    Then the other core is sent a heartbeat of "member-1" from 3 s ago, and nothing the next time
+    And the other core forwards nothing, and considers the member down 2 s later
 
   # -- Leases (design 7.12).
 
--- a/packages/acceptance/src/candidacies.ts
+++ b/packages/acceptance/src/candidacies.ts
@@ -1,4 +1,4 @@
-/** Steps over one election alone: its register, notes, members and platform are stubs on virtual time (design 7.6). */
+/** Steps over a single election whose register, durable reports, members and platform are stubs, on virtual time (design 7.6). */
 import assert from 'node:assert/strict';
 import { Given, Then, When } from '@cucumber/cucumber';
 import * as Either from 'fp-ts/lib/Either.js';
@@ -11,18 +11,19 @@
 import type { PlacementConfiguration } from '@stallstall/placement';
 import { world as worlds, type World } from '@stallstall/simulator';
 
-/** One chosen write of the stub register, in the order in which they were chosen. */
+/** A write that the stub register accepted. */
 type Write = Readonly<{ key: string; value: unknown }>;
 
 type CandidacyStory = {
   world: World;
   election: Election;
   values: Map<string, Entry>;
+  /** The writes, in the order in which the register accepted them. */
   writes: Write[];
   /** The members that the platform was asked to promote, in order. */
   promoted: string[];
   synchronousReplicas: number;
-  /** The position received by each member that replies to STATE; whoever is not there is silent. */
+  /** The position received by each member that replies to STATE; all other members are silent. */
   received: Map<string, number>;
   onWrite: (key: string) => void;
 };
@@ -30,7 +31,7 @@
 const service = 'ferries';
 const platformAddress = '10.4.0.1:9000';
 const stepMilliseconds = 200;
-const settledAtFirst: ElectedPrimary = { epoch: 4, primary: 'ferries-1', wonBy: 'core-1', position: 10, settledAt: 0 };
+const firstElected: ElectedPrimary = { epoch: 4, primary: 'ferries-1', wonBy: 'core-1', position: 10, settledAt: 0 };
 const seat: Seat = { node: 'core-1', role: 'core', area: 'north', address: '10.1.0.1:7000', outward: '10.1.0.1:7001', draining: false };
 
 function members(count: number): PlacementConfiguration['services'][number]['members'] {
@@ -42,7 +43,7 @@
   })) as PlacementConfiguration['services'][number]['members'];
 }
 
-function sheetOfStory({ synchronousReplicas }: CandidacyStory): PlacementConfiguration {
+function placementOfStory({ synchronousReplicas }: CandidacyStory): PlacementConfiguration {
   const count = synchronousReplicas === 0 ? 2 : 3;
   return { services: [{ service, members: members(count), synchronousReplicas, registered: true }] } as unknown as PlacementConfiguration;
 }
@@ -57,9 +58,9 @@
   const register: CoreSetRegister = {
     read: (key) => Promise.resolve(Either.right(Option.fromNullable(story.values.get(key)))),
     change: function change(key, decide) {
-      const wanted = decide(Option.fromNullable(story.values.get(key)));
-      if (Option.isNone(wanted)) return Promise.resolve(Either.right({ wrote: false, entry: Option.fromNullable(story.values.get(key)) }));
-      const entry = put(key, wanted.value);
+      const decided = decide(Option.fromNullable(story.values.get(key)));
+      if (Option.isNone(decided)) return Promise.resolve(Either.right({ wrote: false, entry: Option.fromNullable(story.values.get(key)) }));
+      const entry = put(key, decided.value);
       story.onWrite(key);
       return Promise.resolve(Either.right({ wrote: true, entry: Option.some(entry) }));
     },
@@ -70,23 +71,23 @@
 
 /** Members with a received position reply to STATE, each as a replica until it is promoted; the others are silent. */
 function stubLiveness(story: CandidacyStory): Liveness {
-  const unanswered = Either.left(new Error('silent') as never);
+  const noReply = Either.left(new Error('silent') as never);
   function state(member: string, received: number): MemberState {
-    const leads = story.promoted.at(-1) === member;
-    return { member, role: leads ? 'primary' : 'replica', epoch: 4, received, applied: received, term: leads ? 5 : 4 };
+    const isPrimary = story.promoted.at(-1) === member;
+    return { member, role: isPrimary ? 'primary' : 'replica', epoch: 4, received, applied: received, term: isPrimary ? 5 : 4 };
   }
   return {
     isAlive: (member: string) => story.received.has(member),
     probe: function probe(member: string) {
       const received = story.received.get(member);
       return Promise.resolve(
-        received === undefined ? unanswered : Either.right({ sentAt: identifiers.instant(0), state: state(member, received) }),
+        received === undefined ? noReply : Either.right({ sentAt: identifiers.instant(0), state: state(member, received) }),
       );
     },
   } satisfies Partial<Liveness> as unknown as Liveness;
 }
 
-/** Starts one election over stubs; its primary, the first member, is silent. */
+/** Starts one election over stubs. The primary, which is the first member, is silent. */
 async function startCandidate(story: CandidacyStory, synchronousReplicas: number, received: ReadonlyMap<string, number>): Promise<void> {
   const world = worlds.create(71);
   Object.assign(story, { world, values: new Map(), writes: [], promoted: [], synchronousReplicas, received, onWrite: () => undefined });
@@ -125,9 +126,9 @@
       self: 'core-1',
       membership: () => ({ seats: [seat], epochs: {} }),
       membershipVersion: () => 1,
-      placement: () => Option.some(sheetOfStory(story)),
-      // What this node was pushed is the epoch before, whatever the register holds.
-      electedPrimary: () => Option.some(settledAtFirst),
+      placement: () => Option.some(placementOfStory(story)),
+      // This node was notified only of the first election, whatever the register holds.
+      electedPrimary: () => Option.some(firstElected),
       platformAddress: () => platformAddress,
       sendProposal: () => Promise.resolve(Option.none),
     },
@@ -135,12 +136,12 @@
   );
 }
 
-Given('a candidate for {string} whose pushes are behind', async function given(this: CandidacyStory, _service: string) {
+Given('a candidate for {string} that is not notified of later elections', async function given(this: CandidacyStory, _service: string) {
   await startCandidate(this, 0, new Map([['ferries-2', 10]]));
 });
 
 Given(
-  'a candidate for {string}, whose commits wait for one of two replicas, and of these only {word} replies, at position {int}',
+  'a candidate for {string}, whose commits wait for one of two replicas, of which only {word} replies, at position {int}',
   async function given(this: CandidacyStory, _service: string, member: string, position: number) {
     await startCandidate(this, 1, new Map([[member, position]]));
   },
@@ -151,53 +152,53 @@
 });
 
 When(
-  'epoch {int} is settled by another node while the candidate takes the promotion duty',
+  'another node records epoch {int} as elected while the candidate acquires the promotion role',
   function when(this: CandidacyStory, epoch: number) {
     this.onWrite = (key) => {
       if (!key.startsWith('duty/') || this.values.has(`epoch/${service}`)) return;
-      const value: ElectedPrimary = { ...settledAtFirst, epoch, primary: 'ferries-3', wonBy: 'core-2' };
+      const value: ElectedPrimary = { ...firstElected, epoch, primary: 'ferries-3', wonBy: 'core-2' };
       this.values.set(`epoch/${service}`, { ballot: ballotZero, version: 1, value });
     };
   },
 );
 
-When("the candidate's primary is silent for {int} s", async function when(this: CandidacyStory, seconds: number) {
-  for (let spent = 0; spent < seconds * 1_000; spent += stepMilliseconds) {
+When("the service's primary is silent for {int} s", async function when(this: CandidacyStory, seconds: number) {
+  for (let elapsed = 0; elapsed < seconds * 1_000; elapsed += stepMilliseconds) {
     this.election.tick();
     await this.world.run(stepMilliseconds);
   }
 });
 
-Then('nobody was promoted', function then(this: CandidacyStory) {
+Then('no member was promoted', function then(this: CandidacyStory) {
   assert.deepEqual(this.promoted, []);
 });
 
-Then('{word} alone was promoted', function then(this: CandidacyStory, member: string) {
+Then('only {word} was promoted', function then(this: CandidacyStory, member: string) {
   assert.deepEqual([...new Set(this.promoted)], [member]);
 });
 
-Then('the platform was asked for no promotion', function then(this: CandidacyStory) {
+Then('the platform received no promotion request', function then(this: CandidacyStory) {
   assert.ok(
     this.writes.some((write) => write.key === `duty/promotion/${service}`),
-    'the candidate took the duty',
+    'the candidate did not acquire the role',
   );
   assert.deepEqual(this.promoted, []);
 });
 
-Then('the platform was asked for a promotion', function then(this: CandidacyStory) {
+Then('the platform received a promotion request', function then(this: CandidacyStory) {
   assert.ok(this.promoted.length > 0, JSON.stringify(this.election.describe()));
 });
 
-Then('the promotion duty is released', function then(this: CandidacyStory) {
-  const duty = this.writes.filter((write) => write.key === `duty/promotion/${service}`).at(-1);
-  assert.equal((duty?.value as { released?: boolean } | undefined)?.released, true);
+Then('the promotion role is released', function then(this: CandidacyStory) {
+  const lastRoleWrite = this.writes.filter((write) => write.key === `duty/promotion/${service}`).at(-1);
+  assert.equal((lastRoleWrite?.value as { released?: boolean } | undefined)?.released, true);
 });
 
-Then('the epoch was settled before the promotion duty was released', function then(this: CandidacyStory) {
-  const settledAt = this.writes.findIndex((write) => write.key === `epoch/${service}`);
+Then('the election was recorded before the promotion role was released', function then(this: CandidacyStory) {
+  const electedAt = this.writes.findIndex((write) => write.key === `epoch/${service}`);
   const releasedAt = this.writes.findIndex(
     (write) => write.key === `duty/promotion/${service}` && (write.value as { released?: boolean }).released === true,
   );
-  assert.ok(settledAt >= 0 && releasedAt >= 0, 'both were written');
-  assert.ok(settledAt < releasedAt, `settled at write ${settledAt}, released at write ${releasedAt}`);
+  assert.ok(electedAt >= 0 && releasedAt >= 0, 'the election or the release was not written');
+  assert.ok(electedAt < releasedAt, `elected at write ${electedAt}, released at write ${releasedAt}`);
 });
--- a/packages/acceptance/src/duties.ts
+++ b/packages/acceptance/src/duties.ts
@@ -1,4 +1,4 @@
-/** Steps of duties.feature: duties and candidacies over a register that is a table, on virtual time (design 7.6, 7.14). */
+/** Steps of duties.feature: singleton roles and candidacies over a register kept in memory, on virtual time (design 7.6, 7.14). */
 import assert from 'node:assert/strict';
 import { Given, Then, When } from '@cucumber/cucumber';
 import * as Either from 'fp-ts/lib/Either.js';
@@ -11,42 +11,42 @@
 import type { PlacementConfiguration } from '@stallstall/placement';
 import { world as worlds, type Process, type World } from '@stallstall/simulator';
 
-type DutyStory = {
+type RoleStory = {
   world: World;
   holder: Process;
-  holding: RoleLease;
-  reported: string[];
-  ended: Option.Option<Readonly<{ at: number; result: Either.Either<Fault, HttpReply> }>>;
+  roleLease: RoleLease;
+  receivedPaths: string[];
+  callEnd: Option.Option<Readonly<{ at: number; result: Either.Either<Fault, HttpReply> }>>;
   releasedAt: number;
 };
 
 const platformAddress = identifiers.address('10.4.0.1:9000');
 const callMilliseconds = 4_000;
-const roundMilliseconds = 2;
-const beatMilliseconds = 200;
+const registerRoundMilliseconds = 2;
+const tickMilliseconds = 200;
 
-/** A register that a majority always answers: one table, a round long. */
-function tableRegister(runtime: Runtime, table: Map<string, Entry>): CoreSetRegister {
+/** A register in memory whose operations always succeed, each after the time of one round. */
+function memoryRegister(runtime: Runtime, entries: Map<string, Entry>): CoreSetRegister {
   const register: Register = {
     read: async function read(key) {
-      await runtime.clock.sleep(roundMilliseconds);
-      return Either.right(Option.fromNullable(table.get(key)));
+      await runtime.clock.sleep(registerRoundMilliseconds);
+      return Either.right(Option.fromNullable(entries.get(key)));
     },
     change: async function change(key, decide) {
-      await runtime.clock.sleep(roundMilliseconds);
-      const current = Option.fromNullable(table.get(key));
+      await runtime.clock.sleep(registerRoundMilliseconds);
+      const current = Option.fromNullable(entries.get(key));
       const decided = decide(current);
       if (Option.isNone(decided)) return Either.right({ wrote: false, entry: current });
       const version = Option.isSome(current) ? current.value.version + 1 : 1;
       const entry: Entry = { ballot: ballotZero, version, value: decided.value };
-      table.set(key, entry);
+      entries.set(key, entry);
       return Either.right({ wrote: true, entry: Option.some(entry) });
     },
   };
   return { ...register, forCoreSet: () => register };
 }
 
-async function startPlatform(story: DutyStory, speaks: boolean): Promise<void> {
+async function startPlatform(story: RoleStory, replies: boolean): Promise<void> {
   const { runtime } = story.world.spawn('platform', 'platform-machine');
   await runtime.network.serve(platformAddress, {
     routes: [
@@ -54,8 +54,8 @@
         method: 'POST',
         path: '/promotion',
         handle: async function promote(request): Promise<HttpReply> {
-          story.reported.push(request.path);
-          if (!speaks) await runtime.clock.sleep(2 * callMilliseconds);
+          story.receivedPaths.push(request.path);
+          if (!replies) await runtime.clock.sleep(2 * callMilliseconds);
           return { status: 200, body: {} };
         },
       },
@@ -63,70 +63,73 @@
   });
 }
 
-async function startHolder(story: DutyStory, speaks: boolean): Promise<void> {
+async function startRoleHolder(story: RoleStory, replies: boolean): Promise<void> {
   story.world = worlds.create(5);
-  story.reported = [];
-  story.ended = Option.none;
-  await startPlatform(story, speaks);
+  story.receivedPaths = [];
+  story.callEnd = Option.none;
+  await startPlatform(story, replies);
   story.holder = story.world.spawn('core-1', 'core-machine-1');
   const { runtime } = story.holder;
-  runtime.services.offer(registerService, tableRegister(runtime, new Map()));
-  const sought = singletonRole.create(runtime, 'promotion/ferries', 'core-1').tryAcquire();
+  runtime.services.offer(registerService, memoryRegister(runtime, new Map()));
+  const acquiring = singletonRole.create(runtime, 'promotion/ferries', 'core-1').tryAcquire();
   await story.world.run(10);
-  const holding = await sought;
-  assert.ok(Option.isSome(holding));
-  story.holding = holding.value;
+  const roleLease = await acquiring;
+  assert.ok(Option.isSome(roleLease));
+  story.roleLease = roleLease.value;
 }
 
-function call(story: DutyStory): void {
-  const calling = story.holding.call(platformAddress, { method: 'POST', path: '/promotion', body: {} }, callMilliseconds);
-  void calling.then((result) => {
-    story.ended = Option.some({ at: story.world.now(), result });
+function startCall(story: RoleStory): void {
+  const reply = story.roleLease.call(platformAddress, { method: 'POST', path: '/promotion', body: {} }, callMilliseconds);
+  void reply.then((result) => {
+    story.callEnd = Option.some({ at: story.world.now(), result });
   });
 }
 
-Given('a holder of a duty, and a platform that counts what it is told', async function given(this: DutyStory) {
-  await startHolder(this, true);
+Given('a holder of a role, and a platform that counts the calls it receives', async function given(this: RoleStory) {
+  await startRoleHolder(this, true);
 });
 
-Given('a holder of a duty, and a platform that counts what it is told, and says nothing', async function given(this: DutyStory) {
-  await startHolder(this, false);
+Given('a holder of a role, and a platform that counts the calls it receives and does not reply', async function given(this: RoleStory) {
+  await startRoleHolder(this, false);
 });
 
 When(
-  'the holder begins a call and is frozen for {int} s before its connection is open',
-  async function when(this: DutyStory, seconds: number) {
-    call(this);
+  'the holder starts a call and is frozen for {int} s before its connection opens',
+  async function when(this: RoleStory, seconds: number) {
+    startCall(this);
     await this.world.run(0.1);
     this.world.freeze(this.holder, seconds * 1_000);
   },
 );
 
-When('{int} s of the duty pass', async function when(this: DutyStory, seconds: number) {
+When('{int} s of simulated time pass', async function when(this: RoleStory, seconds: number) {
   await this.world.run(seconds * 1_000);
 });
 
-Then('the platform was told nothing, and the call is answered as one of which no byte has left', function then(this: DutyStory) {
-  assert.deepEqual(this.reported, []);
-  assert.ok(Option.isSome(this.ended) && Either.isLeft(this.ended.value.result));
-  assert.equal(fault.kind(this.ended.value.result.left), 'unreachable');
+Then('the platform received no call, and the call failed as one that was never sent', function then(this: RoleStory) {
+  assert.deepEqual(this.receivedPaths, []);
+  assert.ok(Option.isSome(this.callEnd) && Either.isLeft(this.callEnd.value.result));
+  assert.equal(fault.kind(this.callEnd.value.result.left), 'unreachable');
 });
 
-When('the holder begins a call, and lets the duty go {int} ms later', async function when(this: DutyStory, milliseconds: number) {
-  call(this);
+When('the holder starts a call, and releases the role {int} ms later', async function when(this: RoleStory, milliseconds: number) {
+  startCall(this);
   await this.world.run(milliseconds);
   this.releasedAt = this.world.now();
-  void this.holding.release();
+  void this.roleLease.release();
   await this.world.run(callMilliseconds);
 });
 
-Then('the call ends with the duty', function then(this: DutyStory) {
-  assert.equal(this.reported.length, 1);
-  assert.ok(Option.isSome(this.ended) && Either.isLeft(this.ended.value.result));
-  assert.ok(this.ended.value.at - this.releasedAt < 10, `${Math.round(this.ended.value.at - this.releasedAt)} ms later`);
+Then('the call ends when the role is released', function then(this: RoleStory) {
+  assert.equal(this.receivedPaths.length, 1);
+  assert.ok(Option.isSome(this.callEnd) && Either.isLeft(this.callEnd.value.result));
+  assert.ok(
+    this.callEnd.value.at - this.releasedAt < 10,
+    `the call ended ${Math.round(this.callEnd.value.at - this.releasedAt)} ms after the release`,
+  );
 });
 
-// -- A candidacy.
+// -- Candidacies.
 
 const seats = [1, 2, 3].map((index) => ({
   node: `core-${index}`,
@@ -139,7 +142,7 @@
 const membership: Membership = { seats, epochs: {} };
 const primary = 'ferries-1';
 const replicas = ['ferries-2', 'ferries-3'];
-const sheet = {
+const placement = {
   services: [
     {
       service: 'ferries',
@@ -151,30 +154,31 @@
   ],
 } as unknown as PlacementConfiguration;
 
-function settledAt(epoch: number): ElectedPrimary {
+function electedAtEpoch(epoch: number): ElectedPrimary {
   return { epoch, primary, wonBy: 'core-2', position: 0, settledAt: 0 };
 }
 
-/** The old primary says nothing; the platform's word is what makes a replica lead. */
+/** The former primary does not reply; the first replica becomes primary once the platform was asked for a promotion. */
 function stateOf(member: string, promoted: boolean): Either.Either<Fault, MemberState> {
-  if (member === primary) return Either.left(fault.create({ kind: 'unreachable', message: 'it is gone', remedy: 'none' }));
-  const leads = promoted && member === replicas[0];
-  return Either.right({ member, role: leads ? 'primary' : 'replica', epoch: 3, received: 7, applied: 7, term: leads ? 4 : 3 });
+  if (member === primary)
+    return Either.left(fault.create({ kind: 'unreachable', message: 'the former primary does not reply', remedy: 'none' }));
+  const isPrimary = promoted && member === replicas[0];
+  return Either.right({ member, role: isPrimary ? 'primary' : 'replica', epoch: 3, received: 7, applied: 7, term: isPrimary ? 4 : 3 });
 }
 
-function votesInMemory(): VoteStore {
+function memoryVoteStore(): VoteStore {
   return { load: () => Promise.resolve(Either.right(Option.none)), record: () => Promise.resolve(true) };
 }
 
 Given(
-  'a core that stands for a service without a leader, knows of epoch {int}, and whose register has epoch {int}',
-  async function given(this: DutyStory, known: number, settled: number) {
+  'a core that is a candidate for a service without a primary, has seen epoch {int} elected, and whose register has epoch {int}',
+  async function given(this: RoleStory, seenEpoch: number, registeredEpoch: number) {
     this.world = worlds.create(6);
-    this.reported = [];
+    this.receivedPaths = [];
     await startPlatform(this, true);
     const { runtime } = this.world.spawn('core-1', 'core-machine-1');
-    const table = new Map<string, Entry>([['epoch/ferries', { ballot: ballotZero, version: 1, value: settledAt(settled) }]]);
-    runtime.services.offer(registerService, tableRegister(runtime, table));
+    const entries = new Map<string, Entry>([['epoch/ferries', { ballot: ballotZero, version: 1, value: electedAtEpoch(registeredEpoch) }]]);
+    runtime.services.offer(registerService, memoryRegister(runtime, entries));
     runtime.services.offer(durableReportsService, {
       watermarks: () => Promise.resolve(Either.right({})),
     } satisfies Partial<DurableReports> as unknown as DurableReports);
@@ -183,18 +187,18 @@
       liveness.create(
         runtime,
         Option.some({
-          readState: (_service, member) => Promise.resolve(stateOf(member, this.reported.length > 0)),
+          readState: (_service, member) => Promise.resolve(stateOf(member, this.receivedPaths.length > 0)),
           ensureConnection: () => Promise.resolve(Either.right(null)),
         }),
       ),
     );
     runtime.services.offer(quorumLeaseService, { ...quorumLease.create(), reachableCount: () => seats.length });
-    /** What was settled by others has not been told here; what this core settles itself is. */
-    function settledHere(): ElectedPrimary {
-      const own = table.get('epoch/ferries')?.value as ElectedPrimary;
-      return own.wonBy === 'core-1' ? own : settledAt(known);
+    /** This core does not learn of elections that other cores recorded, only of those that it recorded itself. */
+    function electedAsSeenHere(): ElectedPrimary {
+      const own = entries.get('epoch/ferries')?.value as ElectedPrimary;
+      return own.wonBy === 'core-1' ? own : electedAtEpoch(seenEpoch);
     }
-    const elections = election.create(
+    const candidate = election.create(
       runtime,
       {
         self: 'core-1',
@@ -208,17 +212,20 @@
         onEpochRaised: () => undefined,
         membership: () => membership,
         membershipVersion: () => 1,
-        placement: () => Option.some(sheet),
-        electedPrimary: () => Option.some(settledHere()),
+        placement: () => Option.some(placement),
+        electedPrimary: () => Option.some(electedAsSeenHere()),
         platformAddress: () => platformAddress,
-        sendProposal: (_node, ask) => Promise.resolve(Option.some({ accepted: true, reason: '', epoch: ask.epoch, lessees: [] })),
+        sendProposal: (_node, request) => Promise.resolve(Option.some({ accepted: true, reason: '', epoch: request.epoch, lessees: [] })),
       },
-      votesInMemory(),
+      memoryVoteStore(),
     );
-    void runtimeUtilities.every(runtime.clock, beatMilliseconds, elections.tick, () => true);
+    void runtimeUtilities.every(runtime.clock, tickMilliseconds, candidate.tick, () => true);
   },
 );
 
-Then('the platform was told {int} promotions or more, and at most {int}', function then(this: DutyStory, least: number, most: number) {
-  assert.ok(this.reported.length >= least && this.reported.length <= most, `${this.reported.length} promotions`);
-});
+Then(
+  'the platform received at least {int} and at most {int} promotion requests',
+  function then(this: RoleStory, least: number, most: number) {
+    assert.ok(this.receivedPaths.length >= least && this.receivedPaths.length <= most, `${this.receivedPaths.length} promotion requests`);
+  },
+);
--- a/packages/acceptance/src/lease-grantor-steps.ts
+++ b/packages/acceptance/src/lease-grantor-steps.ts
@@ -7,7 +7,7 @@
 import * as Option from 'fp-ts/lib/Option.js';
 import { leaseAsk } from './lease-ask.js';
 import type { UnitStory } from './unit-story.js';
-import { registryOn } from './member-registry-steps.js';
+import { startRegistry } from './member-registry-steps.js';
 
 function leaseHoldersOf(story: UnitStory): readonly string[] {
   const known = story.leaseGrantor.leaseHolders();
@@ -17,7 +17,7 @@
 
 async function startLeaseGrantor(story: UnitStory, ready: boolean): Promise<void> {
   story.world = worlds.create(45);
-  story.registry = registryOn(story.world, 'core-1');
+  story.registry = startRegistry(story.world, 'core-1');
   story.runtime = story.world.spawn('core', 'core-machine').runtime;
   story.epoch = 5;
   story.openedAt = story.runtime.clock.now();
--- a/packages/acceptance/src/member-registry-steps.ts
+++ b/packages/acceptance/src/member-registry-steps.ts
@@ -1,4 +1,4 @@
-/** Steps of units.feature for the member registry, alone on virtual time. */
+/** Steps of units.feature for the member registry, without a fleet, on virtual time. */
 import assert from 'node:assert/strict';
 import { Given, When, Then } from '@cucumber/cucumber';
 import { livenessService, liveness } from '@stallstall/election';
@@ -12,137 +12,140 @@
   return { member, service: 'ferries', address: '10.3.0.1:5000', area: 'north', draining, role: 'replica', slots: 4, sequence };
 }
 
-export function registryOn(world: World, name: string): MemberRegistry {
+export function startRegistry(world: World, name: string): MemberRegistry {
   const { runtime } = world.spawn(name, `${name}-machine`);
   runtime.services.offer(livenessService, liveness.create(runtime));
   return memberRegistry.create(runtime, () => undefined);
 }
 
-function known(of: MemberRegistry, member: string): MemberRecord {
-  const entry = of.recordOf(member);
-  assert.ok(Option.isSome(entry), `${member} is not known`);
-  return entry.value;
+function recordIn(registry: MemberRegistry, member: string): MemberRecord {
+  const record = registry.recordOf(member);
+  assert.ok(Option.isSome(record), `the registry has no record of ${member}`);
+  return record.value;
 }
 
 Given('a member registry', function given(this: UnitStory) {
   this.world = worlds.create(41);
-  this.registry = registryOn(this.world, 'core-1');
-  this.taken = new Map();
+  this.registry = startRegistry(this.world, 'core-1');
+  this.appliedBySequence = new Map();
 });
 
 Given('the member registry of another core', function given(this: UnitStory) {
-  this.other = registryOn(this.world, 'core-2');
+  this.otherRegistry = startRegistry(this.world, 'core-2');
 });
 
-When('{string} beats with number {int} as draining', function when(this: UnitStory, member: string, sequence: number) {
-  this.changesSeen = this.registry.version();
-  this.taken.set(sequence, this.registry.recordHeartbeat(registration(member, sequence, true)));
+When('{string} sends a draining heartbeat with sequence number {int}', function when(this: UnitStory, member: string, sequence: number) {
+  this.versionBefore = this.registry.version();
+  this.appliedBySequence.set(sequence, this.registry.recordHeartbeat(registration(member, sequence, true)));
 });
 
-When('{string} beats with number {int} as in service', function when(this: UnitStory, member: string, sequence: number) {
-  this.changesSeen = this.registry.version();
-  this.taken.set(sequence, this.registry.recordHeartbeat(registration(member, sequence, false)));
+When('{string} sends a serving heartbeat with sequence number {int}', function when(this: UnitStory, member: string, sequence: number) {
+  this.versionBefore = this.registry.version();
+  this.appliedBySequence.set(sequence, this.registry.recordHeartbeat(registration(member, sequence, false)));
 });
 
-When('{string} leaves', function when(this: UnitStory, member: string) {
+When('{string} announces its departure', function when(this: UnitStory, member: string) {
   this.registry.recordDeparture(member);
 });
 
-When('another core tells of a beat of {string} with number {int}', function when(this: UnitStory, member: string, sequence: number) {
-  this.registry.mergeHeartbeats([{ entry: { ...registration(member, sequence, false), gone: false, down: false }, ago: 0 }]);
-});
+When(
+  'another core forwards a heartbeat of {string} with sequence number {int}',
+  function when(this: UnitStory, member: string, sequence: number) {
+    this.registry.mergeHeartbeats([{ entry: { ...registration(member, sequence, false), gone: false, down: false }, ago: 0 }]);
+  },
+);
 
-When('another core tells that {string} has left', function when(this: UnitStory, member: string) {
+When('another core forwards the departure of {string}', function when(this: UnitStory, member: string) {
   this.registry.mergeHeartbeats([{ entry: { ...registration(member, 7, false), gone: true, down: false }, ago: 0 }]);
 });
 
 When('{float} s pass and the registry sweeps', async function when(this: UnitStory, seconds: number) {
   await this.world.run(seconds * 1_000);
-  this.changesSeen = this.registry.version();
+  this.versionBefore = this.registry.version();
   this.registry.sweep();
 });
 
 Then(
-  'the beat with number {int} was not taken, and {string} is draining',
+  'the heartbeat with sequence number {int} was ignored, and {string} is draining',
   function then(this: UnitStory, sequence: number, member: string) {
-    assert.equal(this.taken.get(sequence), false);
-    assert.equal(known(this.registry, member).draining, true);
+    assert.equal(this.appliedBySequence.get(sequence), false);
+    assert.equal(recordIn(this.registry, member).draining, true);
     assert.deepEqual(
-      this.registry.membersOf('ferries').map((one) => one.state),
+      this.registry.membersOf('ferries').map((placement) => placement.state),
       ['draining'],
     );
   },
 );
 
-Then('only the beat with number {int} is spread', function then(this: UnitStory, sequence: number) {
+Then('only the heartbeat with sequence number {int} is sent to other cores', function then(this: UnitStory, sequence: number) {
   assert.deepEqual(
-    this.registry.takeRecentHeartbeats().map((one) => one.entry.sequence),
+    this.registry.takeRecentHeartbeats().map((heartbeat) => heartbeat.entry.sequence),
     [sequence],
   );
   this.registry.recordHeartbeat(registration('member-1', sequence - 2, false));
   assert.deepEqual(this.registry.takeRecentHeartbeats(), []);
 });
 
-Then('{string} is gone, of no service, and spread as gone', function then(this: UnitStory, member: string) {
-  assert.equal(known(this.registry, member).gone, true);
+Then('{string} is gone, belongs to no service, and its departure is sent to other cores', function then(this: UnitStory, member: string) {
+  assert.equal(recordIn(this.registry, member).gone, true);
   assert.deepEqual(this.registry.membersOf('ferries'), []);
   assert.deepEqual(
-    this.registry.takeRecentHeartbeats().map((one) => [one.entry.member, one.entry.gone]),
+    this.registry.takeRecentHeartbeats().map((heartbeat) => [heartbeat.entry.member, heartbeat.entry.gone]),
     [[member, true]],
   );
 });
 
-Then('{string} is gone, of no service', function then(this: UnitStory, member: string) {
-  assert.equal(known(this.registry, member).gone, true);
+Then('{string} is gone and belongs to no service', function then(this: UnitStory, member: string) {
+  assert.equal(recordIn(this.registry, member).gone, true);
   assert.deepEqual(this.registry.membersOf('ferries'), []);
 });
 
-Then('{string} is of its service', function then(this: UnitStory, member: string) {
+Then('{string} belongs to its service', function then(this: UnitStory, member: string) {
   assert.deepEqual(
-    this.registry.membersOf('ferries').map((one) => one.member),
+    this.registry.membersOf('ferries').map((placement) => placement.member),
     [member],
   );
 });
 
 Then('{string} is up', function then(this: UnitStory, member: string) {
-  const { down, gone } = known(this.registry, member);
+  const { down, gone } = recordIn(this.registry, member);
   assert.deepEqual([down, gone], [false, false]);
 });
 
-Then(/^"(.+)" is (up|down), and its readers are told of one more change$/, function then(this: UnitStory, member: string, stands: string) {
-  assert.equal(known(this.registry, member).down, stands === 'down');
-  assert.equal(this.registry.version(), this.changesSeen + 1);
+Then(/^"(.+)" is (up|down), and readers see one change$/, function then(this: UnitStory, member: string, expected: string) {
+  assert.equal(recordIn(this.registry, member).down, expected === 'down');
+  assert.equal(this.registry.version(), this.versionBefore + 1);
   assert.deepEqual(
-    this.registry.changedSince(this.changesSeen).map((entry) => entry.member),
+    this.registry.changedSince(this.versionBefore).map((record) => record.member),
     [member],
   );
 });
 
-Then('its readers are told of no change', function then(this: UnitStory) {
-  assert.equal(this.registry.version(), this.changesSeen);
-  assert.deepEqual(this.registry.changedSince(this.changesSeen), []);
+Then('readers see no change', function then(this: UnitStory) {
+  assert.equal(this.registry.version(), this.versionBefore);
+  assert.deepEqual(this.registry.changedSince(this.versionBefore), []);
 });
 
 Then(
-  'what is spread to the other core is {string} of {int} s ago, and nothing the next time',
+  'the other core is sent a heartbeat of {string} from {int} s ago, and nothing the next time',
   function then(this: UnitStory, member: string, seconds: number) {
-    const reported: readonly ReceivedHeartbeat[] = this.registry.takeRecentHeartbeats();
+    const sent: readonly ReceivedHeartbeat[] = this.registry.takeRecentHeartbeats();
     assert.deepEqual(
-      reported.map((one) => one.entry.member),
+      sent.map((heartbeat) => heartbeat.entry.member),
       [member],
     );
-    // Each process has a clock of its own, and they do not go at one rate.
-    assert.ok(Math.abs((reported[0]?.ago ?? 0) - seconds * 1_000) < seconds * 20, JSON.stringify(reported));
+    // Each process has its own clock, and the clocks run at slightly different rates.
+    assert.ok(Math.abs((sent[0]?.ago ?? 0) - seconds * 1_000) < seconds * 20, JSON.stringify(sent));
     assert.deepEqual(this.registry.takeRecentHeartbeats(), []);
-    this.other.mergeHeartbeats(reported);
+    this.otherRegistry.mergeHeartbeats(sent);
   },
 );
 
-Then('the other core spreads nothing of it, and has it down {int} s later', async function then(this: UnitStory, seconds: number) {
-  assert.deepEqual(this.other.takeRecentHeartbeats(), []);
-  this.other.sweep();
-  assert.equal(known(this.other, 'member-1').down, false);
+Then('the other core forwards nothing, and considers the member down {int} s later', async function then(this: UnitStory, seconds: number) {
+  assert.deepEqual(this.otherRegistry.takeRecentHeartbeats(), []);
+  this.otherRegistry.sweep();
+  assert.equal(recordIn(this.otherRegistry, 'member-1').down, false);
   await this.world.run(seconds * 1_000 + 150);
-  this.other.sweep();
-  assert.equal(known(this.other, 'member-1').down, true);
+  this.otherRegistry.sweep();
+  assert.equal(recordIn(this.otherRegistry, 'member-1').down, true);
 });
--- a/packages/acceptance/src/story.ts
+++ b/packages/acceptance/src/story.ts
@@ -37,7 +37,7 @@
   asked: Array<() => number>;
   again: () => void;
   world: World;
-  probes: Array<Readonly<{ asked: number; sentAt: number }>>;
+  probes: Array<Readonly<{ requestedAt: number; sentAt: number }>>;
 };
 
 export function Story(this: Partial<Story>): void {
--- a/packages/acceptance/src/unit-story.ts
+++ b/packages/acceptance/src/unit-story.ts
@@ -23,9 +23,9 @@
   world: World;
   runtime: Runtime;
   registry: MemberRegistry;
-  other: MemberRegistry;
-  taken: Map<number, boolean>;
-  changesSeen: number;
+  otherRegistry: MemberRegistry;
+  appliedBySequence: Map<number, boolean>;
+  versionBefore: number;
   cores: StubCore[];
   leaseHolder: LeaseHolder;
   freed: () => void;
--- a/packages/simulator/pooled-mutations.mjs
+++ b/packages/simulator/pooled-mutations.mjs
@@ -124,14 +124,14 @@
   { name: 'release-never-told', story: 'shorten', file: 'pooler/build/epoch-release.js', from: 'released[service] = below;', to: '' },
   {
     name: 'promotes-over-a-later-epoch',
-    story: 'held up finds',
+    story: 'delayed finds a later epoch',
     file: 'election/build/candidacy.js',
     from: 'return electedEpoch < epoch;',
     to: 'return true;',
   },
   {
     name: 'duty-released-before-settling',
-    story: 'next holder of the duty',
+    story: 'next holder of the promotion role',
     file: 'election/build/candidacy.js',
     from: 'const isRecorded = await recordElected(services, service, {',
     to: 'await roleLease.release(); const isRecorded = await recordElected(services, service, {',
@@ -220,7 +220,7 @@
   },
   {
     name: 'duty-call-not-taken-back',
-    story: 'A call that is under way',
+    story: 'A call in progress is aborted',
     file: 'election/build/role-lease.js',
     from: 'for (const connection of lease.connections)',
     to: 'for (const connection of [])',
@@ -234,7 +234,7 @@
   },
   {
     name: 'overtaken-candidacy-promotes',
-    story: 'A candidacy that was overtaken',
+    story: 'A candidacy that was superseded',
     file: 'election/build/candidacy.js',
     from: 'return electedEpoch < epoch;',
     to: 'return true;',
