--- a/packages/lease/src/configuration-lag.ts
+++ b/packages/lease/src/configuration-lag.ts
@@ -1,10 +1,13 @@
-/** Logs why an edge does not apply a configuration that cores have pushed: no content, no majority on one version, or another set of cores. */
+/**
+ * Logs why an edge has not applied a configuration that cores pushed: its content is missing, no majority of cores pushed the same version,
+ * or the cores are at another core set.
+ */
 import type { Instant, Runtime } from '@stallstall/kernel';
 import type { AwaitedContent, ContentCounts, PushedVersion } from '@stallstall/register';
 
 /** @internal */
 export type ConfigurationLag = Readonly<{
-  /** Called at each look at what is in doubt. */
+  /** Called periodically. */
   observe: () => void;
 }>;
 
@@ -12,15 +15,15 @@
 export type LagState = Readonly<{
   appliedVersion: number;
   setNumber: number;
-  /** Pushed with content, and not applied. */
+  /** Versions pushed with their content, but not applied. */
   unapplied: readonly PushedVersion[];
-  /** Pushed without content, which is not known here yet. */
+  /** Versions pushed without their content, which has not been fetched yet. */
   awaited: readonly AwaitedContent[];
   counts: ContentCounts;
 }>;
 
-/** A version that takes longer than this is worth a line. */
-const patienceMilliseconds = 600;
+/** A lag is logged once it lasts this long. */
+const lagThresholdMilliseconds = 600;
 const logIntervalMilliseconds = 1_000;
 
 function versionsOf(pushes: readonly AwaitedContent[]): string {
@@ -47,7 +50,7 @@
 
 function create({ clock, log }: Runtime, readState: () => LagState): ConfigurationLag {
   let appliedVersion = 0;
-  /** Since when the applied version is the same, and not the newest. */
+  /** When the lag began or the applied version last changed; undefined while up to date. */
   let behindSince: Instant | undefined;
   let loggedAt = Number.NEGATIVE_INFINITY;
   return {
@@ -58,7 +61,7 @@
       appliedVersion = state.appliedVersion;
       if (!isBehind(state)) behindSince = undefined;
       else if (behindSince === undefined || isProgressing) behindSince = now;
-      if (behindSince === undefined || now - behindSince < patienceMilliseconds || now - loggedAt < logIntervalMilliseconds) return;
+      if (behindSince === undefined || now - behindSince < lagThresholdMilliseconds || now - loggedAt < logIntervalMilliseconds) return;
       loggedAt = now;
       log('lease-holder.behind', fieldsOf(state, now - behindSince));
     },
--- a/packages/lease/src/core-links.ts
+++ b/packages/lease/src/core-links.ts
@@ -1,4 +1,4 @@
-/** An edge's links to the cores, and the task of each that asks its core for a lease again and again (design 7.12). */
+/** An edge's connections to the cores, each with a loop that keeps requesting the lease (design 7.12). */
 import { identifiers } from '@stallstall/kernel';
 import type { Change, Seat } from '@stallstall/message';
 import { peer, type Peer } from '@stallstall/peer';
@@ -6,9 +6,9 @@
 
 /** @internal */
 export type CoreLinks = Readonly<{
-  of: (core: string) => Peer | undefined;
-  ensure: (core: Seat) => void;
-  /** Closes links to all other cores; returns the cores that were closed. */
+  find: (core: string) => Peer | undefined;
+  connect: (core: Seat) => void;
+  /** Closes the links to all cores but these; returns the names of the cores whose links were closed. */
   retain: (cores: readonly string[]) => readonly string[];
   connected: () => ReadonlyArray<readonly [string, Peer]>;
   closeAll: () => void;
@@ -18,38 +18,43 @@
 export type CoreLinkEvents = Readonly<{
   onConnected: (core: string) => void;
   onChange: (core: string, link: Peer, change: Change) => void;
-  /** Asks for a lease that the core may hold for so long; resolves to false when the core did not reply. */
+  /**
+   * Requests a lease.
+   * @param holdMilliseconds - how long the core may wait for an update before it replies (long poll)
+   * @returns false when the core did not reply
+   */
   requestLease: (core: string, link: Peer, holdMilliseconds: number) => Promise<boolean>;
 }>;
 
 type OpenLink = Readonly<{ address: string; peer: Peer }>;
 
-/** How long a core may hold a request while nothing changes. */
+/** How long a core may delay its reply while nothing changes (long poll). */
 const holdMilliseconds = 700;
-const leaderMissingHoldMilliseconds = 120;
+/** The same while a service has no leader, so that commit watermarks are exchanged more often. */
+const leaderlessHoldMilliseconds = 120;
 const retryMilliseconds = 120;
 
 function create(context: HolderContext, events: CoreLinkEvents): CoreLinks {
-  const { runtime, parts } = context;
+  const { runtime, callbacks: parts } = context;
   const links = new Map<string, OpenLink>();
 
-  function of(core: string): Peer | undefined {
+  function find(core: string): Peer | undefined {
     return links.get(core)?.peer;
   }
 
   async function keepLease(core: string, link: Peer): Promise<void> {
-    while (!context.isStopped && of(core) === link) {
+    while (!context.isStopped && find(core) === link) {
       if (!link.connected()) {
         await runtime.clock.sleep(reconnectPollMilliseconds);
         continue;
       }
-      const hold = parts.isLeaderMissing() ? leaderMissingHoldMilliseconds : holdMilliseconds;
-      const isReplied = await events.requestLease(core, link, hold);
-      if (!isReplied) await runtime.clock.sleep(retryMilliseconds);
+      const hold = parts.isLeaderMissing() ? leaderlessHoldMilliseconds : holdMilliseconds;
+      const hasReplied = await events.requestLease(core, link, hold);
+      if (!hasReplied) await runtime.clock.sleep(retryMilliseconds);
     }
   }
 
-  function ensure(core: Seat): void {
+  function connect(core: Seat): void {
     const open = links.get(core.node);
     if (open !== undefined && open.address === core.address) return;
     open?.peer.close();
@@ -62,18 +67,18 @@
   }
 
   function retain(cores: readonly string[]): readonly string[] {
-    const unwanted = [...links.keys()].filter((core) => !cores.includes(core));
-    for (const core of unwanted) {
-      const link = of(core);
+    const removed = [...links.keys()].filter((core) => !cores.includes(core));
+    for (const core of removed) {
+      const link = find(core);
       links.delete(core);
       link?.close();
     }
-    return unwanted;
+    return removed;
   }
 
   return {
-    of,
-    ensure,
+    find: find,
+    connect: connect,
     retain,
     connected: () => [...links].map(([core, open]) => [core, open.peer] as const).filter(([, link]) => link.connected()),
     closeAll: function closeAll() {
--- a/packages/lease/src/core-replies.ts
+++ b/packages/lease/src/core-replies.ts
@@ -1,58 +1,59 @@
-/** What each core told an edge with its lease replies (design 7.12). */
+/** The state that each core has reported to an edge in its lease replies (design 7.12). */
 import { identifiers, type Instant } from '@stallstall/kernel';
 import type { CommitWatermarks, MemberRecord, Reply } from '@stallstall/message';
 import type { CommitWatermark } from './commit-watermarks.js';
 
 /** @internal */
-export type CoreReply = {
+export type ReportedState = {
   readonly members: Map<string, MemberRecord>;
-  /** Names the core's process, and the newest update seen of it. */
+  /** Identifies the core's process. */
   token: string;
-  seen: number;
+  /** Number of the newest update received from that process. */
+  seenUpdate: number;
   epochs: Readonly<Record<string, number>>;
-  edges: Readonly<Record<string, number>>;
-  demand: Readonly<Record<string, number>>;
+  edgeCountByArea: Readonly<Record<string, number>>;
+  statementRateByArea: Readonly<Record<string, number>>;
   commitWatermarks: ReadonlyMap<string, CommitWatermark>;
-  /** What the core says was so at this moment or later. */
-  saidAt: Instant;
-  /** The newest change that the core pushed. */
+  /** Lower bound, on this process's clock, for the time at which the core read the state it reported. */
+  asOf: Instant;
+  /** The number of the newest change that the core pushed. */
   acknowledgedChange: number;
-  /** A leader is missing: the core wants to know what this edge has seen of commits. */
-  wantsCommits: boolean;
-  /** The next request is that of an edge whose process has just begun. */
-  isRestarted: boolean;
+  /** Whether the core asks for this edge's commit positions, because a service has no leader. */
+  wantsCommitReport: boolean;
+  /** Whether the next request has to be sent as by a new process, because the edge's proxy restarted. */
+  announcesRestart: boolean;
 };
 
 /** @internal */
 export type CoreReplies = Readonly<{
-  of: (core: string) => CoreReply;
-  find: (core: string) => CoreReply | undefined;
+  getOrCreate: (core: string) => ReportedState;
+  find: (core: string) => ReportedState | undefined;
   forget: (core: string) => void;
-  all: () => readonly CoreReply[];
+  all: () => readonly ReportedState[];
 }>;
 
-function empty(): CoreReply {
+function empty(): ReportedState {
   return {
     members: new Map(),
     token: '',
-    seen: 0,
+    seenUpdate: 0,
     epochs: {},
-    edges: {},
-    demand: {},
+    edgeCountByArea: {},
+    statementRateByArea: {},
     commitWatermarks: new Map(),
-    saidAt: identifiers.instant(Number.NEGATIVE_INFINITY),
+    asOf: identifiers.instant(Number.NEGATIVE_INFINITY),
     acknowledgedChange: 0,
-    wantsCommits: false,
-    isRestarted: false,
+    wantsCommitReport: false,
+    announcesRestart: false,
   };
 }
 
 function create(): CoreReplies {
-  const replies = new Map<string, CoreReply>();
+  const replies = new Map<string, ReportedState>();
   return {
-    of: function of(core) {
-      const known = replies.get(core);
-      if (known !== undefined) return known;
+    getOrCreate: function of(core) {
+      const existing = replies.get(core);
+      if (existing !== undefined) return existing;
       const created = empty();
       replies.set(core, created);
       return created;
@@ -63,33 +64,36 @@
   };
 }
 
-/** Whether a reply was overtaken by a later one of the same process: it tells nothing new then. */
-function isOvertaken(known: CoreReply, reply: Reply<'lease'>): boolean {
-  return known.token === reply.token && reply.number < known.seen;
+/** Whether a later reply of the same process has already been applied. */
+function isStale(reportedState: ReportedState, reply: Reply<'lease'>): boolean {
+  return reportedState.token === reply.token && reply.number < reportedState.seenUpdate;
 }
 
-/** Keeps what a reply says; true when it says anything new of members. */
-function apply(known: CoreReply, reply: Reply<'lease'>, saidAt: Instant): boolean {
-  if (reply.whole) known.members.clear();
-  for (const record of reply.roster) known.members.set(record.member, record);
-  known.token = reply.token;
-  known.seen = reply.number;
-  known.edges = reply.edges;
-  known.demand = reply.demand;
-  known.saidAt = saidAt;
-  // Kept whatever else the reply says: later replies carry only what has changed since.
-  known.epochs = reply.whole ? reply.stances : { ...known.epochs, ...reply.stances };
-  known.wantsCommits = reply.wants;
+/** Stores a reply. Returns whether it carries changes of members. */
+function apply(reportedState: ReportedState, reply: Reply<'lease'>, asOf: Instant): boolean {
+  if (reply.whole) reportedState.members.clear();
+  for (const record of reply.roster) reportedState.members.set(record.member, record);
+  reportedState.token = reply.token;
+  reportedState.seenUpdate = reply.number;
+  reportedState.edgeCountByArea = reply.edges;
+  reportedState.statementRateByArea = reply.demand;
+  reportedState.asOf = asOf;
+  // Stored even if the core is not ready: later replies carry only the epochs that changed since.
+  reportedState.epochs = reply.whole ? reply.stances : { ...reportedState.epochs, ...reply.stances };
+  reportedState.wantsCommitReport = reply.wants;
   return reply.whole || reply.roster.length > 0;
 }
 
-/** `saidAt` is no later than the reply was made, so what held so long before the reply held later than so long before that. */
-function applyCommitWatermarks(known: CoreReply, reported: CommitWatermarks, saidAt: Instant): void {
-  const rows = Object.entries(reported).map(function row([service, { term, number, ago }]) {
-    return [service, { coveredUntil: identifiers.after(saidAt, -ago), position: { term, number } }] as const;
+/**
+ * Converts the ages in a reply to times on this process's clock. `asOf` is no later than the moment the reply was created, so each resulting
+ * time is no later than the true one.
+ */
+function applyCommitWatermarks(reportedState: ReportedState, watermarks: CommitWatermarks, asOf: Instant): void {
+  const rows = Object.entries(watermarks).map(function row([service, { term, number, ago }]) {
+    return [service, { coveredUntil: identifiers.after(asOf, -ago), position: { term, number } }] as const;
   });
-  known.commitWatermarks = new Map(rows);
+  reportedState.commitWatermarks = new Map(rows);
 }
 
 /** @internal */
-export const coreReplies = { create, isOvertaken, apply, applyCommitWatermarks } as const;
+export const coreReplies = { create, isStale, apply, applyCommitWatermarks } as const;
--- a/packages/lease/src/fleet-search.ts
+++ b/packages/lease/src/fleet-search.ts
@@ -1,4 +1,4 @@
-/** Finds the cores through the seeds that the settings name (design 3.3). */
+/** Discovers the cores through the seed addresses in the settings (design 3.3). */
 import * as Option from 'fp-ts/lib/Option.js';
 import { identifiers } from '@stallstall/kernel';
 import type { CoreSet } from '@stallstall/message';
@@ -7,24 +7,25 @@
 
 /** @internal */
 export type FleetSearch = Readonly<{
-  /** While no core grants, greets every seed that the settings name by now. */
-  greetSeeds: () => void;
+  /** While no core grants leases, connects to every seed address that the settings currently contain. */
+  contactSeeds: () => void;
 }>;
 
-const greetMilliseconds = 50;
-/** After so long without a grant the seeds are asked as well: all known cores may have been replaced (design 4.8). */
-const lostMilliseconds = 5_000;
+const helloIntervalMilliseconds = 50;
+/** After this long without a grant the seeds are contacted again, since all known cores may have been replaced (design 4.8). */
+const noGrantMilliseconds = 5_000;
 
-/** @param follow - called with the set of cores that a core of this fleet reports */
+/** @param follow - called with the core set that a core of this fleet reports */
 function create(context: HolderContext, follow: (set: CoreSet) => void): FleetSearch {
   const { runtime, settings } = context;
-  const greeting = new Set<string>();
+  /** Seed addresses with a connection loop in progress. */
+  const contacted = new Set<string>();
 
-  function isLost(): boolean {
-    return context.cores.length === 0 || runtime.clock.now() - context.grantedAt > lostMilliseconds;
+  function hasNoGrantingCore(): boolean {
+    return context.cores.length === 0 || runtime.clock.now() - context.lastGrantAt > noGrantMilliseconds;
   }
 
-  async function greet(link: Peer): Promise<void> {
+  async function sendHello(link: Peer): Promise<void> {
     const reply = await link.call('hello', { seat: context.ownSeat, incarnation: 0, fleet: context.fleet }, callMilliseconds);
     if (Option.isNone(reply)) return;
     const { fleet, set } = reply.value;
@@ -35,26 +36,26 @@
     follow(set);
   }
 
-  async function greetUntilFound(address: string): Promise<void> {
+  async function contactUntilFound(address: string): Promise<void> {
     const link = peer.dial(runtime, identifiers.address(address));
-    while (!context.isStopped && isLost() && settings.seeds().includes(address)) {
-      await greet(link);
-      await runtime.clock.sleep(link.connected() ? greetMilliseconds : reconnectPollMilliseconds);
+    while (!context.isStopped && hasNoGrantingCore() && settings.seeds().includes(address)) {
+      await sendHello(link);
+      await runtime.clock.sleep(link.connected() ? helloIntervalMilliseconds : reconnectPollMilliseconds);
     }
     link.close();
-    greeting.delete(address);
+    contacted.delete(address);
   }
 
-  function greetSeeds(): void {
-    if (!isLost()) return;
+  function contactSeeds(): void {
+    if (!hasNoGrantingCore()) return;
     for (const address of settings.seeds()) {
-      if (greeting.has(address)) continue;
-      greeting.add(address);
-      void greetUntilFound(address);
+      if (contacted.has(address)) continue;
+      contacted.add(address);
+      void contactUntilFound(address);
     }
   }
 
-  return { greetSeeds };
+  return { contactSeeds };
 }
 
 /** @internal */
--- a/packages/lease/src/holder-context.ts
+++ b/packages/lease/src/holder-context.ts
@@ -1,31 +1,32 @@
-/** What the modules of a lease holder share. */
+/** State shared by the modules of a lease holder. */
 import type { Instant, Runtime } from '@stallstall/kernel';
 import type { CommitWatermarks, LogPosition, Seat } from '@stallstall/message';
 
 export type LeaseHolderSettings = Readonly<{
   node: string;
-  /** The failure domain that this edge stands in. */
+  /** The failure domain of this edge. */
   area: string;
-  /** Asked at each greeting, since the settings file may change while the process runs. */
+  /** Seed addresses; read before each connection attempt, since the settings file may change while the process runs. */
   seeds: () => readonly string[];
 }>;
 
-/** What the edge's proxy knows, for the cores. */
+/** What a lease holder reads from the edge's proxy to report it to the cores, and what it calls on changes. */
 export type LeaseHolderCallbacks = Readonly<{
-  /** Below this epoch the proxy has nothing in flight, by service. */
+  /** The epoch, by service, below which the proxy has no statement in flight. */
   releasedEpochs: () => Readonly<Record<string, number>>;
-  /** The commits that clients were told of, by service. */
+  /** The highest commit position acknowledged to a client, by service. */
   commitPositions: () => Readonly<Record<string, LogPosition>>;
+  /** The latest log position seen of each service's leader. */
   commitWatermarks: () => CommitWatermarks;
-  /** How long ago, at the most, `positions` was all there was to report. Unit: milliseconds. */
+  /** Maximum age of `commitPositions`: it was complete at most this long ago. Unit: milliseconds. */
   commitPositionsAge: () => number;
-  /** A leader is missing somewhere: the cores are asked more often. */
+  /** Whether some service has no leader; leases are then requested more often. */
   isLeaderMissing: () => boolean;
-  /** Members whose machines refused a connection of this edge. */
+  /** Members that refused a connection of this edge. */
   refusedMembers: () => readonly string[];
-  /** Statements a second, smoothed. */
+  /** Statements per second, smoothed. */
   statementRate: () => number;
-  /** Called once anything that this holder returns may have changed. */
+  /** Called when anything that the holder returns may have changed. */
   onChange: () => void;
 }>;
 
@@ -33,23 +34,23 @@
 export type HolderContext = {
   readonly runtime: Runtime;
   readonly settings: LeaseHolderSettings;
-  readonly parts: LeaseHolderCallbacks;
+  readonly callbacks: LeaseHolderCallbacks;
   readonly ownSeat: Seat;
-  /** The cores of the newest set that any core reported (design 4.8). */
+  /** The cores of the newest core set that any core reported (design 4.8). */
   cores: readonly Seat[];
   setNumber: number;
-  /** The fleet's id; empty until it is found. */
+  /** The fleet's id; empty until a core has reported it. */
   fleet: string;
-  /** When a core granted last. */
-  grantedAt: Instant;
-  /** Rises with every change of the members. */
+  /** When a core last granted leases. */
+  lastGrantAt: Instant;
+  /** Incremented with every change of the members. */
   membersVersion: number;
   isStopped: boolean;
 };
 
-/** What a call to a core may take beyond the time that the core may hold it. Unit: milliseconds. @internal */
+/** Time-out of a call to a core, in addition to the time that the core may delay its reply. Unit: milliseconds. @internal */
 export const callMilliseconds = 500;
-/** How often a link that is not connected is looked at. Unit: milliseconds. @internal */
+/** Polling interval for a link that is not connected. Unit: milliseconds. @internal */
 export const reconnectPollMilliseconds = 20;
 
 /** @internal */
--- a/packages/lease/src/holder-state.ts
+++ b/packages/lease/src/holder-state.ts
@@ -1,4 +1,4 @@
-/** The keys that an edge acts by, as a majority of cores has pushed them (design 5.2, 5.6). */
+/** The replicated keys that an edge applies once a majority of cores has pushed them (design 5.2, 5.6). */
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Ballot, Change, ElectedPrimary } from '@stallstall/message';
 import { appliedValues, type Applied, type Configuration } from '@stallstall/node';
@@ -27,13 +27,15 @@
   electedPrimary: (service: string) => Option.Option<ElectedPrimary>;
   /** The services of the applied configuration. */
   services: () => readonly string[];
-  receive: (core: string, link: ContentLink, change: Change) => void;
-  /** The ballot of the newest configuration whose content is known here. */
+  receiveChange: (core: string, link: ContentLink, change: Change) => void;
+  /** The ballot of the newest configuration whose content this edge has. */
   contentBallot: () => Ballot;
-  /** Whether a core keeps up with the configurations that the others push. */
+  /** Whether a core is up to date with the configurations that the others push. */
   isCurrent: (core: string) => boolean;
-  recount: () => void;
-  resolve: () => void;
+  /** Counts the pushed versions of each key again, over the cores of the new core set (design 4.8). */
+  onCoreSetChanged: () => void;
+  /** Reads keys on which the pushed versions differ, and logs a configuration that is not applied. */
+  resolvePending: () => void;
 }>;
 
 type LinkOf = (core: string) => Peer | undefined;
@@ -68,9 +70,9 @@
   };
 }
 
-/** @param observeCoreSet - called with a set of cores that any core reported */
+/** @param observeCoreSet - called with a core set that any core reported */
 function create(context: HolderContext, linkOf: LinkOf, observeCoreSet: CoreSetSource['observe']): HolderState {
-  const { runtime, settings, parts } = context;
+  const { runtime, settings, callbacks } = context;
   const coreSets: CoreSetSource = { number: () => context.setNumber, observe: observeCoreSet };
   function coreCount(): number {
     return context.cores.length;
@@ -86,9 +88,9 @@
     coreCount,
     onApplied: function onApplied(key, entry) {
       runtime.log('lease-holder.applied', { key, version: entry.version });
-      parts.onChange();
+      callbacks.onChange();
     },
-    cores: { number: coreSets.number, includes: (core) => context.cores.some((one) => one.node === core) },
+    cores: { number: coreSets.number, includes: (name) => context.cores.some((core) => core.node === name) },
   });
   const contents = contentFetcher.create(runtime, {
     set: coreSets.number,
@@ -111,14 +113,14 @@
       const current = configuration();
       return Option.isSome(current) ? current.value.value.sheet.services.map((service) => service.service) : [];
     },
-    receive: function receive(core, link, change) {
+    receiveChange: function receiveChange(core, link, change) {
       if (change.key === 'configuration') source.observe(core, change.entry.ballot);
       contents.receive(core, Option.some(link), change);
     },
     contentBallot: contents.latestBallot,
     isCurrent: source.isCurrent,
-    recount: watch.recount,
-    resolve: function resolve() {
+    onCoreSetChanged: watch.recount,
+    resolvePending: function resolvePending() {
       watch.resolve();
       lag.observe();
     },
--- a/packages/lease/src/holder-table.ts
+++ b/packages/lease/src/holder-table.ts
@@ -1,69 +1,76 @@
-/** What a core knows of the edges that ask it for leases (design 7.12). */
+/** A core's table of the edges that request leases from it (design 7.12). */
 import type { Clock, Instant } from '@stallstall/kernel';
 import type { Request } from '@stallstall/message';
 
 /** @internal */
 export type HolderTable = Readonly<{
   isKnown: (node: string) => boolean;
-  /** Keeps what an edge said with its request. */
+  /** Stores what an edge reported with its request. */
   record: (request: Request<'lease'>) => void;
-  /** The lease runs from the reply: until then and a term beyond, the edge is one that holds leases. */
+  /** Called on each reply, since the lease runs from there: the edge counts as a holder until a term after it. */
   renew: (node: string) => void;
-  /** An edge that knows nothing of this core runs another process, if it has asked here before; the name given to the former process. */
+  /**
+   * Called for a request with an empty token, which is the first request of a new process of the edge or of its proxy.
+   * @returns the name under which the former process is kept; undefined when the edge had sent no request before
+   */
   processRestarted: (node: string) => string | undefined;
-  /** Edges that asked within so many milliseconds. */
-  within: (milliseconds: number) => readonly string[];
-  /** All that may have acknowledged commits lately, processes that have ended since among them, and when each asked last. */
-  remembered: () => Readonly<{ edges: readonly string[]; askedAt: ReadonlyMap<string, Instant> }>;
+  /** Edges whose last request is no older than this. */
+  activeWithin: (milliseconds: number) => readonly string[];
+  /** All edges that may have acknowledged commits, including former processes, and when each last requested a lease. */
+  acknowledgers: () => Readonly<{ edges: readonly string[]; lastRequestAt: ReadonlyMap<string, Instant> }>;
+  /** Whether all of these edges have reported that they have nothing in flight below an epoch. */
   hasReleased: (service: string, epoch: number, nodes: readonly string[]) => boolean;
-  /** How many of these edges stand in each area. */
+  /** Number of these edges in each area. */
   countByArea: (nodes: readonly string[]) => Record<string, number>;
-  /** Statements a second that are asked of these edges, by area. */
-  demandByArea: (nodes: readonly string[]) => Record<string, number>;
+  /** Statements per second sent to these edges, by area. */
+  statementRateByArea: (nodes: readonly string[]) => Record<string, number>;
 }>;
 
-type Holder = Readonly<{ area: string; demand: number; released: Readonly<Record<string, number>> }>;
+type Holder = Readonly<{ area: string; statementRate: number; released: Readonly<Record<string, number>> }>;
 
-/** An edge may have acknowledged what nobody else knows of: it is remembered far beyond any time without a leader. */
-const rememberMilliseconds = 900_000;
+/** An edge may have acknowledged commits that only it knows of, so it is kept for much longer than a service is ever without a leader. */
+const retentionMilliseconds = 900_000;
 
 function create(clock: Clock): HolderTable {
   const holders = new Map<string, Holder>();
-  const askedAt = new Map<string, Instant>();
-  /** When edges' processes that have ended since asked last. */
-  const endedAt = new Map<string, Instant>();
+  const lastRequestAt = new Map<string, Instant>();
+  /** When processes of edges that have since been replaced last requested a lease, by the name given to them. */
+  const formerLastRequestAt = new Map<string, Instant>();
 
-  function forgetOld(moments: Map<string, Instant>): void {
+  function removeExpired(times: Map<string, Instant>): void {
     const now = clock.now();
-    for (const [name, at] of moments) if (now - at > rememberMilliseconds) moments.delete(name);
+    for (const [name, at] of times) if (now - at > retentionMilliseconds) times.delete(name);
   }
 
-  function within(milliseconds: number): readonly string[] {
+  function activeWithin(milliseconds: number): readonly string[] {
     const now = clock.now();
-    forgetOld(askedAt);
-    return [...askedAt].filter(([, at]) => now - at <= milliseconds).map(([node]) => node);
+    removeExpired(lastRequestAt);
+    return [...lastRequestAt].filter(([, at]) => now - at <= milliseconds).map(([node]) => node);
   }
 
   function renew(node: string): void {
-    askedAt.set(node, clock.now());
+    lastRequestAt.set(node, clock.now());
   }
 
   function record({ node, area, demand, released }: Request<'lease'>): void {
     renew(node);
-    holders.set(node, { area, demand, released: { ...released } });
+    holders.set(node, { area, statementRate: demand, released: { ...released } });
   }
 
   function processRestarted(node: string): string | undefined {
-    const at = askedAt.get(node);
+    const at = lastRequestAt.get(node);
     if (at === undefined) return undefined;
-    const former = `${node} until ${at}`;
-    endedAt.set(former, at);
-    return former;
+    const formerName = `${node} until ${at}`;
+    formerLastRequestAt.set(formerName, at);
+    return formerName;
   }
 
-  function remembered(): Readonly<{ edges: readonly string[]; askedAt: ReadonlyMap<string, Instant> }> {
-    forgetOld(endedAt);
-    return { edges: [...within(rememberMilliseconds), ...endedAt.keys()], askedAt: new Map([...askedAt, ...endedAt]) };
+  function acknowledgers(): Readonly<{ edges: readonly string[]; lastRequestAt: ReadonlyMap<string, Instant> }> {
+    removeExpired(formerLastRequestAt);
+    return {
+      edges: [...activeWithin(retentionMilliseconds), ...formerLastRequestAt.keys()],
+      lastRequestAt: new Map([...lastRequestAt, ...formerLastRequestAt]),
+    };
   }
 
   function sumByArea(nodes: readonly string[], valueOf: (holder: Holder | undefined) => number): Record<string, number> {
@@ -77,15 +84,15 @@
   }
 
   return {
-    isKnown: (node) => askedAt.has(node),
+    isKnown: (node) => lastRequestAt.has(node),
     record,
     renew,
     processRestarted,
-    within,
-    remembered,
+    activeWithin,
+    acknowledgers,
     hasReleased: (service, epoch, nodes) => nodes.every((node) => (holders.get(node)?.released[service] ?? 0) >= epoch),
     countByArea: (nodes) => sumByArea(nodes, () => 1),
-    demandByArea: (nodes) => sumByArea(nodes, (holder) => holder?.demand ?? 0),
+    statementRateByArea: (nodes) => sumByArea(nodes, (holder) => holder?.statementRate ?? 0),
   };
 }
 
--- a/packages/lease/src/lease-grantor.ts
+++ b/packages/lease/src/lease-grantor.ts
@@ -1,4 +1,4 @@
-/** The core's half of the leases: reports its epochs to edges, at once when they change (design 7.12). */
+/** The core's side of the leases: grants them to edges, and reports its epochs at once when they change (design 7.12). */
 import * as Option from 'fp-ts/lib/Option.js';
 import { identifiers, runtimeUtilities, type Instant, type Runtime } from '@stallstall/kernel';
 import type { MemberRegistry } from '@stallstall/member-registry';
@@ -8,38 +8,40 @@
 import { holderTable, type HolderTable } from './holder-table.js';
 import { updateNumbers, type UpdateNumbers } from './update-numbers.js';
 
-/** What a grantor needs of the core it runs in. */
+/** What a grantor reads from the core it runs in. */
 export type LeaseGrantorContext = Readonly<{
-  /** Whether this core answers as an occupant of its seat. */
+  /** Whether this core is an active voter of the core set. */
   isReady: () => boolean;
-  /** When this core began to answer as an occupant of its seat. */
+  /** When this core last became an active voter of the core set. */
   servingSince: () => Instant;
-  /** The epoch that this core counts for, by service. */
+  /** The epoch at which this core grants leases, by service. */
   epochs: () => Readonly<Record<string, number>>;
-  /** Versions on this core's disk. */
+  /** The version of the configuration on this core's disk. */
   configurationVersion: () => number;
+  /** The version of the membership table on this core's disk. */
   membershipVersion: () => number;
+  /** Number of writes on this core's disk; one that is behind what others have seen is an old copy. */
   putCount: () => number;
   registry: MemberRegistry;
-  /** A leader is missing, or about to change: edges are to report what they have seen of commits. */
+  /** Whether a service has no leader or is about to change it; edges are then asked for their commit positions. */
   isLeaderMissing: () => boolean;
-  /** A member's machine refused an edge's connection: worth a look of this core's own. */
+  /** Called when an edge reports that a member refused its connection, so that this core checks the member itself. */
   onConnectionRefused: (member: string) => void;
 }>;
 
 export type LeaseGrantor = Readonly<{
-  /** Replies at once with an update, or at the latest after the request's `hold`. */
+  /** Replies as soon as there is an update, at the latest after the request's `hold`. */
   grant: (request: Request<'lease'>) => Promise<Reply<'lease'>>;
-  /** Something has changed: edges that wait are told. */
+  /** Called when a reported value has changed; replies to the waiting requests. */
   notify: () => void;
   /**
-   * Edges that were granted a lease here within a term and its margin, so that theirs may still run; none while one that an earlier process
-   * or occupant of this seat granted may.
+   * Edges whose lease from this core may not have expired yet. None (unknown) while leases may still be valid that a previous process of this
+   * core granted, or the core that it replaced.
    */
   leaseHolders: () => Option.Option<readonly string[]>;
-  /** Edges that asked within so many milliseconds. */
+  /** Edges whose last request is no older than this. */
   recentHolders: (milliseconds: number) => readonly string[];
-  /** Whether all of these edges have reported that nothing of theirs is in flight below an epoch. */
+  /** Whether all of these edges have reported that they have nothing in flight below an epoch. */
   hasReleased: (service: string, epoch: number, leaseHolders: readonly string[]) => boolean;
   stop: () => void;
 }>;
@@ -47,48 +49,57 @@
 type GrantorState = {
   readonly runtime: Runtime;
   readonly context: LeaseGrantorContext;
-  /** Names this process: an edge that reports another token has seen nothing of it. */
+  /** Identifies this process; an edge that sends another token has seen none of its updates. */
   readonly token: string;
   readonly startedAt: Instant;
   readonly holders: HolderTable;
-  readonly commits: CommitWatermarkTable;
+  readonly watermarks: CommitWatermarkTable;
   readonly updates: UpdateNumbers;
   wasReady: boolean;
 };
 
-const holderMilliseconds = leaseTermMilliseconds + leaseMarginMilliseconds;
-/** An edge that was never asked for its positions says that they are this old, or older. */
-const unreportedMilliseconds = 600_000;
+/** An edge may hold a lease for this long after the reply that granted it. */
+const maximumLeaseMilliseconds = leaseTermMilliseconds + leaseMarginMilliseconds;
+/** An edge that has not been asked for its commit positions reports them as this old, or older. */
+const noReportAgeMilliseconds = 600_000;
 
-/** Leases that an earlier process or occupant of this seat granted have ended by then; whom it granted them to is not known here. */
+/**
+ * When the last lease has expired that a previous process of this core, or the core it replaced, may have granted. The holders of those leases
+ * are not known here.
+ */
 function unknownHoldersUntil({ context, startedAt }: GrantorState): Instant {
-  return identifiers.after(laterOf(startedAt, context.servingSince()), holderMilliseconds);
+  return identifiers.after(laterOf(startedAt, context.servingSince()), maximumLeaseMilliseconds);
 }
 
-/** How far commits reach, as all edges have reported that may have acknowledged one (design 8.11). */
+/** The commit watermarks, computed from the reports of all edges that may have acknowledged a commit (design 8.11). */
 function commitWatermarks(state: GrantorState): CommitWatermarks {
-  return state.commits.all({ ...state.holders.remembered(), unknownHoldersUntil: unknownHoldersUntil(state) });
+  return state.watermarks.current({ ...state.holders.acknowledgers(), unknownHoldersUntil: unknownHoldersUntil(state) });
 }
 
-/** An edge that knows nothing of this core runs another process, if it has asked before: the former one reports nothing more. */
-function observeRestart({ holders, commits }: GrantorState, node: string): void {
-  const former = holders.processRestarted(node);
-  if (former !== undefined) commits.processRestarted(node, former);
+/** Called for a request without a token. If the edge sent requests before, its process is new and the former one sends no more reports. */
+function observeRestart({ holders, watermarks }: GrantorState, node: string): void {
+  const formerName = holders.processRestarted(node);
+  if (formerName !== undefined) watermarks.processRestarted(node, formerName);
 }
 
-function record(state: GrantorState, request: Request<'lease'>): void {
-  const { runtime, context, holders, commits } = state;
+function recordRequest(state: GrantorState, request: Request<'lease'>): void {
+  const { runtime, context, holders, watermarks } = state;
   if (request.token === '') observeRestart(state, request.node);
   if (!holders.isKnown(request.node)) runtime.log('lease.asked', { node: request.node, area: request.area });
   holders.record(request);
-  // One that reports no positions has not been asked to: nothing is known of it then.
-  if (request.positionsAgo < unreportedMilliseconds) {
-    commits.report({ node: request.node, seen: request.marks, commits: request.positions, agoMilliseconds: request.positionsAgo });
+  // An older value means that the edge has not been asked for its positions, so they say nothing.
+  if (request.positionsAgo < noReportAgeMilliseconds) {
+    watermarks.report({
+      node: request.node,
+      leaderPositions: request.marks,
+      acknowledgedPositions: request.positions,
+      ageMilliseconds: request.positionsAgo,
+    });
   }
   for (const member of request.notListening) context.onConnectionRefused(member);
 }
 
-/** Whether this core is ready; nothing that was reported before it became ready is built on. */
+/** Whether this core is ready. When it becomes ready, every epoch counts as changed, so that nothing reported earlier is relied on. */
 function observeReadiness(state: GrantorState): boolean {
   const isReady = state.context.isReady();
   if (isReady && !state.wasReady) state.updates.forgetEpochs();
@@ -99,13 +110,13 @@
 async function grant(state: GrantorState, request: Request<'lease'>): Promise<Reply<'lease'>> {
   const { runtime, context, token, holders, updates } = state;
   const arrivedAt = runtime.clock.now();
-  record(state, request);
+  recordRequest(state, request);
   const isUpToDate = request.token === token && request.seen === updates.current();
   if (isUpToDate && request.hold > 0) await updates.wait(request.hold);
   const ready = observeReadiness(state);
   const whole = request.token !== token;
   holders.renew(request.node);
-  const current = holders.within(holderMilliseconds);
+  const activeEdges = holders.activeWithin(maximumLeaseMilliseconds);
   const isLeaderMissing = context.isLeaderMissing();
   return {
     ready,
@@ -118,8 +129,8 @@
     puts: context.putCount(),
     roster: [...context.registry.changedSince(whole ? 0 : updates.registryVersionAt(request.seen))],
     whole,
-    edges: holders.countByArea(current),
-    demand: holders.demandByArea(current),
+    edges: holders.countByArea(activeEdges),
+    demand: holders.statementRateByArea(activeEdges),
     wants: isLeaderMissing,
     marks: isLeaderMissing ? commitWatermarks(state) : {},
   };
@@ -127,7 +138,7 @@
 
 function leaseHolders(state: GrantorState): Option.Option<readonly string[]> {
   const isUnknown = state.runtime.clock.now() < unknownHoldersUntil(state);
-  return isUnknown ? Option.none : Option.some(state.holders.within(holderMilliseconds));
+  return isUnknown ? Option.none : Option.some(state.holders.activeWithin(maximumLeaseMilliseconds));
 }
 
 function create(runtime: Runtime, context: LeaseGrantorContext): LeaseGrantor {
@@ -137,7 +148,7 @@
     token: runtime.randomness.token(),
     startedAt: runtime.clock.now(),
     holders: holderTable.create(runtime.clock),
-    commits: commitWatermarkTable.create(runtime.clock),
+    watermarks: commitWatermarkTable.create(runtime.clock),
     updates: updateNumbers.create(runtime.clock, context.registry.version),
     wasReady: false,
   };
@@ -145,13 +156,13 @@
     grant: (request) => grant(state, request),
     notify: state.updates.notify,
     leaseHolders: () => leaseHolders(state),
-    recentHolders: state.holders.within,
+    recentHolders: state.holders.activeWithin,
     hasReleased: state.holders.hasReleased,
     stop: state.updates.stop,
   };
 }
 
-/** The name under which a process's other services find its grantor. */
+/** The name under which other services of the process look up its grantor. */
 export const leaseGrantorService = runtimeUtilities.serviceName<LeaseGrantor>('lease-grantor');
 
 export const leaseGrantor = { create } as const;
--- a/packages/lease/src/lease-holder.ts
+++ b/packages/lease/src/lease-holder.ts
@@ -1,4 +1,4 @@
-/** The edge's half of the leases: asks every core, and counts what a strict majority grants (design 7.12). */
+/** The edge's side of the leases: requests them from every core; a lease is valid when a strict majority grants it (design 7.12). */
 import * as Option from 'fp-ts/lib/Option.js';
 import { identifiers, runtimeUtilities, type Instant, type Runtime } from '@stallstall/kernel';
 import type { CoreSet, ElectedPrimary, MemberRecord, Reply } from '@stallstall/message';
@@ -8,7 +8,7 @@
 import type { DurableReports } from '@stallstall/register';
 import type { CommitWatermark } from './commit-watermarks.js';
 import { coreLinks, type CoreLinks } from './core-links.js';
-import { coreReplies, type CoreReplies, type CoreReply } from './core-replies.js';
+import { coreReplies, type CoreReplies, type ReportedState } from './core-replies.js';
 import { fleetSearch, type FleetSearch } from './fleet-search.js';
 import { coreNames, callMilliseconds, type HolderContext, type LeaseHolderCallbacks, type LeaseHolderSettings } from './holder-context.js';
 import { holderState, type HolderState } from './holder-state.js';
@@ -24,29 +24,29 @@
   services: () => readonly string[];
   /** When the lease for a service at its elected epoch ends; in the past when no majority of cores grants it. */
   leaseUntil: (service: string) => Instant;
-  /** The highest epoch that a majority of cores has reached for a service: below it nothing is begun any more. */
+  /** The highest epoch that a majority of cores has reached for a service; no new work may start below it. */
   releaseEpoch: (service: string) => number;
-  /** Members that have registered, but for those that have left. */
+  /** Registered members, without those that have left. */
   members: () => readonly MemberRecord[];
-  /** Rises with every change of `members`. */
+  /** Incremented with every change of `members`. */
   membersVersion: () => number;
-  /** How many edges hold leases, by area, as the core that counts most of them says. */
+  /** Number of edges that hold leases, by area, as reported by the core that knows the most edges. */
   edgeCountByArea: () => Readonly<Record<string, number>>;
-  /** Statements a second that are asked of all of them, by area, as the same core says. */
+  /** Statements per second sent to all of them, by area, as reported by the same core. */
   statementRateByArea: () => Readonly<Record<string, number>>;
-  /** How far each service's commits reach as a majority of cores covers it, and as of which of this process's own moments. */
+  /** The commit watermark of each service, covered by a majority of cores. */
   commitWatermarks: () => ReadonlyMap<string, CommitWatermark>;
   durableReports: DurableReports;
   coreCount: () => number;
-  /** How many cores granted within the last term. */
+  /** Number of cores that replied within the last lease term. */
   grantingCoreCount: () => number;
-  /** Sends each core what the proxy says now, at once. */
+  /** Sends the proxy's current state to each core at once. */
   reportNow: () => void;
-  /** The proxy's process has ended: each core is told that what it acknowledged last may have been reported to nobody (design 8.11). */
+  /** Notifies each core that the proxy restarted: the former process may have acknowledged commits that it never reported (design 8.11). */
   onProxyRestarted: () => void;
 }>;
 
-/** The parts of a running lease holder. */
+/** The components of a running lease holder. */
 type Assembly = Readonly<{
   context: HolderContext;
   links: CoreLinks;
@@ -55,24 +55,24 @@
   leases: ServiceLeases;
 }>;
 
-const resolveMilliseconds = 200;
+const pollIntervalMilliseconds = 200;
 
-function createContext(runtime: Runtime, settings: LeaseHolderSettings, parts: LeaseHolderCallbacks): HolderContext {
+function createContext(runtime: Runtime, settings: LeaseHolderSettings, callbacks: LeaseHolderCallbacks): HolderContext {
   return {
     runtime,
     settings,
-    parts,
+    callbacks,
     ownSeat: { node: settings.node, role: 'edge', area: settings.area, address: '-', outward: '-', draining: false },
     cores: [],
     setNumber: 0,
     fleet: '',
-    grantedAt: runtime.clock.now(),
+    lastGrantAt: runtime.clock.now(),
     membersVersion: 0,
     isStopped: false,
   };
 }
 
-/** Follows the newest set of cores that any core reported; whoever has left it grants nothing any more (design 4.8). */
+/** Switches to a newer core set; replies of cores that are not in it are discarded (design 4.8). */
 function follow({ context, links, replies, state, leases }: Assembly, set: CoreSet): void {
   if (context.isStopped || set.number <= context.setNumber) return;
   context.runtime.log('lease-holder.follows', { set: set.number, cores: set.seats.length });
@@ -80,43 +80,43 @@
   context.setNumber = set.number;
   context.cores = set.seats;
   for (const core of links.retain(coreNames(context))) replies.forget(core);
-  for (const core of context.cores) links.ensure(core);
+  for (const core of context.cores) links.connect(core);
   context.membersVersion += 1;
-  state.recount();
+  state.onCoreSetChanged();
   leases.observeEpochs();
-  context.parts.onChange();
+  context.callbacks.onChange();
 }
 
-/** @param saidAt - what the core says was so at this moment or later */
-function applyReply(assembly: Assembly, core: string, known: CoreReply, reply: Reply<'lease'>, saidAt: Instant): void {
+/** @param asOf - lower bound for the time at which the core read the state it reports */
+function applyReply(assembly: Assembly, core: string, reportedState: ReportedState, reply: Reply<'lease'>, asOf: Instant): void {
   const { context, leases } = assembly;
-  if (coreReplies.isOvertaken(known, reply)) return;
-  if (coreReplies.apply(known, reply, saidAt)) context.membersVersion += 1;
+  if (coreReplies.isStale(reportedState, reply)) return;
+  if (coreReplies.apply(reportedState, reply, asOf)) context.membersVersion += 1;
   if (reply.newer !== undefined) follow(assembly, reply.newer);
-  // A core at a later set than this edge counts nothing here: its set's elections need not meet this edge's majority (design 4.8).
+  // A grant of a core at a newer set is ignored: a majority of that set need not intersect a majority of this edge's set (design 4.8).
   const isCounted = reply.ready && (reply.set ?? 0) <= context.setNumber && coreNames(context).includes(core);
   if (!isCounted) return;
-  context.grantedAt = context.runtime.clock.now();
-  coreReplies.applyCommitWatermarks(known, reply.marks, saidAt);
+  context.lastGrantAt = context.runtime.clock.now();
+  coreReplies.applyCommitWatermarks(reportedState, reply.marks, asOf);
   leases.observeEpochs();
-  leases.recordGrant(core, saidAt);
-  context.parts.onChange();
+  leases.recordGrant(core, asOf);
+  context.callbacks.onChange();
 }
 
 async function requestLease(assembly: Assembly, core: string, link: Peer, holdMilliseconds: number): Promise<boolean> {
   const { context, links, replies, state } = assembly;
-  const known = replies.of(core);
-  const { isRestarted } = known;
+  const reportedState = replies.getOrCreate(core);
+  const { announcesRestart } = reportedState;
   const sentAt = context.runtime.clock.now();
   function isConnected(name: string): boolean {
-    return links.of(name)?.connected() === true;
+    return links.find(name)?.connected() === true;
   }
-  const request = leaseRequests.create({ context, state, replies, isConnected }, core, known, holdMilliseconds);
+  const request = leaseRequests.create({ context, state, replies, isConnected }, core, reportedState, holdMilliseconds);
   const reply = await link.call('lease', request, holdMilliseconds + callMilliseconds);
-  if (Option.isNone(reply) || links.of(core) !== link) return false;
-  if (isRestarted) known.isRestarted = false;
-  // What the core says was so when it replied, and that was not before it had held the request for so long.
-  applyReply(assembly, core, known, reply.value, identifiers.after(sentAt, withClockDrift(reply.value.held)));
+  if (Option.isNone(reply) || links.find(core) !== link) return false;
+  if (announcesRestart) reportedState.announcesRestart = false;
+  // The core read its state when it replied, which is no earlier than the send time plus the time that it delayed the reply.
+  applyReply(assembly, core, reportedState, reply.value, identifiers.after(sentAt, withClockDrift(reply.value.held)));
   return true;
 }
 
@@ -124,40 +124,40 @@
   const replies = coreReplies.create();
   const links = coreLinks.create(context, {
     onConnected: function onConnected(core) {
-      replies.of(core).acknowledgedChange = 0;
+      replies.getOrCreate(core).acknowledgedChange = 0;
     },
     onChange: function onChange(core, link, change) {
-      replies.of(core).acknowledgedChange = change.number;
-      state.receive(core, link, change);
+      replies.getOrCreate(core).acknowledgedChange = change.number;
+      state.receiveChange(core, link, change);
     },
     requestLease: (core, link, holdMilliseconds) => requestLease(assembly, core, link, holdMilliseconds),
   });
-  const state: HolderState = holderState.create(context, links.of, (set) => follow(assembly, set));
+  const state: HolderState = holderState.create(context, links.find, (set) => follow(assembly, set));
   const leases = serviceLeases.create(context, state, replies);
   const assembly: Assembly = { context, links, replies, state, leases };
   return assembly;
 }
 
 function start({ context, state }: Assembly, search: FleetSearch): void {
-  function look(): void {
-    search.greetSeeds();
-    state.resolve();
+  function poll(): void {
+    search.contactSeeds();
+    state.resolvePending();
   }
-  void runtimeUtilities.every(context.runtime.clock, resolveMilliseconds, look, () => !context.isStopped);
+  void runtimeUtilities.every(context.runtime.clock, pollIntervalMilliseconds, poll, () => !context.isStopped);
 }
 
 function commitWatermarksOf({ context, replies, state }: Assembly): ReadonlyMap<string, CommitWatermark> {
-  const known = coreNames(context).flatMap((core) => replies.find(core) ?? []);
-  return mergedView.commitWatermarks(state.services(), known, context.cores.length);
+  const knownReplies = coreNames(context).flatMap((core) => replies.find(core) ?? []);
+  return mergedView.commitWatermarks(state.services(), knownReplies, context.cores.length);
 }
 
 function grantingCoreCount({ context, replies }: Assembly): number {
   const now = context.runtime.clock.now();
-  return coreNames(context).filter((core) => now - replies.of(core).saidAt < leaseTermMilliseconds).length;
+  return coreNames(context).filter((core) => now - replies.getOrCreate(core).asOf < leaseTermMilliseconds).length;
 }
 
-function create(runtime: Runtime, settings: LeaseHolderSettings, parts: LeaseHolderCallbacks): LeaseHolder {
-  const context = createContext(runtime, settings, parts);
+function create(runtime: Runtime, settings: LeaseHolderSettings, callbacks: LeaseHolderCallbacks): LeaseHolder {
+  const context = createContext(runtime, settings, callbacks);
   const assembly = assemble(context);
   const { links, replies, state, leases } = assembly;
   const search = fleetSearch.create(context, (set) => follow(assembly, set));
@@ -174,8 +174,8 @@
     releaseEpoch: leases.releaseEpoch,
     members: () => mergedView.members(replies.all()),
     membersVersion: () => context.membersVersion,
-    edgeCountByArea: () => mergedView.mostComplete(replies.all()).edges,
-    statementRateByArea: () => mergedView.mostComplete(replies.all()).demand,
+    edgeCountByArea: () => mergedView.mostComplete(replies.all()).edgeCountByArea,
+    statementRateByArea: () => mergedView.mostComplete(replies.all()).statementRateByArea,
     commitWatermarks: () => commitWatermarksOf(assembly),
     durableReports: state.reports,
     coreCount: () => context.cores.length,
@@ -184,7 +184,7 @@
       for (const [core, link] of links.connected()) void requestLease(assembly, core, link, 0);
     },
     onProxyRestarted: function onProxyRestarted() {
-      for (const reply of replies.all()) reply.isRestarted = true;
+      for (const reported of replies.all()) reported.announcesRestart = true;
     },
   };
 }
--- a/packages/lease/src/merged-view.ts
+++ b/packages/lease/src/merged-view.ts
@@ -1,22 +1,22 @@
-/** What several cores say, merged into one view of members, edges and commits (design 4.7, 8.11). */
+/** Merges the reports of several cores into one view of members, edges and commit watermarks (design 4.7, 8.11). */
 import { identifiers } from '@stallstall/kernel';
 import type { LogPosition, MemberRecord } from '@stallstall/message';
 import { quorum } from '@stallstall/quorum';
 import { comparePositions, type CommitWatermark } from './commit-watermarks.js';
-import type { CoreReply } from './core-replies.js';
+import type { ReportedState } from './core-replies.js';
 
-function laterRecord(left: MemberRecord, right: MemberRecord): MemberRecord {
+function newerRecord(left: MemberRecord, right: MemberRecord): MemberRecord {
   if (left.gone !== right.gone) return left.gone ? left : right;
   return left.sequence > right.sequence ? left : right;
 }
 
-/** Of all that the cores say of a member the latest stands; it is down only if every core that knows it says so. */
-function members(replies: readonly CoreReply[]): readonly MemberRecord[] {
+/** For each member the newest record of all cores; the member is down only if every core that knows it reports it as down. */
+function members(reports: readonly ReportedState[]): readonly MemberRecord[] {
   const merged = new Map<string, MemberRecord>();
-  for (const reply of replies) {
-    for (const record of reply.members.values()) {
-      const known = merged.get(record.member);
-      const next = known === undefined ? record : { ...laterRecord(record, known), down: record.down && known.down };
+  for (const report of reports) {
+    for (const record of report.members.values()) {
+      const existing = merged.get(record.member);
+      const next = existing === undefined ? record : { ...newerRecord(record, existing), down: record.down && existing.down };
       merged.set(record.member, next);
     }
   }
@@ -27,38 +27,39 @@
   return Object.values(counts).reduce((total, count) => total + count, 0);
 }
 
-/** The core that counts most edges knows most of what is asked of them. */
-function mostComplete(replies: readonly CoreReply[]): Readonly<Pick<CoreReply, 'edges' | 'demand'>> {
-  let most: Readonly<Pick<CoreReply, 'edges' | 'demand'>> = { edges: {}, demand: {} };
-  for (const reply of replies) if (sumOf(reply.edges) > sumOf(most.edges)) most = reply;
-  return most;
+/** The report of the core that knows the most edges, and therefore most of their load. */
+function mostComplete(reports: readonly ReportedState[]): Readonly<Pick<ReportedState, 'edgeCountByArea' | 'statementRateByArea'>> {
+  let best: Readonly<Pick<ReportedState, 'edgeCountByArea' | 'statementRateByArea'>> = { edgeCountByArea: {}, statementRateByArea: {} };
+  for (const report of reports) if (sumOf(report.edgeCountByArea) > sumOf(best.edgeCountByArea)) best = report;
+  return best;
 }
 
-function furtherPosition(left: LogPosition, right: LogPosition): LogPosition {
+function laterPosition(left: LogPosition, right: LogPosition): LogPosition {
   return comparePositions(left, right) >= 0 ? left : right;
 }
 
 /**
- * The watermark of one service. A core speaks for the edges that asked it. Whoever holds a lease asked a majority, so what a majority of
- * cores covers is covered for all edges: up to the moment that a majority has reached, by the furthest position any of these reports.
+ * The watermark of one service. A core's watermark covers the edges that request leases from it. Each holder of a lease has requested it from
+ * a majority, so the time that a majority of cores has covered is covered for all edges. The position is the highest that one of those cores
+ * reports.
  */
 function commitWatermark(reported: readonly CommitWatermark[], coreCount: number): CommitWatermark | undefined {
-  const moments = reported.map((watermark) => watermark.coveredUntil);
-  const at = quorum.reachedByMajority(moments, coreCount, false);
-  if (at === Number.NEGATIVE_INFINITY) return undefined;
-  const covering = reported.filter((watermark) => watermark.coveredUntil >= at).map((watermark) => watermark.position);
-  return { coveredUntil: identifiers.instant(at), position: covering.reduce(furtherPosition) };
+  const coveredMoments = reported.map((watermark) => watermark.coveredUntil);
+  const coveredUntil = quorum.reachedByMajority(coveredMoments, coreCount, false);
+  if (coveredUntil === Number.NEGATIVE_INFINITY) return undefined;
+  const covering = reported.filter((watermark) => watermark.coveredUntil >= coveredUntil).map((watermark) => watermark.position);
+  return { coveredUntil: identifiers.instant(coveredUntil), position: covering.reduce(laterPosition) };
 }
 
-/** @param replies - of the cores of the current set */
+/** @param reports - the reports of the cores of the current core set */
 function commitWatermarks(
   services: readonly string[],
-  replies: readonly CoreReply[],
+  reports: readonly ReportedState[],
   coreCount: number,
 ): ReadonlyMap<string, CommitWatermark> {
   const merged = new Map<string, CommitWatermark>();
   for (const service of services) {
-    const reported = replies.flatMap((reply) => reply.commitWatermarks.get(service) ?? []);
+    const reported = reports.flatMap((report) => report.commitWatermarks.get(service) ?? []);
     const watermark = commitWatermark(reported, coreCount);
     if (watermark !== undefined) merged.set(service, watermark);
   }
--- a/packages/lease/src/service-leases.ts
+++ b/packages/lease/src/service-leases.ts
@@ -1,4 +1,4 @@
-/** The leases that a majority of cores grants an edge, one for each service at its elected epoch (design 7.12). */
+/** An edge's leases: one per service at its elected epoch, valid while a majority of cores grants it (design 7.12). */
 import * as Option from 'fp-ts/lib/Option.js';
 import { identifiers, type Instant } from '@stallstall/kernel';
 import { quorum } from '@stallstall/quorum';
@@ -11,13 +11,13 @@
 export type ServiceLeases = Readonly<{
   /** When the lease for a service at its elected epoch ends; in the past when no majority of cores grants it. */
   validUntil: (service: string) => Instant;
-  /** Below this epoch nothing is begun any more; 0 while no majority of cores is beyond the elected epoch. */
+  /** No new work may start below this epoch; 0 before any majority of cores has reported one. */
   releaseEpoch: (service: string) => number;
-  /** A core granted: what it said was so at this moment. */
+  /** Records a core's grant, which runs from this time. */
   recordGrant: (core: string, sentAt: Instant) => void;
-  /** Looks whether a majority of cores is beyond an epoch by now. */
+  /** Updates the release epochs from the epochs that cores report. */
   observeEpochs: () => void;
-  /** A lease that the current set of cores granted runs to its end, also once the set is another (design 4.8). */
+  /** Called before the core set changes: leases granted by the current set stay valid until they expire (design 4.8). */
   carryOver: () => void;
 }>;
 
@@ -26,7 +26,7 @@
 function create(context: HolderContext, state: HolderState, replies: CoreReplies): ServiceLeases {
   const grants = quorumLease.create();
   const releaseEpochs = new Map<string, number>();
-  const carried = new Map<string, Readonly<{ epoch: number; until: Instant }>>();
+  const carriedOver = new Map<string, Readonly<{ epoch: number; until: Instant }>>();
 
   function releaseEpoch(service: string): number {
     return releaseEpochs.get(service) ?? 0;
@@ -38,31 +38,31 @@
     const { epoch } = elected.value;
     const peers = coreNames(context);
     const until = grants.validUntil({ service, epoch, peers, voterCount: peers.length, isVoter: false });
-    const earlier = carried.get(service);
-    return earlier !== undefined && earlier.epoch === epoch && earlier.until > until ? earlier.until : until;
+    const fromFormerSet = carriedOver.get(service);
+    return fromFormerSet !== undefined && fromFormerSet.epoch === epoch && fromFormerSet.until > until ? fromFormerSet.until : until;
   }
 
-  /** Once a majority is beyond the elected epoch the lease is gone for good: it is released, and not taken up again. */
+  /** Once a majority of cores is beyond the elected epoch, its lease is released permanently. */
   function observeEpochs(): void {
     const cores = coreNames(context);
     for (const service of state.services()) {
       const epochs = cores.map((core) => replies.find(core)?.epochs[service] ?? 0);
-      const reached = quorum.reachedByMajority(epochs, cores.length, false);
-      if (reached > releaseEpoch(service)) releaseEpochs.set(service, reached);
+      const majorityEpoch = quorum.reachedByMajority(epochs, cores.length, false);
+      if (majorityEpoch > releaseEpoch(service)) releaseEpochs.set(service, majorityEpoch);
     }
   }
 
   function carryOver(): void {
     for (const service of state.services()) {
       const elected = state.electedPrimary(service);
-      if (Option.isSome(elected)) carried.set(service, { epoch: elected.value.epoch, until: validUntil(service) });
+      if (Option.isSome(elected)) carriedOver.set(service, { epoch: elected.value.epoch, until: validUntil(service) });
     }
   }
 
   return {
     validUntil,
     releaseEpoch,
-    recordGrant: (core, sentAt) => grants.recordEcho(core, { sentAt, epochs: replies.of(core).epochs }),
+    recordGrant: (core, sentAt) => grants.recordEcho(core, { sentAt, epochs: replies.getOrCreate(core).epochs }),
     observeEpochs,
     carryOver,
   };
--- a/packages/simulator/pooled-mutations.mjs
+++ b/packages/simulator/pooled-mutations.mjs
@@ -676,7 +676,7 @@
     name: 'marks-moved-past-strangers',
     story: 'A core that has just begun to answer',
     file: 'lease/build/commit-watermarks.js',
-    from: 'if (watermark.coveredUntil < holders.unknownHoldersUntil)',
+    from: 'if (watermark.coveredUntil < acknowledgers.unknownHoldersUntil)',
     to: 'if (false)',
   },
   {
