--- a/packages/acceptance/features/outages.feature
+++ b/packages/acceptance/features/outages.feature
@@ -207,10 +207,10 @@
       | {"weekly":[{"day":"saturday","from":1400,"to":1500}]} {"weekly":[{"day":"sunday","from":30,"to":90}]}     | overlap                                    |
       | {"weekly":[{"day":"monday","from":60,"to":120},{"day":"monday","from":90,"to":150}]}                      | overlap                                    |
       | {"from":"2027-01-15T08:00:00Z","to":"2027-01-15T09:00:00Z","databases":["elsewhere"]}                     | there is no database elsewhere             |
-      | {"from":"2027-01-15T08:00:00Z","to":"2027-01-15T09:00:00Z","things":[{"database":"maps-late","tenant":"tenant-one","text":"get x"}]} | is not held in this outage |
+      | {"from":"2027-01-15T08:00:00Z","to":"2027-01-15T09:00:00Z","things":[{"database":"maps-late","tenant":"tenant-one","text":"get x"}]} | is not listed under databases of this outage |
       | {"from":"2027-01-15T08:00:00Z","to":"2027-01-15T09:00:00Z","things":[{"database":"bookings-late","tenant":"nobody","text":"get x"}]} | there is no tenant nobody |
       | {"from":"2027-01-15T08:00:00Z","to":"2027-01-15T08:00:00Z"}                                               | ends before it begins                      |
-      | {"from":"2027-01-15T08:00:00Z"}                                                                           | it has no window                           |
-      | {}                                                                                                        | it has no window                           |
+      | {"from":"2027-01-15T08:00:00Z"}                                                                           | the outage has no window                   |
+      | {}                                                                                                        | the outage has no window                   |
       | {"from":"2027-01-15T08:00:00Z","to":"2027-01-15T09:00:00Z","mostBytes":67108865}                             | Too big                                    |
       | {"from":"tomorrow","to":"2027-01-15T08:00:00Z"}                                                           | Invalid ISO datetime                       |
--- a/packages/placement/src/cross-checks.ts
+++ b/packages/placement/src/cross-checks.ts
@@ -1,22 +1,22 @@
-/** Checks of a sheet that its schema cannot express: names that occur twice, and names that nothing stands for. */
+/** Checks of a placement configuration that its schema cannot express: duplicate names, and references to names that are not defined. */
 import { outageChecks } from './outage-checks.js';
 import type { PlacementConfiguration, PlacementRow, ServicePlacement } from './schema.js';
-import { sheetFaults, type PlacementFault } from './sheet-faults.js';
+import { placementFaults, type PlacementFault } from './placement-faults.js';
 
-const { repetitions, shortened, standsTwice } = sheetFaults;
+const { duplicateFaults, abbreviated, duplicateMessage } = placementFaults;
 
-function repeatedMembers(sheet: PlacementConfiguration): readonly PlacementFault[] {
-  const members = sheet.services.flatMap((service) => service.members);
+function duplicateMemberFaults(configuration: PlacementConfiguration): readonly PlacementFault[] {
+  const members = configuration.services.flatMap((service) => service.members);
   return [
-    ...repetitions(
+    ...duplicateFaults(
       members.map((member) => member.member),
       { row: 'services', column: 'members.member' },
-      'give every member a name of its own',
+      'use a unique name for every member',
     ),
-    ...repetitions(
+    ...duplicateFaults(
       members.map((member) => member.address),
       { row: 'services', column: 'members.address' },
-      'give every member an address of its own',
+      'use a unique address for every member',
     ),
   ];
 }
@@ -25,141 +25,146 @@
   const row = `services[${index}]`;
   const { members, registered } = service;
   if (members.length === 0 && !registered)
-    return { row, column: 'members', message: `${service.service} has no members`, remedy: 'name at least one, or let them register' };
+    return {
+      row,
+      column: 'members',
+      message: `${service.service} has no members`,
+      remedy: 'list at least one member, or set registered to true',
+    };
   if (members.length > 0 && registered)
     return {
       row,
       column: 'members',
-      message: `${service.service} lets its members register and names some as well`,
-      remedy: 'do one of the two',
+      message: `${service.service} has registered members and lists members as well`,
+      remedy: 'remove the members, or set registered to false',
     };
   if (members.length > 0 && members.every((member) => member.state === 'draining'))
     return {
       row,
       column: 'members.state',
       message: `every member of ${service.service} is draining`,
-      remedy: 'leave at least one serving',
+      remedy: 'set at least one of them to serving',
     };
   return undefined;
 }
 
-function serviceFaults(sheet: PlacementConfiguration): readonly PlacementFault[] {
+function serviceFaults(configuration: PlacementConfiguration): readonly PlacementFault[] {
   return [
-    ...repetitions(
-      sheet.services.map((service) => service.service),
+    ...duplicateFaults(
+      configuration.services.map((service) => service.service),
       { row: 'services', column: 'service' },
       'keep one entry for each service',
     ),
-    ...repeatedMembers(sheet),
-    ...sheet.services.flatMap((service, index) => membersFault(service, index) ?? []),
+    ...duplicateMemberFaults(configuration),
+    ...configuration.services.flatMap((service, index) => membersFault(service, index) ?? []),
   ];
 }
 
-function unknownService(row: string, column: string, named: string): PlacementFault {
-  return { row, column, message: `there is no service ${named}`, remedy: 'add it under services, or mend the name' };
+function unknownService(row: string, column: string, name: string): PlacementFault {
+  return { row, column, message: `there is no service ${name}`, remedy: 'add it under services, or correct the name' };
 }
 
-/** Members named in a row that its service does not have. */
-function rowMemberFaults(row: PlacementRow, where: string, service: ServicePlacement): readonly PlacementFault[] {
+/** Faults for members that a row refers to and its service does not have. */
+function rowMemberFaults(row: PlacementRow, location: string, service: ServicePlacement): readonly PlacementFault[] {
   const members = new Set(service.members.map((member) => member.member));
   const kinds = ['bounded-read', 'own-read'] as const;
-  const named = [
+  const references = [
     ...kinds.flatMap((kind) => (row.serves[kind] ?? []).map((member) => ({ column: `serves.${kind}`, member }))),
     ...Object.keys(row.weights).map((member) => ({ column: `weights.${member}`, member })),
   ];
-  return named
+  return references
     .filter(({ member }) => !members.has(member))
     .map(({ column, member }) => ({
-      row: where,
+      row: location,
       column,
-      message: `${member} is no member of ${row.service}`,
-      remedy: 'name a member of this service',
+      message: `${member} is not a member of ${row.service}`,
+      remedy: 'use the name of a member of this service',
     }));
 }
 
-function rowFaults(sheet: PlacementConfiguration, services: ReadonlyMap<string, ServicePlacement>): readonly PlacementFault[] {
+function rowFaults(configuration: PlacementConfiguration, services: ReadonlyMap<string, ServicePlacement>): readonly PlacementFault[] {
   return [
-    ...repetitions(
-      sheet.rows.map((row) => `${row.service}/${row.area}`),
+    ...duplicateFaults(
+      configuration.rows.map((row) => `${row.service}/${row.area}`),
       { row: 'rows', column: 'service' },
       'keep one row for each service and area',
-      (name) => `the row ${name} stands twice`,
+      (name) => `the row ${name} occurs more than once`,
     ),
-    ...sheet.rows.flatMap((row, index) => {
-      const where = `rows[${index}]`;
+    ...configuration.rows.flatMap((row, index) => {
+      const location = `rows[${index}]`;
       const service = services.get(row.service);
-      return service === undefined ? [unknownService(where, 'service', row.service)] : rowMemberFaults(row, where, service);
+      return service === undefined ? [unknownService(location, 'service', row.service)] : rowMemberFaults(row, location, service);
     }),
   ];
 }
 
-function keyFaults(sheet: PlacementConfiguration, services: ReadonlyMap<string, ServicePlacement>): readonly PlacementFault[] {
+function keyFaults(configuration: PlacementConfiguration, services: ReadonlyMap<string, ServicePlacement>): readonly PlacementFault[] {
   return [
-    ...repetitions(
-      sheet.keys.map((key) => key.key),
+    ...duplicateFaults(
+      configuration.keys.map((key) => key.key),
       { row: 'keys', column: 'key' },
       'keep one entry for each key',
-      (key) => standsTwice(shortened(key)),
+      (key) => duplicateMessage(abbreviated(key)),
     ),
-    ...sheet.keys.flatMap((key, index) =>
-      key.services.filter((named) => !services.has(named)).map((named) => unknownService(`keys[${index}]`, 'services', named)),
+    ...configuration.keys.flatMap((key, index) =>
+      key.services.filter((name) => !services.has(name)).map((name) => unknownService(`keys[${index}]`, 'services', name)),
     ),
   ];
 }
 
-function mappingFaults(sheet: PlacementConfiguration, services: ReadonlyMap<string, ServicePlacement>): readonly PlacementFault[] {
+function mappingFaults(configuration: PlacementConfiguration, services: ReadonlyMap<string, ServicePlacement>): readonly PlacementFault[] {
   return [
-    ...repetitions(
-      sheet.mappings.map((mapping) => mapping.mapping),
+    ...duplicateFaults(
+      configuration.mappings.map((mapping) => mapping.mapping),
       { row: 'mappings', column: 'mapping' },
-      'give every mapping a name of its own',
+      'use a unique name for every mapping',
     ),
-    ...sheet.mappings.flatMap((mapping, index) =>
+    ...configuration.mappings.flatMap((mapping, index) =>
       services.has(mapping.service) ? [] : [unknownService(`mappings[${index}]`, 'service', mapping.service)],
     ),
   ];
 }
 
-function databaseFaults(sheet: PlacementConfiguration, services: ReadonlyMap<string, ServicePlacement>): readonly PlacementFault[] {
+function databaseFaults(configuration: PlacementConfiguration, services: ReadonlyMap<string, ServicePlacement>): readonly PlacementFault[] {
   return [
-    ...repetitions(
-      sheet.databases.map((database) => database.database),
+    ...duplicateFaults(
+      configuration.databases.map((database) => database.database),
       { row: 'databases', column: 'database' },
       'keep one entry for each database',
     ),
-    ...sheet.databases.flatMap((database, index) =>
+    ...configuration.databases.flatMap((database, index) =>
       services.has(database.service) ? [] : [unknownService(`databases[${index}]`, 'service', database.service)],
     ),
   ];
 }
 
-function tenantFaults(sheet: PlacementConfiguration): readonly PlacementFault[] {
+function tenantFaults(configuration: PlacementConfiguration): readonly PlacementFault[] {
   return [
-    ...repetitions(
-      sheet.tenants.map((tenant) => tenant.tenant),
+    ...duplicateFaults(
+      configuration.tenants.map((tenant) => tenant.tenant),
       { row: 'tenants', column: 'tenant' },
       'keep one entry for each tenant',
     ),
-    ...repetitions(
-      sheet.tenants.flatMap((tenant) => [...new Set(tenant.keys)]),
+    ...duplicateFaults(
+      configuration.tenants.flatMap((tenant) => [...new Set(tenant.keys)]),
       { row: 'tenants', column: 'keys' },
-      'give each tenant keys of its own',
-      (key) => `${shortened(key)} is held by two tenants`,
+      'assign each key to one tenant only',
+      (key) => `${abbreviated(key)} is assigned to more than one tenant`,
     ),
   ];
 }
 
-/** Every fault of a sheet that fits the schema, in the order of its sections. */
-function check(sheet: PlacementConfiguration): readonly PlacementFault[] {
-  const services = new Map(sheet.services.map((service) => [service.service, service]));
+/** All faults of a placement configuration that matches the schema, in the order of its sections. */
+function check(configuration: PlacementConfiguration): readonly PlacementFault[] {
+  const services = new Map(configuration.services.map((service) => [service.service, service]));
   return [
-    ...serviceFaults(sheet),
-    ...rowFaults(sheet, services),
-    ...keyFaults(sheet, services),
-    ...mappingFaults(sheet, services),
-    ...databaseFaults(sheet, services),
-    ...tenantFaults(sheet),
-    ...outageChecks.check(sheet),
+    ...serviceFaults(configuration),
+    ...rowFaults(configuration, services),
+    ...keyFaults(configuration, services),
+    ...mappingFaults(configuration, services),
+    ...databaseFaults(configuration, services),
+    ...tenantFaults(configuration),
+    ...outageChecks.check(configuration),
   ];
 }
 
--- a/packages/placement/src/schema.ts
+++ b/packages/placement/src/schema.ts
@@ -1,14 +1,14 @@
-/** The schema of the operators' placement sheet, and the types that follow from it (design 6.1). */
+/** The schema of the placement configuration, and the types derived from it (design 6.1). */
 import { z } from 'zod';
 
-const name = z.string().regex(/^[a-z0-9][a-z0-9._-]{0,62}$/i, 'use letters, digits, dot, dash and underscore, at most 63');
-const address = z.string().regex(/^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$/, 'give an IP number and a port, as in 127.0.0.1:7101');
+const name = z.string().regex(/^[a-z0-9][a-z0-9._-]{0,62}$/i, 'use at most 63 letters, digits, dots, dashes and underscores');
+const address = z.string().regex(/^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$/, 'use an IPv4 address and a port, for example 127.0.0.1:7101');
 
-/** What a statement of the HTTP wire asks for; each kind is placed by a column of its own. */
+/** The kinds of statements of the HTTP protocol. A row defines for each kind which members serve it. */
 export const statementKinds = ['write', 'leader-read', 'bounded-read', 'own-read'] as const;
 export type StatementKind = (typeof statementKinds)[number];
 
-/** A database process that holds a copy of its service's data. */
+/** A database process that holds a replica of its service's data. */
 const memberSchema = z.strictObject({
   member: name,
   area: name,
@@ -16,18 +16,18 @@
   state: z.enum(['serving', 'draining']).default('serving'),
 });
 
-/** A database that is replicated over members, one of which leads. */
+/** A database that is replicated over members, one of which is the leader. */
 const serviceSchema = z.strictObject({
   service: name,
   connectionLimit: z.number().int().min(1).max(100_000),
   members: z.array(memberSchema).max(99).default([]),
-  /** Its members make themselves known by their beats; the sheet names none (design 4.7). */
+  /** Whether members register by their heartbeats; the configuration lists none then (design 4.7). */
   registered: z.boolean().default(false),
-  /** How many replicas hold a commit before its member replies. */
+  /** Number of replicas that must store a commit before the leader replies. */
   synchronousReplicas: z.number().int().min(0).max(9).default(0),
 });
 
-/** How one area is served by one service: which members for each kind of statement, by weight, and how stale a read may be. */
+/** How one service serves one area: the members for each kind of statement, their weights, and how stale a read may be. */
 const rowSchema = z.strictObject({
   service: name,
   area: name,
@@ -42,7 +42,7 @@
   mostWaiting: z.number().int().min(1).max(100_000).default(400),
 });
 
-/** A key of the HTTP wire, and what may be sent with it. */
+/** A client key of the HTTP protocol, with the services and kinds of statements that it permits. */
 const keySchema = z.strictObject({
   key: z.string().min(8, 'use at least 8 characters').max(200),
   services: z.array(name).min(1),
@@ -52,7 +52,7 @@
     .default([...statementKinds]),
 });
 
-/** A named statement that senders call by its name alone (design 8.7). */
+/** A named statement, which clients execute by its name (design 8.7). */
 const mappingSchema = z.strictObject({
   mapping: name,
   service: name,
@@ -60,37 +60,37 @@
   text: z.string().min(1).max(65_536),
 });
 
-/** What a sender of the session wire opens by its name, and how its reads and writes are placed (design 8.10). */
+/** A database that clients of the session protocol open by name, and how its reads and writes are routed (design 8.10). */
 const databaseSchema = z.strictObject({
-  database: z.string().regex(/^[^\s]{1,253}$/, 'use 1 to 253 characters without blanks'),
+  database: z.string().regex(/^[^\s]{1,253}$/, 'use 1 to 253 characters without spaces'),
   service: name,
   reads: z.enum(['leader', 'bounded', 'own']),
   staleMilliseconds: z.number().int().min(0).max(600_000).default(0),
   horizonMilliseconds: z.number().int().min(1).max(600_000),
   aimMilliseconds: z.number().int().min(1).max(600_000).default(1_000),
   rank: z.number().int().min(0).max(1_000).default(0),
-  /** Let in without a key. */
+  /** Whether clients may connect without a key. */
   open: z.boolean().default(false),
 });
 
-/** Who holds keys of the session wire. */
+/** A tenant, with its keys of the session protocol. */
 const tenantSchema = z.strictObject({
-  tenant: z.string().regex(/^[^\s]{1,200}$/, 'use 1 to 200 characters without blanks'),
-  keys: z.array(z.string().regex(/^[^\s]{1,200}$/, 'use 1 to 200 characters without blanks')).max(1_000),
+  tenant: z.string().regex(/^[^\s]{1,200}$/, 'use 1 to 200 characters without spaces'),
+  keys: z.array(z.string().regex(/^[^\s]{1,200}$/, 'use 1 to 200 characters without spaces')).max(1_000),
   rank: z.number().int().min(0).max(1_000).default(0),
 });
 
 export const weekdays = ['sunday', 'monday', 'tuesday', 'wednesday', 'thursday', 'friday', 'saturday'] as const;
 
-/** A window that recurs every week. */
+/** A weekly window. */
 const weeklySchema = z.strictObject({
   day: z.enum(weekdays),
-  /** Minutes of that day by UTC; what ends after midnight ends beyond 1440. */
+  /** Minutes since the start of that day, in UTC; a window past midnight ends after 1440. */
   from: z.number().int().min(0).max(1_439),
   to: z.number().int().min(1).max(2_880),
 });
 
-/** Announced windows in which a site's uplink is away, and what its edges hold through them (design 8.13). */
+/** Announced windows in which a site has no uplink, and the data that its edges copy to serve reads meanwhile (design 8.13). */
 const outageSchema = z.strictObject({
   site: name,
   nodes: z.array(name).min(1).max(99),
@@ -98,19 +98,19 @@
   from: z.iso.datetime().optional(),
   to: z.iso.datetime().optional(),
   weekly: z.array(weeklySchema).max(50).default([]),
-  /** So long before a window its copy is made. */
+  /** How long before a window the data is copied. */
   holdMilliseconds: z.number().int().min(1_000).max(86_400_000).default(600_000),
   mostBytes: z.number().int().min(1_024).max(67_108_864).default(16_777_216),
-  /** Reads to be held whether or not anybody asked them. */
+  /** Reads to be copied even if no client has sent them. */
   things: z
     .array(z.strictObject({ database: z.string(), tenant: z.string(), text: z.string().min(1).max(65_536) }))
     .max(5_000)
     .default([]),
 });
 
-/** Bounds of the session wire. */
+/** Limits of the session protocol. */
 const boundsSchema = z.strictObject({
-  /** How long a transaction may rest before it may be ended. */
+  /** How long a transaction may be idle before it may be aborted. */
   restMilliseconds: z.number().int().min(1).max(600_000).default(5_000),
   messageBytes: z.number().int().min(1_024).max(1_048_576).default(1_048_576),
 });
@@ -122,12 +122,12 @@
   mappings: z.array(mappingSchema).max(5_000).default([]),
   databases: z.array(databaseSchema).max(20_000).default([]),
   tenants: z.array(tenantSchema).max(10_000).default([]),
-  /** None when left out: a sheet without any stays, byte for byte, what it was. */
+  /** Optional without a default, so that a configuration without outages is stored byte for byte as it was sent. */
   outages: z.array(outageSchema).max(500).optional(),
   bounds: boundsSchema.default({ restMilliseconds: 5_000, messageBytes: 1_048_576 }),
 });
 
-/** A whole placement configuration, as it is sent, stored and followed. */
+/** A complete placement configuration, in the form in which it is sent, stored and applied. */
 export type PlacementConfiguration = z.infer<typeof placementSchema>;
 export type ServicePlacement = PlacementConfiguration['services'][number];
 export type MemberPlacement = ServicePlacement['members'][number];
@@ -139,5 +139,5 @@
 
 /** An announced outage of a site's uplink. */
 export type AnnouncedOutage = NonNullable<PlacementConfiguration['outages']>[number];
-/** Milliseconds of the wall clock since 1970; `to` is not part of the window. */
+/** Wall clock times in milliseconds since 1970; `to` is exclusive. */
 export type OutageWindow = Readonly<{ from: number; to: number }>;
--- a/packages/simulator/pooled-mutations.mjs
+++ b/packages/simulator/pooled-mutations.mjs
@@ -729,7 +729,7 @@
     expect: 'order-invalid',
     only: ['order-invalid-shared-key'],
     file: 'placement/build/cross-checks.js',
-    from: 'sheet.tenants.flatMap((tenant) => [...new Set(tenant.keys)])',
+    from: 'configuration.tenants.flatMap((tenant) => [...new Set(tenant.keys)])',
     to: '[]',
   },
   {
