--- a/packages/placement/src/outage-windows.ts
+++ b/packages/placement/src/outage-windows.ts
@@ -17,7 +17,10 @@
 function windowsBetween(outage: AnnouncedOutage, from: number, to: number): readonly OutageWindow[] {
   const dated = datedWindow(outage);
   const weekStart = firstSunday + Math.floor((from - firstSunday) / weekMilliseconds) * weekMilliseconds;
-  const weeks = Array.from({ length: Math.ceil((to - weekStart) / weekMilliseconds) + 1 }, (_, index) => weekStart + (index - 1) * weekMilliseconds);
+  const weeks = Array.from(
+    { length: Math.ceil((to - weekStart) / weekMilliseconds) + 1 },
+    (_, index) => weekStart + (index - 1) * weekMilliseconds,
+  );
   const recurring = weeks.flatMap((sunday) =>
     outage.weekly.map((window) => {
       const day = sunday + weekdays.indexOf(window.day) * dayMilliseconds;
--- a/packages/routing/src/index.ts
+++ b/packages/routing/src/index.ts
@@ -1,4 +1,4 @@
-/** The routing table: for each service and kind of statement, which members may serve it, worked out in advance (design 8.1). */
+/** The routing table: for each service and kind of statement, the members that may serve it, computed in advance (design 8.1). */
 import * as Either from 'fp-ts/lib/Either.js';
 import { fault, type Fault, type FaultKind, type Instant } from '@stallstall/kernel';
 import {
@@ -11,19 +11,19 @@
   type StatementKind,
 } from '@stallstall/placement';
 
-/** What the proxy knows of a member; moments are of its own clock. */
+/** The state of a member as known to the proxy; times are on the proxy's clock. */
 export type TargetStatus = Readonly<{ member: string; isAlive: boolean; freshAt: Instant; appliedPosition: number; followedEpoch: number }>;
-/** What the proxy knows of a service. */
+/** The state of a service as known to the proxy. */
 export type ServiceStatus = Readonly<{
   service: string;
   epoch: number;
   primary: string;
   targets: readonly TargetStatus[];
-  /** The primary is to go, and has had the time in which another should have been elected. */
+  /** Whether the primary is leaving and the time for electing its successor has passed. */
   isHandoverOverdue: boolean;
 }>;
 
-/** A member that may be chosen. */
+/** A member that a statement may be routed to. */
 export type RouteCandidate = Readonly<{
   member: string;
   address: string;
@@ -34,15 +34,15 @@
   appliedPosition: number;
 }>;
 
-/** `lastResort` is chosen from when none of the choices suits. */
+/** `fallback` is used when none of the candidates meets a statement's requirement. */
 export type RoutingDecision =
   | Readonly<{ outcome: 'serve'; epoch: number; candidates: readonly RouteCandidate[]; fallback: readonly RouteCandidate[] }>
   | Readonly<{ outcome: 'reject'; kind: FaultKind; message: string; remedy: string }>;
 
-/** By service and kind, see `keyOf`. */
+/** Decisions by service and kind of statement; see `keyOf`. */
 export type RoutingTable = ReadonlyMap<string, RoutingDecision>;
 
-/** Part of the allowed staleness that is left for the statement to reach its member and be read there. */
+/** The part of the allowed staleness reserved for the time until the statement is executed at its member. */
 export const stalenessMarginMilliseconds = 300;
 const retryAfterSeconds = 1;
 const always = Number.POSITIVE_INFINITY as Instant;
@@ -51,10 +51,10 @@
   return `${service}|${kind}`;
 }
 
-function leaderOf(service: ServicePlacement, known: ServiceStatus, area: string): readonly RouteCandidate[] {
-  const member = service.members.find((one) => one.member === known.primary);
-  const target = known.targets.find((one) => one.member === known.primary);
-  if (known.isHandoverOverdue || member === undefined || target === undefined || !target.isAlive || target.followedEpoch > known.epoch)
+function leaderOf(service: ServicePlacement, status: ServiceStatus, area: string): readonly RouteCandidate[] {
+  const member = service.members.find((candidate) => candidate.member === status.primary);
+  const target = status.targets.find((candidate) => candidate.member === status.primary);
+  if (status.isHandoverOverdue || member === undefined || target === undefined || !target.isAlive || target.followedEpoch > status.epoch)
     return [];
   return [
     {
@@ -71,16 +71,16 @@
 
 function replicaOf(
   member: MemberPlacement,
-  known: ServiceStatus,
+  status: ServiceStatus,
   weight: number,
-  allowance: number,
+  staleMilliseconds: number,
   area: string,
 ): readonly RouteCandidate[] {
-  const target = known.targets.find((one) => one.member === member.member);
-  // A deposed primary, or a replica that does not follow the settled epoch yet, is no target (design 7.7).
-  if (target === undefined || !target.isAlive || target.followedEpoch !== known.epoch || member.state !== 'serving' || weight <= 0)
+  const target = status.targets.find((candidate) => candidate.member === member.member);
+  // A deposed primary, or a replica that does not follow the committed epoch yet, is not eligible (design 7.7).
+  if (target === undefined || !target.isAlive || target.followedEpoch !== status.epoch || member.state !== 'serving' || weight <= 0)
     return [];
-  if (member.member === known.primary) return [];
+  if (member.member === status.primary) return [];
   return [
     {
       member: member.member,
@@ -88,7 +88,7 @@
       weight,
       isLocal: member.area === area,
       isLeader: false,
-      freshUntil: (target.freshAt + allowance - stalenessMarginMilliseconds) as Instant,
+      freshUntil: (target.freshAt + staleMilliseconds - stalenessMarginMilliseconds) as Instant,
       appliedPosition: target.appliedPosition,
     },
   ];
@@ -100,86 +100,90 @@
   return { outcome: 'reject', kind, message, remedy };
 }
 
-/** The decision on kinds that only the leader serves. */
-function judgeLeaderKind(service: ServicePlacement, known: ServiceStatus, leader: readonly RouteCandidate[]): RoutingDecision {
-  if (leader.length > 0) return { outcome: 'serve', epoch: known.epoch, candidates: leader, fallback: [] };
-  const state = known.isHandoverOverdue ? 'to go and none has followed it' : 'down';
-  return reject('read-only', `READONLY: the primary of ${service.service} is ${state}`, 'try again when an election has settled');
+/** The decision for the kinds of statements that only the leader serves. */
+function decideLeaderKind(service: ServicePlacement, status: ServiceStatus, leader: readonly RouteCandidate[]): RoutingDecision {
+  if (leader.length > 0) return { outcome: 'serve', epoch: status.epoch, candidates: leader, fallback: [] };
+  const state = status.isHandoverOverdue ? 'leaving and has no successor yet' : 'down';
+  return reject('read-only', `READONLY: the primary of ${service.service} is ${state}`, 'try again after the next election');
 }
 
-function choicesOf(
+function candidatesOf(
   service: ServicePlacement,
-  known: ServiceStatus,
+  status: ServiceStatus,
   row: PlacementRow,
   serves: readonly string[],
   leader: readonly RouteCandidate[],
 ): readonly RouteCandidate[] {
   return service.members
     .filter((member) => serves.includes(member.member))
-    .flatMap(function choose(member) {
+    .flatMap(function candidateOf(member) {
       const weight = row.weights[member.member] ?? 1;
-      if (member.member !== known.primary) return replicaOf(member, known, weight, row.staleMilliseconds, row.area);
-      return leader.map((choice) => ({ ...choice, weight })).filter((choice) => choice.weight > 0);
+      if (member.member !== status.primary) return replicaOf(member, status, weight, row.staleMilliseconds, row.area);
+      return leader.map((candidate) => ({ ...candidate, weight })).filter((candidate) => candidate.weight > 0);
     });
 }
 
-function judgeKind(
-  sheet: PlacementConfiguration,
+function decideKind(
+  configuration: PlacementConfiguration,
   service: ServicePlacement,
-  known: ServiceStatus | undefined,
+  status: ServiceStatus | undefined,
   kind: StatementKind,
   area: string,
 ): RoutingDecision {
-  const row = placements.findRow(sheet, service.service, area);
+  const row = placements.findRow(configuration, service.service, area);
   const serves = row?.serves[kind];
   if (row === undefined || serves === undefined)
     return reject(
       'statement-denied',
       `${service.service} serves no ${kind} in ${area}`,
-      'send it to an area that does, or ask the operators for a row',
+      'send it to an area that serves it, or ask an operator to add a placement row',
     );
-  if (known === undefined || known.epoch === 0)
-    return reject('read-only', `READONLY: no primary of ${service.service} is settled yet`, 'try again when an election has settled');
-  const leader = leaderOf(service, known, area);
-  if (serves === 'leader') return judgeLeaderKind(service, known, leader);
-  const choices = choicesOf(service, known, row, serves, leader);
-  if (choices.length > 0 || leader.length > 0) return { outcome: 'serve', epoch: known.epoch, candidates: choices, fallback: leader };
-  return reject('no-target', `no member of ${service.service} may serve ${kind} in ${area} now`, 'try again when a member has caught up');
+  if (status === undefined || status.epoch === 0)
+    return reject('read-only', `READONLY: no primary of ${service.service} is elected yet`, 'try again after the next election');
+  const leader = leaderOf(service, status, area);
+  if (serves === 'leader') return decideLeaderKind(service, status, leader);
+  const candidates = candidatesOf(service, status, row, serves, leader);
+  if (candidates.length > 0 || leader.length > 0) return { outcome: 'serve', epoch: status.epoch, candidates, fallback: leader };
+  return reject(
+    'no-target',
+    `no member of ${service.service} can currently serve ${kind} in ${area}`,
+    'try again when a replica has caught up',
+  );
 }
 
-/** Works the table out anew, for an edge of the area. */
-function compile(sheet: PlacementConfiguration, services: readonly ServiceStatus[], area: string): RoutingTable {
+/** Computes the routing table for an edge in the given area. */
+function compile(configuration: PlacementConfiguration, services: readonly ServiceStatus[], area: string): RoutingTable {
   const table = new Map<string, RoutingDecision>();
-  for (const service of sheet.services) {
-    const known = services.find((one) => one.service === service.service);
-    for (const kind of statementKinds) table.set(keyOf(service.service, kind), judgeKind(sheet, service, known, kind, area));
+  for (const service of configuration.services) {
+    const status = services.find((candidate) => candidate.service === service.service);
+    for (const kind of statementKinds) table.set(keyOf(service.service, kind), decideKind(configuration, service, status, kind, area));
   }
   return table;
 }
 
-/** Draws one by weight; undefined when there are none. */
-function draw(choices: readonly RouteCandidate[], random: number): RouteCandidate | undefined {
-  const total = choices.reduce((sum, choice) => sum + choice.weight, 0);
-  let left = random * total;
-  for (const choice of choices) {
-    left -= choice.weight;
-    if (left < 0) return choice;
+/** Picks a candidate at random by weight; undefined when there are none. */
+function pickByWeight(candidates: readonly RouteCandidate[], random: number): RouteCandidate | undefined {
+  const total = candidates.reduce((sum, candidate) => sum + candidate.weight, 0);
+  let remaining = random * total;
+  for (const candidate of candidates) {
+    remaining -= candidate.weight;
+    if (remaining < 0) return candidate;
   }
-  return choices.at(-1);
+  return candidates.at(-1);
 }
 
-/** What a statement asks of its member beside its kind. */
+/** What a statement requires of its member, in addition to its kind. */
 export type TargetRequirement = Readonly<{
   now: Instant;
-  /** A random number from 0 to 1, by which the member is drawn. */
+  /** A random number from 0 to 1, by which the member is picked. */
   random: number;
-  /** The member has applied the log to this position. */
+  /** The log position that the member must have applied. */
   minimumPosition: number;
-  /** Members that are not to be chosen. */
+  /** Members that must not be chosen. */
   excluded: ReadonlySet<string>;
 }>;
 
-/** The member that a statement goes to, and the epoch it is chosen under; or the fault to reject it with. A lookup; nothing here waits. */
+/** The member that a statement is routed to and the epoch of that decision, or the fault to reject it with. A lookup that never waits. */
 function chooseTarget(
   table: RoutingTable,
   service: string,
@@ -189,18 +193,20 @@
   const { now, random, minimumPosition, excluded } = requirement;
   const decision = table.get(keyOf(service, kind));
   if (decision === undefined) {
-    return Either.left(fault.create({ kind: 'not-found', message: `no sheet names a service ${service}`, remedy: 'check the name' }));
+    return Either.left(
+      fault.create({ kind: 'not-found', message: `the placement configuration has no service ${service}`, remedy: 'check the name' }),
+    );
   }
   if (decision.outcome === 'reject') return Either.left(fault.create({ ...decision, retryAfterSeconds }));
-  const fit = decision.candidates.filter(
+  const eligible = decision.candidates.filter(
     (choice) => choice.freshUntil > now && choice.appliedPosition >= minimumPosition && !excluded.has(choice.member),
   );
-  const choice = draw(fit, random) ?? decision.fallback.find((one) => !excluded.has(one.member));
+  const choice = pickByWeight(eligible, random) ?? decision.fallback.find((candidate) => !excluded.has(candidate.member));
   if (choice !== undefined) return Either.right({ choice, epoch: decision.epoch });
   return Either.left(
     fault.create({
       kind: 'no-target',
-      message: `no member of ${service} that may serve ${kind} can be reached and is fresh enough now`,
+      message: `no member of ${service} that may serve ${kind} is reachable and fresh enough`,
       remedy: 'try again shortly',
       retryAfterSeconds,
     }),
