--- a/packages/acceptance/src/candidacies.ts
+++ b/packages/acceptance/src/candidacies.ts
@@ -7,7 +7,7 @@
 import { quorumLease, quorumLeaseService } from '@stallstall/quorum-lease';
 import { identifiers } from '@stallstall/kernel';
 import { ballotZero, type Entry, type Seat, type ElectedPrimary } from '@stallstall/message';
-import { durableReportsService, registerService, type DurableReports, type NumberedRegister } from '@stallstall/register';
+import { durableReportsService, registerService, type DurableReports, type CoreSetRegister } from '@stallstall/register';
 import type { PlacementConfiguration } from '@stallstall/placement';
 import { world as worlds, type World } from '@stallstall/simulator';
 
@@ -47,14 +47,14 @@
   return { services: [{ service, members: members(count), synchronousReplicas, registered: true }] } as unknown as PlacementConfiguration;
 }
 
-function stubRegister(story: CandidacyStory): NumberedRegister {
+function stubRegister(story: CandidacyStory): CoreSetRegister {
   function put(key: string, value: unknown): Entry {
     const entry: Entry = { ballot: ballotZero, version: (story.values.get(key)?.version ?? 0) + 1, value };
     story.values.set(key, entry);
     story.writes.push({ key, value });
     return entry;
   }
-  const register: NumberedRegister = {
+  const register: CoreSetRegister = {
     read: (key) => Promise.resolve(Either.right(Option.fromNullable(story.values.get(key)))),
     change: function change(key, decide) {
       const wanted = decide(Option.fromNullable(story.values.get(key)));
@@ -63,7 +63,7 @@
       story.onWrite(key);
       return Promise.resolve(Either.right({ wrote: true, entry: Option.some(entry) }));
     },
-    inSet: () => register,
+    forCoreSet: () => register,
   };
   return register;
 }
@@ -114,7 +114,7 @@
   story.election = election.create(
     runtime,
     {
-      calls: Option.some({
+      platformCalls: Option.some({
         promotion: ({ member }) => ({ method: 'POST', path: '/promotion', body: { member }, repeatable: 'unchanged' }),
         usage: () => ({ method: 'POST', path: '/usage', body: {}, repeatable: 'unchanged' }),
         handoverDelayMilliseconds: 0,
@@ -128,8 +128,8 @@
       placement: () => Option.some(sheetOfStory(story)),
       // What this node was pushed is the epoch before, whatever the register holds.
       electedPrimary: () => Option.some(settledAtFirst),
-      platform: () => platformAddress,
-      propose: () => Promise.resolve(Option.none),
+      platformAddress: () => platformAddress,
+      sendProposal: () => Promise.resolve(Option.none),
     },
     { load: () => Promise.resolve(Either.right(Option.none)), record: () => Promise.resolve(true) },
   );
--- a/packages/core/src/core-set-manager.ts
+++ b/packages/core/src/core-set-manager.ts
@@ -4,7 +4,7 @@
 import { identifiers, runtimeUtilities, owner, type Instant, type Runtime } from '@stallstall/kernel';
 import type { CoreSet, Reply, Request, Seat } from '@stallstall/message';
 import { quorum } from '@stallstall/quorum';
-import { coreSetChanges, coreSetKey, isSameOccupant, type ConfirmedCores, type CoreSetChanges } from '@stallstall/register';
+import { coreSetChanges, coreSetKey, isSameNodeAndDisk, type ConfirmedCores, type CoreSetChanges } from '@stallstall/register';
 import type { CoreSetManagerParts, CoreSetState } from './core-set-state.js';
 import { coreSetMembership, type CoreSetMembership } from './core-set-membership.js';
 
@@ -18,7 +18,7 @@
   /** Some core reported this set. */
   observe: (set: CoreSet) => void;
   /** A formed fleet was found that this core is not, or not any more, a core of. */
-  fleetFound: (fleet: string, set: CoreSet) => void;
+  onFleetFound: (fleet: string, set: CoreSet) => void;
   /** This disk cannot be trusted to hold what it promised: the core goes on as one that lost its disk. */
   abandonDisk: () => Promise<boolean>;
   /** Offers this core's own seat, until a learner that waits for one has it, or until the deadline. */
@@ -54,10 +54,10 @@
 async function adopt({ state, membership }: Manager, request: Request<'adopt'>): Promise<Reply<'adopt'>> {
   const { parts, commands } = state;
   // A blank core may know no seed that still runs, while the cores of the fleet go on calling it where it was seated.
-  if (Option.isNone(parts.fleet()) && !state.isStopped && !state.isLeaving)
+  if (Option.isNone(parts.record()) && !state.isStopped && !state.isLeaving)
     void commands.run(() => membership.becomeLearner(request.fleet, request.set));
   const adopted = await commands.run(() => membership.adopt(request.fleet, request.set));
-  const known = parts.fleet();
+  const known = parts.record();
   const isFormed = Option.isSome(known) && known.value.fleet === request.fleet && known.value.stage === 'formed';
   const own = membership.set();
   const silent = [...silentCores(state, own)];
@@ -68,7 +68,7 @@
 async function requestAdopt(manager: Manager, seat: Seat, set: CoreSet): Promise<Option.Option<Reply<'adopt'>>> {
   const { state, membership } = manager;
   const { parts } = state;
-  const known = parts.fleet();
+  const known = parts.record();
   if (Option.isNone(known)) return Option.none;
   const request: Request<'adopt'> = { fleet: known.value.fleet, set };
   if (seat.address === parts.node.ownSeat().address) return Option.some(await adopt(manager, request));
@@ -79,27 +79,27 @@
 
 /** A node that is listed with another disk, or elsewhere, has its own seat only; else whoever is gone goes first. */
 function vacancies({ parts, isLeaving }: CoreSetState, occupant: Seat, set: CoreSet, confirmed: ConfirmedCores): readonly string[] {
-  if (quorum.seat(set, occupant.node) !== undefined) return [occupant.node];
-  const gone = set.seats.map((seat) => seat.node).filter((core) => confirmed.silent.has(core) && !confirmed.standing.includes(core));
+  if (quorum.findNode(set, occupant.node) !== undefined) return [occupant.node];
+  const gone = set.seats.map((seat) => seat.node).filter((core) => confirmed.unreachable.has(core) && !confirmed.upToDate.includes(core));
   return isLeaving ? [...gone, parts.node.settings.node] : gone;
 }
 
 /** What this core alone can tell, before all others are asked. */
 function mayBeVacant({ state, membership }: Manager, occupant: Seat): boolean {
   const set = membership.set();
-  return state.isLeaving || silentCores(state, set).length > 0 || quorum.seat(set, occupant.node) !== undefined;
+  return state.isLeaving || silentCores(state, set).length > 0 || quorum.findNode(set, occupant.node) !== undefined;
 }
 
 async function join(manager: Manager, { seat }: Request<'join'>): Promise<Reply<'join'>> {
   const { state, membership, changes } = manager;
   const { runtime, parts } = state;
   if (!parts.cells.ready()) return { joined: false, reason: 'this core is not open yet' };
-  const listed = membership.set().seats.find((one) => isSameOccupant(one, seat));
+  const listed = membership.set().seats.find((one) => isSameNodeAndDisk(one, seat));
   if (listed?.address === seat.address) return { joined: true, reason: '', set: membership.set() };
   if (listed === undefined) state.learnerAskedAt = runtime.clock.now();
   if (!mayBeVacant(manager, seat)) return { joined: false, reason: 'no seat is vacant', set: membership.set() };
   runtime.log('core.proposes', { node: seat.node, set: membership.set().number + 1 });
-  const changed = await changes.replaceOccupant(seat, (set, confirmed) => vacancies(state, seat, set, confirmed));
+  const changed = await changes.replaceNode(seat, (set, confirmed) => vacancies(state, seat, set, confirmed));
   if (Either.isLeft(changed)) return { joined: false, reason: changed.left.message.slice(0, reasonLength), set: membership.set() };
   runtime.log('core.seated', { node: seat.node, set: changed.right.number });
   return { joined: true, reason: '', set: changed.right };
@@ -127,7 +127,7 @@
 async function correctAddress(manager: Manager): Promise<void> {
   const { state, membership } = manager;
   const own = membership.ownSeat();
-  const listed = membership.set().seats.find((seat) => isSameOccupant(seat, own));
+  const listed = membership.set().seats.find((seat) => isSameNodeAndDisk(seat, own));
   if (!state.parts.cells.ready() || listed === undefined || listed.address === state.parts.node.ownSeat().address) return;
   await join(manager, { seat: own });
 }
@@ -153,7 +153,7 @@
   const membership = coreSetMembership.create(state);
   const changes = coreSetChanges.create({
     set: membership.set,
-    registerInSet: parts.register.inSet,
+    registerForCoreSet: parts.register.forCoreSet,
     adopt: (seat, set) => requestAdopt(manager, seat, set),
     observe: membership.observe,
   });
@@ -170,7 +170,7 @@
     observe: membership.observe,
     handOverSeat: (deadline) => handOverSeat(manager, deadline),
     abandonDisk: () => state.commands.run(membership.abandonDisk),
-    fleetFound: function fleetFound(fleet, set) {
+    onFleetFound: function fleetFound(fleet, set) {
       if (!state.isStopped && !state.isLeaving) void state.commands.run(() => membership.becomeLearner(fleet, set));
     },
     start: () => start(manager),
--- a/packages/core/src/member-registration.ts
+++ b/packages/core/src/member-registration.ts
@@ -6,7 +6,7 @@
   memberRegistry,
   memberRegistryService,
   type MemberRegistry,
-  type ReceivedBeat,
+  type ReceivedHeartbeat,
   type Registration,
 } from '@stallstall/member-registry';
 import type { Node } from '@stallstall/node';
@@ -36,7 +36,7 @@
   /**
    * Takes heartbeats that another core received; resolves to true once those that say that a member drains or has left are synced.
    */
-  mergeBeats: (beats: readonly ReceivedBeat[]) => Promise<boolean>;
+  mergeBeats: (beats: readonly ReceivedHeartbeat[]) => Promise<boolean>;
   start: () => void;
   stop: () => void;
 }>;
@@ -83,17 +83,17 @@
 }
 
 async function heartbeat(state: RegistrationState, registration: Registration): Promise<boolean> {
-  state.registry.heartbeat(registration);
+  state.registry.recordHeartbeat(registration);
   return state.isInContact() && (!registration.draining || confirm(state, registration.member));
 }
 
 async function leave(state: RegistrationState, member: string): Promise<boolean> {
-  state.registry.leave(member);
+  state.registry.recordDeparture(member);
   return state.isInContact() && confirm(state, member);
 }
 
-async function mergeBeats({ registry, file }: RegistrationState, beats: readonly ReceivedBeat[]): Promise<boolean> {
-  registry.merge(beats);
+async function mergeBeats({ registry, file }: RegistrationState, beats: readonly ReceivedHeartbeat[]): Promise<boolean> {
+  registry.mergeHeartbeats(beats);
   return !beats.some(({ entry }) => entry.gone || entry.draining) || file.write();
 }
 
@@ -115,7 +115,7 @@
     broadcast(state);
   }
   void runtimeUtilities.every(runtime.clock, broadcastMilliseconds, sweepAndBroadcast, isRunning);
-  void runtimeUtilities.every(runtime.clock, leaderCheckMilliseconds, leaders.checkLeaders, isRunning);
+  void runtimeUtilities.every(runtime.clock, leaderCheckMilliseconds, leaders.checkLeaderConnections, isRunning);
 }
 
 function stop(state: RegistrationState): void {
@@ -133,7 +133,7 @@
     epochs: node.epochs,
     registry,
     isLeaderMissing: leaders.isLeaderMissing,
-    onConnectionRefused: leaders.check,
+    onConnectionRefused: leaders.checkConnection,
   });
   const state: RegistrationState = {
     runtime,
--- a/packages/core/src/peer-handlers.ts
+++ b/packages/core/src/peer-handlers.ts
@@ -10,7 +10,7 @@
 import type { CoreServices, CoreStorage } from './core-context.js';
 import { coreStorage } from './core-storage.js';
 import type { FleetBootstrap } from './fleet-bootstrap.js';
-import { setOf } from './fleet-record.js';
+import { coreSetOf } from './fleet-record.js';
 import type { MembershipTable } from './membership-table.js';
 import { storeReport } from './report-handling.js';
 import type { VersionStore } from './version-store.js';
@@ -18,7 +18,7 @@
 export type PeerHandlerParts = Readonly<{
   services: CoreServices;
   subscribers: ChangeSubscribers;
-  versions: Pick<VersionStore, 'earlier'>;
+  versions: Pick<VersionStore, 'readBatch'>;
   bootstrap: FleetBootstrap;
   table: MembershipTable;
 }>;
@@ -45,7 +45,7 @@
   return async function hello(request, caller) {
     const reply = await (node.handlers.hello as NonNullable<Handlers['hello']>)(request, caller);
     bootstrap.onHelloReceived(request);
-    const known = storage.record.current();
+    const known = storage.recordStore.current();
     if (Option.isNone(known)) return { ...reply, fleet: '', founding: '', cores: [] };
     const { fleet, stage, cores } = known.value;
     if (stage !== 'formed') return { ...reply, fleet: '', founding: fleet, cores: [] };
@@ -53,8 +53,8 @@
       ...reply,
       fleet,
       founding: fleet,
-      cores: cores.map((core) => quorum.seat(node.membership().value, core.node) ?? core),
-      ...(Option.isSome(context.coreSet) ? { set: setOf(known.value) } : {}),
+      cores: cores.map((core) => quorum.findNode(node.membership().value, core.node) ?? core),
+      ...(Option.isSome(context.coreSet) ? { set: coreSetOf(known.value) } : {}),
     };
   };
 }
@@ -132,7 +132,7 @@
     watch: watchHandler(parts),
     join: async (request) => (Option.isSome(context.coreSet) ? context.coreSet.value.join(request) : table.join(request)),
     note: (request) => storeReport(reports, coreSetView, request),
-    earlier: versions.earlier,
+    earlier: versions.readBatch,
     usageLook: (request) => reports.usageOf(request.window),
     spread: spreadHandler(parts),
     lease: leaseHandler(parts),
--- a/packages/lease/src/holder-state.ts
+++ b/packages/lease/src/holder-state.ts
@@ -93,7 +93,7 @@
     cores: { number: coreSets.number, includes: (name) => context.cores.some((core) => core.node === name) },
   });
   const contents = contentFetcher.create(runtime, {
-    set: coreSets.number,
+    coreSetNumber: coreSets.number,
     deliver: watch.receive,
     stopped: () => context.isStopped,
   });
--- a/packages/lease/src/lease-holder.ts
+++ b/packages/lease/src/lease-holder.ts
@@ -4,7 +4,7 @@
 import type { CoreSet, ElectedPrimary, MemberRecord, Reply } from '@stallstall/message';
 import type { Applied, Configuration } from '@stallstall/node';
 import type { Peer } from '@stallstall/peer';
-import { leaseTermMilliseconds, withClockDrift } from '@stallstall/quorum-lease';
+import { leaseTermMilliseconds, subtractClockDrift } from '@stallstall/quorum-lease';
 import type { DurableReports } from '@stallstall/register';
 import type { CommitWatermark } from './commit-watermarks.js';
 import { coreLinks, type CoreLinks } from './core-links.js';
--- a/packages/register/src/watcher.ts
+++ b/packages/register/src/watcher.ts
@@ -23,13 +23,13 @@
   /** Which cores have pushed a newer version of a key than the one applied. */
   unapplied: (key: string) => readonly PushedVersion[];
   /** Reads keys that are in doubt from the register, so that an interrupted round is completed; called at each heartbeat. */
-  resolve: () => void;
+  readUncertain: () => void;
 }>;
 
 /** Which cores are counted, and the number of their set, where it may change. */
 export type CountedCores = Readonly<{ number: () => number; includes: (core: string) => boolean }>;
 
-export type WatcherParts = Readonly<{
+export type WatcherOptions = Readonly<{
   register: Register;
   coreCount: () => number;
   /** Called once a new version of a key is applied. */
@@ -53,7 +53,7 @@
   runtime: Runtime;
   register: Register;
   coreCount: () => number;
-  onApplied: WatcherParts['onApplied'];
+  onApplied: WatcherOptions['onApplied'];
   cores: CountedCores;
   keys: Map<string, WatchedKey>;
 }>;
@@ -160,14 +160,14 @@
   watched.doubtSince = isInDoubt(watched) ? Option.some(nextDoubt) : Option.none;
 }
 
-function resolve(watcher: WatcherState): void {
+function readUncertain(watcher: WatcherState): void {
   for (const [key, watched] of watcher.keys) {
     if (watched.isReading || Option.isNone(watched.doubtSince)) continue;
     if (watcher.runtime.clock.now() - watched.doubtSince.value >= doubtMilliseconds) void readDoubtful(watcher, key, watched);
   }
 }
 
-function create(runtime: Runtime, { register, coreCount, onApplied, cores = everyCore }: WatcherParts): Watcher {
+function create(runtime: Runtime, { register, coreCount, onApplied, cores = everyCore }: WatcherOptions): Watcher {
   const state: WatcherState = { runtime, register, coreCount, onApplied, cores, keys: new Map() };
   return {
     receive: (core, change) => receive(state, core, change),
@@ -178,7 +178,7 @@
       const watched = state.keys.get(key);
       return watched === undefined ? [] : unappliedOf(watched);
     },
-    resolve: () => resolve(state),
+    readUncertain: () => readUncertain(state),
   };
 }
 
--- a/packages/simulator/src/core-fleet.ts
+++ b/packages/simulator/src/core-fleet.ts
@@ -122,15 +122,15 @@
         probe: {
           readState: () =>
             Promise.resolve(Either.left(fault.create({ kind: 'unreachable', message: 'no member runs here', remedy: 'none is needed' }))),
-          keepConnection: () => Promise.resolve(Either.right(null)),
+          ensureConnection: () => Promise.resolve(Either.right(null)),
         },
         routes: function capture(platformApi) {
           machine.platformApi = platformApi;
           return [];
         },
         platformApiAddress: machine.outward.replace(':7001', ':7002'),
-        founds,
-        founders: seeds,
+        mayFound: founds,
+        founderAddresses: seeds,
       }),
     );
     if (Either.isRight(started)) machine.running = started.right;
@@ -186,7 +186,7 @@
 
   async function readAt(machine: CoreMachine): Promise<Option.Option<number>> {
     if (machine.platformApi === undefined || machine.process?.alive() !== true) return Option.none;
-    const reading = machine.platformApi.source();
+    const reading = machine.platformApi.readSource();
     let read: Option.Option<Either.Either<unknown, string>> = Option.none;
     void reading.then((text) => {
       read = Option.some(text);
@@ -211,7 +211,7 @@
       const { platformApi, process } = machine;
       const before = acknowledged;
       if (platformApi === undefined || process?.alive() !== true) return;
-      const read = await platformApi.source();
+      const read = await platformApi.readSource();
       if (Either.isRight(read) && process.alive() && Number(read.right) < before)
         violations.push(`${machine.name} read ${read.right} after ${before} was acknowledged`);
     }
@@ -267,7 +267,7 @@
   }
 
   function everyFounded(): boolean {
-    return machines.every((machine) => machine.running?.open() === true) && edge.coreCount() === founded;
+    return machines.every((machine) => machine.running?.isOpen() === true) && edge.coreCount() === founded;
   }
 
   if (!(await until(everyFounded, 10_000))) throw new Error('the cores did not found a fleet');
@@ -323,7 +323,7 @@
       const membership = machine.running?.node.membership();
       return {
         number: membership?.version ?? 0,
-        cores: machine.running?.open() === true ? (membership?.value.seats ?? []).map((seat) => seat.node).sort() : [],
+        cores: machine.running?.isOpen() === true ? (membership?.value.seats ?? []).map((seat) => seat.node).sort() : [],
       };
     },
   };
--- a/packages/simulator/src/pooled-adapter.ts
+++ b/packages/simulator/src/pooled-adapter.ts
@@ -40,7 +40,7 @@
       method: 'GET',
       path: '/configuration',
       handle: async function read() {
-        const source = await platformApi.source();
+        const source = await platformApi.readSource();
         return Either.isLeft(source) ? http.rejected(source.left) : { status: 200, body: JSON.parse(source.right) as unknown };
       },
     },
@@ -68,7 +68,7 @@
 function memberProbe(runtime: Runtime): MemberProbe {
   const probes = prober.create(runtime, plainDialect, ownTenant);
   return {
-    keepConnection: probes.keepConnection,
+    ensureConnection: probes.ensureConnection,
     readState: async function ask(service, member, address, milliseconds) {
       const standing = await probes.readStatus(service, member, address, milliseconds);
       if (Either.isLeft(standing)) return standing;
