--- a/packages/lease/src/holder-state.ts
+++ b/packages/lease/src/holder-state.ts
@@ -34,8 +34,8 @@
   isCurrent: (core: string) => boolean;
   /** Counts the pushed versions of each key again, over the cores of the new core set (design 4.8). */
   onCoreSetChanged: () => void;
-  /** Reads keys on which the pushed versions differ, and logs a configuration that is not applied. */
-  resolvePending: () => void;
+  /** Reads keys on which the cores' pushed versions differ, and logs a configuration that is not applied. */
+  readUncertain: () => void;
 }>;
 
 type LinkOf = (core: string) => Peer | undefined;
@@ -120,8 +120,8 @@
     contentBallot: contents.latestBallot,
     isCurrent: source.isCurrent,
     onCoreSetChanged: watch.recount,
-    resolvePending: function resolvePending() {
-      watch.resolve();
+    readUncertain: function readUncertain() {
+      watch.readUncertain();
       lag.observe();
     },
   };
--- a/packages/lease/src/lease-holder.ts
+++ b/packages/lease/src/lease-holder.ts
@@ -116,7 +116,7 @@
   if (Option.isNone(reply) || links.find(core) !== link) return false;
   if (announcesRestart) reportedState.announcesRestart = false;
   // The core read its state when it replied, which is no earlier than the send time plus the time that it delayed the reply.
-  applyReply(assembly, core, reportedState, reply.value, identifiers.after(sentAt, withClockDrift(reply.value.held)));
+  applyReply(assembly, core, reportedState, reply.value, identifiers.after(sentAt, subtractClockDrift(reply.value.held)));
   return true;
 }
 
@@ -141,7 +141,7 @@
 function start({ context, state }: Assembly, search: FleetSearch): void {
   function poll(): void {
     search.contactSeeds();
-    state.resolvePending();
+    state.readUncertain();
   }
   void runtimeUtilities.every(context.runtime.clock, pollIntervalMilliseconds, poll, () => !context.isStopped);
 }
--- a/packages/lease/src/merged-view.ts
+++ b/packages/lease/src/merged-view.ts
@@ -45,7 +45,7 @@
  */
 function commitWatermark(reported: readonly CommitWatermark[], coreCount: number): CommitWatermark | undefined {
   const coveredMoments = reported.map((watermark) => watermark.coveredUntil);
-  const coveredUntil = quorum.reachedByMajority(coveredMoments, coreCount, false);
+  const coveredUntil = quorum.latestReachedByMajority(coveredMoments, coreCount, false);
   if (coveredUntil === Number.NEGATIVE_INFINITY) return undefined;
   const covering = reported.filter((watermark) => watermark.coveredUntil >= coveredUntil).map((watermark) => watermark.position);
   return { coveredUntil: identifiers.instant(coveredUntil), position: covering.reduce(laterPosition) };
--- a/packages/lease/src/service-leases.ts
+++ b/packages/lease/src/service-leases.ts
@@ -47,7 +47,7 @@
     const cores = coreNames(context);
     for (const service of state.services()) {
       const epochs = cores.map((core) => replies.find(core)?.epochs[service] ?? 0);
-      const majorityEpoch = quorum.reachedByMajority(epochs, cores.length, false);
+      const majorityEpoch = quorum.latestReachedByMajority(epochs, cores.length, false);
       if (majorityEpoch > releaseEpoch(service)) releaseEpochs.set(service, majorityEpoch);
     }
   }
--- a/packages/placement/src/schema.ts
+++ b/packages/placement/src/schema.ts
@@ -62,7 +62,7 @@
 
 /** A database that clients of the session protocol open by name, and how its reads and writes are routed (design 8.10). */
 const databaseSchema = z.strictObject({
-  database: z.string().regex(/^[^\s]{1,253}$/, 'use 1 to 253 characters without spaces'),
+  database: z.string().regex(/^[^\s]{1,253}$/, 'use 1 to 253 characters without whitespace'),
   service: name,
   reads: z.enum(['leader', 'bounded', 'own']),
   staleMilliseconds: z.number().int().min(0).max(600_000).default(0),
@@ -75,8 +75,8 @@
 
 /** A tenant, with its keys of the session protocol. */
 const tenantSchema = z.strictObject({
-  tenant: z.string().regex(/^[^\s]{1,200}$/, 'use 1 to 200 characters without spaces'),
-  keys: z.array(z.string().regex(/^[^\s]{1,200}$/, 'use 1 to 200 characters without spaces')).max(1_000),
+  tenant: z.string().regex(/^[^\s]{1,200}$/, 'use 1 to 200 characters without whitespace'),
+  keys: z.array(z.string().regex(/^[^\s]{1,200}$/, 'use 1 to 200 characters without whitespace')).max(1_000),
   rank: z.number().int().min(0).max(1_000).default(0),
 });
 
