--- a/packages/acceptance/features/election.feature
+++ b/packages/acceptance/features/election.feature
@@ -1,14 +1,14 @@
 Feature: Elections under trouble
 
   Scenario: The winner dies between its majority and its call to the platform
-    Given a fleet of Red Común with its sheet obeyed and its primaries elected
+    Given a fleet of Red Común with its placement configuration applied and its primaries elected
     When the primary of "bookings" is killed
     And the node that proposes for "bookings" is killed 1 s after its proposal
     Then within 20 s another member of "bookings" is elected at a later epoch
     And the platform was called in order, no turn shared
 
   Scenario: A promotion whose replies are lost is believed from the member's own STATE
-    Given a fleet of Red Común with its sheet obeyed and its primaries elected
+    Given a fleet of Red Común with its placement configuration applied and its primaries elected
     When the primary of "bookings" is killed
     And the platform loses its replies for 8 s from the first promotion on
     Then another member of "bookings" was settled within 2 s of the first promotion
@@ -16,7 +16,7 @@
     And the platform was called in order, no turn shared
 
   Scenario: Replicas that lack acknowledged writes are not elected, and the service says so at once
-    Given a fleet of Red Común with its sheet obeyed and its primaries elected
+    Given a fleet of Red Común with its placement configuration applied and its primaries elected
     And replicas of "bookings" that stopped receiving, with a primary that waits for nobody
     When a sender puts "lone" as 3 in "bookings" through edge-1
     And 1 s pass
--- a/packages/acceptance/features/guarantees.feature
+++ b/packages/acceptance/features/guarantees.feature
@@ -2,13 +2,13 @@
   Each of these was seen to fail on the code before it.
 
   Scenario: A commit whose reply cannot be read is of unknown outcome
-    Given a fleet of Red Común with its sheet obeyed and its primaries elected
+    Given a fleet of Red Común with its placement configuration applied and its primaries elected
     And a primary of "bookings" whose replies to commits are garbled
     When 24 writes to "bookings" come in through edge-1
     Then each of them is denied as "outcome-unknown" and stands once
 
   Scenario: A platform that takes three seconds for every call still gets its promotion and its usage
-    Given a fleet of Red Común with its sheet obeyed and its primaries elected
+    Given a fleet of Red Común with its placement configuration applied and its primaries elected
     And its senders are at work
     And a platform that takes 3000 ms for every call
     When the primary of "bookings" is killed while a replica holds all of its log
@@ -18,7 +18,7 @@
     And the platform was called in order, no turn shared
 
   Scenario: An acknowledged write outlives its edge and its primary, though replication waits for nobody
-    Given a fleet of Red Común with its sheet obeyed and its primaries elected
+    Given a fleet of Red Común with its placement configuration applied and its primaries elected
     And replicas of "bookings" that stopped receiving, with a primary that waits for nobody
     When a sender puts "lone" as 3 in "bookings" through edge-1
     And every core, the edge edge-1 and the primary of "bookings" are killed in that moment, and all but the primary return
@@ -28,7 +28,7 @@
     Then within 14 s a leader-read of "lone" in "bookings" through edge-3 gives 3
 
   Scenario: Every version sent reads back, through each core, also by its number long after
-    Given a fleet of Red Común with its sheet obeyed and its primaries elected
+    Given a fleet of Red Común with its placement configuration applied and its primaries elected
     When an operator sends 40 sheets, each with a mark of its own
     And core-2 comes back with an empty disk
     And 3 s pass
@@ -42,28 +42,28 @@
     And once it is claimed by a process that runs, another process cannot claim it
 
   Scenario: A transaction that is open at a retired member ends within seven seconds
-    Given a fleet of Red Común with its sheet obeyed and its primaries elected
+    Given a fleet of Red Común with its placement configuration applied and its primaries elected
     And a session on "bookings" through edge-2 with an open transaction that put "ghost" as 1
     And every other member of "bookings" is killed
     When an operator marks the primary of "bookings" draining
     And the session goes on with its transaction every 500 ms for 9 s
     Then its last statement was served no later than 7 s after, and then it was told "transaction-ended"
-    And "ghost" is not kept in "bookings"
+    And "ghost" is not stored in "bookings"
 
   Scenario: A restarted proxy of a drained edge takes no new work at all
-    Given a fleet of Red Común with its sheet obeyed and its primaries elected
+    Given a fleet of Red Común with its placement configuration applied and its primaries elected
     When an operator drains edge-4
     And 7 s pass
     And agent and proxy of edge-4 are killed and started again
     Then for 5 s no write to "bookings" through edge-4 is served
 
   Scenario: A core that is ended as planned answers what is in flight
-    Given a fleet of Red Común with its sheet obeyed and its primaries elected
+    Given a fleet of Red Común with its placement configuration applied and its primaries elected
     When an operator sends a sheet through core-1, which is ended as planned before it has answered
     Then the sheet was acknowledged and reads back
 
   Scenario: What only a lost primary has is given up by an operator's word, and by nothing else
-    Given a fleet of Red Común with its sheet obeyed and its primaries elected
+    Given a fleet of Red Común with its placement configuration applied and its primaries elected
     And replicas of "bookings" that stopped receiving, with a primary that waits for nobody
     When a sender puts "lone" as 3 in "bookings" through edge-1
     Then an operator may not accept the loss of "bookings" while its primary is alive
@@ -76,7 +76,7 @@
     And the trail tells of the loss that was accepted
 
   Scenario: What one sender was served is in the usage, though its edge is killed as the reply arrives
-    Given a fleet of Red Común with its sheet obeyed and its primaries elected
+    Given a fleet of Red Común with its placement configuration applied and its primaries elected
     When a sender puts "last" as 1 in "bookings" through edge-1
     And agent and proxy of edge-1 are killed in that moment
     And 12 s pass
--- a/packages/acceptance/features/input.feature
+++ b/packages/acceptance/features/input.feature
@@ -2,7 +2,7 @@
   Nothing that comes in at a boundary ends a process or widens what is let in.
 
   Scenario: Spoilt requests, beats, sheets and frames leave a fleet as it was
-    Given a fleet of Red Común with its sheet obeyed and its primaries elected
+    Given a fleet of Red Común with its placement configuration applied and its primaries elected
     When 150 spoilt statements, beats and sheets come in at every outward page
     And spoilt calls and frames come in at every node and feed
     Then every process still runs
@@ -11,7 +11,7 @@
     And a write to "bookings" through edge-1 is served
 
   Scenario: A member that answers nonsense is survived
-    Given a fleet of Red Común with its sheet obeyed and its primaries elected
+    Given a fleet of Red Común with its placement configuration applied and its primaries elected
     When a replica of "bookings" answers nonsense to everything
     And 3 s pass
     Then every process still runs
@@ -22,14 +22,14 @@
     Then each is either taken as sound or denied with a remedy
 
   Scenario: A damaged disk is given up and the others copied; only another node's or a later version's is refused
-    Given a fleet of Red Común with its sheet obeyed and its primaries elected
+    Given a fleet of Red Común with its placement configuration applied and its primaries elected
     When core-3 is started 40 times on a disk with one entry spoilt
     Then each start opened within 10 s, or was refused as "foreign-disk" for what its fleet says
     And some gave up what was stored
-    And the current version is 1
+    And the current configuration version is 1
 
   Scenario: A core and an agent that reply with nothing readable are as good as away, and no more
-    Given a fleet of Red Común with its sheet obeyed and its primaries elected
+    Given a fleet of Red Común with its placement configuration applied and its primaries elected
     When impostors stand where core-3 and the agent of edge-6 stood, and 12 s pass
     Then both were asked again and again, and every other process still runs
     And a write to "bookings" through edge-1 is served
--- a/packages/acceptance/features/leaving.feature
+++ b/packages/acceptance/features/leaving.feature
@@ -1,13 +1,13 @@
 Feature: Members and edges that leave as planned
 
   Scenario: A primary that cannot be reached costs its senders no waiting
-    Given a fleet of Red Común with its sheet obeyed and its primaries elected
+    Given a fleet of Red Común with its placement configuration applied and its primaries elected
     When the primary of "bookings" is killed
     And 1 s pass
     Then a write to "bookings" through edge-1 is denied as "no-target" within 100 ms and says when to retry
 
   Scenario: A primary retired under load pauses its writes only briefly
-    Given a fleet of Brightpath with its sheet obeyed and its primaries elected
+    Given a fleet of Brightpath with its placement configuration applied and its primaries elected
     And its senders are at work
     When an operator marks the primary of "acceptances" draining
     And 12 s pass
@@ -15,14 +15,14 @@
     And the ledger is clean
 
   Scenario: A draining primary that nobody can follow gets no new work after seven seconds
-    Given a fleet of Red Común with its sheet obeyed and its primaries elected
+    Given a fleet of Red Común with its placement configuration applied and its primaries elected
     And every other member of "bookings" is killed
     When an operator marks the primary of "bookings" draining
     And 7 s pass
     Then a write to "bookings" through edge-1 is denied as "read-only"
 
   Scenario: A removed edge stops by itself and does not come back
-    Given a fleet of Red Común with its sheet obeyed and its primaries elected
+    Given a fleet of Red Común with its placement configuration applied and its primaries elected
     When an operator drains edge-4
     And an operator removes edge-4
     And 5 s pass
@@ -31,7 +31,7 @@
     And a write to "bookings" through edge-4 is denied as "draining" or "stale-configuration"
 
   Scenario: A planned restart drops nothing that was in flight
-    Given a fleet of Brightpath with its sheet obeyed and its primaries elected
+    Given a fleet of Brightpath with its placement configuration applied and its primaries elected
     And its senders are at work
     When the proxy of edge-3 is ended as planned and started again
     And 10 s pass
@@ -39,7 +39,7 @@
     And the ledger is clean
 
   Scenario: A planned restart of an agent alone is not felt by its proxy's senders
-    Given a fleet of Brightpath with its sheet obeyed and its primaries elected
+    Given a fleet of Brightpath with its placement configuration applied and its primaries elected
     And its senders are at work
     When the agent of edge-3 is ended as planned and started again 700 ms later
     And 8 s pass
--- a/packages/acceptance/features/orders.feature
+++ b/packages/acceptance/features/orders.feature
@@ -26,7 +26,7 @@
     Then the newest numbers are known, and the oldest are forgotten for any text
 
   Scenario: A send id stands for one sheet, however many sends come after it
-    Given a fleet of Red Común with its sheet obeyed and its primaries elected
+    Given a fleet of Red Común with its placement configuration applied and its primaries elected
     When an operator sends a sheet under a send id, and again through another core, and another sheet under the same send id
     Then both replies to the same sheet name one version, and the other sheet is refused as "version-conflict"
     When 205 more sheets are sent
--- a/packages/acceptance/features/path.feature
+++ b/packages/acceptance/features/path.feature
@@ -2,20 +2,20 @@
   Nodes find each other, a sheet reaches every proxy, senders are served, and a dead primary is replaced.
 
   Scenario: A fleet forms from three seeds and serves every kind of statement
-    Given a fleet of Red Común with its sheet obeyed and its primaries elected
+    Given a fleet of Red Común with its placement configuration applied and its primaries elected
     Then the membership table names 3 cores and 6 edges
     When a sender puts "seat" as 7 in "bookings" through edge-1
     Then a leader-read of "seat" in "bookings" through edge-4 gives 7
     And after 2 s a bounded-read of "seat" in "bookings" through edge-2 gives 7
 
   Scenario: A session sees its own writes at once, wherever it is read
-    Given a fleet of Brightpath with its sheet obeyed and its primaries elected
+    Given a fleet of Brightpath with its placement configuration applied and its primaries elected
     And replicas that lag by 400 ms
     When a session on "seats" through edge-3 puts "hold" as 12
     Then its own-read of "hold" gives 12 at once
 
   Scenario: A killed primary is replaced and nothing acknowledged is missing
-    Given a fleet of Red Común with its sheet obeyed and its primaries elected
+    Given a fleet of Red Común with its placement configuration applied and its primaries elected
     When a sender puts "booking" as 41 in "bookings" through edge-1
     And the primary of "bookings" is killed
     Then within 12 s another member of "bookings" is elected at a later epoch
@@ -24,7 +24,7 @@
     Then a leader-read of "booking" in "bookings" through edge-1 gives 42
 
   Scenario: Both deployments' loads are served within the members' limits
-    Given a fleet of Brightpath with its sheet obeyed and its primaries elected
+    Given a fleet of Brightpath with its placement configuration applied and its primaries elected
     When its senders work for 10 s
     Then at least 2900 statements were served and none was denied
     And no member held more connections than its limit
--- a/packages/acceptance/features/product.feature
+++ b/packages/acceptance/features/product.feature
@@ -12,7 +12,7 @@
     Then what stood before stands, and the log says that "address" waits for a restart
 
   Scenario: An edge that was given the wrong seeds joins once its settings name the right ones
-    Given a fleet of Red Común with its sheet obeyed and its primaries elected, and a spare edge whose seeds are wrong
+    Given a fleet of Red Común with its placement configuration applied and its primaries elected, and a spare edge whose seeds are wrong
     When 3 s pass
     Then the membership table names 3 cores and 6 edges
     When its settings name the right seeds
@@ -20,7 +20,7 @@
     Then the membership table names 3 cores and 7 edges
 
   Scenario: A fleet is upgraded one process at a time, and taken back, without a request being dropped
-    Given a fleet of Brightpath with its sheet obeyed and its primaries elected
+    Given a fleet of Brightpath with its placement configuration applied and its primaries elected
     And its senders are at work
     When every process in turn is ended as planned and started as a version that speaks protocols 2 to 3
     Then every node is heard and speaks protocol 3 with the others
@@ -30,7 +30,7 @@
     And the ledger is clean
 
   Scenario: A node that is too new is denied, with the remedy in its log, and harms nobody
-    Given a fleet of Red Común with its sheet obeyed and its primaries elected
+    Given a fleet of Red Común with its placement configuration applied and its primaries elected
     When edge-5 is started as a version that speaks protocols 3 to 4
     And 3 s pass
     Then both sides log that they speak different protocols, with the remedy
@@ -38,7 +38,7 @@
     And a write to "bookings" through edge-1 is served
 
   Scenario: A data folder of a later format is refused, one of the format before is taken over
-    Given a fleet of Red Común with its sheet obeyed and its primaries elected
+    Given a fleet of Red Común with its placement configuration applied and its primaries elected
     When core-3 is started on a data folder of format 3
     Then core-3 has stopped as "foreign-disk" and names the remedy
     When all cores come back on data folders of format 1, whose sheet has a history of 2 versions
@@ -47,7 +47,7 @@
     Then the versions of the history read back by their numbers
 
   Scenario: What agents and proxies count is told over the whole fleet
-    Given a fleet of Red Común with its sheet obeyed and its primaries elected
+    Given a fleet of Red Común with its placement configuration applied and its primaries elected
     And its senders are at work
     Then every agent tells its own counts and those of its proxy
     And every agent's health page is sound
--- a/packages/acceptance/features/traffic.feature
+++ b/packages/acceptance/features/traffic.feature
@@ -1,7 +1,7 @@
 Feature: Statements under trouble
 
   Scenario: A crowd that waits at a fenced edge is answered at once
-    Given a fleet of Red Común with its sheet obeyed and its primaries elected
+    Given a fleet of Red Común with its placement configuration applied and its primaries elected
     And members of "bookings" that take 2500 ms for a statement
     When 390 writes to "bookings" wait at edge-1 and it is cut off from the other edges
     And 7 s pass
--- a/packages/acceptance/src/administration.ts
+++ b/packages/acceptance/src/administration.ts
@@ -14,7 +14,7 @@
 const rootKey = 'root-key-of-the-story';
 
 Given(
-  'a fleet of Red Común with its sheet obeyed and its primaries elected, whose cores hold a root key',
+  'a fleet of Red Común with its placement configuration applied and its primaries elected, whose cores have a root key',
   async function given(this: Story) {
     this.fleet = await bringUp('Red Común', { operatorKey: rootKey });
   },
@@ -104,7 +104,7 @@
   assert.ok((failed[0]?.remedy ?? '').length > 0);
 });
 
-When('an operator imports mappings from {string} and sends the sheet', async function when(this: Story, file: string) {
+When('an operator imports mappings from {string} and sends the configuration', async function when(this: Story, file: string) {
   this.imported = await openapi.read(fileURLToPath(new URL(`../fixtures/${file}`, import.meta.url)));
   const reply = await this.fleet.operate('PUT', '/v1/sheet', { sheet: { ...this.fleet.sheet(), mappings: this.imported.mappings } });
   assert.equal(reply.status, 200, JSON.stringify(reply.body));
@@ -112,7 +112,7 @@
 });
 
 Then(
-  'the import names {string} and {string} and leaves out {string}',
+  'the import contains {string} and {string} and skips {string}',
   function then(this: Story, first: string, second: string, out: string) {
     assert.deepEqual(this.imported.mappings.map((mapping) => mapping.mapping).sort(), [first, second].sort());
     assert.deepEqual(this.imported.leftOut, [out]);
@@ -120,14 +120,14 @@
 );
 
 Then(
-  'a sender that calls {string} with {string} and {int} is served',
+  'a client that calls {string} with {string} and {int} succeeds',
   async function then(this: Story, mapping: string, seat: string, value: number) {
     within(await this.fleet.ask(edgeOf(this, 'edge-1'), 'POST', `/v1/mappings/${mapping}`, { parameters: [seat, value] }), ['served']);
   },
 );
 
 Then(
-  'a sender that calls {string} with {string} after {int} s is given {int}',
+  'a client that calls {string} with {string} after {int} s receives {int}',
   async function then(this: Story, mapping: string, seat: string, seconds: number, value: number) {
     await this.fleet.world.run(seconds * 1_000);
     const reply = await this.fleet.ask(edgeOf(this, 'edge-2'), 'POST', `/v1/mappings/${mapping}`, { parameters: [seat] });
@@ -158,7 +158,7 @@
   });
 }
 
-Given('a node that is handed changes by three cores', function given(this: Story) {
+Given('a node to which three cores push changes', function given(this: Story) {
   this.world = worlds.create(4);
   const { runtime } = this.world.spawn('node', 'node-machine');
   const silent: Register = {
@@ -168,25 +168,22 @@
   this.watcher = watcher.create(runtime, { register: silent, coreCount: () => 3, onApplied: () => undefined });
 });
 
-When(
-  'a majority hands over version {int}, and another majority version {int} afterwards',
-  function when(this: Story, newer: number, older: number) {
-    handOver(this, 'core-1', newer);
-    handOver(this, 'core-2', newer);
-    handOver(this, 'core-2', older);
-    handOver(this, 'core-3', older);
-  },
-);
+When('a majority pushes version {int}, and then another majority version {int}', function when(this: Story, newer: number, older: number) {
+  handOver(this, 'core-1', newer);
+  handOver(this, 'core-2', newer);
+  handOver(this, 'core-2', older);
+  handOver(this, 'core-3', older);
+});
 
-When('one core alone hands over version {int}', function when(this: Story, version: number) {
+When('a single core pushes version {int}', function when(this: Story, version: number) {
   handOver(this, 'core-1', version);
 });
 
-When('a second core hands over the same version {int}', function when(this: Story, version: number) {
+When('a second core pushes the same version {int}', function when(this: Story, version: number) {
   handOver(this, 'core-3', version);
 });
 
-Then('it obeys version {int}', function then(this: Story, version: number) {
+Then('it has applied version {int}', function then(this: Story, version: number) {
   const obeyed = this.watcher.applied('configuration');
   assert.equal(Option.isSome(obeyed) ? obeyed.value.version : 0, version);
 });
--- a/packages/acceptance/src/fleet-steps.ts
+++ b/packages/acceptance/src/fleet-steps.ts
@@ -10,11 +10,14 @@
 setWorldConstructor(Story as never);
 setDefaultTimeout(120_000);
 
-Given('a fleet of {word} with its sheet obeyed and its primaries elected', async function given(this: Story, deployment: string) {
-  this.fleet = await bringUp(deployment);
-});
+Given(
+  'a fleet of {word} with its placement configuration applied and its primaries elected',
+  async function given(this: Story, deployment: string) {
+    this.fleet = await bringUp(deployment);
+  },
+);
 
-Given('a fleet of Red Común with its sheet obeyed and its primaries elected', async function given(this: Story) {
+Given('a fleet of Red Común with its placement configuration applied and its primaries elected', async function given(this: Story) {
   this.fleet = await bringUp('Red Común');
 });
 
@@ -133,24 +136,27 @@
   this.fleet.stopSlot(edgeOf(this, edge).agent);
 });
 
-When('an operator sends a sheet with an unknown service in a row and a weight for a stranger', async function when(this: Story) {
-  const sheet = this.fleet.sheet() as { rows: Array<{ service: string; weights: Record<string, number> }> };
-  (sheet.rows[0] as { service: string }).service = 'nowhere';
-  (sheet.rows[4] as { weights: Record<string, number> }).weights['stranger'] = 2;
-  this.replies = [await this.fleet.operate('PUT', '/v1/sheet', { sheet })];
-});
+When(
+  'an operator sends a configuration with an unknown service in a row and a weight for an unknown member',
+  async function when(this: Story) {
+    const sheet = this.fleet.sheet() as { rows: Array<{ service: string; weights: Record<string, number> }> };
+    (sheet.rows[0] as { service: string }).service = 'nowhere';
+    (sheet.rows[4] as { weights: Record<string, number> }).weights['stranger'] = 2;
+    this.replies = [await this.fleet.operate('PUT', '/v1/sheet', { sheet })];
+  },
+);
 
-When('two operators send sheets through different cores at once', async function when(this: Story) {
+When('two operators send configurations through different cores at the same time', async function when(this: Story) {
   const sends = [this.fleet.send(this.fleet.sheet(), 0), this.fleet.send(this.fleet.sheet(), 1)];
   await this.fleet.world.run(5_000);
   this.replies = await Promise.all(sends);
 });
 
-When('an operator sends a sheet for version {int}', async function when(this: Story, version: number) {
+When('an operator sends a configuration based on version {int}', async function when(this: Story, version: number) {
   this.replies = [await this.fleet.operate('PUT', '/v1/sheet', { sheet: this.fleet.sheet() }, { 'if-match': String(version) })];
 });
 
-When("an operator withdraws the senders' key", async function when(this: Story) {
+When("an operator removes the clients' key", async function when(this: Story) {
   const sheet = this.fleet.sheet();
   sheet['keys'] = [];
   assert.equal((await this.fleet.operate('PUT', '/v1/sheet', { sheet })).status, 200);
@@ -234,7 +240,7 @@
 });
 
 Then(
-  'it is denied as {string} with {int} faults that name row, column and remedy',
+  'it is rejected as {string} with {int} faults that state row, column and remedy',
   function then(this: Story, kind: string, count: number) {
     const reply = this.replies[0] as HttpReply;
     within(reply, [kind]);
@@ -245,7 +251,7 @@
   },
 );
 
-Then('the current version is {int}', async function then(this: Story, version: number) {
+Then('the current configuration version is {int}', async function then(this: Story, version: number) {
   const reply = await this.fleet.operate('GET', '/v1/sheet');
   assert.equal(reply.status, 200, JSON.stringify(reply.body));
   assert.equal((reply.body as { version: number }).version, version);
@@ -260,7 +266,7 @@
   assert.equal(new Set(versions).size, 2);
 });
 
-Then('both can be read back by number', async function then(this: Story) {
+Then('both can be read back by version', async function then(this: Story) {
   for (const reply of this.replies) {
     const version = (reply.body as { version: number }).version;
     assert.equal((await this.fleet.operate('GET', `/v1/sheet?version=${version}`)).status, 200);
@@ -268,7 +274,7 @@
 });
 
 Then(
-  'within {int} s the session is denied as {string} or {string}',
+  'within {int} s a commit in the session is rejected as {string} or {string}',
   async function then(this: Story, seconds: number, first: string, second: string) {
     await this.fleet.world.run(seconds * 1_000);
     const reply = await this.fleet.ask(
@@ -282,7 +288,7 @@
   },
 );
 
-Then('{string} is not kept in {string}', function then(this: Story, name: string, service: string) {
+Then('{string} is not stored in {string}', function then(this: Story, name: string, service: string) {
   assert.equal(checks.logsOf(this.fleet).get(service)?.get(name), undefined);
 });
 
--- a/packages/acceptance/src/product.ts
+++ b/packages/acceptance/src/product.ts
@@ -85,7 +85,7 @@
 });
 
 Given(
-  'a fleet of Red Común with its sheet obeyed and its primaries elected, and a spare edge whose seeds are wrong',
+  'a fleet of Red Común with its placement configuration applied and its primaries elected, and a spare edge whose seeds are wrong',
   async function given(this: Story) {
     this.fleet = await bringUp('Red Común', { spareEdge: true });
     this.edge = this.fleet.spare as EdgeSlot;
