--- a/packages/core/src/core-calls.ts
+++ b/packages/core/src/core-calls.ts
@@ -1,10 +1,10 @@
-/** Calls to other cores at their own addresses, over links that are held only while they are used (design 4.8). */
+/** Calls other cores by address, over links that are closed once they have been idle for some time (design 4.8). */
 import * as Option from 'fp-ts/lib/Option.js';
 import { identifiers, type Instant, type Runtime } from '@stallstall/kernel';
 import type { Request, MessageKind, Reply } from '@stallstall/message';
 import { peer, type Peer } from '@stallstall/peer';
 
-/** Asks whoever listens at an address; none when it is out of reach or does not answer in time. */
+/** Calls the process at an address; none when it is unreachable or does not reply in time. */
 export type CoreCall = <Kind extends MessageKind>(
   address: string,
   kind: Kind,
@@ -25,22 +25,22 @@
 
   function closeIdle(): void {
     const now = runtime.clock.now();
-    for (const [address, held] of links) {
-      if (held.pendingCalls > 0 || now - held.usedAt < idleCloseMilliseconds) continue;
-      held.peer.close();
+    for (const [address, link] of links) {
+      if (link.pendingCalls > 0 || now - link.usedAt < idleCloseMilliseconds) continue;
+      link.peer.close();
       links.delete(address);
     }
   }
 
   function linkTo(address: string): CachedLink {
     closeIdle();
-    const held = links.get(address) ?? {
+    const link = links.get(address) ?? {
       peer: peer.dial(runtime, identifiers.address(address)),
       usedAt: runtime.clock.now(),
       pendingCalls: 0,
     };
-    links.set(address, held);
-    return held;
+    links.set(address, link);
+    return link;
   }
 
   async function call<Kind extends MessageKind>(
@@ -49,12 +49,12 @@
     body: Request<Kind>,
     milliseconds: number,
   ): Promise<Option.Option<Reply<Kind>>> {
-    const held = linkTo(address);
-    held.pendingCalls += 1;
-    for (let looks = 0; looks < connectPolls && !held.peer.connected(); looks += 1) await runtime.clock.sleep(connectPollMilliseconds);
-    const reply = await held.peer.call(kind, body, milliseconds);
-    held.pendingCalls -= 1;
-    held.usedAt = runtime.clock.now();
+    const link = linkTo(address);
+    link.pendingCalls += 1;
+    for (let polls = 0; polls < connectPolls && !link.peer.connected(); polls += 1) await runtime.clock.sleep(connectPollMilliseconds);
+    const reply = await link.peer.call(kind, body, milliseconds);
+    link.pendingCalls -= 1;
+    link.usedAt = runtime.clock.now();
     runtime.clock.startTimer(idleCloseMilliseconds, closeIdle);
     return reply;
   }
@@ -62,7 +62,7 @@
   return {
     call,
     stop: function stop() {
-      for (const held of links.values()) held.peer.close();
+      for (const link of links.values()) link.peer.close();
       links.clear();
     },
   };
--- a/packages/core/src/core-context.ts
+++ b/packages/core/src/core-context.ts
@@ -1,4 +1,4 @@
-/** What the modules of a core share while it runs. */
+/** State and stores that the modules of a core share while it runs. */
 import type * as Option from 'fp-ts/lib/Option.js';
 import type { Disk, Instant, Runtime } from '@stallstall/kernel';
 import type { Node } from '@stallstall/node';
@@ -15,25 +15,25 @@
 export type CoreContext = {
   readonly runtime: Runtime;
   readonly settings: CoreSettings;
-  /** None where an operator runs the fleet. */
+  /** None where an operator runs the fleet through the administration API. */
   readonly platform: Option.Option<PlatformIntegration>;
   readonly disk: Disk;
-  /** None where an operator names the members. */
+  /** None where an operator configures the database members instead of members registering. */
   registration: Option.Option<MemberRegistration>;
-  /** None where an operator runs the set of cores. */
+  /** None in a fleet whose core set an operator changes. */
   coreSet: Option.Option<CoreSetManager>;
-  /** When this core began to answer as an occupant of its seat. */
+  /** When this core started to serve ballots. */
   openedAt: Instant;
-  /** While the disk moves from one set of cores to the next. */
+  /** True while the disk moves from one core set to the next. */
   isInSetTransition: boolean;
   isDraining: boolean;
   isStopped: boolean;
 };
 
-/** What lies on this core's disk, and how it gets there. @internal */
+/** The stores on this core's disk, and the calls that copy other cores' state to it. @internal */
 export type CoreStorage = Readonly<{
   recordStore: FleetRecordStore;
-  /** Undefined where the set of cores never changes. */
+  /** Undefined in a fleet whose core set an operator changes. */
   coreSetView: CoreSetView | undefined;
   cells: Acceptor;
   reports: ReportStore;
--- a/packages/core/src/core-lifecycle.ts
+++ b/packages/core/src/core-lifecycle.ts
@@ -1,4 +1,4 @@
-/** This core as the occupant of a seat: it answers, answers in another set, or answers nothing any more (design 4.8). */
+/** Moves this core between its states: serving, serving in a newer core set, and no longer serving (design 4.8). */
 import * as Option from 'fp-ts/lib/Option.js';
 import type { CoreSet, Entry } from '@stallstall/message';
 import { watcher } from '@stallstall/register';
@@ -10,11 +10,11 @@
 
 /** @internal */
 export type CoreLifecycle = Readonly<{
-  /** Begins to answer ballots as the record says. */
-  open: (known: FleetRecord) => void;
-  /** Answers in another set than before: what is watched is pushed anew at every set. */
-  changeSet: (known: FleetRecord) => void;
-  /** Answers nothing any more, and goes on asking whoever has the seats by now: what is in flight here is still finished. */
+  /** Starts to serve ballots as a core of the recorded set. */
+  open: (record: FleetRecord) => void;
+  /** Continues in the recorded, newer set: every watched entry is pushed again, since pushes of an earlier set no longer count. */
+  changeSet: (record: FleetRecord) => void;
+  /** Stops serving and follows the given set as an ordinary node; requests in flight are still completed. */
   close: (set: CoreSet) => void;
   /** Pushes an entry that this core's disk has accepted. */
   publish: (key: string, entry: Entry) => void;
@@ -31,38 +31,38 @@
 function create({ services, subscribers, contact }: CoreLifecycleParts): CoreLifecycle {
   const { context, storage, node } = services;
   const { cells, reports, coreSetView } = storage;
-  let lastNumber = 0;
+  let lastChangeNumber = 0;
 
   function notifyLeaseHolders(): void {
     if (Option.isSome(context.registration)) context.registration.value.grantor.notify();
   }
 
-  /** This core's own disk is one of those that push what is watched. */
+  /** Pushes all watched entries to the node in this process, for which this core's own disk is one of the sources. */
   function pushToOwnNode(): void {
     for (const key of cells.keys()) {
       const entry = cells.accepted(key);
       if (!watcher.isWatched(key) || Option.isNone(entry)) continue;
-      lastNumber += 1;
-      const change = { number: lastNumber, key, entry: withoutHistory(key, entry.value), ...currentSet(coreSetView) };
+      lastChangeNumber += 1;
+      const change = { number: lastChangeNumber, key, entry: withoutHistory(key, entry.value), ...currentSet(coreSetView) };
       node.receiveOwnChange(context.settings.node, change);
     }
   }
 
-  function open(known: FleetRecord): void {
-    node.setFleet(known.fleet);
-    if (Option.isNone(context.platform)) node.setCores(known.cores);
-    else node.followCoreSet(coreSetOf(known));
+  function open(record: FleetRecord): void {
+    node.setFleet(record.fleet);
+    if (Option.isNone(context.platform)) node.setCores(record.cores);
+    else node.followCoreSet(coreSetOf(record));
     context.openedAt = context.runtime.clock.now();
     cells.open();
     reports.open();
     contact.markOpened();
     pushToOwnNode();
     notifyLeaseHolders();
-    context.runtime.log('core.open', { fleet: known.fleet, cores: known.cores.length });
+    context.runtime.log('core.open', { fleet: record.fleet, cores: record.cores.length });
   }
 
-  function changeSet(known: FleetRecord): void {
-    node.followCoreSet(coreSetOf(known));
+  function changeSet(record: FleetRecord): void {
+    node.followCoreSet(coreSetOf(record));
     subscribers.pushAll(cells);
     pushToOwnNode();
     notifyLeaseHolders();
--- a/packages/core/src/core-node.ts
+++ b/packages/core/src/core-node.ts
@@ -1,4 +1,4 @@
-/** The node of a core: the register with this core's own disk as one of its replicas (design 3, 5.1). */
+/** Creates the node of a core, whose register has this core's own disk as one of its replicas (design 3, 5.1). */
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Reply } from '@stallstall/message';
 import { node as nodes, type Node, type NodeSettings, type RegistrationSupport } from '@stallstall/node';
@@ -9,7 +9,7 @@
 
 /** @internal */
 export type CoreNodeEvents = Readonly<{
-  /** Called once what edges are told with their leases has changed. */
+  /** Called when data that is sent with leases has changed. */
   notifyLeaseHolders: () => void;
   onHelloReply: (reply: Reply<'hello'>, address: string) => void;
 }>;
@@ -39,21 +39,21 @@
   };
 }
 
-/** A fleet is found again though the seeds may by now name none of its cores (design 4.8). */
-function withKnownCores({ settings, platform: parts }: CoreContext, { recordStore: record }: CoreStorage): NodeSettings {
-  if (Option.isNone(parts)) return settings;
+/** Adds the recorded cores to the seeds: the fleet is found again even if the seeds no longer name any of its cores (design 4.8). */
+function withRecordedCores({ settings, platform }: CoreContext, { recordStore }: CoreStorage): NodeSettings {
+  if (Option.isNone(platform)) return settings;
   function seeds(): readonly string[] {
-    const known = record.current();
-    const knownCores = Option.isSome(known) ? known.value.cores.map((core) => core.address) : [];
-    return [...new Set([...settings.seeds(), ...knownCores])];
+    const record = recordStore.current();
+    const recordedCores = Option.isSome(record) ? record.value.cores.map((core) => core.address) : [];
+    return [...new Set([...settings.seeds(), ...recordedCores])];
   }
   return { ...settings, seeds };
 }
 
 function create(context: CoreContext, storage: CoreStorage, events: CoreNodeEvents): Node {
-  const { platform: parts, runtime } = context;
+  const { platform, runtime } = context;
   const { cells, reports, votes, coreSetView } = storage;
-  return nodes.create(runtime, withKnownCores(context, storage), {
+  return nodes.create(runtime, withRecordedCores(context, storage), {
     role: 'core',
     votes: () => votes,
     localReplica: Option.some({
@@ -64,7 +64,7 @@
     connectionCaps: () => ({}),
     onApplied: events.notifyLeaseHolders,
     onHelloReply: events.onHelloReply,
-    ...(Option.isNone(parts) ? {} : { registered: registrationSupport(context, parts.value, events) }),
+    ...(Option.isNone(platform) ? {} : { registered: registrationSupport(context, platform.value, events) }),
   });
 }
 
--- a/packages/core/src/core-routes.ts
+++ b/packages/core/src/core-routes.ts
@@ -1,4 +1,4 @@
-/** Serves a core's HTTP routes: those in the platform's words at an address of their own, all others beside its links. */
+/** Serves a core's HTTP routes: those of the platform's protocol at an address of their own, all others at its HTTP address. */
 import * as Option from 'fp-ts/lib/Option.js';
 import { http, identifiers, type HttpRoute, type Listening } from '@stallstall/kernel';
 import type { Administration } from './administration/administration.js';
@@ -9,7 +9,7 @@
 /** @internal */
 export type CoreRoutes = Readonly<{
   listening: readonly Listening[];
-  /** How many requests have no answer yet. */
+  /** How many requests have not been replied to yet. */
   inFlight: () => number;
 }>;
 
@@ -27,23 +27,23 @@
 
 async function serve({ services, administration, contact, platformApi }: CoreRouteParts): Promise<CoreRoutes> {
   const { context, node } = services;
-  const { runtime, settings, platform: parts } = context;
-  const platformRoutes = Option.isSome(parts) ? parts.value.routes(platformApi) : [];
-  const platformNames = new Set(platformRoutes.map(nameOf));
-  const counted = http.countInFlight([...node.routes, ...administration.routes.map(contact.guardRoute), ...platformRoutes]);
+  const { runtime, settings, platform } = context;
+  const platformRoutes = Option.isSome(platform) ? platform.value.routes(platformApi) : [];
+  const platformRouteNames = new Set(platformRoutes.map(nameOf));
+  const countedRoutes = http.countInFlight([...node.routes, ...administration.routes.map(contact.guardRoute), ...platformRoutes]);
 
   function isPlatformRoute(route: HttpRoute): boolean {
-    return platformNames.has(nameOf(route));
+    return platformRouteNames.has(nameOf(route));
   }
 
-  const outward = await runtime.network.serve(identifiers.address(settings.outward), {
-    routes: counted.routes.filter((route) => !isPlatformRoute(route)),
+  const outwardListening = await runtime.network.serve(identifiers.address(settings.outward), {
+    routes: countedRoutes.routes.filter((route) => !isPlatformRoute(route)),
   });
-  if (Option.isNone(parts)) return { listening: [outward], inFlight: counted.inFlight };
-  const forPlatform = await runtime.network.serve(identifiers.address(parts.value.platformApiAddress), {
-    routes: counted.routes.filter(isPlatformRoute),
+  if (Option.isNone(platform)) return { listening: [outwardListening], inFlight: countedRoutes.inFlight };
+  const platformListening = await runtime.network.serve(identifiers.address(platform.value.platformApiAddress), {
+    routes: countedRoutes.routes.filter(isPlatformRoute),
   });
-  return { listening: [outward, forPlatform], inFlight: counted.inFlight };
+  return { listening: [outwardListening, platformListening], inFlight: countedRoutes.inFlight };
 }
 
 /** @internal */
--- a/packages/core/src/core-set-manager.ts
+++ b/packages/core/src/core-set-manager.ts
@@ -1,4 +1,4 @@
-/** The set of cores that changes by itself: which set this core is in, and whom it gives a seat to (design 4.8). */
+/** Changes the core set without an operator: follows the newest set, and lets a learner replace an unreachable core (design 4.8). */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { identifiers, runtimeUtilities, owner, type Instant, type Runtime } from '@stallstall/kernel';
@@ -11,35 +11,35 @@
 export type { CoreSetManagerParts } from './core-set-state.js';
 
 export type CoreSetManager = Readonly<{
-  /** Another core proposes that this one adopts a set. */
+  /** Handles another core's request to adopt a set. */
   adopt: (request: Request<'adopt'>) => Promise<Reply<'adopt'>>;
-  /** A node asks for a seat. */
+  /** Handles a node's request to be listed in the core set. */
   join: (request: Request<'join'>) => Promise<Reply<'join'>>;
-  /** Some core reported this set. */
+  /** Called with every set that another core reports. */
   observe: (set: CoreSet) => void;
-  /** A formed fleet was found that this core is not, or not any more, a core of. */
+  /** Called when discovery finds a formed fleet whose core set does not, or no longer does, list this core. */
   onFleetFound: (fleet: string, set: CoreSet) => void;
-  /** This disk cannot be trusted to hold what it promised: the core goes on as one that lost its disk. */
+  /** Makes this core a learner with a new disk identity, since its disk may lack ballots that it promised or accepted. */
   abandonDisk: () => Promise<boolean>;
-  /** Offers this core's own seat, until a learner that waits for one has it, or until the deadline. */
-  handOverSeat: (deadline: Instant) => Promise<void>;
+  /** Lets a waiting learner replace this core; resolves once it has, when no learner waits, or at the deadline. */
+  handOverMembership: (deadline: Instant) => Promise<void>;
   start: () => void;
   stop: () => void;
 }>;
 
 type Manager = Readonly<{ state: CoreSetState; membership: CoreSetMembership; changes: CoreSetChanges }>;
 
-/** The seat of a core that nobody has heard for so long is vacant, if somebody asks for it. */
+/** A core without a heartbeat for this long may be replaced by a node that asks to join. */
 const silentMilliseconds = 1_000;
 const roundMilliseconds = 250;
 const callMilliseconds = 800;
-/** A learner that asked so lately still waits for a seat: it asks all cores in turn, without end. */
-const learnerMilliseconds = 1_500;
+/** A learner whose last join request is younger than this is still waiting, since it keeps asking all cores in turn. */
+const learnerWaitMilliseconds = 1_500;
 const handOverPollMilliseconds = 20;
-/** The longest reason that a reply may carry. Unit: characters. */
-const reasonLength = 300;
+/** Longest reason in a reply, in characters. */
+const maxReasonLength = 300;
 
-/** Cores that were not heard for long; one that has just begun to listen reports none. */
+/** Cores without a recent heartbeat. Counted from when this core entered its set, so that a core that has just started reports none. */
 function silentCores({ runtime, parts, inSetSince }: CoreSetState, set: CoreSet): readonly string[] {
   const now = runtime.clock.now();
   return set.seats
@@ -53,77 +53,87 @@
 
 async function adopt({ state, membership }: Manager, request: Request<'adopt'>): Promise<Reply<'adopt'>> {
   const { parts, commands } = state;
-  // A blank core may know no seed that still runs, while the cores of the fleet go on calling it where it was seated.
+  // A core that lost its disk may have no seed that still runs, but the cores of the fleet keep calling its listed address.
   if (Option.isNone(parts.record()) && !state.isStopped && !state.isLeaving)
     void commands.run(() => membership.becomeLearner(request.fleet, request.set));
   const adopted = await commands.run(() => membership.adopt(request.fleet, request.set));
-  const known = parts.record();
-  const isFormed = Option.isSome(known) && known.value.fleet === request.fleet && known.value.stage === 'formed';
+  const record = parts.record();
+  const isFormed = Option.isSome(record) && record.value.fleet === request.fleet && record.value.stage === 'formed';
   const own = membership.set();
   const silent = [...silentCores(state, own)];
   return { adopted, silent, ...(isFormed && own.number > request.set.number ? { newer: own } : {}) };
 }
 
-/** Asks a core to adopt a set; none when it does not reply. */
+/** Asks a core to adopt a set; none when it does not reply in time. */
 async function requestAdopt(manager: Manager, seat: Seat, set: CoreSet): Promise<Option.Option<Reply<'adopt'>>> {
   const { state, membership } = manager;
   const { parts } = state;
-  const known = parts.record();
-  if (Option.isNone(known)) return Option.none;
-  const request: Request<'adopt'> = { fleet: known.value.fleet, set };
+  const record = parts.record();
+  if (Option.isNone(record)) return Option.none;
+  const request: Request<'adopt'> = { fleet: record.value.fleet, set };
   if (seat.address === parts.node.ownSeat().address) return Option.some(await adopt(manager, request));
-  // Whoever was silent for long would only be waited for; it hears of the set from whoever it reaches first.
+  // A call to a silent core would only run into its timeout. Once that core is back, it learns the set from the first core it reaches.
   if (silentCores(state, membership.set()).includes(seat.node)) return Option.none;
   return parts.callCore(seat.address, 'adopt', request, callMilliseconds);
 }
 
-/** A node that is listed with another disk, or elsewhere, has its own seat only; else whoever is gone goes first. */
-function vacancies({ parts, isLeaving }: CoreSetState, occupant: Seat, set: CoreSet, confirmed: ConfirmedCores): readonly string[] {
-  if (quorum.findNode(set, occupant.node) !== undefined) return [occupant.node];
-  const gone = set.seats.map((seat) => seat.node).filter((core) => confirmed.unreachable.has(core) && !confirmed.upToDate.includes(core));
-  return isLeaving ? [...gone, parts.node.settings.node] : gone;
+/**
+ * Cores that the joining node may replace, in order of preference. A node that is listed with another disk or address may only replace
+ * its own entry; any other node replaces an unreachable core first, and this core if it is leaving.
+ */
+function findVacantCores(
+  { parts, isLeaving }: CoreSetState,
+  joiningNode: Seat,
+  set: CoreSet,
+  confirmed: ConfirmedCores,
+): readonly string[] {
+  if (quorum.findNode(set, joiningNode.node) !== undefined) return [joiningNode.node];
+  const unreachable = set.seats
+    .map((seat) => seat.node)
+    .filter((core) => confirmed.unreachable.has(core) && !confirmed.upToDate.includes(core));
+  return isLeaving ? [...unreachable, parts.node.settings.node] : unreachable;
 }
 
-/** What this core alone can tell, before all others are asked. */
-function mayBeVacant({ state, membership }: Manager, occupant: Seat): boolean {
+/** Whether a core may be replaceable by this core's own knowledge; saves a round to the others if not. */
+function mayHaveVacancy({ state, membership }: Manager, joiningNode: Seat): boolean {
   const set = membership.set();
-  return state.isLeaving || silentCores(state, set).length > 0 || quorum.findNode(set, occupant.node) !== undefined;
+  return state.isLeaving || silentCores(state, set).length > 0 || quorum.findNode(set, joiningNode.node) !== undefined;
 }
 
 async function join(manager: Manager, { seat }: Request<'join'>): Promise<Reply<'join'>> {
   const { state, membership, changes } = manager;
   const { runtime, parts } = state;
   if (!parts.cells.ready()) return { joined: false, reason: 'this core is not open yet' };
-  const listed = membership.set().seats.find((one) => isSameNodeAndDisk(one, seat));
+  const listed = membership.set().seats.find((listedSeat) => isSameNodeAndDisk(listedSeat, seat));
   if (listed?.address === seat.address) return { joined: true, reason: '', set: membership.set() };
-  if (listed === undefined) state.learnerAskedAt = runtime.clock.now();
-  if (!mayBeVacant(manager, seat)) return { joined: false, reason: 'no seat is vacant', set: membership.set() };
+  if (listed === undefined) state.lastJoinRequestAt = runtime.clock.now();
+  if (!mayHaveVacancy(manager, seat)) return { joined: false, reason: 'no seat is vacant', set: membership.set() };
   runtime.log('core.proposes', { node: seat.node, set: membership.set().number + 1 });
-  const changed = await changes.replaceNode(seat, (set, confirmed) => vacancies(state, seat, set, confirmed));
-  if (Either.isLeft(changed)) return { joined: false, reason: changed.left.message.slice(0, reasonLength), set: membership.set() };
+  const changed = await changes.replaceNode(seat, (set, confirmed) => findVacantCores(state, seat, set, confirmed));
+  if (Either.isLeft(changed)) return { joined: false, reason: changed.left.message.slice(0, maxReasonLength), set: membership.set() };
   runtime.log('core.seated', { node: seat.node, set: changed.right.number });
   return { joined: true, reason: '', set: changed.right };
 }
 
-async function handOverSeat({ state }: Manager, deadline: Instant): Promise<void> {
+async function handOverMembership({ state }: Manager, deadline: Instant): Promise<void> {
   const { clock } = state.runtime;
   state.isLeaving = true;
   function isLearnerWaiting(): boolean {
-    return clock.now() - state.learnerAskedAt < learnerMilliseconds;
+    return clock.now() - state.lastJoinRequestAt < learnerWaitMilliseconds;
   }
   while (state.parts.cells.ready() && !state.isStopped && clock.now() < deadline && isLearnerWaiting()) {
     await clock.sleep(handOverPollMilliseconds);
   }
 }
 
-/** Completes a step that another core left behind. */
-async function completeInterruptedStep({ state, membership, changes }: Manager): Promise<void> {
+/** Completes a set change that was decided but not spread, because its proposer failed. */
+async function completeInterruptedChange({ state, membership, changes }: Manager): Promise<void> {
   const { cells } = state.parts;
   const isDecided = cells.ready() && Option.isSome(cells.accepted(coreSetKey(membership.set().number)));
   if (isDecided) await changes.completeInterrupted();
 }
 
-/** A core that came back at another address has itself listed there. */
+/** Updates this core's address in the set after a restart at another address. */
 async function correctAddress(manager: Manager): Promise<void> {
   const { state, membership } = manager;
   const own = membership.ownSeat();
@@ -134,7 +144,7 @@
 
 function start(manager: Manager): void {
   async function runRound(): Promise<void> {
-    await completeInterruptedStep(manager);
+    await completeInterruptedChange(manager);
     await correctAddress(manager);
   }
   void runtimeUtilities.every(manager.state.runtime.clock, roundMilliseconds, runRound, () => !manager.state.isStopped);
@@ -146,7 +156,7 @@
     parts,
     commands: owner.create('core set', null),
     inSetSince: runtime.clock.now(),
-    learnerAskedAt: identifiers.instant(Number.NEGATIVE_INFINITY),
+    lastJoinRequestAt: identifiers.instant(Number.NEGATIVE_INFINITY),
     isLeaving: false,
     isStopped: false,
   };
@@ -168,7 +178,7 @@
     adopt: (request) => adopt(manager, request),
     join: (request) => join(manager, request),
     observe: membership.observe,
-    handOverSeat: (deadline) => handOverSeat(manager, deadline),
+    handOverMembership: (deadline) => handOverMembership(manager, deadline),
     abandonDisk: () => state.commands.run(membership.abandonDisk),
     onFleetFound: function fleetFound(fleet, set) {
       if (!state.isStopped && !state.isLeaving) void state.commands.run(() => membership.becomeLearner(fleet, set));
--- a/packages/core/src/core-set-membership.ts
+++ b/packages/core/src/core-set-membership.ts
@@ -1,4 +1,4 @@
-/** Which set of cores this core's disk is in: on the disk before anything is answered in it (design 4.8). */
+/** The core set that this core's disk belongs to; synced to the disk before this core answers anything in that set (design 4.8). */
 import * as Option from 'fp-ts/lib/Option.js';
 import type { CoreSet, Seat } from '@stallstall/message';
 import { isSameNodeAndDisk } from '@stallstall/register';
@@ -6,30 +6,30 @@
 import { coreSetOf, type FleetRecord } from './fleet-record.js';
 import { learner } from './learner.js';
 
-/** Commands that change the record are to be run one at a time. @internal */
+/** The caller runs functions that change the record one at a time. @internal */
 export type CoreSetMembership = Readonly<{
-  /** The set on this disk; number 0 and empty while it is of no fleet. */
+  /** The set on this disk; number 0 and empty while the disk belongs to no fleet. */
   set: () => CoreSet;
-  /** This node with the disk that it has now. */
+  /** This node's entry for a core set, with its current disk identity. */
   ownSeat: () => Seat;
-  /** Resolves to true when this core is in the set. */
+  /** Moves to the set if it is newer; resolves to true when this core is then isStillListed in it. */
   adopt: (fleet: string, set: CoreSet) => Promise<boolean>;
-  /** Some core reported this set. */
+  /** Called with every set that another core reports. */
   observe: (set: CoreSet) => void;
-  /** Becomes a core without a seat in a fleet that was found, unless this core has one. */
+  /** Becomes a learner of a fleet that was found, unless this core is already in a core set. */
   becomeLearner: (fleet: string, set: CoreSet) => Promise<void>;
-  /** Resolves to true once this core is one that lost its disk. */
+  /** Becomes a learner with a new disk identity, as after a lost disk; resolves to true once that is synced. */
   abandonDisk: () => Promise<boolean>;
 }>;
 
 const noSet: CoreSet = { number: 0, seats: [], epochs: {} };
 
-/** The record in a set. */
-function inSet(known: FleetRecord, set: CoreSet): FleetRecord {
-  return { ...known, cores: set.seats, number: set.number, epochs: set.epochs };
+/** The record, changed to name this set. */
+function withCoreSet(record: FleetRecord, set: CoreSet): FleetRecord {
+  return { ...record, cores: set.seats, number: set.number, epochs: set.epochs };
 }
 
-/** The record of a core that promised nothing to anybody: it has a disk of its own name, which no set lists yet. */
+/** The record of a learner. Its disk gets a new identity, which no set lists yet, since it may lack ballots promised under the old one. */
 function learnerRecord({ runtime, parts }: CoreSetState, fleet: string, set: CoreSet): FleetRecord {
   return {
     fleet,
@@ -47,100 +47,100 @@
   const { node, cells } = parts;
 
   function set(): CoreSet {
-    const known = parts.record();
-    return Option.isSome(known) ? coreSetOf(known.value) : noSet;
+    const record = parts.record();
+    return Option.isSome(record) ? coreSetOf(record.value) : noSet;
   }
 
   function ownSeat(): Seat {
-    const known = parts.record();
-    const disk = Option.isSome(known) ? known.value.disk : undefined;
+    const record = parts.record();
+    const disk = Option.isSome(record) ? record.value.disk : undefined;
     return { ...node.ownSeat(), ...(disk === undefined ? {} : { disk }) };
   }
 
-  function isListed(given: CoreSet): boolean {
-    return given.seats.some((seat) => isSameNodeAndDisk(seat, ownSeat()));
+  function isListed(coreSet: CoreSet): boolean {
+    return coreSet.seats.some((seat) => isSameNodeAndDisk(seat, ownSeat()));
   }
 
-  const learning = learner.create(runtime, {
+  const coreLearner = learner.create(runtime, {
     callCore: parts.callCore,
     cells,
     transfer: parts.transfer,
     ownSeat,
     seeds: node.settings.seeds,
     shouldRun: () => !state.isStopped && !state.isLeaving && !cells.ready(),
-    open: (given) => commands.run(() => openIn(given)),
+    open: (coreSet) => commands.run(() => openIn(coreSet)),
   });
 
-  function enter(given: CoreSet): void {
+  function enterSet(coreSet: CoreSet): void {
     state.inSetSince = runtime.clock.now();
-    runtime.log('core.set', { number: given.number, cores: given.seats.length });
+    runtime.log('core.set', { number: coreSet.number, cores: coreSet.seats.length });
   }
 
-  async function openIn(given: CoreSet): Promise<boolean> {
-    const known = parts.record();
-    if (state.isStopped || state.isLeaving || Option.isNone(known) || known.value.stage === 'formed' || !isListed(given)) return false;
-    const next: FleetRecord = { ...inSet(known.value, given), stage: 'formed' };
+  async function openIn(coreSet: CoreSet): Promise<boolean> {
+    const record = parts.record();
+    if (state.isStopped || state.isLeaving || Option.isNone(record) || record.value.stage === 'formed' || !isListed(coreSet)) return false;
+    const next: FleetRecord = { ...withCoreSet(record.value, coreSet), stage: 'formed' };
     if (!(await parts.saveRecord(next))) return false;
-    enter(given);
+    enterSet(coreSet);
     parts.open(next);
     return true;
   }
 
-  function leaveSet(given: CoreSet): void {
+  function leaveSet(coreSet: CoreSet): void {
     state.inSetSince = runtime.clock.now();
-    runtime.log('core.departed', { set: given.number });
-    parts.close(given);
-    learning.observe(given);
+    runtime.log('core.departed', { set: coreSet.number });
+    parts.close(coreSet);
+    coreLearner.observe(coreSet);
   }
 
-  async function moveTo(known: FleetRecord, given: CoreSet): Promise<boolean> {
-    const listed = isListed(given);
+  async function moveTo(record: FleetRecord, coreSet: CoreSet): Promise<boolean> {
+    const isStillListed = isListed(coreSet);
     parts.onSetTransition(true);
-    const isKept = await parts.saveRecord(listed ? inSet(known, given) : learnerRecord(state, known.fleet, given));
+    const isSaved = await parts.saveRecord(isStillListed ? withCoreSet(record, coreSet) : learnerRecord(state, record.fleet, coreSet));
     parts.onSetTransition(false);
-    if (!isKept) return false;
-    if (!listed) {
-      leaveSet(given);
+    if (!isSaved) return false;
+    if (!isStillListed) {
+      leaveSet(coreSet);
       return false;
     }
-    enter(given);
-    const record = parts.record();
-    if (cells.ready() && Option.isSome(record)) parts.changeSet(record.value);
+    enterSet(coreSet);
+    const saved = parts.record();
+    if (cells.ready() && Option.isSome(saved)) parts.changeSet(saved.value);
     return true;
   }
 
-  async function adopt(fleet: string, given: CoreSet): Promise<boolean> {
-    const known = parts.record();
-    if (state.isStopped || Option.isNone(known) || known.value.fleet !== fleet) return false;
-    if (known.value.stage === 'founding') return openIn(given);
-    if (known.value.stage !== 'formed') {
-      learning.observe(given);
+  async function adopt(fleet: string, coreSet: CoreSet): Promise<boolean> {
+    const record = parts.record();
+    if (state.isStopped || Option.isNone(record) || record.value.fleet !== fleet) return false;
+    if (record.value.stage === 'founding') return openIn(coreSet);
+    if (record.value.stage !== 'formed') {
+      coreLearner.observe(coreSet);
       return false;
     }
     const own = set();
-    return given.number <= own.number ? given.number === own.number : moveTo(known.value, given);
+    return coreSet.number <= own.number ? coreSet.number === own.number : moveTo(record.value, coreSet);
   }
 
-  function observe(given: CoreSet): void {
-    const known = parts.record();
-    if (Option.isNone(known)) return;
-    const isNewer = known.value.stage !== 'formed' || given.number > set().number;
-    if (isNewer) void commands.run(() => adopt(known.value.fleet, given));
+  function observe(coreSet: CoreSet): void {
+    const record = parts.record();
+    if (Option.isNone(record)) return;
+    const isNewer = record.value.stage !== 'formed' || coreSet.number > set().number;
+    if (isNewer) void commands.run(() => adopt(record.value.fleet, coreSet));
   }
 
-  async function becomeLearner(fleet: string, given: CoreSet): Promise<void> {
-    const known = parts.record();
-    const stage = Option.isSome(known) ? known.value.stage : undefined;
+  async function becomeLearner(fleet: string, coreSet: CoreSet): Promise<void> {
+    const record = parts.record();
+    const stage = Option.isSome(record) ? record.value.stage : undefined;
     if (stage === 'formed' || cells.ready()) return;
-    const isLearner = Option.isSome(known) && known.value.disk !== undefined && stage === 'joining';
-    if (!isLearner && !(await parts.saveRecord(learnerRecord(state, fleet, given)))) return;
+    const isLearner = Option.isSome(record) && record.value.disk !== undefined && stage === 'joining';
+    if (!isLearner && !(await parts.saveRecord(learnerRecord(state, fleet, coreSet)))) return;
     node.setFleet(fleet);
-    learning.observe(given);
+    coreLearner.observe(coreSet);
   }
 
   async function abandonDisk(): Promise<boolean> {
-    const known = parts.record();
-    return Option.isSome(known) && (await parts.saveRecord(learnerRecord(state, known.value.fleet, set())));
+    const record = parts.record();
+    return Option.isSome(record) && (await parts.saveRecord(learnerRecord(state, record.value.fleet, set())));
   }
 
   return { set, ownSeat, adopt, observe, becomeLearner, abandonDisk };
--- a/packages/core/src/core-set-state.ts
+++ b/packages/core/src/core-set-state.ts
@@ -17,13 +17,13 @@
   record: () => Option.Option<FleetRecord>;
   /** Resolves to true once the record is synced. */
   saveRecord: (next: FleetRecord) => Promise<boolean>;
-  /** Begins to answer as the fleet record says. */
-  open: (known: FleetRecord) => void;
-  /** Answers in another set than before. */
-  changeSet: (known: FleetRecord) => void;
-  /** Answers nothing any more: its seat was given to another. */
+  /** Starts to serve as a core of the recorded set. */
+  open: (record: FleetRecord) => void;
+  /** Continues to serve in the recorded, newer set. */
+  changeSet: (record: FleetRecord) => void;
+  /** Stops serving, since another node has replaced this core in the set. */
   close: (set: CoreSet) => void;
-  /** Called with true before this disk leaves a set and with false once it is in the next. */
+  /** Called with true before this disk leaves a set and with false once the next set is synced or failed to sync. */
   onSetTransition: (isBetween: boolean) => void;
 }>;
 
@@ -32,10 +32,10 @@
   readonly runtime: Runtime;
   readonly parts: CoreSetManagerParts;
   readonly commands: Owner<null>;
-  /** Since when this core is in its set. */
+  /** When this core entered its current set. */
   inSetSince: Instant;
-  /** When a node without a seat asked last. */
-  learnerAskedAt: Instant;
+  /** When a node that the set does not list last asked to join. */
+  lastJoinRequestAt: Instant;
   isLeaving: boolean;
   isStopped: boolean;
 };
--- a/packages/core/src/core-settings.ts
+++ b/packages/core/src/core-settings.ts
@@ -1,4 +1,4 @@
-/** What a core is started with. */
+/** Settings of a core, and its integration with a platform. */
 import type { MemberProbe, PlatformCalls } from '@stallstall/election';
 import type { HttpRoute } from '@stallstall/kernel';
 import type { NodeSettings } from '@stallstall/node';
@@ -7,19 +7,19 @@
 
 export type CoreSettings = NodeSettings &
   Readonly<{
-    /** How many cores found a fleet where an operator runs the set of cores. */
+    /** How many cores found a fleet whose core set an operator changes. */
     cores: number;
-    /** The key that may do everything at the administration API; without it everybody may. */
+    /** Key with all permissions at the administration API; if unset, requests need no key. */
     operatorKey?: string | undefined;
   }>;
 
-/** How a fleet runs where members register, edges hold leases, and the platform has words of its own (design 9.6). */
+/** Integrates a core with a platform that has its own protocol, where members register and edges hold leases (design 9.6). */
 export type PlatformIntegration = FoundingSettings &
   Readonly<{
     calls: PlatformCalls;
     probe: MemberProbe;
-    /** Routes in the platform's words, served from what this core offers. */
+    /** Creates the routes of the platform's protocol from the operations that this core offers. */
     routes: (api: PlatformApi) => readonly HttpRoute[];
-    /** Where these routes are served. */
+    /** Listening address of these routes. */
     platformApiAddress: string;
   }>;
--- a/packages/core/src/core-storage.ts
+++ b/packages/core/src/core-storage.ts
@@ -1,4 +1,4 @@
-/** Opens what lies on a core's disk (design 4.3, 5.1, 5.5). */
+/** Restores a core's stored state from its disk and creates the stores that write to it (design 4.3, 5.1, 5.5). */
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Disk, Runtime } from '@stallstall/kernel';
 import type { Entry } from '@stallstall/message';
@@ -11,10 +11,10 @@
 
 /** @internal */
 export type StorageEvents = Readonly<{
-  /** Called once an entry is on the disk. */
+  /** Called once an entry is synced to the disk. */
   onAccepted: (key: string, entry: Entry) => void;
-  /** Keeps an entry that is about to be replaced; resolves to false when the disk did not sync. */
-  keepEarlier: (entry: Entry) => Promise<boolean>;
+  /** Archives an entry that is about to be replaced; resolves to false when the disk did not sync. */
+  archiveEntry: (entry: Entry) => Promise<boolean>;
 }>;
 
 function logDiskTrouble(runtime: Runtime, disk: Disk): void {
@@ -25,7 +25,7 @@
 }
 
 /** @param stored - what the disk held when the process started */
-function create(context: CoreContext, stored: ReadonlyMap<string, unknown>, { onAccepted, keepEarlier }: StorageEvents): CoreStorage {
+function create(context: CoreContext, stored: ReadonlyMap<string, unknown>, { onAccepted, archiveEntry }: StorageEvents): CoreStorage {
   const { runtime, disk } = context;
   logDiskTrouble(runtime, disk);
   const record = fleetRecordStore.create(disk, stored);
@@ -36,7 +36,7 @@
     onAccepted,
     onDamaged: (error) => runtime.log('disk.damaged', { reason: error.message }),
     ...(coreSetView === undefined ? {} : { coreSet: coreSetView }),
-    archiveEntry: keepEarlier,
+    archiveEntry,
   });
   const reports = reportStore.create(runtime, disk, stored);
   const votes = coreVoteStore(disk, stored);
@@ -51,13 +51,13 @@
   return { recordStore: record, coreSetView, cells, reports, votes, calls, transfer };
 }
 
-/** The version of a key that the disk holds, chosen or not; 0 when it holds none. */
+/** The accepted version of a key on this disk, whether or not it was chosen; 0 if there is none. */
 function versionOf({ cells }: CoreStorage, key: string): number {
   const entry = cells.accepted(key);
   return Option.isSome(entry) ? entry.value.version : 0;
 }
 
-/** The set of cores is the membership table where edges have no seat (design 4.8). */
+/** Where edges are not listed in the membership table, the core set takes its place, and the set's number is the version (design 4.8). */
 function membershipVersion(storage: CoreStorage): number {
   const { coreSetView } = storage;
   return coreSetView === undefined ? versionOf(storage, 'membership') : Math.max(0, coreSetView.number());
--- a/packages/core/src/core.ts
+++ b/packages/core/src/core.ts
@@ -1,4 +1,4 @@
-/** The core: a disk of the register, changes pushed to edges, and the operators' administration API (design 5, 6, 9). */
+/** A core: stores a replica of the register, pushes changes to edges, and serves the operators' administration API (design 5, 6, 9). */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { fault, identifiers, type Disk, type Fault, type Runtime, type Listening } from '@stallstall/kernel';
@@ -26,11 +26,11 @@
 
 export type Core = Readonly<{
   node: Node;
-  /** Whether this core answers ballots. */
+  /** Whether this core serves ballots. */
   isOpen: () => boolean;
-  /** Ends without losing a request that has arrived. */
+  /** Stops after completing the requests that have arrived. */
   drain: () => Promise<void>;
-  /** Ends at once. */
+  /** Stops at once. */
   stop: () => Promise<void>;
 }>;
 
@@ -47,20 +47,21 @@
   platformApi: PlatformApi;
 }>;
 
-const graceMilliseconds = 6_000;
-/** What the release of the usage role may take before this core ends. */
+/** Longest time that draining takes before this core stops regardless of requests in flight. */
+const drainMilliseconds = 6_000;
+/** Longest wait for releasing the usage reporting role. */
 const releaseMilliseconds = 2_000;
-/** So long a learner that waits for a seat may take to take this core's. */
+/** Longest wait for a learner to replace this core in the core set. */
 const handOverMilliseconds = 4_500;
 const drainPollMilliseconds = 20;
-/** An edge that held a lease so lately may still have counts to report. */
-const edgeMemoryMilliseconds = 12_000;
+/** Edges that held a lease within this time may still have usage counts to report. */
+const recentEdgeMilliseconds = 12_000;
 
-function createContext(runtime: Runtime, settings: CoreSettings, parts: Option.Option<PlatformIntegration>, disk: Disk): CoreContext {
+function createContext(runtime: Runtime, settings: CoreSettings, platform: Option.Option<PlatformIntegration>, disk: Disk): CoreContext {
   return {
     runtime,
     settings,
-    platform: parts,
+    platform,
     disk,
     registration: Option.none,
     coreSet: Option.none,
@@ -71,12 +72,12 @@
   };
 }
 
-/** Whether this core answers as an occupant of its seat and does not end. */
+/** Whether this core serves ballots and is not draining. */
 function isReady({ context, storage }: CoreServices): boolean {
   return storage.cells.ready() && !context.isDraining;
 }
 
-function createCoreSet({ context, storage, node }: CoreServices, seat: CoreLifecycle): CoreSetManager {
+function createCoreSet({ context, storage, node }: CoreServices, lifecycle: CoreLifecycle): CoreSetManager {
   return coreSetManager.create(context.runtime, {
     node,
     register: context.runtime.services.find(registerService),
@@ -85,11 +86,11 @@
     transfer: storage.transfer,
     record: storage.recordStore.current,
     saveRecord: storage.recordStore.save,
-    open: seat.open,
-    changeSet: seat.changeSet,
-    close: seat.close,
-    onSetTransition: function onBetweenSets(isBetween) {
-      context.isInSetTransition = isBetween;
+    open: lifecycle.open,
+    changeSet: lifecycle.changeSet,
+    close: lifecycle.close,
+    onSetTransition: function onSetTransition(isInTransition) {
+      context.isInSetTransition = isInTransition;
     },
   });
 }
@@ -111,7 +112,7 @@
   });
 }
 
-function createBootstrap({ context, storage, node }: CoreServices, seat: CoreLifecycle): FleetBootstrap {
+function createBootstrap({ context, storage, node }: CoreServices, lifecycle: CoreLifecycle): FleetBootstrap {
   return fleetBootstrap.create(context.runtime, context.settings, {
     node,
     cells: storage.cells,
@@ -121,15 +122,15 @@
     votes: storage.votes,
     coreSet: () => context.coreSet,
     founding: context.platform,
-    open: seat.open,
+    open: lifecycle.open,
     stopped: () => context.isStopped,
   });
 }
 
 function createUsage({ context, storage, node }: CoreServices): UsageReporting {
-  const leased = Option.map((parts: PlatformIntegration) => ({
-    calls: parts.calls,
-    edges: () => (Option.isSome(context.registration) ? context.registration.value.grantor.recentHolders(edgeMemoryMilliseconds) : []),
+  const leased = Option.map((platform: PlatformIntegration) => ({
+    calls: platform.calls,
+    edges: () => (Option.isSome(context.registration) ? context.registration.value.grantor.recentHolders(recentEdgeMilliseconds) : []),
   }))(context.platform);
   return usageReporting.create(context.runtime, node, storage.reports, leased);
 }
@@ -164,23 +165,23 @@
 function assemble(context: CoreContext, stored: ReadonlyMap<string, unknown>): Assembly {
   const { runtime, disk } = context;
   const storage: CoreStorage = coreStorage.create(context, stored, {
-    onAccepted: (key, entry) => seat.publish(key, entry),
-    keepEarlier: (entry) => versions.archive(entry),
+    onAccepted: (key, entry) => lifecycle.publish(key, entry),
+    archiveEntry: (entry) => versions.archive(entry),
   });
   const subscribers = changeSubscribers.create(() => currentSet(storage.coreSetView));
   const node: Node = coreNode.create(context, storage, {
-    notifyLeaseHolders: () => seat.notifyLeaseHolders(),
+    notifyLeaseHolders: () => lifecycle.notifyLeaseHolders(),
     onHelloReply: (reply, address) => bootstrap.onHelloReply(reply, address),
   });
   const services: CoreServices = { context, storage, node };
   const contact = quorumContact.create(runtime, node.majorityContactAt);
   const versions = versionStore.create(runtime, { disk, node, currentVersion: () => coreStorage.versionOf(storage, 'configuration') });
-  const seat: CoreLifecycle = coreLifecycle.create({ services, subscribers, contact });
+  const lifecycle: CoreLifecycle = coreLifecycle.create({ services, subscribers, contact });
   if (Option.isSome(context.platform)) {
-    context.coreSet = Option.some(createCoreSet(services, seat));
+    context.coreSet = Option.some(createCoreSet(services, lifecycle));
     context.registration = Option.some(createRegistration(services, contact, stored.get(registryKey)));
   }
-  const bootstrap: FleetBootstrap = createBootstrap(services, seat);
+  const bootstrap: FleetBootstrap = createBootstrap(services, lifecycle);
   const usage = createUsage(services);
   const table = membershipTable.create({ node, register: runtime.services.find(registerService), ready: storage.cells.ready });
   const administration = createAdministration(services, { usage, table, versions, subscribers });
@@ -224,40 +225,43 @@
   for (const entry of listening) await entry.stop();
 }
 
-/** Fails readiness, hands its role and its seat on, answers what is in flight, then stops (design 7.10). */
+/**
+ * Fails readiness, hands over the usage reporting role and this core's place in the core set, completes the requests in flight, then
+ * stops (design 7.10).
+ */
 async function drain(assembly: Assembly, { listening, inFlight }: CoreRoutes): Promise<void> {
   const { services, usage } = assembly;
   const { context } = services;
   const { clock } = context.runtime;
   context.isDraining = true;
-  const deadline = identifiers.after(clock.now(), graceMilliseconds);
+  const deadline = identifiers.after(clock.now(), drainMilliseconds);
   const handOverDeadline = identifiers.after(clock.now(), handOverMilliseconds);
   await Promise.all([
     Promise.race([usage.stop(), clock.sleep(releaseMilliseconds)]),
-    Option.isSome(context.coreSet) ? context.coreSet.value.handOverSeat(handOverDeadline) : undefined,
+    Option.isSome(context.coreSet) ? context.coreSet.value.handOverMembership(handOverDeadline) : undefined,
   ]);
   while (clock.now() < deadline && inFlight() > 0) await clock.sleep(drainPollMilliseconds);
   await stop(assembly, listening);
 }
 
 /**
- * Starts a core; right once it listens. Errors: `bad-settings` without a data folder, `foreign-disk` for a folder of another node or of a
- * later version.
+ * Starts a core; resolves to right once it listens. Errors: `bad-settings` without a data folder, `foreign-disk` for a folder of another
+ * node or of a later version.
  *
- * @param parts - none where an operator runs the fleet over this product's own interfaces
+ * @param platform - none where an operator runs the fleet through the administration API
  */
 async function start(
   runtime: Runtime,
   settings: CoreSettings,
-  parts: Option.Option<PlatformIntegration> = Option.none,
+  platform: Option.Option<PlatformIntegration> = Option.none,
 ): Promise<Either.Either<Fault, Core>> {
   if (Option.isNone(runtime.disk)) {
-    return Either.left(fault.create({ kind: 'bad-settings', message: 'a core needs a data folder', remedy: 'name one with --data' }));
+    return Either.left(fault.create({ kind: 'bad-settings', message: 'a core requires a data folder', remedy: 'set one with --data' }));
   }
   const disk = runtime.disk.value;
   const folder = await readDataFolder(runtime, disk, settings.node);
   if (Either.isLeft(folder)) return folder;
-  const assembly = assemble(createContext(runtime, settings, parts, disk), folder.right);
+  const assembly = assemble(createContext(runtime, settings, platform, disk), folder.right);
   const { context, storage, node } = assembly.services;
   if (Option.isSome(context.registration)) context.registration.value.start();
   const routes = await listen(assembly);
--- a/packages/core/src/discovered-cores.ts
+++ b/packages/core/src/discovered-cores.ts
@@ -1,36 +1,36 @@
-/** Cores that have greeted this one, or replied to its greeting, before there is a fleet (design 4.3). */
+/** Other cores that this one has exchanged hello messages with, for founding a fleet or returning to one (design 4.3). */
 import type { Instant, Runtime } from '@stallstall/kernel';
 import type { Seat } from '@stallstall/message';
 import { quorum } from '@stallstall/quorum';
 import type { FleetRecord } from './fleet-record.js';
 
-/** `fleet` is the fleet that it says it is of; empty if it is of none. @internal */
+/** `fleet` is the fleet that the core reported; empty if it belongs to none. @internal */
 export type DiscoveredCore = Readonly<{ seat: Seat; fleet: string; seenAt: Instant }>;
 
 /** @internal */
 export type DiscoveredCores = Readonly<{
   observe: (seat: Seat, fleet: string) => void;
-  /** Cores that were heard within the last seconds. */
+  /** Cores whose last hello is recent enough for founding a fleet. */
   recent: () => readonly DiscoveredCore[];
-  /** Whether this core and those that were heard of its fleet are a majority. */
-  includesMajority: (known: FleetRecord) => boolean;
+  /** Whether this core and the discovered cores of its fleet are a majority of the fleet's cores. */
+  includesMajority: (record: FleetRecord) => boolean;
 }>;
 
-/** A core that was heard longer ago is not counted among those that found a fleet. */
+/** A core whose last hello is older than this takes no part in founding a fleet. */
 const recentMilliseconds = 2_000;
 
 function create(runtime: Runtime): DiscoveredCores {
-  const known = new Map<string, DiscoveredCore>();
+  const coresByName = new Map<string, DiscoveredCore>();
 
   function includesMajority({ fleet, cores }: FleetRecord): boolean {
     const names = new Set(cores.map((core) => core.node));
-    const heard = [...known.values()].filter((core) => core.fleet === fleet && names.has(core.seat.node));
-    return heard.length >= quorum.majority(cores.length) - 1;
+    const discovered = [...coresByName.values()].filter((core) => core.fleet === fleet && names.has(core.seat.node));
+    return discovered.length >= quorum.majority(cores.length) - 1;
   }
 
   return {
-    observe: (seat, fleet) => void known.set(seat.node, { seat, fleet, seenAt: runtime.clock.now() }),
-    recent: () => [...known.values()].filter((core) => runtime.clock.now() - core.seenAt < recentMilliseconds),
+    observe: (seat, fleet) => void coresByName.set(seat.node, { seat, fleet, seenAt: runtime.clock.now() }),
+    recent: () => [...coresByName.values()].filter((core) => runtime.clock.now() - core.seenAt < recentMilliseconds),
     includesMajority,
   };
 }
--- a/packages/core/src/disk-recovery.ts
+++ b/packages/core/src/disk-recovery.ts
@@ -1,4 +1,4 @@
-/** Brings a core back to the fleet that its disk names, or as one that lost its disk (design 4.3). */
+/** Restarts a core on its disk, or rebuilds the disk from the other cores if it was lost or is an old copy (design 4.3). */
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Runtime } from '@stallstall/kernel';
 import { heartbeatMilliseconds } from '@stallstall/node';
@@ -9,11 +9,11 @@
 
 /** @internal */
 export type DiskRecovery = Readonly<{
-  /** Answers ballots again once a majority of the fleet was found and has not heard of later puts than the disk holds. */
+  /** Serves ballots again once a majority of the fleet was found and none of it knows of a later put than this disk holds. */
   reopen: () => Promise<void>;
-  /** A blank disk in a formed fleet has been lost: it answers no ballot before it holds what all the others hold. */
-  rebuildFromPeers: (known: FleetRecord) => Promise<void>;
-  /** Another process has heard that this disk had taken so many puts. */
+  /** Copies the state of all other cores to a lost disk, which is blank although its fleet is formed, and only then serves ballots. */
+  rebuildFromPeers: (record: FleetRecord) => Promise<void>;
+  /** Called with the number of puts that another process knows this disk to have synced. */
   observeKnownPuts: (puts: number) => void;
 }>;
 
@@ -21,79 +21,79 @@
 
 /**
  * @param node - this core's id
- * @param becomeFormed - begins to answer as a core of a formed fleet
+ * @param saveFormedAndOpen - saves the record as that of a formed fleet and starts to serve
  */
 function create(
   runtime: Runtime,
   node: string,
   parts: FleetBootstrapParts,
   cores: DiscoveredCores,
-  becomeFormed: (known: FleetRecord) => Promise<void>,
+  saveFormedAndOpen: (record: FleetRecord) => Promise<void>,
 ): DiskRecovery {
-  const { cells, disk, recordStore: record, transfer } = parts;
-  let isCopying = false;
+  const { cells, disk, recordStore, transfer } = parts;
+  let isRebuilding = false;
   let knownPuts = 0;
 
-  function isOpening(): boolean {
+  function isWaitingToOpen(): boolean {
     return !parts.stopped() && !cells.ready();
   }
 
-  async function copyFleet(known: FleetRecord): Promise<void> {
-    if (isCopying) return;
-    isCopying = true;
-    while (!(await record.save(known))) await runtime.clock.sleep(heartbeatMilliseconds);
-    parts.node.setFleet(known.fleet);
-    runtime.log('core.copying', { fleet: known.fleet });
+  async function rebuildFromPeers(record: FleetRecord): Promise<void> {
+    if (isRebuilding) return;
+    isRebuilding = true;
+    while (!(await recordStore.save(record))) await runtime.clock.sleep(heartbeatMilliseconds);
+    parts.node.setFleet(record.fleet);
+    runtime.log('core.copying', { fleet: record.fleet });
     const epochs: Record<string, number> = { ...(await parts.votes.epochs()) };
-    for (const other of known.cores) {
+    for (const other of record.cores) {
       if (other.node !== node) await transfer.copyFrom(other, Option.none, epochs);
     }
     await transfer.abstain(epochs);
-    while (isOpening()) {
-      await becomeFormed(known);
+    while (isWaitingToOpen()) {
+      await saveFormedAndOpen(record);
       await runtime.clock.sleep(heartbeatMilliseconds);
     }
   }
 
-  /** Goes on as a core that lost its disk; resolves to false when that could not be written down. */
-  async function startAsLost(known: FleetRecord): Promise<boolean> {
+  /** Treats the disk as lost; resolves to false when that could not be synced. */
+  async function recoverLostDisk(record: FleetRecord): Promise<boolean> {
     runtime.log('core.old-disk', { puts: disk.puts(), known: knownPuts });
     const coreSet = parts.coreSet();
     if (Option.isNone(coreSet)) {
-      await copyFleet({ ...known, stage: 'copying' });
+      await rebuildFromPeers({ ...record, stage: 'copying' });
       return true;
     }
     if (!(await coreSet.value.abandonDisk())) return false;
-    coreSet.value.onFleetFound(known.fleet, coreSetOf(known));
+    coreSet.value.onFleetFound(record.fleet, coreSetOf(record));
     return true;
   }
 
-  /** Resolves to true once there is nothing more to do. */
-  async function tryReopen(known: FleetRecord): Promise<boolean> {
-    // A disk that has taken fewer puts than others have heard of is an old copy: as good as lost.
-    if (knownPuts > disk.puts()) return startAsLost(known);
-    if (!cores.includesMajority(known)) return false;
-    if (known.format === diskFormat) parts.open(known);
-    else await becomeFormed(known);
+  /** Resolves to true once no further attempt is needed. */
+  async function tryReopen(record: FleetRecord): Promise<boolean> {
+    // Fewer puts than other processes know of mean that the disk is an old copy, which may lack promised ballots: it counts as lost.
+    if (knownPuts > disk.puts()) return recoverLostDisk(record);
+    if (!cores.includesMajority(record)) return false;
+    if (record.format === diskFormat) parts.open(record);
+    else await saveFormedAndOpen(record);
     return false;
   }
 
   async function reopen(): Promise<void> {
-    while (isOpening()) {
-      // Looked at anew each time: a later set may have become known, one without this core among them.
-      const current = record.current();
+    while (isWaitingToOpen()) {
+      // Read again in each iteration, since this core may meanwhile have learnt of a newer set, possibly one that does not list it.
+      const current = recordStore.current();
       if (Option.isNone(current) || current.value.stage !== 'formed') return;
       if (await tryReopen(current.value)) return;
-      // A disk that takes nothing refuses at once: without this wait nothing else of the process would run.
+      // A failing disk refuses writes at once: without this sleep the loop would starve the rest of the process.
       if (!cells.ready()) await runtime.clock.sleep(reopenPollMilliseconds);
     }
   }
 
-  function observePuts(puts: number): void {
+  function observeKnownPuts(puts: number): void {
     knownPuts = Math.max(knownPuts, puts);
   }
 
-  return { reopen, rebuildFromPeers: copyFleet, observeKnownPuts: observePuts };
+  return { reopen, rebuildFromPeers, observeKnownPuts };
 }
 
 /** @internal */
--- a/packages/core/src/fleet-bootstrap.ts
+++ b/packages/core/src/fleet-bootstrap.ts
@@ -1,4 +1,4 @@
-/** Forms the fleet once, or brings a core back to the fleet that its disk names (design 4.3, 4.8). */
+/** Decides at the start of a core whether to found a fleet, return to the fleet named on its disk, or wait for one (design 4.3, 4.8). */
 import * as Option from 'fp-ts/lib/Option.js';
 import { fault, type Disk, type Fault, type Runtime } from '@stallstall/kernel';
 import type { Reply, Request } from '@stallstall/message';
@@ -12,11 +12,11 @@
 import type { StateTransfer } from './state-transfer.js';
 import type { CoreVoteStore } from './vote-store.js';
 
-/** Who may found a fleet where the set of cores changes by itself (design 4.8). */
+/** Which cores may found a fleet whose core set changes without an operator (design 4.8). */
 export type FoundingSettings = Readonly<{
-  /** Whether this core may form a fleet: only at the very first start of all. */
+  /** Whether this core may found a fleet; to be set only at the first start of the whole fleet. */
   mayFound: boolean;
-  /** Addresses of the seeds of the first start: the lowest of them proposes the fleet, once all have been found. */
+  /** Seed addresses of the first start. The core at the lowest of them proposes the fleet once it has found all others. */
   founderAddresses: readonly string[];
 }>;
 
@@ -27,29 +27,29 @@
   recordStore: FleetRecordStore;
   transfer: StateTransfer;
   votes: Pick<CoreVoteStore, 'epochs'>;
-  /** None where an operator runs the set of cores. */
+  /** None in a fleet whose core set an operator changes. */
   coreSet: () => Option.Option<CoreSetManager>;
   founding: Option.Option<FoundingSettings>;
-  /** Begins to answer ballots as the record says. */
-  open: (known: FleetRecord) => void;
+  /** Starts to serve ballots as a core of the recorded set. */
+  open: (record: FleetRecord) => void;
   stopped: () => boolean;
 }>;
 
 export type FleetBootstrapSettings = Readonly<{
   node: string;
   address: string;
-  /** How many cores found a fleet where an operator runs the set of cores. */
+  /** How many cores found a fleet whose core set an operator changes. */
   cores: number;
 }>;
 
 export type FleetBootstrap = Readonly<{
-  /** Another process said who it is and of which fleet. */
+  /** Called with another process's identity and fleet, from its reply to this core's hello. */
   onHelloReply: (reply: Reply<'hello'>, address: string) => void;
-  /** Another process greeted this core. */
+  /** Called with another process's hello. */
   onHelloReceived: (request: Request<'hello'>) => void;
-  /** Another core proposes a fleet, or says that it is formed. */
+  /** Handles another core's proposal of a fleet, or its report that the fleet is formed. */
   handleFormRequest: (request: Request<'form'>) => Promise<Reply<'form'>>;
-  /** Forms a fleet, comes back to one, or waits for one, as the disk says. */
+  /** Founds a fleet, returns to one, or waits for one, depending on what the disk holds. */
   start: () => void;
 }>;
 
@@ -60,18 +60,18 @@
   cores: DiscoveredCores;
   recovery: DiskRecovery;
   founding: Founding;
-  becomeFormed: (known: FleetRecord) => Promise<void>;
+  saveFormedAndOpen: (record: FleetRecord) => Promise<void>;
 }>;
 
 function foreignDisk(ownFleet: string, reply: Reply<'hello'>): Fault {
   return fault.create({
     kind: 'foreign-disk',
-    message: `this disk is of fleet ${ownFleet}, ${reply.node} is of fleet ${reply.fleet}`,
-    remedy: 'point the seeds or --data at the right fleet',
+    message: `this disk belongs to fleet ${ownFleet}, but ${reply.node} belongs to fleet ${reply.fleet}`,
+    remedy: 'set the seeds or --data to those of the right fleet',
   });
 }
 
-/** A formed fleet was found where the set of cores changes by itself. */
+/** Reports a formed fleet to the core set manager. */
 function observeFleet({ parts }: Bootstrap, coreSet: CoreSetManager, { fleet, set }: Reply<'hello'>): void {
   if (set === undefined) return;
   const stage = parts.recordStore.stage();
@@ -79,16 +79,16 @@
   else if (stage !== 'founding') coreSet.onFleetFound(fleet, set);
 }
 
-/** A formed fleet was found that this core is, or may become, a core of. */
+/** Called when a formed fleet was found that is this core's own, or that this core may join. */
 function onFormedFleet(bootstrap: Bootstrap, reply: Reply<'hello'>): void {
-  const { settings, parts, recovery, becomeFormed } = bootstrap;
-  const { recordStore: record } = parts;
-  const known = record.current();
-  if (record.stage() === 'founding' && Option.isSome(known)) void becomeFormed(known.value);
+  const { settings, parts, recovery, saveFormedAndOpen } = bootstrap;
+  const { recordStore } = parts;
+  const record = recordStore.current();
+  if (recordStore.stage() === 'founding' && Option.isSome(record)) void saveFormedAndOpen(record.value);
   const coreSet = parts.coreSet();
   if (Option.isSome(coreSet)) return observeFleet(bootstrap, coreSet.value, reply);
   const isListed = reply.cores.some((core) => core.node === settings.node);
-  if (record.stage() !== 'blank' || !isListed) return;
+  if (recordStore.stage() !== 'blank' || !isListed) return;
   void recovery.rebuildFromPeers({ fleet: reply.fleet, node: settings.node, cores: reply.cores, stage: 'copying' });
 }
 
@@ -98,29 +98,29 @@
   cores.observe({ ...parts.node.ownSeat(), node: reply.node, address }, reply.fleet);
   recovery.observeKnownPuts(reply.knownPuts);
   if (reply.fleet === '') return;
-  const known = parts.recordStore.current();
-  if (Option.isSome(known) && known.value.fleet !== reply.fleet) runtime.stop(foreignDisk(known.value.fleet, reply));
+  const record = parts.recordStore.current();
+  if (Option.isSome(record) && record.value.fleet !== reply.fleet) runtime.stop(foreignDisk(record.value.fleet, reply));
   else onFormedFleet(bootstrap, reply);
 }
 
-/** Blank cores that the seeds do not name are founders as well: the fleet has so many seats as there are cores at its first start. */
+/** Counts blank cores that the seeds do not name among the founders too: a fleet starts with all cores that run at its first start. */
 function onHelloReceived({ parts, cores }: Bootstrap, { seat, fleet }: Request<'hello'>): void {
   const isFounder = Option.isSome(parts.founding) && parts.recordStore.stage() === 'blank' && seat.role === 'core' && fleet === '';
   if (isFounder) cores.observe(seat, '');
 }
 
 function start({ parts, recovery, founding }: Bootstrap): void {
-  const { recordStore: record, disk } = parts;
-  const current = record.current();
-  if (record.stage() === 'formed') {
+  const { recordStore, disk } = parts;
+  const current = recordStore.current();
+  if (recordStore.stage() === 'formed') {
     void recovery.reopen();
     return;
   }
-  if (Option.isNone(parts.coreSet()) && record.stage() === 'copying' && Option.isSome(current)) {
+  if (Option.isNone(parts.coreSet()) && recordStore.stage() === 'copying' && Option.isSome(current)) {
     void recovery.rebuildFromPeers(current.value);
     return;
   }
-  // One that lost what it held founds nothing: there was a fleet, and what it acknowledged must not be forgotten (design 4.3).
+  // A core that lost its disk founds no fleet: it was part of one, whose acknowledged writes a new fleet would not have (design 4.3).
   const mayFound = Option.isNone(parts.founding) || parts.founding.value.mayFound;
   if (Option.isNone(disk.lost()) && mayFound) void founding.run();
 }
@@ -128,9 +128,9 @@
 function create(runtime: Runtime, settings: FleetBootstrapSettings, parts: FleetBootstrapParts): FleetBootstrap {
   const cores = discoveredCores.create(runtime);
 
-  async function becomeFormed(known: FleetRecord): Promise<void> {
-    const isKept = await parts.recordStore.save({ ...known, stage: 'formed' });
-    if (isKept) parts.open(known);
+  async function saveFormedAndOpen(record: FleetRecord): Promise<void> {
+    const isSaved = await parts.recordStore.save({ ...record, stage: 'formed' });
+    if (isSaved) parts.open(record);
   }
 
   const bootstrap: Bootstrap = {
@@ -138,9 +138,9 @@
     settings,
     parts,
     cores,
-    recovery: diskRecovery.create(runtime, settings.node, parts, cores, becomeFormed),
-    founding: fleetFounding.create(runtime, settings, parts, cores, becomeFormed),
-    becomeFormed,
+    recovery: diskRecovery.create(runtime, settings.node, parts, cores, saveFormedAndOpen),
+    founding: fleetFounding.create(runtime, settings, parts, cores, saveFormedAndOpen),
+    saveFormedAndOpen,
   };
   return {
     onHelloReply: (reply, address) => onHelloReply(bootstrap, reply, address),
--- a/packages/core/src/fleet-record.ts
+++ b/packages/core/src/fleet-record.ts
@@ -1,4 +1,4 @@
-/** What a core's disk says of the fleet it belongs to and of the set of cores it stands at (design 4.3, 4.8). */
+/** The stored record of the fleet and the core set that a core's disk belongs to (design 4.3, 4.8). */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Disk } from '@stallstall/kernel';
@@ -7,8 +7,9 @@
 import { diskFormat } from './data-folder.js';
 
 /**
- * founding: agreed to, not yet formed; copying: a blank disk of a set that never changes; joining: a learner, which answers
- * nothing until it is seated and level; formed: answers. `copied` and `out` were written by earlier versions, for learners.
+ * founding: this core has agreed to a proposed fleet that is not formed yet; copying: a lost disk is being rebuilt in a fleet whose core
+ * set an operator changes; joining: a learner, which serves nothing until a set lists it and it has caught up; formed: serves ballots.
+ * `copied` and `out` are stages of learners that earlier versions wrote.
  */
 export type FleetStage = 'founding' | 'copying' | 'joining' | 'copied' | 'formed' | 'out';
 
@@ -18,14 +19,14 @@
   node: string;
   cores: readonly Seat[];
   stage: FleetStage;
-  /** Of the set of cores, where it may change. */
+  /** The number of the core set, in a fleet whose core set changes without an operator; 1 if absent. */
   number?: number;
   epochs?: Readonly<Record<string, number>>;
-  /** Names this disk as the occupant of a seat; none on one that has been there since the founding. */
+  /** Identifies this disk in a core set, so that a replaced disk counts as another core; absent on the disk of a founder. */
   disk?: string;
 }>;
 
-/** The record as this core's disk holds it. */
+/** Reads and writes the record on this core's disk. */
 export type FleetRecordStore = Readonly<{
   current: () => Option.Option<FleetRecord>;
   /** `blank` while the disk belongs to no fleet. */
@@ -36,38 +37,42 @@
 
 const fleetKey = 'fleet';
 
-/** `stored` is what the disk held when the process started. */
+/** @param stored - what the disk held when the process started */
 function create(disk: Disk, stored: ReadonlyMap<string, unknown>): FleetRecordStore {
-  let fleet: Option.Option<FleetRecord> = Option.fromNullable(stored.get(fleetKey) as FleetRecord | undefined);
+  let record: Option.Option<FleetRecord> = Option.fromNullable(stored.get(fleetKey) as FleetRecord | undefined);
   return {
-    current: () => fleet,
-    stage: () => (Option.isNone(fleet) ? 'blank' : fleet.value.stage),
-    save: async function keep(next) {
+    current: () => record,
+    stage: () => (Option.isNone(record) ? 'blank' : record.value.stage),
+    save: async function save(next) {
       const written: FleetRecord = { ...next, format: diskFormat };
-      const kept = await disk.put(fleetKey, written);
-      if (Either.isRight(kept)) fleet = Option.some(written);
-      return Either.isRight(kept);
+      const put = await disk.put(fleetKey, written);
+      if (Either.isRight(put)) record = Option.some(written);
+      return Either.isRight(put);
     },
   };
 }
 
 export const fleetRecordStore = { create } as const;
 
-export function coreSetOf(fleet: FleetRecord): CoreSet {
-  return { number: fleet.number ?? 1, seats: [...fleet.cores], epochs: { ...fleet.epochs } };
+export function coreSetOf(record: FleetRecord): CoreSet {
+  return { number: record.number ?? 1, seats: [...record.cores], epochs: { ...record.epochs } };
 }
 
-/** Where this disk stands; at no set while it is between two, or of none. */
-export function createCoreSetView(fleet: () => Option.Option<FleetRecord>, between: () => boolean): CoreSetView {
+/**
+ * The core set that this disk is in, for the register. Its number is -1 while the disk is in no set or is moving to the next one.
+ *
+ * @param isInTransition - whether the disk is moving from one set to the next
+ */
+export function createCoreSetView(currentRecord: () => Option.Option<FleetRecord>, isInTransition: () => boolean): CoreSetView {
   function number(): number {
-    const known = fleet();
-    return between() || Option.isNone(known) || known.value.stage !== 'formed' ? -1 : coreSetOf(known.value).number;
+    const record = currentRecord();
+    return isInTransition() || Option.isNone(record) || record.value.stage !== 'formed' ? -1 : coreSetOf(record.value).number;
   }
   return {
     number,
-    newerThan: function newer(told) {
-      const known = fleet();
-      return number() > told && Option.isSome(known) ? coreSetOf(known.value) : undefined;
+    newerThan: function newerThan(setNumber) {
+      const record = currentRecord();
+      return number() > setNumber && Option.isSome(record) ? coreSetOf(record.value) : undefined;
     },
   };
 }
--- a/packages/core/src/founding.ts
+++ b/packages/core/src/founding.ts
@@ -1,4 +1,4 @@
-/** Forms the fleet, once: one core proposes it to all that were found, and each keeps it before it agrees (design 4.3). */
+/** Founds a fleet, once: one core proposes it to all others that it found, and each writes it to its disk before it agrees (design 4.3). */
 import * as Option from 'fp-ts/lib/Option.js';
 import { identifiers, type Runtime } from '@stallstall/kernel';
 import type { Reply, Request, Seat } from '@stallstall/message';
@@ -10,18 +10,18 @@
 
 /** @internal */
 export type Founding = Readonly<{
-  /** Proposes a fleet until there is one. */
+  /** Proposes a fleet, if that is up to this core, until there is one. */
   run: () => Promise<void>;
-  /** Another core proposes a fleet, or says that it is formed. */
+  /** Handles another core's proposal of a fleet, or its report that the fleet is formed. */
   handleForm: (request: Request<'form'>) => Promise<Reply<'form'>>;
 }>;
 
-/** Whether this core is to propose a fleet of all these now. */
+/** Whether this core is to propose a fleet of these cores now. */
 type ProposalRule = (everyone: readonly Seat[]) => boolean;
 
-/** How long the founder waits for cores that start late. */
+/** How long no further core must have appeared before the fleet is proposed; lets cores that start a little later take part. */
 const gatherMilliseconds = 700;
-/** A link to a founder is given so long to open before it is asked. */
+/** Time for a new link to another founder to open before the call is sent on it. */
 const dialMilliseconds = 50;
 const formMilliseconds = 1_000;
 
@@ -29,28 +29,28 @@
   return left.node < right.node ? -1 : 1;
 }
 
-/** The lowest founder proposes, once all founders were found and nobody new has appeared for a while. */
+/** The core at the lowest founder address proposes, once all founders were found and no further core has appeared for a while. */
 function proposeOnceGathered(runtime: Runtime, ownAddress: string, founders: readonly string[]): ProposalRule {
-  let gathered = '';
-  let gatheredSince = runtime.clock.now();
+  let lastNames = '';
+  let unchangedSince = runtime.clock.now();
   return function mayPropose(everyone) {
     const names = everyone.map((seat) => seat.node).join(' ');
-    if (names !== gathered) {
-      gathered = names;
-      gatheredSince = runtime.clock.now();
+    if (names !== lastNames) {
+      lastNames = names;
+      unchangedSince = runtime.clock.now();
     }
     const isLowest = ownAddress === [...founders].sort()[0];
     const areAllFound = founders.every((founder) => everyone.some((seat) => seat.address === founder));
-    return isLowest && areAllFound && runtime.clock.now() - gatheredSince >= gatherMilliseconds;
+    return isLowest && areAllFound && runtime.clock.now() - unchangedSince >= gatherMilliseconds;
   };
 }
 
-/** Where an operator names how many cores there are: the lowest proposes once all were found. */
+/** Where an operator configures the number of cores, the core with the lowest name proposes once that many were found. */
 function proposeOnceComplete({ cores: cores, node }: FleetBootstrapSettings): ProposalRule {
   return (everyone) => everyone.length === cores && everyone[0]?.node === node;
 }
 
-/** Sends one step of the founding to all other cores; resolves to true when all agreed. */
+/** Sends one step of the founding to all other cores; resolves to true if all agreed. */
 async function sendToFounders(runtime: Runtime, fleet: FleetRecord, others: readonly Seat[], step: 'propose' | 'formed'): Promise<boolean> {
   const replies = await Promise.all(
     others.map(async function send(core) {
@@ -64,25 +64,25 @@
   return replies.every(Boolean);
 }
 
-/** @param becomeFormed - begins to answer as a core of a formed fleet */
+/** @param saveFormedAndOpen - saves the record as that of a formed fleet and starts to serve */
 function create(
   runtime: Runtime,
   settings: FleetBootstrapSettings,
   parts: FleetBootstrapParts,
   cores: DiscoveredCores,
-  becomeFormed: (known: FleetRecord) => Promise<void>,
+  saveFormedAndOpen: (record: FleetRecord) => Promise<void>,
 ): Founding {
-  const { node, disk, recordStore: record } = parts;
+  const { node, disk, recordStore } = parts;
   const mayPropose = Option.isSome(parts.founding)
     ? proposeOnceGathered(runtime, settings.address, parts.founding.value.founderAddresses)
     : proposeOnceComplete(settings);
 
-  /** The fleet that this core has agreed to or proposes; none when it could not be written down. */
+  /** The fleet that this core has already agreed to, or a new one; none when the new one could not be synced. */
   async function proposedFleet(everyone: readonly Seat[]): Promise<Option.Option<FleetRecord>> {
-    const current = record.current();
+    const current = recordStore.current();
     if (Option.isSome(current)) return current;
     const proposed: FleetRecord = { fleet: runtime.randomness.token(), node: settings.node, cores: everyone, stage: 'founding' };
-    return (await record.save(proposed)) ? Option.some(proposed) : Option.none;
+    return (await recordStore.save(proposed)) ? Option.some(proposed) : Option.none;
   }
 
   async function propose(): Promise<void> {
@@ -93,27 +93,27 @@
     if (Option.isNone(fleet)) return;
     const founders = fleet.value.cores.filter((core) => core.node !== settings.node);
     if (!(await sendToFounders(runtime, fleet.value, founders, 'propose'))) return;
-    await becomeFormed(fleet.value);
+    await saveFormedAndOpen(fleet.value);
     await sendToFounders(runtime, fleet.value, founders, 'formed');
   }
 
   async function run(): Promise<void> {
-    while (!parts.stopped() && (record.stage() === 'blank' || record.stage() === 'founding')) {
+    while (!parts.stopped() && (recordStore.stage() === 'blank' || recordStore.stage() === 'founding')) {
       await runtime.clock.sleep(heartbeatMilliseconds);
       await propose();
     }
   }
 
   async function handleForm({ fleet, cores: founders, step }: Request<'form'>): Promise<Reply<'form'>> {
-    const isBlank = record.stage() === 'blank';
+    const isBlank = recordStore.stage() === 'blank';
     if (isBlank && Option.isSome(disk.lost())) return { agreed: false };
     if (isBlank && step === 'propose') {
-      const isKept = await record.save({ fleet, node: settings.node, cores: founders, stage: 'founding' });
-      if (!isKept) return { agreed: false };
+      const isSaved = await recordStore.save({ fleet, node: settings.node, cores: founders, stage: 'founding' });
+      if (!isSaved) return { agreed: false };
     }
-    const current = record.current();
+    const current = recordStore.current();
     if (Option.isNone(current) || current.value.fleet !== fleet) return { agreed: false };
-    if (step === 'formed' && current.value.stage === 'founding') await becomeFormed(current.value);
+    if (step === 'formed' && current.value.stage === 'founding') await saveFormedAndOpen(current.value);
     return { agreed: true };
   }
 
--- a/packages/core/src/index.ts
+++ b/packages/core/src/index.ts
@@ -5,7 +5,7 @@
 export { maxVersionBytes } from './version-index.js';
 export { versionStore, type VersionStore } from './version-store.js';
 
-// For the exploration of design 10.4, which runs these over a network and disks of its own.
+// Used by the state space exploration (design 10.4), which runs these modules over its own network and disks.
 export type { CoreCall } from './core-calls.js';
 export { coreSetManager, type CoreSetManager } from './core-set-manager.js';
 export { createCoreSetView as coreSetViewOf, coreSetOf as setOf, type FleetRecord as Fleet } from './fleet-record.js';
--- a/packages/core/src/leader-watch.ts
+++ b/packages/core/src/leader-watch.ts
@@ -1,4 +1,4 @@
-/** Watches the members that lead: whether their connections are open, and whether any service lacks a leader (design 7.1). */
+/** Monitors the leaders of all services: keeps connections to them open and tells whether any service lacks a leader (design 7.1). */
 import * as Option from 'fp-ts/lib/Option.js';
 import { livenessService } from '@stallstall/election';
 import type { Runtime } from '@stallstall/kernel';
@@ -7,11 +7,11 @@
 
 /** @internal */
 export type LeaderWatch = Readonly<{
-  /** Sees that this core's own connection to a member is open; a refusal counts as evidence. */
+  /** Ensures that this core's own connection to a member is open; a refused connection is recorded as evidence that the member is down. */
   checkConnection: (member: string) => void;
-  /** The same for every leader. */
+  /** Does the same for the leader of every service. */
   checkLeaderConnections: () => void;
-  /** Whether some service has no leader that is up, or one whose epoch has been overtaken. */
+  /** Whether some elected leader is down, gone or unregistered, or this node already takes part in a later epoch of its service. */
   isLeaderMissing: () => boolean;
 }>;
 
@@ -24,17 +24,17 @@
     return configuration.value.value.sheet.services.filter((service) => service.registered).map((service) => service.service);
   }
 
-  function check(member: string): void {
+  function checkConnection(member: string): void {
     const record = registry.recordOf(member);
     if (Option.isNone(record) || record.value.gone) return;
     const { service, address } = record.value;
     void runtime.services.find(livenessService).ensureConnection(service, member, address, connectMilliseconds);
   }
 
-  function checkLeaders(): void {
+  function checkLeaderConnections(): void {
     for (const service of registeredServices()) {
       const elected = node.electedPrimary(service);
-      if (Option.isSome(elected)) check(elected.value.primary);
+      if (Option.isSome(elected)) checkConnection(elected.value.primary);
     }
   }
 
@@ -51,7 +51,7 @@
     return registeredServices().some((service) => lacksLeader(service, epochs[service] ?? 0));
   }
 
-  return { checkConnection: check, checkLeaderConnections: checkLeaders, isLeaderMissing };
+  return { checkConnection, checkLeaderConnections, isLeaderMissing };
 }
 
 /** @internal */
--- a/packages/core/src/learner.ts
+++ b/packages/core/src/learner.ts
@@ -1,4 +1,7 @@
-/** A core without a seat: it copies the fleet's cores, asks for a vacant seat, and answers nothing until it has caught up (design 4.8). */
+/**
+ * A core that no core set lists: it copies the state of the fleet's cores, asks them to be listed, and serves nothing until it has caught
+ * up in the set that lists it (design 4.8).
+ */
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Runtime } from '@stallstall/kernel';
 import type { CoreSet, Seat } from '@stallstall/message';
@@ -10,18 +13,18 @@
   callCore: CoreCall;
   cells: Acceptor;
   transfer: StateTransfer;
-  /** This node with the disk that it has now. */
+  /** This node's entry for a core set, with its current disk identity. */
   ownSeat: () => Seat;
-  /** Where the fleet may be found besides the cores that are known. */
+  /** Addresses to try besides those of the cores in the newest known set. */
   seeds: () => readonly string[];
-  /** Whether this core is still to be given a seat. */
+  /** False once this core serves, leaves or stops. */
   shouldRun: () => boolean;
-  /** Begins to answer in this set, once that is on the disk; resolves to false when it may not. */
+  /** Starts to serve in this set once the set is synced to the disk; resolves to false when this core may not serve in it. */
   open: (set: CoreSet) => Promise<boolean>;
 }>;
 
 export type Learner = Readonly<{
-  /** Some core reported this set. */
+  /** Called with every set that another core reports. */
   observe: (set: CoreSet) => void;
 }>;
 
@@ -34,9 +37,9 @@
 };
 
 const joinMilliseconds = 1_200;
-/** A core that has not replied by then is not waited for before the next one is asked. */
+/** How long to wait for a core's reply to a join request before the next core is asked as well. */
 const nextCoreMilliseconds = 400;
-const pauseMilliseconds = 100;
+const retryMilliseconds = 100;
 
 function isNewest({ newestSet: newest }: LearnerState, set: CoreSet): boolean {
   return Option.isSome(newest) && newest.value.number === set.number;
@@ -50,7 +53,7 @@
   return set.seats.filter((seat) => seat.node !== parts.ownSeat().node);
 }
 
-/** Copies enough of the others that are in no earlier set than `since`; abandoned once a newer set is known. */
+/** Copies the state of as many other cores as needed that are in set `since` or a later one; abandoned once a newer set is known. */
 function copyFromPeers(learner: LearnerState, set: CoreSet, epochs: Record<string, number>, since: number): Promise<boolean> {
   const { runtime, parts } = learner;
   runtime.log('core.copying', { set: set.number, seated: isListed(learner, set) });
@@ -62,7 +65,7 @@
   );
 }
 
-/** The register as the others serve it: this core asks, and counts for nothing. */
+/** A register client over the other cores; this core's own disk is not one of the replicas. */
 function createRemoteRegister(learner: LearnerState, set: CoreSet): CoreSetRegister {
   const { runtime, parts } = learner;
   const replicas = peerSeats(learner, set).map((seat): RegisterReplica => ({
@@ -74,14 +77,14 @@
     replicas: () => replicas,
     replicaCount: () => set.seats.length,
     coreSets: {
-      // Once a newer set is known these rounds end: their majority may be none any more.
+      // 0 ends these rounds once a newer set is known, since their majority may be no majority of the newer set.
       number: () => (isNewest(learner, set) ? set.number : 0),
       observe: (newer) => observe(learner, newer),
     },
   });
 }
 
-/** Catches up in the set that lists this core, and opens there. */
+/** Catches up in the set that lists this core, then starts to serve in it. */
 async function catchUpAndOpen(learner: LearnerState, set: CoreSet): Promise<void> {
   const { parts } = learner;
   const epochs: Record<string, number> = { ...set.epochs };
@@ -92,7 +95,7 @@
   if (isNewest(learner, set) && parts.shouldRun()) await parts.open(set);
 }
 
-/** Asks one core for a seat; what it replies later than it is waited for is taken all the same. */
+/** Asks one core to list this one; a reply that arrives after the wait has ended is still processed. */
 async function requestJoin(learner: LearnerState, set: CoreSet, attempt: number): Promise<void> {
   const { runtime, parts } = learner;
   const addresses = [...peerSeats(learner, set).map((seat) => seat.address), ...parts.seeds()];
@@ -121,7 +124,7 @@
       attempts += 1;
       await requestJoin(learner, set, attempts);
     }
-    if (parts.shouldRun() && isNewest(learner, set)) await runtime.clock.sleep(pauseMilliseconds);
+    if (parts.shouldRun() && isNewest(learner, set)) await runtime.clock.sleep(retryMilliseconds);
   }
   learner.isRunning = false;
 }
--- a/packages/core/src/membership-table.ts
+++ b/packages/core/src/membership-table.ts
@@ -69,7 +69,9 @@
     if (Either.isLeft(read)) return read;
     const version = Option.isSome(read.right) ? read.right.value.version : 0;
     const table =
-      Option.isSome(read.right) && message.matches(MembershipSchema, read.right.value.value) ? read.right.value.value : quorum.emptyMembership;
+      Option.isSome(read.right) && message.matches(MembershipSchema, read.right.value.value)
+        ? read.right.value.value
+        : quorum.emptyMembership;
     const wanted = next(table);
     if (wanted === table) return Either.right(table);
     const applying = applyingNodes(table, version);
--- a/packages/core/src/peer-handlers.ts
+++ b/packages/core/src/peer-handlers.ts
@@ -1,4 +1,4 @@
-/** What a core answers to other processes over their links (design 3.2, 4, 5). */
+/** Handles the calls that other processes send to a core over their links (design 3.2, 4, 5). */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Vote } from '@stallstall/election';
@@ -23,12 +23,15 @@
   table: MembershipTable;
 }>;
 
-/** The number of the set that a core is in, for its messages; left out where there is none, or while it is between two (design 4.8). */
+/**
+ * The number of this core's core set, as a field of its messages; omitted while the core is in no set or is moving to the next one
+ * (design 4.8).
+ */
 export function currentSet(view: CoreSetView | undefined): Readonly<{ set?: number }> {
   return view === undefined || view.number() < 0 ? {} : { set: view.number() };
 }
 
-/** The highest epochs of this core's own votes, and of those of edges as far as its cells hold them. */
+/** The highest epochs that this core voted in, and that edges voted in as far as their votes are in this core's cells. */
 async function votedEpochs({ votes, cells }: CoreStorage): Promise<Record<string, number>> {
   const epochs: Record<string, number> = { ...(await votes.epochs()) };
   for (const { key, state } of cells.cells()) {
@@ -45,21 +48,21 @@
   return async function hello(request, caller) {
     const reply = await (node.handlers.hello as NonNullable<Handlers['hello']>)(request, caller);
     bootstrap.onHelloReceived(request);
-    const known = storage.recordStore.current();
-    if (Option.isNone(known)) return { ...reply, fleet: '', founding: '', cores: [] };
-    const { fleet, stage, cores } = known.value;
+    const record = storage.recordStore.current();
+    if (Option.isNone(record)) return { ...reply, fleet: '', founding: '', cores: [] };
+    const { fleet, stage, cores } = record.value;
     if (stage !== 'formed') return { ...reply, fleet: '', founding: fleet, cores: [] };
     return {
       ...reply,
       fleet,
       founding: fleet,
       cores: cores.map((core) => quorum.findNode(node.membership().value, core.node) ?? core),
-      ...(Option.isSome(context.coreSet) ? { set: coreSetOf(known.value) } : {}),
+      ...(Option.isSome(context.coreSet) ? { set: coreSetOf(record.value) } : {}),
     };
   };
 }
 
-/** A page of this core's state, for a core that copies it. */
+/** Replies with a page of this core's state, for a core that copies it. */
 function copyHandler({ services }: PeerHandlerParts): NonNullable<Handlers['copy']> {
   const { storage } = services;
   const { cells, reports, coreSetView } = storage;
@@ -76,7 +79,7 @@
   };
 }
 
-/** Subscribes a node to changes, and takes its acknowledgement (design 5.2). */
+/** Subscribes a node to changes and records what it acknowledges (design 5.2). */
 function watchHandler({ services, subscribers }: PeerHandlerParts): NonNullable<Handlers['watch']> {
   const { context, storage, node } = services;
   return function watch(request, caller) {
@@ -96,10 +99,10 @@
   const { context, storage } = services;
   const { cells, coreSetView } = storage;
   return async function lease(request: Request<'lease'>, caller: Caller): Promise<Reply<'lease'>> {
-    if (Option.isNone(context.registration)) throw new Error('this fleet holds no leases');
+    if (Option.isNone(context.registration)) throw new Error('this fleet does not use leases');
     subscribers.subscribe(cells, request, caller);
     const reply = await context.registration.value.grantor.grant(request);
-    // It may have waited for this core to open: what is watched is pushed before the reply.
+    // The grantor may have waited until this core opened; the node is then subscribed only now, so that it gets the watched entries first.
     if (reply.ready) subscribers.subscribe(cells, request, caller);
     const newer = coreSetView?.newerThan(request.set ?? 0);
     const current = currentSet(coreSetView);
@@ -107,7 +110,7 @@
   };
 }
 
-/** Takes heartbeats that another core received. */
+/** Merges heartbeats that another core received. */
 function spreadHandler({ services }: PeerHandlerParts): NonNullable<Handlers['spread']> {
   const { context, storage } = services;
   return async function spread(request) {
--- a/packages/core/src/quorum-contact.ts
+++ b/packages/core/src/quorum-contact.ts
@@ -1,28 +1,31 @@
-/** A core confirms and hands out only what a majority could contradict: contact with one is part of every answer (design 7.14). */
+/**
+ * Rejects requests while this core has no contact with a majority of cores: its state may then be outdated, so that it must neither
+ * confirm nor return anything (design 7.14).
+ */
 import * as Either from 'fp-ts/lib/Either.js';
 import { fault, http, identifiers, type Fault, type HttpRoute, type HttpReply, type Instant, type Runtime } from '@stallstall/kernel';
 
 export type QuorumContact = Readonly<{
-  /** Called once this core answers ballots: it has met a majority on the way there. */
+  /** Called when this core starts to serve ballots, which it does only after contact with a majority. */
   markOpened: () => void;
-  /** Whether a majority of cores, this one included, answered what it was sent within the last moment. */
+  /** Whether a majority of cores, this one included, has answered a request sent within the last `contactMilliseconds`. */
   isInContact: () => boolean;
-  /** Does the work while contact lasts; without contact, or once it is lost, the caller is told so at once. */
+  /** Runs the work; resolves to a `no-majority` fault at once if there is no contact or as soon as it is lost. */
   runInContact: <Result>(work: () => Promise<Either.Either<Fault, Result>>) => Promise<Either.Either<Fault, Result>>;
-  /** The same for a page: only those that need no majority are let through. */
-  guardRoute: (mapping: HttpRoute) => HttpRoute;
+  /** Does the same for the requests of a route; routes that need no majority are returned unchanged. */
+  guardRoute: (route: HttpRoute) => HttpRoute;
 }>;
 
 /**
- * Beats and watch calls leave each 200 ms, so several must have failed. An operator and a member that hear nothing for a second turn to
- * another core: the answer comes before that.
+ * Heartbeats and watch calls are sent every 200 ms, so several must have failed. Operators and members try another core after one second
+ * without a reply, so the rejection must arrive before that.
  */
 const contactMilliseconds = 900;
-const lookMilliseconds = 50;
+const checkMilliseconds = 50;
 const retryAfterSeconds = 1;
 
-/** Pages that tell what this core itself sees, or only check what they are given. */
-const ownPages: ReadonlySet<string> = new Set([
+/** Routes that only report this core's own view or only validate their input. */
+const unguardedRoutes: ReadonlySet<string> = new Set([
   'GET /ready',
   'GET /v1/liveness',
   'GET /v1/metrics',
@@ -34,8 +37,8 @@
 function noContact(): Fault {
   return fault.create({
     kind: 'no-majority',
-    message: 'no majority of cores answers this one; nothing was begun',
-    remedy: 'turn to another core',
+    message: 'this core has no contact with a majority of cores; the request was not started',
+    remedy: 'send the request to another core',
     retryAfterSeconds,
   });
 }
@@ -43,56 +46,56 @@
 function contactLost(): Fault {
   return fault.create({
     kind: 'no-majority',
-    message: 'the majority of cores fell silent meanwhile; what was asked may have been done or not',
-    remedy: 'send it again unchanged, to another core',
+    message: 'this core lost contact with the majority of cores during the request; the request may or may not have taken effect',
+    remedy: 'send the same request again, unchanged, to another core',
     retryAfterSeconds,
   });
 }
 
-/** `answeredAt`: the latest moment after which a majority was asked and has answered. */
-function create(runtime: Runtime, answeredAt: () => Instant): QuorumContact {
+/** @param majorityAnsweredAt - the latest moment such that a majority has answered a request sent after it */
+function create(runtime: Runtime, majorityAnsweredAt: () => Instant): QuorumContact {
   let openedAt = identifiers.instant(Number.NEGATIVE_INFINITY);
 
-  function inTouch(): boolean {
-    return runtime.clock.now() - Math.max(openedAt, answeredAt()) < contactMilliseconds;
+  function isInContact(): boolean {
+    return runtime.clock.now() - Math.max(openedAt, majorityAnsweredAt()) < contactMilliseconds;
   }
 
-  function during<Result>(work: () => Promise<Either.Either<Fault, Result>>): Promise<Either.Either<Fault, Result>> {
-    if (!inTouch()) return Promise.resolve(Either.left(noContact()));
+  function runInContact<Result>(work: () => Promise<Either.Either<Fault, Result>>): Promise<Either.Either<Fault, Result>> {
+    if (!isInContact()) return Promise.resolve(Either.left(noContact()));
     return new Promise((resolve, reject) => {
-      let settled = false;
+      let isSettled = false;
       function settle(result: Either.Either<Fault, Result>): void {
-        settled = true;
+        isSettled = true;
         resolve(result);
       }
-      function look(): void {
-        if (settled) return;
-        if (inTouch()) runtime.clock.startTimer(lookMilliseconds, look);
+      function checkContact(): void {
+        if (isSettled) return;
+        if (isInContact()) runtime.clock.startTimer(checkMilliseconds, checkContact);
         else settle(Either.left(contactLost()));
       }
-      runtime.clock.startTimer(lookMilliseconds, look);
+      runtime.clock.startTimer(checkMilliseconds, checkContact);
       work().then(settle, reject);
     });
   }
 
-  function guard(mapping: HttpRoute): HttpRoute {
-    if (ownPages.has(`${mapping.method} ${mapping.path}`)) return mapping;
+  function guardRoute(route: HttpRoute): HttpRoute {
+    if (unguardedRoutes.has(`${route.method} ${route.path}`)) return route;
     return {
-      ...mapping,
-      handle: async function guardedPage(request): Promise<HttpReply> {
-        const replied = await during(async () => Either.right(await mapping.handle(request)));
+      ...route,
+      handle: async function handleInContact(request): Promise<HttpReply> {
+        const replied = await runInContact(async () => Either.right(await route.handle(request)));
         return Either.isLeft(replied) ? http.rejected(replied.left) : replied.right;
       },
     };
   }
 
   return {
-    markOpened: function opened() {
+    markOpened: function markOpened() {
       openedAt = runtime.clock.now();
     },
-    isInContact: inTouch,
-    runInContact: during,
-    guardRoute: guard,
+    isInContact,
+    runInContact,
+    guardRoute,
   };
 }
 
--- a/packages/core/src/state-transfer.ts
+++ b/packages/core/src/state-transfer.ts
@@ -1,4 +1,4 @@
-/** Copies what another core holds to this core's own disk: cells, votes and reports (design 4.3). */
+/** Copies another core's cells, votes and edge reports to this core's own disk (design 4.3). */
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Runtime } from '@stallstall/kernel';
 import type { Reply, Seat } from '@stallstall/message';
@@ -14,28 +14,28 @@
   stopped: () => boolean;
 }>;
 
-/** Which cores may be copied: those that are in no numbered set, or in this one or a later one (design 4.8). */
+/** Which cores may be copied. Some number: those in that core set or a later one; none: those in no numbered set (design 4.8). */
 export type CopiedSet = Option.Option<number>;
 
 export type StateTransfer = Readonly<{
   /**
-   * Copies all that another core holds, adding the highest epochs it voted for to `epochs`; resolves to false once `isUnneeded` says that
-   * the copy is not wanted any more.
+   * Copies the state of another core and raises `epochs` to the highest epochs that it voted for; resolves to false once the copy is no
+   * longer needed or this process stops.
    */
   copyFrom: (other: Seat, set: CopiedSet, epochs: Record<string, number>, isUnneeded?: () => boolean) => Promise<boolean>;
-  /** Votes for nobody in these epochs: what this core voted is lost, and an epoch it may have helped to win has other voters. */
+  /** Records an abstention in these epochs: this core has lost its votes and must not vote a second time in an epoch that it voted in. */
   abstain: (epochs: Readonly<Record<string, number>>) => Promise<void>;
 }>;
 
 const pageMilliseconds = 2_000;
-/** So long after a page that did not come, or did not sync, it is asked for again. */
+/** Delay before a page that was not received or not synced, or a vote that was not synced, is tried again. */
 const retryMilliseconds = 50;
 
 function isEligibleSource(wanted: CopiedSet, reported: number | undefined): boolean {
   return Option.isNone(wanted) ? reported === undefined : catchUp.isEligibleSource(wanted.value, reported);
 }
 
-/** A page of another core's state; none while it may not be copied. */
+/** Fetches a page of another core's state; none if it did not reply or may not be copied now. */
 async function fetchPage(
   { callCore }: StateTransferParts,
   other: Seat,
@@ -47,7 +47,7 @@
   return reply;
 }
 
-/** Resolves to true once all of a page is on this core's disk. */
+/** Resolves to true if the whole page was synced to this core's disk. */
 async function storePage({ cells, reports }: StateTransferParts, page: Reply<'copy'>): Promise<boolean> {
   const merged = await Promise.all(
     page.entries.map((entry) => (acceptor.isCellState(entry.state) ? cells.merge(entry.key, entry.state) : Promise.resolve(false))),
--- a/packages/simulator/exploring-mutations.mjs
+++ b/packages/simulator/exploring-mutations.mjs
@@ -62,14 +62,14 @@
   {
     name: 'former-occupant-goes-on',
     file: 'core/build/core-set-membership.js',
-    from: 'const listed = isListed(given);',
-    to: 'const listed = true;',
+    from: 'const isStillListed = isListed(coreSet);',
+    to: 'const isStillListed = true;',
     story: 'A core that is cut off while its seat is given away',
   },
   {
     name: 'any-seat-is-vacant',
     file: 'core/build/core-set-manager.js',
-    from: 'if (!mayBeVacant(manager, seat))',
+    from: 'if (!mayHaveVacancy(manager, seat))',
     to: 'if (false)',
     more: [
       { file: 'core/build/core-set-manager.js', from: 'confirmed.unreachable.has(core) && !confirmed.upToDate.includes(core)', to: 'true' },
--- a/packages/simulator/pooled-mutations.mjs
+++ b/packages/simulator/pooled-mutations.mjs
@@ -265,7 +265,7 @@
     story: 'in the moment of the cut',
     file: 'core/build/quorum-contact.js',
     from: 'settle(Either.left(contactLost()))',
-    to: 'runtime.clock.startTimer(lookMilliseconds, look)',
+    to: 'runtime.clock.startTimer(checkMilliseconds, checkContact)',
   },
   {
     name: 'contact-never-ends',
--- a/packages/simulator/src/explored-machines.ts
+++ b/packages/simulator/src/explored-machines.ts
@@ -303,7 +303,7 @@
         else state.running.cores.onFleetFound('explored', set);
       },
       leave: function leave() {
-        void state.running?.cores.handOverSeat(identifiers.instant(Number.POSITIVE_INFINITY));
+        void state.running?.cores.handOverMembership(identifiers.instant(Number.POSITIVE_INFINITY));
       },
       crash: (wiped) => end(state, wiped),
       start: () => begin(state),
