--- a/packages/simulator/src/explored-machines.ts
+++ b/packages/simulator/src/explored-machines.ts
@@ -5,7 +5,15 @@
 import { soundDisk } from './sound-disk.js';
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
-import { stateTransfer, coreSetManager, setOf, coreSetViewOf, type CoreCall, type CoreSetManager, type Fleet } from '@stallstall/core';
+import {
+  stateTransfer,
+  coreSetManager,
+  coreSetOf,
+  createCoreSetView,
+  type CoreCall,
+  type CoreSetManager,
+  type FleetRecord,
+} from '@stallstall/core';
 import { identifiers, type Clock, type Disk, type Instant, type Runtime } from '@stallstall/kernel';
 import type { Request, CoreSet, MessageKind, Reply, Seat } from '@stallstall/message';
 import {
@@ -62,7 +70,7 @@
   seats: (names: readonly string[]) => readonly Seat[];
 }>;
 
-type Running = { readonly cells: Acceptor; readonly cores: CoreSetManager; joins: number; fleet: Option.Option<Fleet> };
+type Running = { readonly cells: Acceptor; readonly cores: CoreSetManager; joins: number; fleet: Option.Option<FleetRecord> };
 type State = {
   readonly name: string;
   entries: Map<string, unknown>;
@@ -153,7 +161,7 @@
 
   async function copied(running: Running, ask: Request<'copy'>): Promise<Reply<'copy'>> {
     const isFormed = running.cells.ready() && Option.isSome(running.fleet) && running.fleet.value.stage === 'formed';
-    const set = Option.isSome(running.fleet) ? setOf(running.fleet.value).number : 0;
+    const set = Option.isSome(running.fleet) ? coreSetOf(running.fleet.value).number : 0;
     const page = await running.cells.page(ask.after);
     const read = Either.isRight(page) ? page.right : { entries: [], next: '' };
     const ready = isFormed && Either.isRight(page);
@@ -215,13 +223,13 @@
     const disk = diskOf(state, alive);
     const call = callFrom(state.name, alive);
     let between = false;
-    const running = { joins: 0, fleet: Option.fromNullable(state.entries.get('fleet') as Fleet | undefined) } as Running;
+    const running = { joins: 0, fleet: Option.fromNullable(state.entries.get('fleet') as FleetRecord | undefined) } as Running;
     const cells = acceptor.create({
       disk,
       stored: state.entries,
       onAccepted: () => undefined,
       onDamaged: () => undefined,
-      coreSet: coreSetViewOf(
+      coreSet: createCoreSetView(
         () => running.fleet,
         () => between,
       ),
@@ -230,7 +238,7 @@
       state.name,
       runtime,
       call,
-      () => (Option.isSome(running.fleet) ? setOf(running.fleet.value) : { number: 0, seats: [], epochs: {} }),
+      () => (Option.isSome(running.fleet) ? coreSetOf(running.fleet.value) : { number: 0, seats: [], epochs: {} }),
       (set) => running.cores.observe(set),
     );
     const created = coreSetManager.create(runtime, {
@@ -288,7 +296,7 @@
     function level(): Option.Option<CoreSet> {
       const { running } = state;
       return running !== undefined && running.cells.ready() && Option.isSome(running.fleet) && running.fleet.value.stage === 'formed'
-        ? Option.some(setOf(running.fleet.value))
+        ? Option.some(coreSetOf(running.fleet.value))
         : Option.none;
     }
     return {
--- a/packages/simulator/src/pooled-fleet.ts
+++ b/packages/simulator/src/pooled-fleet.ts
@@ -2,7 +2,7 @@
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { leaseAgent } from '@stallstall/agent';
-import { core, type CoreParts } from '@stallstall/core';
+import { core, type PlatformIntegration } from '@stallstall/core';
 import { http, identifiers, runtimeUtilities } from '@stallstall/kernel';
 import { pooler } from '@stallstall/pooler';
 import type { Condition, StatementReply } from '@stallstall/session-protocol';
@@ -154,7 +154,7 @@
     slot.process = spawned;
     readSettings(slot);
     const { address, outward, platformApiAddress } = coreAddresses(slot);
-    const parts: CoreParts = {
+    const parts: PlatformIntegration = {
       calls: pooledAdapter.calls,
       probe: pooledAdapter.memberProbe(spawned.runtime),
       routes: pooledAdapter.pages,
