--- a/packages/simulator/pooled-mutations.mjs
+++ b/packages/simulator/pooled-mutations.mjs
@@ -265,7 +265,7 @@
     story: 'in the moment of the cut',
     file: 'core/build/quorum-contact.js',
     from: 'settle(Either.left(contactLost()))',
-    to: 'runtime.clock.startTimer(lookMilliseconds, look)',
+    to: 'runtime.clock.startTimer(checkMilliseconds, checkContact)',
   },
   {
     name: 'contact-never-ends',
@@ -676,7 +676,7 @@
     name: 'marks-moved-past-strangers',
     story: 'A core that has just begun to answer',
     file: 'lease/build/commit-watermarks.js',
-    from: 'if (watermark.coveredUntil < holders.unknownHoldersUntil)',
+    from: 'if (watermark.coveredUntil < acknowledgers.unknownHoldersUntil)',
     to: 'if (false)',
   },
   {
@@ -729,7 +729,7 @@
     expect: 'order-invalid',
     only: ['order-invalid-shared-key'],
     file: 'placement/build/cross-checks.js',
-    from: 'sheet.tenants.flatMap((tenant) => [...new Set(tenant.keys)])',
+    from: 'configuration.tenants.flatMap((tenant) => [...new Set(tenant.keys)])',
     to: '[]',
   },
   {
