--- a/packages/bench/soak-mutations.mjs
+++ b/packages/bench/soak-mutations.mjs
@@ -20,7 +20,7 @@
     to: 'watched.applied.value.version === entry.version',
     more: [
       { file: 'register/build/watcher.js', from: 'push.entry.version > appliedVersionOf(watched)', to: 'true' },
-      { file: 'register/build/watcher.js', from: 'forgetApplied(watched);', to: '' },
+      { file: 'register/build/watcher.js', from: 'dropObsoletePushes(watched);', to: '' },
     ],
   },
   {
--- a/packages/lease/src/holder-state.ts
+++ b/packages/lease/src/holder-state.ts
@@ -35,7 +35,7 @@
   /** Counts the pushed versions of each key again, over the cores of the new core set (design 4.8). */
   onCoreSetChanged: () => void;
   /** Reads keys on which the cores' pushed versions differ, and logs a configuration that is not applied. */
-  readUncertain: () => void;
+  readUnapplied: () => void;
 }>;
 
 type LinkOf = (core: string) => Peer | undefined;
@@ -120,8 +120,8 @@
     contentBallot: contents.latestBallot,
     isCurrent: source.isCurrent,
     onCoreSetChanged: watch.recount,
-    readUncertain: function readUncertain() {
-      watch.readUncertain();
+    readUnapplied: function readUnapplied() {
+      watch.readUnapplied();
       lag.observe();
     },
   };
--- a/packages/lease/src/lease-holder.ts
+++ b/packages/lease/src/lease-holder.ts
@@ -141,7 +141,7 @@
 function start({ context, state }: Assembly, search: FleetSearch): void {
   function poll(): void {
     search.contactSeeds();
-    state.readUncertain();
+    state.readUnapplied();
   }
   void runtimeUtilities.every(context.runtime.clock, pollIntervalMilliseconds, poll, () => !context.isStopped);
 }
--- a/packages/node/src/applied-state.ts
+++ b/packages/node/src/applied-state.ts
@@ -83,7 +83,7 @@
     receive: contents.receive,
     contentBallot: contents.latestBallot,
     recount: watch.recount,
-    resolve: watch.readUncertain,
+    resolve: watch.readUnapplied,
   };
 }
 
--- a/packages/register/src/awaited-changes.ts
+++ b/packages/register/src/awaited-changes.ts
@@ -1,4 +1,4 @@
-/** Changes that were pushed without a content that is known here: the newest few of each core, oldest first. */
+/** Changes that cores pushed without their content while it is missing here: the newest few of each core, oldest first. */
 import type * as Option from 'fp-ts/lib/Option.js';
 import { message, type Ballot, type Change } from '@stallstall/message';
 import type { ContentLink } from './content-fetcher.js';
@@ -6,7 +6,7 @@
 /** @internal */
 export type AwaitedChange = Readonly<{
   core: string;
-  /** Where the content can be fetched from. */
+  /** The link over which the content can be fetched; none if there is no link to the core. */
   link: Option.Option<ContentLink>;
   change: Change;
 }>;
@@ -14,18 +14,18 @@
 /** @internal */
 export type AwaitedChanges = Readonly<{
   add: (awaited: AwaitedChange) => void;
-  /** Forgets what a core pushed under this ballot and before it. */
+  /** Removes the changes that a core pushed under this ballot and lower ones. */
   remove: (core: string, through: Ballot) => void;
-  /** Of each core the oldest first. */
+  /** All changes, grouped by core, oldest first within a core. */
   all: () => readonly AwaitedChange[];
-  /** Of each core the newest. */
+  /** The newest change of each core. */
   newest: () => readonly AwaitedChange[];
-  /** How many changes were forgotten for newer ones of the same core. */
+  /** How many changes were dropped because the same core pushed newer ones. */
   superseded: () => number;
 }>;
 
-/** Differences follow one another: with a content found, so many that came behind it can be applied. */
-const changesKept = 16;
+/** The number of changes retained per core. Differences build on one another, so those after a fetched content can be applied to it. */
+const maxChangesPerCore = 16;
 
 function isHigherBallot(left: Ballot, right: Ballot): boolean {
   return message.compareBallots(left, right) > 0;
@@ -36,13 +36,13 @@
   let superseded = 0;
   return {
     add: function add(awaited) {
-      const known = [...(byCore.get(awaited.core) ?? []), awaited];
-      byCore.set(awaited.core, known.slice(-changesKept));
-      superseded += Math.max(0, known.length - changesKept);
+      const changes = [...(byCore.get(awaited.core) ?? []), awaited];
+      byCore.set(awaited.core, changes.slice(-maxChangesPerCore));
+      superseded += Math.max(0, changes.length - maxChangesPerCore);
     },
     remove: function remove(core, through) {
-      const left = (byCore.get(core) ?? []).filter(({ change }) => isHigherBallot(change.entry.ballot, through));
-      if (left.length > 0) byCore.set(core, left);
+      const remaining = (byCore.get(core) ?? []).filter(({ change }) => isHigherBallot(change.entry.ballot, through));
+      if (remaining.length > 0) byCore.set(core, remaining);
       else byCore.delete(core);
     },
     all: () => [...byCore.values()].flat(),
--- a/packages/register/src/compressed-difference.ts
+++ b/packages/register/src/compressed-difference.ts
@@ -1,6 +1,6 @@
 /**
- * What differs between two values of a cell, so that a ballot need not carry the whole (design 5.7). The new value's text is
- * compressed in pieces, each against the stretch of the old text around the same place.
+ * The compressed difference between two values of a cell, so that an accept request need not carry the complete value (design 5.7). The
+ * text of the new value is split into pieces, and each piece is deflated with the old text around the same position as its dictionary.
  */
 import { createHash } from 'node:crypto';
 import { deflateRawSync, inflateRawSync } from 'node:zlib';
@@ -8,21 +8,21 @@
 import { fault, type Fault } from '@stallstall/kernel';
 import type { ValueDifference } from '@stallstall/message';
 
-/** Deflate looks back over a window of 32 kB: a piece and the window's two overhangs make one. */
+/** A piece and the dictionary text before and after it together make up deflate's window of 32 kB. */
 const pieceBytes = 16 * 1024;
-const overhangBytes = 8 * 1024;
-/** A value whose text is shorter goes whole. */
-const leastBytes = 2 * 1024;
+const dictionaryMarginBytes = 8 * 1024;
+/** A value with a shorter text is sent complete. */
+const minimumTextBytes = 2 * 1024;
 
-const texts = new WeakMap<object, Buffer>();
+const textCache = new WeakMap<object, Buffer>();
 
-/** The text of a value; kept as long as the value is, for what was just written is the base of the next. */
+/** The JSON text of a value. It is cached for the life of the value, since the latest value is the base of the next difference. */
 function textOf(value: unknown): Buffer {
   if (typeof value !== 'object' || value === null) return Buffer.from(JSON.stringify(value) ?? 'null');
-  const known = texts.get(value);
-  if (known !== undefined) return known;
+  const cached = textCache.get(value);
+  if (cached !== undefined) return cached;
   const text = Buffer.from(JSON.stringify(value));
-  texts.set(value, text);
+  textCache.set(value, text);
   return text;
 }
 
@@ -30,46 +30,52 @@
   return createHash('sha256').update(text).digest('base64url');
 }
 
-function stretchOf(base: Buffer, from: number): Buffer {
-  return base.subarray(Math.max(0, from - overhangBytes), from + pieceBytes + overhangBytes);
+/** The part of the old text around a position, with which the piece at that position is compressed. */
+function dictionaryAt(baseText: Buffer, position: number): Buffer {
+  return baseText.subarray(Math.max(0, position - dictionaryMarginBytes), position + pieceBytes + dictionaryMarginBytes);
 }
 
-/** Undefined where the whole is short, or would be no longer than its difference. */
+/** The difference from `base` to `next`; undefined if the text of `next` is short or no longer than the difference. */
 function between(base: unknown, next: unknown): ValueDifference | undefined {
-  const from = textOf(base);
-  const to = textOf(next);
-  if (to.length < leastBytes) return undefined;
+  const baseText = textOf(base);
+  const nextText = textOf(next);
+  if (nextText.length < minimumTextBytes) return undefined;
   const pieces: string[] = [];
-  for (let start = 0; start < to.length; start += pieceBytes)
-    pieces.push(deflateRawSync(to.subarray(start, start + pieceBytes), { dictionary: stretchOf(from, start) }).toString('base64'));
+  for (let start = 0; start < nextText.length; start += pieceBytes)
+    pieces.push(
+      deflateRawSync(nextText.subarray(start, start + pieceBytes), { dictionary: dictionaryAt(baseText, start) }).toString('base64'),
+    );
   const length = pieces.reduce((sum, piece) => sum + piece.length, 0);
-  return length < to.length ? { pieces, digest: digestOf(to) } : undefined;
+  return length < nextText.length ? { pieces, digest: digestOf(nextText) } : undefined;
 }
 
-function notJoined(cause: Error): Fault {
+function notApplicable(cause: Error): Fault {
   return fault.create({
     kind: 'internal',
-    message: 'a difference does not fit the value it was sent for',
-    remedy: 'send the whole',
+    message: 'the difference does not apply to this base value',
+    remedy: 'send the complete value',
     cause,
   });
 }
 
-/** The value that a difference leads to; left where the base is not the one that it was taken from. */
+/** Applies a difference to its base; fails if the difference was computed from another base or is corrupt. */
 function apply(base: unknown, difference: ValueDifference): Either.Either<Fault, unknown> {
   try {
-    const from = textOf(base);
+    const baseText = textOf(base);
     const text = Buffer.concat(
       difference.pieces.map((piece, index) =>
-        inflateRawSync(Buffer.from(piece, 'base64'), { dictionary: stretchOf(from, index * pieceBytes), maxOutputLength: pieceBytes }),
+        inflateRawSync(Buffer.from(piece, 'base64'), {
+          dictionary: dictionaryAt(baseText, index * pieceBytes),
+          maxOutputLength: pieceBytes,
+        }),
       ),
     );
-    if (digestOf(text) !== difference.digest) return Either.left(notJoined(new Error('the digests differ')));
+    if (digestOf(text) !== difference.digest) return Either.left(notApplicable(new Error('digest mismatch')));
     const value: unknown = JSON.parse(text.toString());
-    if (typeof value === 'object' && value !== null) texts.set(value, text);
+    if (typeof value === 'object' && value !== null) textCache.set(value, text);
     return Either.right(value);
   } catch (error) {
-    return Either.left(notJoined(error as Error));
+    return Either.left(notApplicable(error as Error));
   }
 }
 
--- a/packages/register/src/content-fetcher.ts
+++ b/packages/register/src/content-fetcher.ts
@@ -1,62 +1,65 @@
-/** Changes that were pushed without their content wait for it: from a core that pushes it complete, else it is fetched (design 5.6). */
+/** Holds back changes that were pushed without their content until another core pushes the content or it is fetched (design 5.6). */
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Instant, Runtime } from '@stallstall/kernel';
 import { ballotZero, differences, type Ballot, type Change, type Reply, type Request } from '@stallstall/message';
 import { awaitedChanges, type AwaitedChange, type AwaitedChanges } from './awaited-changes.js';
 
-/** A link to a core, as far as contents are fetched over it. */
+/** The part of a link to a core that is needed to fetch contents. */
 export type ContentLink = Readonly<{
   call: (kind: 'look', body: Request<'look'>, milliseconds: number) => Promise<Option.Option<Reply<'look'>>>;
 }>;
 
 export type ContentFetcherOptions = Readonly<{
-  /** The number of the set of cores that is followed; 0 where it never changes (design 4.8). */
+  /** The number of the current core set; 0 if it never changes (design 4.8). */
   coreSetNumber: () => number;
-  /** Called with a change and its content. */
+  /** Called with a change that includes its content. */
   deliver: (core: string, change: Change) => void;
   stopped: () => boolean;
 }>;
 
 export type ContentFetcher = Readonly<{
-  /** Takes what a core has pushed, at once if its content is known here; `link` is where it is fetched from otherwise. */
+  /** Handles a change that a core pushed: delivers it at once if its content is available here, else fetches the content over `link`. */
   receive: (core: string, link: Option.Option<ContentLink>, change: Change) => void;
-  /** The ballot of the newest content: what differs from it is enough. */
+  /** The ballot of the newest content here; cores need to push only the difference from it. */
   latestBallot: () => Ballot;
-  /** The version of each core's change whose content is missing. */
+  /** The newest change of each core whose content is missing. */
   awaited: () => readonly AwaitedContent[];
   counts: () => ContentCounts;
 }>;
 
 export type AwaitedContent = Readonly<{ core: string; version: number }>;
 
-/** How contents were asked for so far; `superseded`: changes that newer ones of their core replaced before their content was known. */
+/**
+ * Counters of content fetches: `fetched` and `unanswered` calls, and `superseded` changes, which newer changes of the same core replaced
+ * before their content was available.
+ */
 export type ContentCounts = Readonly<{ fetched: number; unanswered: number; superseded: number }>;
 
 type FetcherState = {
   readonly runtime: Runtime;
   readonly options: ContentFetcherOptions;
-  /** The latest contents, by their identity, oldest first. */
+  /** The latest contents by identity (key and ballot), oldest first. */
   readonly contents: Map<string, unknown>;
   readonly awaited: AwaitedChanges;
-  /** Since when a content newer than the latest is missing, or when the last fetch for it ended. */
+  /** When a content newer than the latest was first found missing, or when the last fetch for it ended. */
   missingSince: Option.Option<Instant>;
-  /** A fetch is scheduled or under way; there is one at a time, since a link may be narrow. */
+  /** A fetch is scheduled or in progress. There is only one at a time, since a link may have little bandwidth. */
   isFetchPending: boolean;
-  /** The core that did not reply to the last fetch. */
+  /** The core that did not reply to the last fetch; empty if the last fetch succeeded. */
   unresponsive: string;
   latest: Ballot;
   fetched: number;
   unanswered: number;
 };
 
-/** A content that another core was to push is fetched after so long. */
-const waitMilliseconds = 500;
-const fetchMilliseconds = 3_000;
+/** How long to wait for another core to push a missing content before it is fetched. */
+const fetchDelayMilliseconds = 500;
+const fetchTimeoutMilliseconds = 3_000;
 const contentKey = 'configuration';
-/** A core may push what differs from a content that another has overtaken here meanwhile. */
-const contentsKept = 4;
+/** Earlier contents are retained because a core may push the difference from one that a push of another core has already replaced here. */
+const maxContents = 4;
 
-/** A ballot is given to one value alone: whoever knows the ballot knows the content. */
+/** A ballot is used for a single value, so key and ballot identify the content. */
 function identityOf(key: string, ballot: Ballot): string {
   return `${key} ${ballot.counter} ${ballot.node}`;
 }
@@ -65,28 +68,28 @@
   return { ...change, entry: { ...change.entry, value } };
 }
 
-/** Contents newer than the latest that are awaited: an older one would not be applied any more. */
-function missing({ awaited, latest }: FetcherState): readonly AwaitedChange[] {
+/** The awaited changes that are newer than the latest content; an older one would no longer be applied. */
+function missingChanges({ awaited, latest }: FetcherState): readonly AwaitedChange[] {
   return awaited.newest().filter(({ change }) => awaitedChanges.isHigherBallot(change.entry.ballot, latest));
 }
 
-/** A newer content is progress: whatever is missing by now has been so from this moment. */
+/** Restarts the fetch delay. A newer content is progress, so contents that are still missing count as missing from now on. */
 function restartWait(fetcher: FetcherState): void {
-  fetcher.missingSince = missing(fetcher).length > 0 ? Option.some(fetcher.runtime.clock.now()) : Option.none;
+  fetcher.missingSince = missingChanges(fetcher).length > 0 ? Option.some(fetcher.runtime.clock.now()) : Option.none;
 }
 
-function keep(fetcher: FetcherState, ballot: Ballot, content: unknown): void {
+function storeContent(fetcher: FetcherState, ballot: Ballot, content: unknown): void {
   const { contents } = fetcher;
   const identity = identityOf(contentKey, ballot);
   contents.delete(identity);
   contents.set(identity, content);
-  for (const old of [...contents.keys()].slice(0, -contentsKept)) contents.delete(old);
+  for (const old of [...contents.keys()].slice(0, -maxContents)) contents.delete(old);
   if (!awaitedChanges.isHigherBallot(ballot, fetcher.latest)) return;
   fetcher.latest = ballot;
   restartWait(fetcher);
 }
 
-/** As it was pushed, as it is known here already, or made of the one it differs from; undefined where none of these can be had. */
+/** The content as pushed, as stored here, or built from its difference to a stored content; undefined if none of these is available. */
 function contentOf({ contents }: FetcherState, change: Change): unknown {
   const { entry, differs } = change;
   if (entry.value !== null) return entry.value;
@@ -97,15 +100,15 @@
 }
 
 function deliver(fetcher: FetcherState, core: string, change: Change, content: unknown): void {
-  // Another key's change says nothing of a content that is still missing.
+  // A change of another key does not make a missing content available.
   if (change.key === contentKey) {
     fetcher.awaited.remove(core, change.entry.ballot);
-    keep(fetcher, change.entry.ballot, content);
+    storeContent(fetcher, change.entry.ballot, content);
   }
   fetcher.options.deliver(core, withContent(change, content));
 }
 
-/** Delivers what waited for a content that is known by now; each may be what the next differs from. */
+/** Delivers awaited changes whose content has become available; each delivered content may be the base of the next difference. */
 function deliverAwaited(fetcher: FetcherState): void {
   for (const { core, change } of fetcher.awaited.all()) {
     const content = contentOf(fetcher, change);
@@ -132,34 +135,34 @@
   const { runtime, missingSince } = fetcher;
   if (fetcher.isFetchPending || Option.isNone(missingSince)) return;
   fetcher.isFetchPending = true;
-  const waited = runtime.clock.now() - missingSince.value;
-  runtime.clock.startTimer(Math.max(0, waitMilliseconds - waited), () => void fetchWhenDue(fetcher));
+  const elapsed = runtime.clock.now() - missingSince.value;
+  runtime.clock.startTimer(Math.max(0, fetchDelayMilliseconds - elapsed), () => void fetchWhenDue(fetcher));
 }
 
-/** Newer changes do not put off the fetch, only newer contents do: a stream of changes would put it off for good. */
+/** Only newer contents postpone the fetch, newer changes do not: a continuous stream of changes would postpone it forever. */
 async function fetchWhenDue(fetcher: FetcherState): Promise<void> {
-  const { runtime, options: parts, missingSince } = fetcher;
-  if (parts.stopped()) return;
-  const isDue = Option.isSome(missingSince) && runtime.clock.now() - missingSince.value >= waitMilliseconds;
+  const { runtime, options, missingSince } = fetcher;
+  if (options.stopped()) return;
+  const isDue = Option.isSome(missingSince) && runtime.clock.now() - missingSince.value >= fetchDelayMilliseconds;
   if (isDue) await fetchNewest(fetcher);
   fetcher.isFetchPending = false;
   scheduleFetch(fetcher);
 }
 
-/** The core that pushed the newest of what is missing, rather not the one that has just failed to reply. */
-function sourceOf(fetcher: FetcherState): AwaitedChange | undefined {
-  const candidates = missing(fetcher).filter(({ link }) => Option.isSome(link));
+/** The newest missing change, whose core is fetched from. A core that just failed to reply is chosen only if there is no other. */
+function chooseSource(fetcher: FetcherState): AwaitedChange | undefined {
+  const candidates = missingChanges(fetcher).filter(({ link }) => Option.isSome(link));
   const responsive = candidates.filter(({ core }) => core !== fetcher.unresponsive);
-  const choices = responsive.length > 0 ? responsive : candidates;
-  return choices.reduce<AwaitedChange | undefined>(function newer(best, one) {
-    return best === undefined || awaitedChanges.isHigherBallot(one.change.entry.ballot, best.change.entry.ballot) ? one : best;
+  const sources = responsive.length > 0 ? responsive : candidates;
+  return sources.reduce<AwaitedChange | undefined>(function newer(newest, source) {
+    return newest === undefined || awaitedChanges.isHigherBallot(source.change.entry.ballot, newest.change.entry.ballot) ? source : newest;
   }, undefined);
 }
 
 async function fetchNewest(fetcher: FetcherState): Promise<void> {
-  const source = sourceOf(fetcher);
+  const source = chooseSource(fetcher);
   if (source === undefined || Option.isNone(source.link)) return restartWait(fetcher);
-  const reply = await source.link.value.call('look', { key: contentKey, set: fetcher.options.coreSetNumber() }, fetchMilliseconds);
+  const reply = await source.link.value.call('look', { key: contentKey, set: fetcher.options.coreSetNumber() }, fetchTimeoutMilliseconds);
   const entry = Option.isSome(reply) ? reply.value.accepted : null;
   restartWait(fetcher);
   if (entry === null) {
@@ -169,14 +172,14 @@
   }
   fetcher.fetched += 1;
   fetcher.unresponsive = '';
-  keep(fetcher, entry.ballot, entry.value);
+  storeContent(fetcher, entry.ballot, entry.value);
   deliverAwaited(fetcher);
 }
 
-function create(runtime: Runtime, parts: ContentFetcherOptions): ContentFetcher {
+function create(runtime: Runtime, options: ContentFetcherOptions): ContentFetcher {
   const fetcher: FetcherState = {
     runtime,
-    options: parts,
+    options,
     contents: new Map(),
     awaited: awaitedChanges.create(),
     missingSince: Option.none,
@@ -189,7 +192,7 @@
   return {
     receive: (core, link, change) => receive(fetcher, core, link, change),
     latestBallot: () => fetcher.latest,
-    awaited: () => missing(fetcher).map(({ core, change }) => ({ core, version: change.entry.version })),
+    awaited: () => missingChanges(fetcher).map(({ core, change }) => ({ core, version: change.entry.version })),
     counts: () => ({ fetched: fetcher.fetched, unanswered: fetcher.unanswered, superseded: fetcher.awaited.superseded() }),
   };
 }
--- a/packages/register/src/durable-reports.ts
+++ b/packages/register/src/durable-reports.ts
@@ -1,4 +1,4 @@
-/** The reporting half: a report is on a majority of core disks before it counts; watermarks are read from a majority (design 5.5). */
+/** Client side of durable reports: a report counts once a majority of core disks has stored it, and reads ask a majority (design 5.5). */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { fault, runtimeUtilities, type Fault } from '@stallstall/kernel';
@@ -6,65 +6,65 @@
 import { quorum } from '@stallstall/quorum';
 import { fixedCoreSet, type CoreSetSource } from './register.js';
 
-/** One disk that keeps reports; none when it does not reply in time. */
+/** Sends a report to one core's disk; none when the core does not reply in time. */
 export type ReportReplica = (body: Request<'note'>, milliseconds: number) => Promise<Option.Option<Reply<'note'>>>;
 
 export type DurableReports = Readonly<{
   /**
-   * Right once a majority of disks has synced the report: all watermarks that any majority had before are among these. Errors: `no-majority`;
-   * some disks may have it all the same.
+   * Stores a report. Resolves once a majority of disks has synced it, with watermarks that include every watermark a majority had stored
+   * before. Errors: `no-majority`; some disks may have stored the report even then.
    */
   report: (body: Request<'note'>) => Promise<Either.Either<Fault, DurableWatermarks>>;
-  /** Up to where each service's commits are acknowledged. Errors: `no-majority`. */
+  /** The position up to which the commits of each service are acknowledged. Errors: `no-majority`. */
   watermarks: () => Promise<Either.Either<Fault, DurableWatermarks>>;
 }>;
 
-const reportMilliseconds = 800;
+const callTimeoutMilliseconds = 800;
 const emptyReport: Request<'note'> = { floors: {}, reports: [], through: {} };
 
-function noMajority(stored: number, size: number): Fault {
+function noMajority(stored: number, replicaCount: number): Fault {
   return fault.create({
     kind: 'no-majority',
-    message: `only ${stored} of ${size} core disks have noted it`,
-    remedy: 'bring cores back, or mend their disks',
+    message: `only ${stored} of ${replicaCount} core disks stored the report`,
+    remedy: 'restore unavailable cores or repair their disks',
     retryAfterSeconds: 1,
   });
 }
 
-/** Sends a report to every replica; settles once a majority has stored it, or all have replied or fallen silent. */
+/** Sends a report to every replica; resolves once a majority has stored it, or when all have replied or timed out. */
 function sendToMajority(
   replicas: readonly ReportReplica[],
-  size: number,
+  replicaCount: number,
   body: Request<'note'>,
   observe: CoreSetSource['observe'],
 ): Promise<Either.Either<Fault, DurableWatermarks>> {
-  const needed = quorum.majority(size);
+  const needed = quorum.majority(replicaCount);
   return new Promise(function collect(resolve) {
     let outstanding = replicas.length;
     let stored = 0;
     let watermarks: DurableWatermarks = {};
-    function settleIfDecided(): void {
-      if (size > 0 && stored >= needed) resolve(Either.right(watermarks));
-      else if (outstanding === 0) resolve(Either.left(noMajority(stored, size)));
+    function resolveIfDecided(): void {
+      if (replicaCount > 0 && stored >= needed) resolve(Either.right(watermarks));
+      else if (outstanding === 0) resolve(Either.left(noMajority(stored, replicaCount)));
     }
     async function send(replica: ReportReplica): Promise<void> {
-      const reply = await replica(body, reportMilliseconds);
+      const reply = await replica(body, callTimeoutMilliseconds);
       outstanding -= 1;
       if (Option.isSome(reply) && reply.value.newer !== undefined) observe(reply.value.newer);
       if (Option.isSome(reply) && reply.value.ready) {
         stored += 1;
         watermarks = message.maxWatermarks(watermarks, reply.value.floors);
       }
-      settleIfDecided();
+      resolveIfDecided();
     }
-    if (outstanding === 0) settleIfDecided();
+    if (outstanding === 0) resolveIfDecided();
     for (const replica of replicas) void send(replica);
   });
 }
 
 /**
- * @param replicas - the disks that are asked, looked up at each report
- * @param replicaCount - how many disks there are
+ * @param replicas - the replicas to call, evaluated at each report
+ * @param replicaCount - the total number of replicas, of which a majority is needed
  */
 function create(
   replicas: () => readonly ReportReplica[],
@@ -72,14 +72,14 @@
   coreSets: CoreSetSource = fixedCoreSet,
 ): DurableReports {
   function report(body: Request<'note'>): Promise<Either.Either<Fault, DurableWatermarks>> {
-    // One set from beginning to end: its disks, its majority, its number (design 4.8).
+    // The replicas, the majority and the number must all be of the same core set (design 4.8).
     const set = coreSets.number();
     return sendToMajority(replicas(), replicaCount(), set === 0 ? body : { ...body, set }, coreSets.observe);
   }
   return { report, watermarks: () => report(emptyReport) };
 }
 
-/** The name under which a process's other services find its reports. */
+/** The name under which the other services of a process look up its durable reports. */
 export const durableReportsService = runtimeUtilities.serviceName<DurableReports>('durable-reports');
 
 export const durableReports = { create } as const;
--- a/packages/register/src/report-store.ts
+++ b/packages/register/src/report-store.ts
@@ -1,29 +1,31 @@
-/** The disk half of durable reports: what only grows, so that the highest wins and no ballot is needed (design 5.5). */
+/** Server side of durable reports. All values only grow, so the highest one wins and no ballots are needed (design 5.5). */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { owner, type Disk, type Runtime, type Owner } from '@stallstall/kernel';
 import { message, messages, type DurableWatermarks, type Reply, type Request, type UsageReport } from '@stallstall/message';
 
 export type ReportStore = Readonly<{
-  /** Merges and syncs a report; the reply holds all watermarks known here. */
+  /** Merges a report and syncs it to disk; the reply carries all watermarks stored here. */
   store: (request: Request<'note'>) => Promise<Reply<'note'>>;
-  /** What was reported of a usage window. */
+  /** The reports of a usage window. */
   usageOf: (window: number) => Reply<'usageLook'>;
-  /** All of it, for a disk that copies this one. */
+  /** The complete contents, for a core that copies this disk. */
   snapshot: () => Request<'note'>;
-  /** Whether all that was reported is on the disk. */
+  /** Whether all reports are synced to disk. */
   isSynced: () => boolean;
-  /** From here on reports count. */
+  /** Starts acknowledging reports. */
   open: () => void;
+  /** Stops acknowledging reports. */
   close: () => void;
 }>;
 
 /** The length of a usage window. Unit: milliseconds. */
 export const usageWindowMilliseconds = 5_000;
-/** Windows older than this can no longer be sent in time. */
+/** The number of past usage windows that are retained; the usage of older windows can no longer be sent in time. */
 export const retainedUsageWindows = 6;
-/** Entries on the disk: each holds the watermarks and one window's reports, and a window so many later takes it over. */
+/** Prefix of the disk entries, each of which holds the watermarks and the reports of one window. */
 export const reportStoragePrefix = 'notes/';
+/** The number of disk entries: a window overwrites the entry of the window this many earlier. */
 const storageSlots = 8;
 
 type StoreState = {
@@ -31,14 +33,14 @@
   readonly disk: Disk;
   readonly commands: Owner<null>;
   watermarks: DurableWatermarks;
-  /** The reports of each window, by the process that reported. */
+  /** The reports of each window, by reporting process. */
   readonly reports: Map<number, Map<string, UsageReport>>;
-  /** Up to which wall time each edge has reported all it counted. */
-  readonly through: Map<string, number>;
-  /** Windows whose entry on the disk is behind. */
+  /** The wall-clock time up to which each edge has reported all its usage. */
+  readonly reportedThrough: Map<string, number>;
+  /** Windows whose disk entry is out of date. */
   readonly unsynced: Set<number>;
-  changes: number;
-  syncedChanges: number;
+  changeCount: number;
+  syncedChangeCount: number;
   isOpen: boolean;
 };
 
@@ -46,7 +48,7 @@
   return `${report.node}#${report.incarnation}`;
 }
 
-/** Adds up reports of one window: of each process the newest counts. */
+/** Adds up the reports of one window, counting only the newest report of each process. */
 function sumUsageReports(reports: readonly UsageReport[]): Readonly<Record<string, number>> {
   const latest = new Map<string, UsageReport>();
   for (const report of reports) {
@@ -66,7 +68,7 @@
 
 function markChanged(store: StoreState, window: number): void {
   store.unsynced.add(window);
-  store.changes += 1;
+  store.changeCount += 1;
 }
 
 function mergeReport(store: StoreState, report: UsageReport): void {
@@ -77,14 +79,14 @@
   markChanged(store, report.window);
 }
 
-/** What is reported is in memory at once; the disk follows before anybody is answered. */
+/** Merges a report in memory. It is synced to disk before it is acknowledged. */
 function merge(store: StoreState, request: Request<'note'>): void {
   if (!message.covers(store.watermarks, request.floors)) {
     store.watermarks = message.maxWatermarks(store.watermarks, request.floors);
     markChanged(store, currentWindow(store));
   }
   for (const [edge, moment] of Object.entries(request.through)) {
-    store.through.set(edge, Math.max(moment, store.through.get(edge) ?? 0));
+    store.reportedThrough.set(edge, Math.max(moment, store.reportedThrough.get(edge) ?? 0));
   }
   const oldest = currentWindow(store) - retainedUsageWindows;
   for (const report of request.reports) {
@@ -111,28 +113,28 @@
   return true;
 }
 
-/** Resolves to true once so many changes are on the disk. */
-async function sync(store: StoreState, changes: number): Promise<boolean> {
-  while (store.syncedChanges < changes) {
-    const upTo = store.changes;
+/** Syncs until the first `requiredCount` changes are on disk; resolves to false if a write fails. */
+async function sync(store: StoreState, requiredCount: number): Promise<boolean> {
+  while (store.syncedChangeCount < requiredCount) {
+    const changeCount = store.changeCount;
     const windows = [...store.unsynced];
     store.unsynced.clear();
     if (!(await writeWindows(store, windows))) {
       for (const window of windows) store.unsynced.add(window);
       return false;
     }
-    store.syncedChanges = upTo;
+    store.syncedChangeCount = changeCount;
   }
   return true;
 }
 
-/** Reports that arrive while the disk is at work share its next sync. */
+/** Reports that arrive during a sync are written together in the next one. */
 async function storeReport(store: StoreState, request: Request<'note'>): Promise<Reply<'note'>> {
-  // What could not be synced is not taken up: nobody would be answered, and it would pile up behind a disk that hangs.
+  // While the disk does not sync, reports are rejected: they could not be acknowledged, and would queue up behind a hanging disk.
   if (Option.isSome(store.disk.trouble())) return { ready: false, floors: { ...store.watermarks } };
   merge(store, request);
-  const { changes } = store;
-  const isStored = await store.commands.run(() => sync(store, changes));
+  const { changeCount } = store;
+  const isStored = await store.commands.run(() => sync(store, changeCount));
   return { ready: store.isOpen && isStored, floors: { ...store.watermarks } };
 }
 
@@ -140,11 +142,11 @@
   return {
     floors: { ...store.watermarks },
     reports: [...store.reports.keys()].flatMap((window) => reportsOf(store, window)),
-    through: Object.fromEntries(store.through),
+    through: Object.fromEntries(store.reportedThrough),
   };
 }
 
-/** @param stored - what the disk held when the process started */
+/** @param stored - the contents of the disk at process start */
 function create(runtime: Runtime, disk: Disk, stored: ReadonlyMap<string, unknown>): ReportStore {
   const store: StoreState = {
     runtime,
@@ -152,22 +154,22 @@
     commands: owner.create('reports', null),
     watermarks: {},
     reports: new Map(),
-    through: new Map(),
+    reportedThrough: new Map(),
     unsynced: new Set(),
-    changes: 0,
-    syncedChanges: 0,
+    changeCount: 0,
+    syncedChangeCount: 0,
     isOpen: false,
   };
   for (const [key, value] of stored) {
     if (key.startsWith(reportStoragePrefix) && message.matches(messages.note.request, value)) merge(store, value);
   }
   store.unsynced.clear();
-  store.syncedChanges = store.changes;
+  store.syncedChangeCount = store.changeCount;
   return {
     store: (request) => storeReport(store, request),
     snapshot: () => snapshot(store),
-    isSynced: () => store.syncedChanges >= store.changes,
-    usageOf: (window) => ({ ready: store.isOpen, reports: reportsOf(store, window), through: Object.fromEntries(store.through) }),
+    isSynced: () => store.syncedChangeCount >= store.changeCount,
+    usageOf: (window) => ({ ready: store.isOpen, reports: reportsOf(store, window), through: Object.fromEntries(store.reportedThrough) }),
     open: function open() {
       store.isOpen = true;
     },
--- a/packages/simulator/pooled-mutations.mjs
+++ b/packages/simulator/pooled-mutations.mjs
@@ -620,7 +620,7 @@
     name: 'newest-push-alone',
     story: 'A stream of changes is applied',
     file: 'register/build/watcher.js',
-    from: '.slice(-changesKept)',
+    from: '.slice(-maxChangesPerCore)',
     to: '.slice(-1)',
   },
   {
