--- a/packages/acceptance/features/fleet.feature
+++ b/packages/acceptance/features/fleet.feature
@@ -18,7 +18,7 @@
     Given a fleet of Red Común with its placement configuration applied and its primaries elected
     When a second agent starts as edge-3
     And 3 s pass
-    Then the agent of edge-3 has stopped as "superseded"
+    Then the agent of edge-3 has stopped with the fault "superseded"
 
   Scenario: A drained edge fails readiness and takes no new work
     Given a fleet of Red Común with its placement configuration applied and its primaries elected
@@ -42,7 +42,7 @@
 
   Scenario: Usage is told once for each window, also when an edge is cut off as the window ends
     Given a fleet of Red Común with its placement configuration applied and its primaries elected
-    And its senders are at work
+    And its clients are sending statements
     And a platform that takes usage but loses its replies
     When edge-1 is cut off from the cores 2 s before a window ends, for 6 s
     And 12 s pass
--- a/packages/acceptance/features/guarantees.feature
+++ b/packages/acceptance/features/guarantees.feature
@@ -9,7 +9,7 @@
 
   Scenario: A platform that takes three seconds for every call still gets its promotion and its usage
     Given a fleet of Red Común with its placement configuration applied and its primaries elected
-    And its senders are at work
+    And its clients are sending statements
     And a platform that takes 3000 ms for every call
     When the primary of "bookings" is killed while a replica holds all of its log
     And 30 s pass
@@ -44,7 +44,7 @@
   Scenario: A transaction that is open at a retired member ends within seven seconds
     Given a fleet of Red Común with its placement configuration applied and its primaries elected
     And a session on "bookings" through edge-2 with an open transaction that put "ghost" as 1
-    And every other member of "bookings" is killed
+    And all members of "bookings" but the primary are killed
     When an operator marks the primary of "bookings" draining
     And the session goes on with its transaction every 500 ms for 9 s
     Then its last statement was served no later than 7 s after, and then it was told "transaction-ended"
--- a/packages/acceptance/features/leaving.feature
+++ b/packages/acceptance/features/leaving.feature
@@ -4,19 +4,19 @@
     Given a fleet of Red Común with its placement configuration applied and its primaries elected
     When the primary of "bookings" is killed
     And 1 s pass
-    Then a write to "bookings" through edge-1 is denied as "no-target" within 100 ms and says when to retry
+    Then a write to "bookings" through edge-1 is rejected as "no-target" within 100 ms, with a Retry-After header
 
   Scenario: A primary retired under load pauses its writes only briefly
     Given a fleet of Brightpath with its placement configuration applied and its primaries elected
-    And its senders are at work
+    And its clients are sending statements
     When an operator marks the primary of "acceptances" draining
     And 12 s pass
-    Then another member of "acceptances" leads, and no stretch of 4 s passed without a write kept
-    And the ledger is clean
+    Then another member of "acceptances" leads, and no interval of 4 s passed without a committed write
+    And the recorded history is consistent
 
   Scenario: A draining primary that nobody can follow gets no new work after seven seconds
     Given a fleet of Red Común with its placement configuration applied and its primaries elected
-    And every other member of "bookings" is killed
+    And all members of "bookings" but the primary are killed
     When an operator marks the primary of "bookings" draining
     And 7 s pass
     Then a write to "bookings" through edge-1 is denied as "read-only"
@@ -26,22 +26,22 @@
     When an operator drains edge-4
     And an operator removes edge-4
     And 5 s pass
-    Then the agent of edge-4 has stopped as "departed"
+    Then the agent of edge-4 has stopped with the fault "departed"
     And the membership table names 3 cores and 5 edges
     And a write to "bookings" through edge-4 is denied as "draining" or "stale-configuration"
 
   Scenario: A planned restart drops nothing that was in flight
     Given a fleet of Brightpath with its placement configuration applied and its primaries elected
-    And its senders are at work
-    When the proxy of edge-3 is ended as planned and started again
+    And its clients are sending statements
+    When the proxy of edge-3 is shut down gracefully and started again
     And 10 s pass
     Then no reply was lost
-    And the ledger is clean
+    And the recorded history is consistent
 
   Scenario: A planned restart of an agent alone is not felt by its proxy's senders
     Given a fleet of Brightpath with its placement configuration applied and its primaries elected
-    And its senders are at work
+    And its clients are sending statements
     When the agent of edge-3 is ended as planned and started again 700 ms later
     And 8 s pass
     Then every statement was served
-    And the ledger is clean
+    And the recorded history is consistent
--- a/packages/acceptance/features/units.feature
+++ b/packages/acceptance/features/units.feature
@@ -55,12 +55,12 @@
 
   # -- Leases (design 7.12).
 
-  Scenario Outline: A lease needs a strict majority at exactly the settled epoch
-    Given an edge and cores that stand at <stances>, and epoch 5 settled
+  Scenario Outline: A lease requires a strict majority at exactly the elected epoch
+    Given an edge, and cores at epochs <epochs> with epoch 5 elected
     Then the edge has <lease> lease
 
     Examples:
-      | stances    | lease |
+      | epochs     | lease |
       | 5, 5, 5    | a     |
       | 5, 5, 0    | a     |
       | 5, 0, 0    | no    |
@@ -71,65 +71,65 @@
       | 5, 5, 5, 0 | a     |
       | 5, -, -    | no    |
 
-  Scenario: A lease ends 2 s after the send time of the asks, not after their replies
-    Given an edge and cores that reply after 600 ms, standing at 5, with epoch 5 settled
-    When the edge has its first lease
-    Then no more than 1.4 s of it are left
-    When the cores fall silent
-    Then the lease is over within 2 s and does not come back
-
-  Scenario: A lease runs from the reply where the core says for how long it held the question
-    Given an edge and cores that hold each question for 600 ms and say so, standing at 5, with epoch 5 settled
-    When the edge has its first lease
-    Then between 1.9 s and 2.0 s of it are left
-
-  Scenario: A configuration that nobody hands over whole is asked for under the number of the set
-    Given an edge whose cores tell of a configuration without its content, and show it to whoever asks under their set
-    Then within 1 s the edge obeys it
-
-  Scenario: A floor is never taken back
-    Given an edge and cores that stand at 5, 5, 5, and epoch 5 settled
-    When the cores stand at 6, 6, 5
-    Then the edge has no lease, and lets go of what is below 6
-    When the cores stand at 5, 5, 5
-    Then the edge has no lease, and lets go of what is below 6
-    When the cores stand at 6, 6, 6 and epoch 6 is settled
+  Scenario: A lease expires 2 s after the requests were sent, not after their replies
+    Given an edge, and cores at epoch 5 that reply after 600 ms, with epoch 5 elected
+    When the edge obtains its first lease
+    Then at most 1.4 s of the lease remain
+    When the cores stop replying
+    Then the lease expires within 2 s and is not renewed
+
+  Scenario: A lease runs from the reply if the core reports how long it held the request
+    Given an edge, and cores at epoch 5 that report to have held each request for 600 ms, with epoch 5 elected
+    When the edge obtains its first lease
+    Then between 1.9 s and 2.0 s of the lease remain
+
+  Scenario: A configuration that no core pushes with its content is read under the number of the core set
+    Given an edge whose cores push a configuration without its content, and return it to reads under their core set number
+    Then within 1 s the edge has applied it
+
+  Scenario: A release epoch never decreases
+    Given an edge, and cores at epochs 5, 5, 5 with epoch 5 elected
+    When the cores are at epochs 6, 6, 5
+    Then the edge has no lease, and releases epochs below 6
+    When the cores are at epochs 5, 5, 5
+    Then the edge has no lease, and releases epochs below 6
+    When the cores are at epochs 6, 6, 6 and epoch 6 is elected
     Then the edge has a lease
 
-  Scenario: One core alone beyond the settled epoch is no floor
-    Given an edge and cores that stand at 5, 5, 5, and epoch 5 settled
-    When the cores stand at 5, 5, 9
-    Then the edge has a lease, and lets go of nothing
-
-  Scenario: A reply overtaken by a later one tells nothing
-    Given an edge whose held ask at each core is overtaken by a later one that says "member-1" is draining
-    When the held asks are replied after all, with "member-1" in service
-    Then the edge knows "member-1" as draining
-
-  Scenario: A core counts those it may have granted for a term and its margin, and has them all tell
-    Given a core's half of the leases, standing at 5
-    When "edge-1" asks, and 1 s later "edge-2" asks, having released what is below 6
-    Then both count, and the epoch 6 is not released by both
-    When "edge-1" asks, having released what is below 6
-    Then the epoch 6 is released by both, and 7 is not
-    When 2.6 s pass since the asks
-    Then none counts
-
-  Scenario: A core that was given its seat anew can't tell whom its seat granted leases to
-    Given a core's half of the leases, standing at 5
-    When "edge-1" asks, and 1 s later "edge-2" asks, having released what is below 6
-    Then both count, and the epoch 6 is not released by both
-    When its core is given a seat anew
-    Then it can't say for 2.5 s whom leases were granted to, and names none after that
+  Scenario: A single core beyond the elected epoch does not raise the release epoch
+    Given an edge, and cores at epochs 5, 5, 5 with epoch 5 elected
+    When the cores are at epochs 5, 5, 9
+    Then the edge has a lease, and releases nothing
+
+  Scenario: A reply that was overtaken by a later one is ignored
+    Given an edge whose held request at each core is overtaken by a later one that reports "member-1" as draining
+    When the held requests are answered after that, with "member-1" serving
+    Then the edge sees "member-1" as draining
+
+  Scenario: An edge counts as a lease holder for a term and its margin, and all holders must release an epoch
+    Given a core's lease grantor at epoch 5
+    When "edge-1" requests a lease, and 1 s later "edge-2" requests one, having released epochs below 6
+    Then both are lease holders, and not both have released epochs below 6
+    When "edge-1" requests a lease, having released epochs below 6
+    Then both have released epochs below 6, and not those below 7
+    When 2.6 s pass since the requests
+    Then it has no lease holders
+
+  Scenario: A core that became an active voter again does not know the holders of earlier leases
+    Given a core's lease grantor at epoch 5
+    When "edge-1" requests a lease, and 1 s later "edge-2" requests one, having released epochs below 6
+    Then both are lease holders, and not both have released epochs below 6
+    When its core becomes an active voter again
+    Then for 2.5 s it does not know its lease holders, and after that it has none
 
   Scenario: A core that is not ready grants nothing
-    Given a core's half of the leases, not ready
-    Then a reply to "edge-1" names no stance
+    Given a core's lease grantor that is not ready
+    Then a reply to "edge-1" contains no epoch
 
-  Scenario: A held ask is replied at once with news
-    Given a core's half of the leases, standing at 5
-    When "edge-1" asks twice, and the core's stance changes 100 ms later
-    Then the second ask is replied within 10 ms of the change, with the new stance
+  Scenario: A held request is answered at once when an epoch changes
+    Given a core's lease grantor at epoch 5
+    When "edge-1" sends two requests, and the core's epoch changes 100 ms later
+    Then the second request is answered within 10 ms of the change, with the new epoch
 
   # -- Freshness (design 8.11).
 
--- a/packages/acceptance/src/lease-grantor-steps.ts
+++ b/packages/acceptance/src/lease-grantor-steps.ts
@@ -39,11 +39,11 @@
   await story.world.run(2_600);
 }
 
-Given("a core's half of the leases, standing at 5", async function given(this: UnitStory) {
+Given("a core's lease grantor at epoch 5", async function given(this: UnitStory) {
   await startLeaseGrantor(this, true);
 });
 
-Given("a core's half of the leases, not ready", async function given(this: UnitStory) {
+Given("a core's lease grantor that is not ready", async function given(this: UnitStory) {
   await startLeaseGrantor(this, false);
 });
 
@@ -52,7 +52,7 @@
 }
 
 When(
-  '{string} asks, and 1 s later {string} asks, having released what is below {int}',
+  '{string} requests a lease, and 1 s later {string} requests one, having released epochs below {int}',
   async function when(this: UnitStory, first: string, second: string, epoch: number) {
     await this.leaseGrantor.grant(askOf(first, 0));
     await this.world.run(1_000);
@@ -60,55 +60,49 @@
   },
 );
 
-When('{string} asks, having released what is below {int}', async function when(this: UnitStory, node: string, epoch: number) {
+When('{string} requests a lease, having released epochs below {int}', async function when(this: UnitStory, node: string, epoch: number) {
   await this.leaseGrantor.grant(askOf(node, epoch));
 });
 
-Then('both count, and the epoch {int} is not released by both', function then(this: UnitStory, epoch: number) {
+Then('both are lease holders, and not both have released epochs below {int}', function then(this: UnitStory, epoch: number) {
   assert.deepEqual([...leaseHoldersOf(this)].sort(), ['edge-1', 'edge-2']);
   assert.equal(this.leaseGrantor.hasReleased('ferries', epoch, ['edge-1', 'edge-2']), false);
   assert.equal(this.leaseGrantor.hasReleased('ferries', epoch, ['edge-2']), true);
   assert.equal(this.leaseGrantor.hasReleased('ferries', epoch, ['edge-3']), false);
 });
 
-Then('the epoch {int} is released by both, and {int} is not', function then(this: UnitStory, epoch: number, next: number) {
+Then('both have released epochs below {int}, and not those below {int}', function then(this: UnitStory, epoch: number, next: number) {
   assert.equal(this.leaseGrantor.hasReleased('ferries', epoch, ['edge-1', 'edge-2']), true);
   assert.equal(this.leaseGrantor.hasReleased('ferries', next, ['edge-1', 'edge-2']), false);
 });
 
-When('{float} s pass since the asks', async function when(this: UnitStory, seconds: number) {
+When('{float} s pass since the requests', async function when(this: UnitStory, seconds: number) {
   await this.world.run(seconds * 1_000 - 200);
   assert.deepEqual(leaseHoldersOf(this).length, 2);
   await this.world.run(200);
 });
 
-When('its core is given a seat anew', function when(this: UnitStory) {
+When('its core becomes an active voter again', function when(this: UnitStory) {
   this.openedAt = this.runtime.clock.now();
 });
 
-Then(
-  "it can't say for {float} s whom leases were granted to, and names none after that",
-  async function then(this: UnitStory, seconds: number) {
-    await this.world.run(seconds * 1_000 - 20);
-    assert.ok(
-      Option.isNone(this.leaseGrantor.leaseHolders()),
-      'it names edges though another occupant of its seat may have granted leases',
-    );
-    await this.world.run(40);
-    assert.deepEqual(leaseHoldersOf(this), []);
-  },
-);
+Then('for {float} s it does not know its lease holders, and after that it has none', async function then(this: UnitStory, seconds: number) {
+  await this.world.run(seconds * 1_000 - 20);
+  assert.ok(Option.isNone(this.leaseGrantor.leaseHolders()), 'it names edges though another occupant of its seat may have granted leases');
+  await this.world.run(40);
+  assert.deepEqual(leaseHoldersOf(this), []);
+});
 
-Then('none counts', function then(this: UnitStory) {
+Then('it has no lease holders', function then(this: UnitStory) {
   assert.deepEqual(leaseHoldersOf(this), []);
 });
 
-Then('a reply to {string} names no stance', async function then(this: UnitStory, node: string) {
+Then('a reply to {string} contains no epoch', async function then(this: UnitStory, node: string) {
   const reply = await this.leaseGrantor.grant(askOf(node, 0));
   assert.deepEqual([reply.ready, reply.stances], [false, {}]);
 });
 
-When("{string} asks twice, and the core's stance changes 100 ms later", async function when(this: UnitStory, node: string) {
+When("{string} sends two requests, and the core's epoch changes 100 ms later", async function when(this: UnitStory, node: string) {
   const first = await this.leaseGrantor.grant(askOf(node, 0, { hold: 450 }));
   void this.leaseGrantor
     .grant(askOf(node, 0, { token: first.token, seen: first.number, hold: 450 }))
@@ -121,8 +115,11 @@
   await this.world.run(500);
 });
 
-Then('the second ask is replied within {int} ms of the change, with the new stance', function then(this: UnitStory, milliseconds: number) {
-  const [replied] = this.replied;
-  assert.ok(replied !== undefined && replied.at - this.changedAt <= milliseconds, JSON.stringify(this.replied));
-  assert.deepEqual(replied.reply.stances, { ferries: 6 });
-});
+Then(
+  'the second request is answered within {int} ms of the change, with the new epoch',
+  function then(this: UnitStory, milliseconds: number) {
+    const [replied] = this.replied;
+    assert.ok(replied !== undefined && replied.at - this.changedAt <= milliseconds, JSON.stringify(this.replied));
+    assert.deepEqual(replied.reply.stances, { ferries: 6 });
+  },
+);
--- a/packages/acceptance/src/lease-holder-steps.ts
+++ b/packages/acceptance/src/lease-holder-steps.ts
@@ -143,7 +143,7 @@
 }
 
 Given(
-  /^an edge and cores that hold each question for (\d+) ms and say so, standing at 5, with epoch 5 settled$/,
+  /^an edge, and cores at epoch 5 that report to have held each request for (\d+) ms, with epoch 5 elected$/,
   async function given(this: UnitStory, milliseconds: string) {
     await startEdge(
       this,
@@ -152,13 +152,13 @@
   },
 );
 
-Then(/^between ([\d.]+) s and ([\d.]+) s of it are left$/, function then(this: UnitStory, least: string, most: string) {
+Then(/^between ([\d.]+) s and ([\d.]+) s of the lease remain$/, function then(this: UnitStory, least: string, most: string) {
   const left = this.leaseHolder.leaseUntil('ferries') - this.runtime.clock.now();
   assert.ok(left >= Number(least) * 1_000 && left <= Number(most) * 1_000, `${left} ms are left`);
 });
 
 Given(
-  'an edge whose cores tell of a configuration without its content, and show it to whoever asks under their set',
+  'an edge whose cores push a configuration without its content, and return it to reads under their core set number',
   async function given(this: UnitStory) {
     this.world = worlds.create(44);
     const seats = [0, 1, 2].map(seatOf);
@@ -189,7 +189,7 @@
   },
 );
 
-Then('within 1 s the edge obeys it', async function then(this: UnitStory) {
+Then('within 1 s the edge has applied it', async function then(this: UnitStory) {
   await this.world.run(1_000);
   assert.deepEqual([...this.leaseHolder.services()], ['ferries']);
 });
@@ -203,7 +203,7 @@
   return epochs.split(', ').map((one) => (one === '-' ? { ready: false, epoch: 5 } : { epoch: Number(one) }));
 }
 
-Given(/^an edge and cores that stand at ([-\d, ]+), and epoch 5 settled$/, async function given(this: UnitStory, epochs: string) {
+Given(/^an edge, and cores at epochs ([-\d, ]+) with epoch 5 elected$/, async function given(this: UnitStory, epochs: string) {
   await startEdge(this, stubsOf(epochs));
   await this.world.run(3_000);
   const settled = this.leaseHolder.electedPrimary('ferries');
@@ -215,30 +215,30 @@
 });
 
 Given(
-  'an edge and cores that reply after {int} ms, standing at 5, with epoch 5 settled',
+  'an edge, and cores at epoch 5 that reply after {int} ms, with epoch 5 elected',
   async function given(this: UnitStory, delay: number) {
     await startEdge(this, [{ delay }, { delay }, { delay }]);
   },
 );
 
-When('the edge has its first lease', async function when(this: UnitStory) {
+When('the edge obtains its first lease', async function when(this: UnitStory) {
   for (let spent = 0; !hasLease(this) && spent < 5_000; spent += 1) await this.world.run(1);
   assert.ok(hasLease(this));
 });
 
-Then('no more than {float} s of it are left', function then(this: UnitStory, seconds: number) {
+Then('at most {float} s of the lease remain', function then(this: UnitStory, seconds: number) {
   const left = this.leaseHolder.leaseUntil('ferries') - this.runtime.clock.now();
   assert.ok(left <= seconds * 1_000 && left > seconds * 1_000 - 100, `${left} ms are left`);
 });
 
-When('the cores fall silent', function when(this: UnitStory) {
+When('the cores stop replying', function when(this: UnitStory) {
   for (const stub of this.cores) {
     stub.silent = true;
     stub.reply = () => new Promise(() => undefined);
   }
 });
 
-Then('the lease is over within 2 s and does not come back', async function then(this: UnitStory) {
+Then('the lease expires within 2 s and is not renewed', async function then(this: UnitStory) {
   // What had been asked before may still be replied, and counts from when it was asked.
   await this.world.run(2_000);
   for (let round = 0; round < 30; round += 1) {
@@ -252,21 +252,21 @@
   await story.world.run(1_000);
 }
 
-When(/^the cores stand at ([\d, ]+)$/, async function when(this: UnitStory, epochs: string) {
+When(/^the cores are at epochs ([\d, ]+)$/, async function when(this: UnitStory, epochs: string) {
   await standAt(this, epochs);
 });
 
-When(/^the cores stand at ([\d, ]+) and epoch (\d+) is settled$/, async function when(this: UnitStory, epochs: string, epoch: string) {
+When(/^the cores are at epochs ([\d, ]+) and epoch (\d+) is elected$/, async function when(this: UnitStory, epochs: string, epoch: string) {
   for (const stub of this.cores) for (const caller of stub.leaseHolders) caller.change(settledChange(Number(epoch)));
   await standAt(this, epochs);
 });
 
-Then('the edge has no lease, and lets go of what is below {int}', function then(this: UnitStory, epoch: number) {
+Then('the edge has no lease, and releases epochs below {int}', function then(this: UnitStory, epoch: number) {
   assert.equal(hasLease(this), false);
   assert.equal(this.leaseHolder.releaseEpoch('ferries'), epoch);
 });
 
-Then('the edge has a lease, and lets go of nothing', function then(this: UnitStory) {
+Then('the edge has a lease, and releases nothing', function then(this: UnitStory) {
   assert.equal(hasLease(this), true);
   assert.ok(this.leaseHolder.releaseEpoch('ferries') <= 5);
 });
@@ -276,7 +276,7 @@
 }
 
 Given(
-  'an edge whose held ask at each core is overtaken by a later one that says {string} is draining',
+  'an edge whose held request at each core is overtaken by a later one that reports {string} as draining',
   async function given(this: UnitStory, member: string) {
     const held: Array<() => void> = [];
     this.freed = () => held.forEach((reply) => reply());
@@ -308,12 +308,12 @@
   },
 );
 
-When('the held asks are replied after all, with {string} in service', async function when(this: UnitStory, _member: string) {
+When('the held requests are answered after that, with {string} serving', async function when(this: UnitStory, _member: string) {
   this.freed();
   await this.world.run(100);
 });
 
-Then('the edge knows {string} as draining', function then(this: UnitStory, member: string) {
+Then('the edge sees {string} as draining', function then(this: UnitStory, member: string) {
   assert.deepEqual(
     this.leaseHolder.members().map((entry) => [entry.member, entry.draining]),
     [[member, true]],
--- a/packages/acceptance/src/marks.ts
+++ b/packages/acceptance/src/marks.ts
@@ -39,7 +39,7 @@
 }
 
 Given(
-  'a core that has answered in its seat for {int} s, while a leader is missing',
+  'a core that has been an active voter for {int} s, while a leader is missing',
   async function given(this: MarkStory, seconds: number) {
     this.world = worlds.create(46);
     this.runtime = this.world.spawn('core', 'core-machine').runtime;
@@ -60,20 +60,20 @@
   },
 );
 
-When('the core is given its seat anew', function when(this: MarkStory) {
+When('the core becomes an active voter again', function when(this: MarkStory) {
   this.openedAt = this.runtime.clock.now();
 });
 
-When('{string} begins anew', function when(this: MarkStory, node: string) {
+When('the process of {string} restarts', function when(this: MarkStory, node: string) {
   this.tokens.delete(node);
 });
 
-When('{string} asks, and has not told its commits', function when(this: MarkStory, node: string) {
+When('{string} requests a lease without reporting its commits', function when(this: MarkStory, node: string) {
   return ask(this, node, {});
 });
 
 When(
-  '{string} saw the leader at {int}, {int} ms ago, and told its commits up to {int}',
+  '{string} saw the leader at {int}, {int} ms ago, and reports commits up to {int}',
   function when(this: MarkStory, node: string, position: number, ago: number, commit: number) {
     return ask(this, node, {
       marks: { [service]: { term, number: position, ago } },
@@ -89,27 +89,27 @@
 }
 
 When(
-  '{int} ms pass, and {string} and {string} tell their commits, the furthest at {int}',
+  '{int} ms pass, and {string} and {string} report their commits, the highest at {int}',
   function when(this: MarkStory, milliseconds: number, first: string, second: string, commit: number) {
     return tell(this, milliseconds, [first, second], commit);
   },
 );
 
 When(
-  '{int} ms pass, and {string} tells its commits, the furthest at {int}',
+  '{int} ms pass, and {string} reports its commits, the highest at {int}',
   function when(this: MarkStory, milliseconds: number, node: string, commit: number) {
     return tell(this, milliseconds, [node], commit);
   },
 );
 
 When(
-  '{int} s pass, and {string} tells its commits, the furthest at {int}',
+  '{int} s pass, and {string} reports its commits, the highest at {int}',
   function when(this: MarkStory, seconds: number, node: string, commit: number) {
     return tell(this, seconds * 1_000, [node], commit);
   },
 );
 
-Then('the mark stands at {int}, and {int} ms ago', function then(this: MarkStory, position: number, ago: number) {
+Then('the watermark is {int}, and covers commits until {int} ms ago', function then(this: MarkStory, position: number, ago: number) {
   const mark = this.last.marks[service];
   assert.deepEqual(mark && { number: mark.number, ago: Math.round(mark.ago) }, { number: position, ago });
 });
@@ -187,7 +187,7 @@
   assert.equal((await second)._tag, 'Some');
 }
 
-Given('an agent that holds leases of {int} cores, and feeds a proxy', async function given(this: MarkStory, count: number) {
+Given('an agent that requests leases from {int} cores, and feeds a proxy', async function given(this: MarkStory, count: number) {
   this.world = worlds.create(47);
   const seats = Array.from({ length: count }, (_, index) => seatOf(index));
   this.asked = seats.map(() => []);
@@ -198,7 +198,7 @@
   await askAsProxy(this, 'proxy');
 });
 
-When("{int} s pass, and the proxy's process is followed by another", async function when(this: MarkStory, seconds: number) {
+When("{int} s pass, and the proxy's process is replaced by another", async function when(this: MarkStory, seconds: number) {
   await this.world.run(seconds * 1_000);
   this.proxy.close();
   for (const tokens of this.asked) {
@@ -209,7 +209,7 @@
   await this.world.run(1_000);
 });
 
-Then('each core was asked as by an edge that begins anew once more, and then as before', function then(this: MarkStory) {
+Then('each core received a request as from a restarted edge, followed by ordinary requests', function then(this: MarkStory) {
   for (const tokens of this.asked) {
     assert.ok(tokens.includes(''), 'no ask says that the edge begins anew');
     assert.ok(tokens.slice(tokens.lastIndexOf('') + 1).length > 3, 'it begins anew again and again');
--- a/packages/simulator/exploring-mutations.mjs
+++ b/packages/simulator/exploring-mutations.mjs
@@ -81,7 +81,7 @@
     file: 'lease/build/lease-grantor.js',
     from: 'laterOf(startedAt, context.servingSince())',
     to: 'startedAt',
-    story: 'A core that was given its seat anew',
+    story: 'A core that became an active voter again',
   },
 ];
 
