--- a/packages/acceptance/run.mjs
+++ b/packages/acceptance/run.mjs
@@ -47,7 +47,7 @@
         'build/orders.js',
         'build/simulator.js',
         'build/ballots.js',
-        'build/marks.js',
+        'build/commit-watermark-steps.js',
       ],
       format: ['progress'],
       publish: false,
--- a/packages/acceptance/src/marks.ts
+++ b/packages/acceptance/src/commit-watermark-steps.ts
@@ -1,4 +1,4 @@
-/** Steps of marks.feature: one core's half of the leases, and edges that tell it what they have seen (design 8.11). */
+/** Steps of commit-watermarks.feature: a core's lease grantor, and edges that report their commits to it (design 8.11). */
 import assert from 'node:assert/strict';
 import { Given, Then, When } from '@cucumber/cucumber';
 import { leaseAgent } from '@stallstall/agent';
@@ -8,46 +8,46 @@
 import { peer, type Peer } from '@stallstall/peer';
 import type { MemberRegistry } from '@stallstall/member-registry';
 import { world as worlds, type World } from '@stallstall/simulator';
-import { leaseAsk } from './lease-ask.js';
+import { leaseRequest } from './lease-request.js';
 
-type MarkStory = {
+type WatermarkStory = {
   world: World;
   runtime: Runtime;
   leaseGrantor: LeaseGrantor;
-  openedAt: Instant;
-  /** The token of the core that each edge knows; none for one that has not asked yet. */
+  servingSince: Instant;
+  /** The core's token as known to each edge; none for an edge that has sent no request yet. */
   tokens: Map<string, string>;
-  last: Reply<'lease'>;
-  /** The tokens with which the agent asked each of the cores, in order. */
-  asked: string[][];
+  lastReply: Reply<'lease'>;
+  /** For each core, the tokens of the agent's requests, in order. */
+  receivedTokens: string[][];
   proxy: Peer;
 };
 
 const service = 'ferries';
 const term = 4;
-/** An edge that has not been asked for its commits says this much. */
-const untoldMilliseconds = 600_000;
+/** The age reported by an edge that has not been asked for its commits. */
+const noReportAgeMilliseconds = 600_000;
 
 function emptyRegistry(): MemberRegistry {
   return { version: () => 0, changedSince: () => [] } satisfies Partial<MemberRegistry> as unknown as MemberRegistry;
 }
 
-async function ask(story: MarkStory, node: string, change: Partial<Request<'lease'>>): Promise<void> {
-  const known = { token: story.tokens.get(node) ?? '', positionsAgo: untoldMilliseconds };
-  story.last = await story.leaseGrantor.grant(leaseAsk(node, { ...known, ...change }));
-  story.tokens.set(node, story.last.token);
+async function requestLease(story: WatermarkStory, node: string, change: Partial<Request<'lease'>>): Promise<void> {
+  const report = { token: story.tokens.get(node) ?? '', positionsAgo: noReportAgeMilliseconds };
+  story.lastReply = await story.leaseGrantor.grant(leaseRequest(node, { ...report, ...change }));
+  story.tokens.set(node, story.lastReply.token);
 }
 
 Given(
   'a core that has been an active voter for {int} s, while a leader is missing',
-  async function given(this: MarkStory, seconds: number) {
+  async function given(this: WatermarkStory, seconds: number) {
     this.world = worlds.create(46);
     this.runtime = this.world.spawn('core', 'core-machine').runtime;
-    this.openedAt = this.runtime.clock.now();
+    this.servingSince = this.runtime.clock.now();
     this.tokens = new Map();
     this.leaseGrantor = leaseGrantor.create(this.runtime, {
       isReady: () => true,
-      servingSince: () => this.openedAt,
+      servingSince: () => this.servingSince,
       epochs: () => ({ [service]: term }),
       configurationVersion: () => 1,
       membershipVersion: () => 1,
@@ -60,22 +60,22 @@
   },
 );
 
-When('the core becomes an active voter again', function when(this: MarkStory) {
-  this.openedAt = this.runtime.clock.now();
+When('the core becomes an active voter again', function when(this: WatermarkStory) {
+  this.servingSince = this.runtime.clock.now();
 });
 
-When('the process of {string} restarts', function when(this: MarkStory, node: string) {
+When('the process of {string} restarts', function when(this: WatermarkStory, node: string) {
   this.tokens.delete(node);
 });
 
-When('{string} requests a lease without reporting its commits', function when(this: MarkStory, node: string) {
-  return ask(this, node, {});
+When('{string} requests a lease without reporting its commits', function when(this: WatermarkStory, node: string) {
+  return requestLease(this, node, {});
 });
 
 When(
   '{string} saw the leader at {int}, {int} ms ago, and reports commits up to {int}',
-  function when(this: MarkStory, node: string, position: number, ago: number, commit: number) {
-    return ask(this, node, {
+  function when(this: WatermarkStory, node: string, position: number, ago: number, commit: number) {
+    return requestLease(this, node, {
       marks: { [service]: { term, number: position, ago } },
       positions: { [service]: { term, number: commit } },
       positionsAgo: ago,
@@ -83,49 +83,49 @@
   },
 );
 
-async function tell(story: MarkStory, milliseconds: number, nodes: readonly string[], commit: number): Promise<void> {
+async function reportCommits(story: WatermarkStory, milliseconds: number, nodes: readonly string[], commit: number): Promise<void> {
   await story.world.run(milliseconds);
-  for (const node of nodes) await ask(story, node, { positions: { [service]: { term, number: commit } }, positionsAgo: 0 });
+  for (const node of nodes) await requestLease(story, node, { positions: { [service]: { term, number: commit } }, positionsAgo: 0 });
 }
 
 When(
   '{int} ms pass, and {string} and {string} report their commits, the highest at {int}',
-  function when(this: MarkStory, milliseconds: number, first: string, second: string, commit: number) {
-    return tell(this, milliseconds, [first, second], commit);
+  function when(this: WatermarkStory, milliseconds: number, first: string, second: string, commit: number) {
+    return reportCommits(this, milliseconds, [first, second], commit);
   },
 );
 
 When(
   '{int} ms pass, and {string} reports its commits, the highest at {int}',
-  function when(this: MarkStory, milliseconds: number, node: string, commit: number) {
-    return tell(this, milliseconds, [node], commit);
+  function when(this: WatermarkStory, milliseconds: number, node: string, commit: number) {
+    return reportCommits(this, milliseconds, [node], commit);
   },
 );
 
 When(
   '{int} s pass, and {string} reports its commits, the highest at {int}',
-  function when(this: MarkStory, seconds: number, node: string, commit: number) {
-    return tell(this, seconds * 1_000, [node], commit);
+  function when(this: WatermarkStory, seconds: number, node: string, commit: number) {
+    return reportCommits(this, seconds * 1_000, [node], commit);
   },
 );
 
-Then('the watermark is {int}, and covers commits until {int} ms ago', function then(this: MarkStory, position: number, ago: number) {
-  const mark = this.last.marks[service];
-  assert.deepEqual(mark && { number: mark.number, ago: Math.round(mark.ago) }, { number: position, ago });
+Then('the watermark is {int}, and covers commits until {int} ms ago', function then(this: WatermarkStory, position: number, ago: number) {
+  const watermark = this.lastReply.marks[service];
+  assert.deepEqual(watermark && { number: watermark.number, ago: Math.round(watermark.ago) }, { number: position, ago });
 });
 
-// -- The edge's half.
+// -- The edge's side.
 
-const feedAddress = '10.2.0.1:7000';
-const agentLeaseMilliseconds = 50;
+const agentAddress = '10.2.0.1:7000';
+const replyDelayMilliseconds = 50;
 
 function seatOf(index: number): Seat {
   const host = `10.1.0.${index + 1}`;
   return { node: `core-${index + 1}`, role: 'core', area: 'north', address: `${host}:7000`, outward: `${host}:7001`, draining: false };
 }
 
-/** A core that is asked for leases and grants none; what it is asked with is kept. */
-async function startAskedCore(story: MarkStory, index: number, seats: readonly Seat[]): Promise<void> {
+/** A core that reports no epochs, and records the tokens of the requests that it receives. */
+async function startRecordingCore(story: WatermarkStory, index: number, seats: readonly Seat[]): Promise<void> {
   const { runtime } = story.world.spawn(`core-${index + 1}`, `core-machine-${index + 1}`);
   const set = { number: 1, seats: [...seats], epochs: {} };
   const own = seats[index] as Seat;
@@ -143,11 +143,11 @@
         superseded: false,
       }) as never,
     lease: async function lease({ token }) {
-      (story.asked[index] as string[]).push(token);
-      await runtime.clock.sleep(agentLeaseMilliseconds);
-      const untold = { stances: {}, roster: [], edges: {}, demand: {}, marks: {}, wants: false, held: 0 };
+      (story.receivedTokens[index] as string[]).push(token);
+      await runtime.clock.sleep(replyDelayMilliseconds);
+      const nothingReported = { stances: {}, roster: [], edges: {}, demand: {}, marks: {}, wants: false, held: 0 };
       return {
-        ...untold,
+        ...nothingReported,
         ready: true,
         token: `life-${index}`,
         number: 1,
@@ -161,12 +161,12 @@
   });
 }
 
-/** One process of a proxy: it asks its agent once without a token, as one does that knows nothing of it, and then with it. */
-async function askAsProxy(story: MarkStory, name: string): Promise<void> {
+/** Starts a proxy process. Its first request to the agent has no token, like that of any new process; its second has the agent's token. */
+async function runProxyProcess(story: WatermarkStory, name: string): Promise<void> {
   const { runtime } = story.world.spawn(name, 'edge-machine');
-  story.proxy = peer.dial(runtime, identifiers.address(feedAddress));
+  story.proxy = peer.dial(runtime, identifiers.address(agentAddress));
   await story.world.run(100);
-  const untold = {
+  const request = {
     serial: 0,
     seen: 0,
     hold: 0,
@@ -178,40 +178,40 @@
     demand: 0,
     metrics: {},
   };
-  const first = story.proxy.call('placement', { ...untold, token: '' }, 500);
+  const first = story.proxy.call('placement', { ...request, token: '' }, 500);
   await story.world.run(100);
   const reply = await first;
   const token = reply._tag === 'Some' ? reply.value.token : '';
-  const second = story.proxy.call('placement', { ...untold, token }, 500);
+  const second = story.proxy.call('placement', { ...request, token }, 500);
   await story.world.run(100);
   assert.equal((await second)._tag, 'Some');
 }
 
-Given('an agent that requests leases from {int} cores, and feeds a proxy', async function given(this: MarkStory, count: number) {
+Given('an agent that requests leases from {int} cores, and feeds a proxy', async function given(this: WatermarkStory, count: number) {
   this.world = worlds.create(47);
   const seats = Array.from({ length: count }, (_, index) => seatOf(index));
-  this.asked = seats.map(() => []);
-  for (const index of seats.keys()) await startAskedCore(this, index, seats);
+  this.receivedTokens = seats.map(() => []);
+  for (const index of seats.keys()) await startRecordingCore(this, index, seats);
   const { runtime } = this.world.spawn('agent', 'edge-machine');
-  await leaseAgent.start(runtime, { node: 'edge-1', area: 'north', feed: feedAddress, seeds: () => seats.map((seat) => seat.address) });
+  await leaseAgent.start(runtime, { node: 'edge-1', area: 'north', feed: agentAddress, seeds: () => seats.map((seat) => seat.address) });
   await this.world.run(1_000);
-  await askAsProxy(this, 'proxy');
+  await runProxyProcess(this, 'proxy');
 });
 
-When("{int} s pass, and the proxy's process is replaced by another", async function when(this: MarkStory, seconds: number) {
+When("{int} s pass, and the proxy's process is replaced by another", async function when(this: WatermarkStory, seconds: number) {
   await this.world.run(seconds * 1_000);
   this.proxy.close();
-  for (const tokens of this.asked) {
+  for (const tokens of this.receivedTokens) {
     assert.ok(tokens.length > 1 && tokens.slice(1).every((token) => token !== ''), tokens.join(' '));
     tokens.length = 0;
   }
-  await askAsProxy(this, 'next-proxy');
+  await runProxyProcess(this, 'next-proxy');
   await this.world.run(1_000);
 });
 
-Then('each core received a request as from a restarted edge, followed by ordinary requests', function then(this: MarkStory) {
-  for (const tokens of this.asked) {
-    assert.ok(tokens.includes(''), 'no ask says that the edge begins anew');
-    assert.ok(tokens.slice(tokens.lastIndexOf('') + 1).length > 3, 'it begins anew again and again');
+Then('each core received a request as from a restarted edge, followed by ordinary requests', function then(this: WatermarkStory) {
+  for (const tokens of this.receivedTokens) {
+    assert.ok(tokens.includes(''), 'no request was sent as from a restarted edge');
+    assert.ok(tokens.slice(tokens.lastIndexOf('') + 1).length > 3, 'requests are repeatedly sent as from a restarted edge');
   }
 });
--- a/packages/acceptance/src/lease-holder-steps.ts
+++ b/packages/acceptance/src/lease-holder-steps.ts
@@ -1,4 +1,4 @@
-/** Steps of units.feature for a lease holder beside cores that reply as they are told, alone on virtual time. */
+/** Steps of units.feature for a lease holder with stub cores, on virtual time. */
 import assert from 'node:assert/strict';
 import { Given, Then, When } from '@cucumber/cucumber';
 import * as Option from 'fp-ts/lib/Option.js';
@@ -21,7 +21,7 @@
   };
 }
 
-function settledChange(epoch: number): Parameters<Caller['change']>[0] {
+function electedChange(epoch: number): Parameters<Caller['change']>[0] {
   return {
     number: epoch,
     set: 1,
@@ -34,7 +34,7 @@
   };
 }
 
-/** A core's reply to a hello, where all seats are those of the first set. */
+/** A core's reply to a hello, with all seats in the first core set. */
 function helloOf({ node }: Seat, seats: readonly Seat[]): Reply<'hello'> {
   return {
     node,
@@ -49,7 +49,7 @@
   } as Reply<'hello'>;
 }
 
-/** A core's reply to a lease request that nothing is known of but its own token. */
+/** A core's reply to a lease request, without any epoch or member. */
 function leaseReplyOf(index: number): Reply<'lease'> {
   return {
     ready: true,
@@ -75,27 +75,27 @@
   const stub = story.cores[index] as StubCore;
   await peer.listen(runtime, identifiers.address((seats[index] as Seat).address), {
     hello: () => helloOf(seats[index] as Seat, seats),
-    lease: async function lease(ask, caller) {
-      if (!stub.leaseHolders.has(caller)) {
-        stub.leaseHolders.add(caller);
+    lease: async function lease(request, caller) {
+      if (!stub.subscribers.has(caller)) {
+        stub.subscribers.add(caller);
         caller.change({
           number: 1,
           set: 1,
           key: 'configuration',
           entry: { ballot: { counter: 1, node: 'core-1' }, version: 1, value: { sheet: { services: [{ service: 'ferries' }] } } },
         });
-        caller.change(settledChange(stub.settled));
+        caller.change(electedChange(stub.electedEpoch));
       }
-      if (stub.silent) await runtime.clock.sleep(60_000);
-      const reported = stub.reply === undefined ? {} : await stub.reply(ask);
-      if (stub.reply === undefined) await runtime.clock.sleep(stub.delay);
+      if (stub.isSilent) await runtime.clock.sleep(60_000);
+      const reported = stub.reply === undefined ? {} : await stub.reply(request);
+      if (stub.reply === undefined) await runtime.clock.sleep(stub.delayMilliseconds);
       stub.number += 1;
       return {
         ...leaseReplyOf(index),
         ready: stub.ready,
         number: stub.number,
         stances: stub.epoch === undefined ? {} : { ferries: stub.epoch },
-        held: stub.held,
+        held: stub.reportedHoldMilliseconds,
         ...reported,
       };
     },
@@ -127,13 +127,13 @@
   story.world = worlds.create(43);
   story.cores = stubs.map((stub) => ({
     epoch: 5,
-    silent: false,
+    isSilent: false,
     ready: true,
     number: 0,
-    settled: 5,
-    delay: 20,
-    held: 0,
-    leaseHolders: new Set(),
+    electedEpoch: 5,
+    delayMilliseconds: 20,
+    reportedHoldMilliseconds: 0,
+    subscribers: new Set(),
     reply: undefined,
     ...stub,
   }));
@@ -147,14 +147,14 @@
   async function given(this: UnitStory, milliseconds: string) {
     await startEdge(
       this,
-      [0, 1, 2].map(() => ({ delay: Number(milliseconds), held: Number(milliseconds) })),
+      [0, 1, 2].map(() => ({ delayMilliseconds: Number(milliseconds), reportedHoldMilliseconds: Number(milliseconds) })),
     );
   },
 );
 
 Then(/^between ([\d.]+) s and ([\d.]+) s of the lease remain$/, function then(this: UnitStory, least: string, most: string) {
   const left = this.leaseHolder.leaseUntil('ferries') - this.runtime.clock.now();
-  assert.ok(left >= Number(least) * 1_000 && left <= Number(most) * 1_000, `${left} ms are left`);
+  assert.ok(left >= Number(least) * 1_000 && left <= Number(most) * 1_000, `${left} ms remain`);
 });
 
 Given(
@@ -165,17 +165,17 @@
     const ballot = { counter: 1, node: 'core-1' };
     for (const [index, seat] of seats.entries()) {
       const { runtime } = this.world.spawn(`core-${index + 1}`, `core-machine-${index + 1}`);
-      const reported = new Set<Caller>();
+      const notified = new Set<Caller>();
       await peer.listen(runtime, identifiers.address(seat.address), {
         hello: () => helloOf(seat, seats),
-        lease: async function lease(ask, caller) {
-          if (!reported.has(caller)) caller.change({ number: 1, set: 1, key: 'configuration', entry: { ballot, version: 1, value: null } });
-          reported.add(caller);
-          await runtime.clock.sleep(Math.min(ask.hold, 300));
+        lease: async function lease(request, caller) {
+          if (!notified.has(caller)) caller.change({ number: 1, set: 1, key: 'configuration', entry: { ballot, version: 1, value: null } });
+          notified.add(caller);
+          await runtime.clock.sleep(Math.min(request.hold, 300));
           return leaseReplyOf(index);
         },
-        look: (ask) =>
-          ask.set === 1
+        look: (request) =>
+          request.set === 1
             ? {
                 ready: true,
                 agreed: true,
@@ -198,16 +198,16 @@
   return story.leaseHolder.leaseUntil('ferries') > story.runtime.clock.now();
 }
 
-/** `-` is a core that is not ready. */
+/** Stub cores at these epochs; `-` stands for a core that is not ready. */
 function stubsOf(epochs: string): ReadonlyArray<Partial<StubCore>> {
-  return epochs.split(', ').map((one) => (one === '-' ? { ready: false, epoch: 5 } : { epoch: Number(one) }));
+  return epochs.split(', ').map((epoch) => (epoch === '-' ? { ready: false, epoch: 5 } : { epoch: Number(epoch) }));
 }
 
 Given(/^an edge, and cores at epochs ([-\d, ]+) with epoch 5 elected$/, async function given(this: UnitStory, epochs: string) {
   await startEdge(this, stubsOf(epochs));
   await this.world.run(3_000);
-  const settled = this.leaseHolder.electedPrimary('ferries');
-  assert.ok(Option.isSome(settled) && settled.value.epoch === 5);
+  const elected = this.leaseHolder.electedPrimary('ferries');
+  assert.ok(Option.isSome(elected) && elected.value.epoch === 5);
 });
 
 Then(/^the edge has (a|no) lease$/, function then(this: UnitStory, lease: string) {
@@ -217,7 +217,7 @@
 Given(
   'an edge, and cores at epoch 5 that reply after {int} ms, with epoch 5 elected',
   async function given(this: UnitStory, delay: number) {
-    await startEdge(this, [{ delay }, { delay }, { delay }]);
+    await startEdge(this, [{ delayMilliseconds: delay }, { delayMilliseconds: delay }, { delayMilliseconds: delay }]);
   },
 );
 
@@ -228,18 +228,18 @@
 
 Then('at most {float} s of the lease remain', function then(this: UnitStory, seconds: number) {
   const left = this.leaseHolder.leaseUntil('ferries') - this.runtime.clock.now();
-  assert.ok(left <= seconds * 1_000 && left > seconds * 1_000 - 100, `${left} ms are left`);
+  assert.ok(left <= seconds * 1_000 && left > seconds * 1_000 - 100, `${left} ms remain`);
 });
 
 When('the cores stop replying', function when(this: UnitStory) {
   for (const stub of this.cores) {
-    stub.silent = true;
+    stub.isSilent = true;
     stub.reply = () => new Promise(() => undefined);
   }
 });
 
 Then('the lease expires within 2 s and is not renewed', async function then(this: UnitStory) {
-  // What had been asked before may still be replied, and counts from when it was asked.
+  // Replies to earlier requests may still arrive; their leases run from the send time of those requests.
   await this.world.run(2_000);
   for (let round = 0; round < 30; round += 1) {
     assert.equal(hasLease(this), false);
@@ -247,18 +247,18 @@
   }
 });
 
-async function standAt(story: UnitStory, epochs: string): Promise<void> {
+async function setCoreEpochs(story: UnitStory, epochs: string): Promise<void> {
   for (const [index, stub] of stubsOf(epochs).entries()) Object.assign(story.cores[index] as StubCore, stub);
   await story.world.run(1_000);
 }
 
 When(/^the cores are at epochs ([\d, ]+)$/, async function when(this: UnitStory, epochs: string) {
-  await standAt(this, epochs);
+  await setCoreEpochs(this, epochs);
 });
 
 When(/^the cores are at epochs ([\d, ]+) and epoch (\d+) is elected$/, async function when(this: UnitStory, epochs: string, epoch: string) {
-  for (const stub of this.cores) for (const caller of stub.leaseHolders) caller.change(settledChange(Number(epoch)));
-  await standAt(this, epochs);
+  for (const stub of this.cores) for (const caller of stub.subscribers) caller.change(electedChange(Number(epoch)));
+  await setCoreEpochs(this, epochs);
 });
 
 Then('the edge has no lease, and releases epochs below {int}', function then(this: UnitStory, epoch: number) {
@@ -278,16 +278,16 @@
 Given(
   'an edge whose held request at each core is overtaken by a later one that reports {string} as draining',
   async function given(this: UnitStory, member: string) {
-    const held: Array<() => void> = [];
-    this.freed = () => held.forEach((reply) => reply());
+    const heldRequests: Array<() => void> = [];
+    this.releaseHeldRequests = () => heldRequests.forEach((reply) => reply());
     await startEdge(this, [{}, {}, {}]);
     for (const stub of this.cores) {
-      let asks = 0;
-      stub.reply = async function reply(ask) {
-        asks += 1;
-        if (asks === 1) return { number: 1, whole: true, roster: [memberRecord(false)] };
-        if (ask.hold > 0) {
-          await new Promise<void>((resolve) => held.push(resolve));
+      let requests = 0;
+      stub.reply = async function reply(request) {
+        requests += 1;
+        if (requests === 1) return { number: 1, whole: true, roster: [memberRecord(false)] };
+        if (request.hold > 0) {
+          await new Promise<void>((resolve) => heldRequests.push(resolve));
           return { number: 2, roster: [memberRecord(false)] };
         }
         return { number: 3, roster: [memberRecord(true)] };
@@ -298,7 +298,7 @@
       this.leaseHolder.members().map((entry) => [entry.member, entry.draining]),
       [[member, false]],
     );
-    assert.equal(held.length, 3);
+    assert.equal(heldRequests.length, 3);
     this.leaseHolder.reportNow();
     await this.world.run(100);
     assert.deepEqual(
@@ -309,7 +309,7 @@
 );
 
 When('the held requests are answered after that, with {string} serving', async function when(this: UnitStory, _member: string) {
-  this.freed();
+  this.releaseHeldRequests();
   await this.world.run(100);
 });
 
--- a/packages/acceptance/src/planned-change-steps.ts
+++ b/packages/acceptance/src/planned-change-steps.ts
@@ -1,4 +1,4 @@
-/** Steps for planned changes under load: an edge removed, a proxy restarted. */
+/** Steps for planned changes under load: removing an edge, restarting a proxy. */
 import assert from 'node:assert/strict';
 import { Given, When, Then } from '@cucumber/cucumber';
 import { fault } from '@stallstall/kernel';
@@ -13,8 +13,8 @@
 });
 
 Given('all members of {string} but the primary are killed', async function given(this: Story, service: string) {
-  const leads = primary(this, service);
-  for (const slot of this.fleet.members) if (slot.place.service === service && slot !== leads) this.fleet.stopSlot(slot);
+  const leader = primary(this, service);
+  for (const slot of this.fleet.members) if (slot.place.service === service && slot !== leader) this.fleet.stopSlot(slot);
   await this.fleet.world.run(500);
 });
 
@@ -36,10 +36,10 @@
 Then(
   'a write to {string} through {word} is rejected as {string} within {int} ms, with a Retry-After header',
   async function then(this: Story, service: string, edge: string, kind: string, milliseconds: number) {
-    const began = this.fleet.world.now();
+    const startedAt = this.fleet.world.now();
     const reply = await write(this, service, edge);
     within(reply, [kind]);
-    assert.ok(this.fleet.world.now() - began <= milliseconds, `it took ${this.fleet.world.now() - began} ms`);
+    assert.ok(this.fleet.world.now() - startedAt <= milliseconds, `it took ${this.fleet.world.now() - startedAt} ms`);
     assert.equal(reply.headers?.['retry-after'], '1');
   },
 );
@@ -48,12 +48,15 @@
   'another member of {string} leads, and no interval of {int} s passed without a committed write',
   function then(this: Story, service: string, seconds: number) {
     assert.notEqual(primary(this, service).place.member, this.before.member);
-    const kept = this.fleet.ledger.writes
-      .filter((one) => one.service === service && one.fate === 'kept')
-      .map((one) => one.endedAt)
+    const committedAt = this.fleet.ledger.writes
+      .filter((record) => record.service === service && record.fate === 'kept')
+      .map((record) => record.endedAt)
       .sort((left, right) => left - right);
-    const longest = Math.max(...kept.map((at, index) => at - (kept[index - 1] ?? at)), this.fleet.world.now() - (kept.at(-1) ?? 0));
-    assert.ok(longest < seconds * 1_000, `${Math.round(longest)} ms passed`);
+    const longest = Math.max(
+      ...committedAt.map((at, index) => at - (committedAt[index - 1] ?? at)),
+      this.fleet.world.now() - (committedAt.at(-1) ?? 0),
+    );
+    assert.ok(longest < seconds * 1_000, `${Math.round(longest)} ms passed without a committed write`);
   },
 );
 
@@ -80,7 +83,7 @@
   const reasons = [...this.fleet.ledger.reasons.keys()];
   assert.ok(
     ['draining', 'session:draining', 'session-lost', 'unreachable'].some((reason) => reasons.includes(reason)),
-    'the restart met no sender',
+    'the restart affected no client',
   );
   assert.ok(
     !reasons.includes('reply-lost') && !reasons.includes('outcome-unknown') && !reasons.includes('transaction-ended'),
--- a/packages/acceptance/src/unit-story.ts
+++ b/packages/acceptance/src/unit-story.ts
@@ -9,14 +9,14 @@
 
 export type StubCore = {
   epoch: number | undefined;
-  silent: boolean;
+  isSilent: boolean;
   ready: boolean;
   number: number;
-  settled: number;
-  delay: number;
-  held: number;
-  leaseHolders: Set<Caller>;
-  reply: ((ask: Request<'lease'>) => Promise<Partial<Reply<'lease'>>>) | undefined;
+  electedEpoch: number;
+  delayMilliseconds: number;
+  reportedHoldMilliseconds: number;
+  subscribers: Set<Caller>;
+  reply: ((request: Request<'lease'>) => Promise<Partial<Reply<'lease'>>>) | undefined;
 };
 
 export type UnitStory = {
@@ -28,12 +28,12 @@
   versionBefore: number;
   cores: StubCore[];
   leaseHolder: LeaseHolder;
-  freed: () => void;
+  releaseHeldRequests: () => void;
   leaseGrantor: LeaseGrantor;
   epoch: number;
-  openedAt: Instant;
+  servingSince: Instant;
   ready: boolean;
-  replied: Array<Readonly<{ at: number; reply: Reply<'lease'> }>>;
+  replies: Array<Readonly<{ at: number; reply: Reply<'lease'> }>>;
   changedAt: number;
   connections: Connections;
   member: Process;
