--- a/packages/acceptance/features/fleet.feature
+++ b/packages/acceptance/features/fleet.feature
@@ -18,7 +18,7 @@
     Given a fleet of Red Común with its placement configuration applied and its primaries elected
     When a second agent starts as edge-3
     And 3 s pass
-    Then the agent of edge-3 has stopped as "superseded"
+    Then the agent of edge-3 has stopped with fault "superseded"
 
   Scenario: A drained edge fails readiness and takes no new work
     Given a fleet of Red Común with its placement configuration applied and its primaries elected
@@ -35,14 +35,14 @@
 
   Scenario: A retired primary hands over and nothing acknowledged is missing
     Given a fleet of Red Común with its placement configuration applied and its primaries elected
-    When a sender puts "booking" as 5 in "bookings" through edge-1
+    When a client puts "booking" as 5 in "bookings" through edge-1
     And an operator marks the primary of "bookings" draining
     Then within 8 s another member of "bookings" is elected at a later epoch
     And a leader-read of "booking" in "bookings" through edge-2 gives 5
 
   Scenario: Usage is told once for each window, also when an edge is cut off as the window ends
     Given a fleet of Red Común with its placement configuration applied and its primaries elected
-    And its senders are at work
+    And its clients are running
     And a platform that takes usage but loses its replies
     When edge-1 is cut off from the cores 2 s before a window ends, for 6 s
     And 12 s pass
--- a/packages/acceptance/features/guarantees.feature
+++ b/packages/acceptance/features/guarantees.feature
@@ -9,22 +9,22 @@
 
   Scenario: A platform that takes three seconds for every call still gets its promotion and its usage
     Given a fleet of Red Común with its placement configuration applied and its primaries elected
-    And its senders are at work
+    And its clients are running
     And a platform that takes 3000 ms for every call
     When the primary of "bookings" is killed while a replica holds all of its log
     And 30 s pass
     Then another member of "bookings" is settled as its primary
     And every window that ended in the last 20 s but the latest 10 s was told in time
-    And the platform was called in order, no turn shared
+    And the platform was called in order of fencing tokens, and no two elections shared a token
 
   Scenario: An acknowledged write outlives its edge and its primary, though replication waits for nobody
     Given a fleet of Red Común with its placement configuration applied and its primaries elected
-    And replicas of "bookings" that stopped receiving, with a primary that waits for nobody
-    When a sender puts "lone" as 3 in "bookings" through edge-1
+    And replicas of "bookings" that no longer receive its log, and a primary that waits for no replica
+    When a client puts "lone" as 3 in "bookings" through edge-1
     And every core, the edge edge-1 and the primary of "bookings" are killed in that moment, and all but the primary return
     And 15 s pass
     Then a write to "bookings" through edge-2 is denied as "read-only" or "no-target"
-    When the primary of "bookings" comes back
+    When the primary of "bookings" restarts
     Then within 14 s a leader-read of "lone" in "bookings" through edge-3 gives 3
 
   Scenario: Every version sent reads back, through each core, also by its number long after
@@ -64,8 +64,8 @@
 
   Scenario: What only a lost primary has is given up by an operator's word, and by nothing else
     Given a fleet of Red Común with its placement configuration applied and its primaries elected
-    And replicas of "bookings" that stopped receiving, with a primary that waits for nobody
-    When a sender puts "lone" as 3 in "bookings" through edge-1
+    And replicas of "bookings" that no longer receive its log, and a primary that waits for no replica
+    When a client puts "lone" as 3 in "bookings" through edge-1
     Then an operator may not accept the loss of "bookings" while its primary is alive
     When the primary of "bookings" is killed
     And 20 s pass
@@ -77,7 +77,7 @@
 
   Scenario: What one sender was served is in the usage, though its edge is killed as the reply arrives
     Given a fleet of Red Común with its placement configuration applied and its primaries elected
-    When a sender puts "last" as 1 in "bookings" through edge-1
+    When a client puts "last" as 1 in "bookings" through edge-1
     And agent and proxy of edge-1 are killed in that moment
     And 12 s pass
     Then the window of that moment was told with 1 statement of "bookings"
--- a/packages/acceptance/features/path.feature
+++ b/packages/acceptance/features/path.feature
@@ -4,7 +4,7 @@
   Scenario: A fleet forms from three seeds and serves every kind of statement
     Given a fleet of Red Común with its placement configuration applied and its primaries elected
     Then the membership table names 3 cores and 6 edges
-    When a sender puts "seat" as 7 in "bookings" through edge-1
+    When a client puts "seat" as 7 in "bookings" through edge-1
     Then a leader-read of "seat" in "bookings" through edge-4 gives 7
     And after 2 s a bounded-read of "seat" in "bookings" through edge-2 gives 7
 
@@ -16,11 +16,11 @@
 
   Scenario: A killed primary is replaced and nothing acknowledged is missing
     Given a fleet of Red Común with its placement configuration applied and its primaries elected
-    When a sender puts "booking" as 41 in "bookings" through edge-1
+    When a client puts "booking" as 41 in "bookings" through edge-1
     And the primary of "bookings" is killed
     Then within 12 s another member of "bookings" is elected at a later epoch
     And a leader-read of "booking" in "bookings" through edge-5 gives 41
-    When a sender puts "booking" as 42 in "bookings" through edge-6
+    When a client puts "booking" as 42 in "bookings" through edge-6
     Then a leader-read of "booking" in "bookings" through edge-1 gives 42
 
   Scenario: Both deployments' loads are served within the members' limits
--- a/packages/acceptance/features/product.feature
+++ b/packages/acceptance/features/product.feature
@@ -21,13 +21,13 @@
 
   Scenario: A fleet is upgraded one process at a time, and taken back, without a request being dropped
     Given a fleet of Brightpath with its placement configuration applied and its primaries elected
-    And its senders are at work
+    And its clients are running
     When every process in turn is ended as planned and started as a version that speaks protocols 2 to 3
     Then every node is heard and speaks protocol 3 with the others
     When every process in turn is ended as planned and started as a version that speaks protocols 2 to 2
     Then every node is heard and speaks protocol 2 with the others
     And no write ended otherwise than served or turned away
-    And the ledger is clean
+    And the ledger of client statements passes all checks
 
   Scenario: A node that is too new is denied, with the remedy in its log, and harms nobody
     Given a fleet of Red Común with its placement configuration applied and its primaries elected
@@ -48,7 +48,7 @@
 
   Scenario: What agents and proxies count is told over the whole fleet
     Given a fleet of Red Común with its placement configuration applied and its primaries elected
-    And its senders are at work
+    And its clients are running
     Then every agent tells its own counts and those of its proxy
     And every agent's health page is sound
     When edge-1 is cut off from the other nodes
--- a/packages/acceptance/src/administration.ts
+++ b/packages/acceptance/src/administration.ts
@@ -136,7 +136,7 @@
 );
 
 When(
-  'the agent of {word} is ended as planned and started again {int} ms later',
+  'the agent of {word} is stopped gracefully and started again {int} ms later',
   async function when(this: Story, edge: string, milliseconds: number) {
     const slot = edgeOf(this, edge);
     void slot.agent.running?.stop();
@@ -238,7 +238,7 @@
   },
 );
 
-When('the platform loses its replies for {int} s from the first promotion on', async function when(this: Story, seconds: number) {
+When("the platform's replies are lost for {int} s from the first promotion on", async function when(this: Story, seconds: number) {
   const before = this.fleet.platformStore.promotions.length;
   this.fleet.platform().knobs.losesReplies = true;
   assert.ok(await this.fleet.until(() => this.fleet.platformStore.promotions.length > before, 12_000), 'no promotion was called');
@@ -252,7 +252,7 @@
 });
 
 Given(
-  'replicas of {string} that stopped receiving, with a primary that waits for nobody',
+  'replicas of {string} that no longer receive its log, and a primary that waits for no replica',
   async function given(this: Story, service: string) {
     this.fleet = await bringUp('Red Común', { synchronous: 0 });
     const leads = primary(this, service);
@@ -261,23 +261,23 @@
   },
 );
 
-When('the primary of {string} comes back', async function when(this: Story, service: string) {
+When('the primary of {string} restarts', async function when(this: Story, service: string) {
   await this.fleet.startMember(primary(this, service));
 });
 
-Then('the platform was called in order, no turn shared', function then(this: Story) {
+Then('the platform was called in order of fencing tokens, and no two elections shared a token', function then(this: Story) {
   assert.deepEqual(checks.promotions(this.fleet.platformStore), []);
 });
 
 Then(
-  'another member of {string} was settled within {int} s of the first promotion',
+  'another member of {string} was elected within {int} s of the first promotion',
   function then(this: Story, service: string, seconds: number) {
     assert.ok(this.window < seconds * 1_000, `it took ${this.window} ms`);
     assert.notEqual(primary(this, service).place.member, this.before.member);
   },
 );
 
-Then('all calls for it were under one turn', function then(this: Story) {
+Then('all promotion calls of that election used one fencing token', function then(this: Story) {
   const epochs = this.fleet.platformStore.promotions.filter((call) => call.epoch > this.before.epoch && call.service === 'bookings');
   assert.ok(epochs.length > 0, 'it was never called');
   assert.equal(new Set(epochs.map((call) => call.turn)).size, 1);
--- a/packages/acceptance/src/fleet-steps.ts
+++ b/packages/acceptance/src/fleet-steps.ts
@@ -47,7 +47,7 @@
 );
 
 When(
-  'a sender puts {string} as {int} in {string} through {word}',
+  'a client puts {string} as {int} in {string} through {word}',
   async function when(this: Story, name: string, value: number, service: string, edge: string) {
     const reply = await this.fleet.ask(edgeOf(this, edge), 'POST', `/v1/services/${service}/statements`, {
       kind: 'write',
--- a/packages/acceptance/src/planned-change-steps.ts
+++ b/packages/acceptance/src/planned-change-steps.ts
@@ -7,7 +7,7 @@
 import { write } from './fleet-steps.js';
 import { type Story, primary, edgeOf, within } from './story.js';
 
-Given('its senders are at work', async function given(this: Story) {
+Given('its clients are running', async function given(this: Story) {
   this.clients = this.fleet.startClients();
   await this.fleet.world.run(3_000);
 });
@@ -25,7 +25,7 @@
   assert.equal((await this.fleet.operate('DELETE', `/v1/nodes/${edge}`)).status, 200);
 });
 
-When('the proxy of {word} is ended as planned and started again', function when(this: Story, edge: string) {
+When('the proxy of {word} is stopped gracefully and started again', function when(this: Story, edge: string) {
   const slot = edgeOf(this, edge);
   void slot.proxy.running?.drain().then(() => {
     this.fleet.stopSlot(slot.proxy);
@@ -34,7 +34,7 @@
 });
 
 Then(
-  'a write to {string} through {word} is denied as {string} within {int} ms and says when to retry',
+  'a write to {string} through {word} is denied as {string} within {int} ms with a Retry-After header',
   async function then(this: Story, service: string, edge: string, kind: string, milliseconds: number) {
     const began = this.fleet.world.now();
     const reply = await write(this, service, edge);
@@ -45,7 +45,7 @@
 );
 
 Then(
-  'another member of {string} leads, and no stretch of {int} s passed without a write kept',
+  'another member of {string} is primary, and no {int} s passed without a committed write',
   function then(this: Story, service: string, seconds: number) {
     assert.notEqual(primary(this, service).place.member, this.before.member);
     const kept = this.fleet.ledger.writes
@@ -57,7 +57,7 @@
   },
 );
 
-Then('the ledger is clean', async function then(this: Story) {
+Then('the ledger of client statements passes all checks', async function then(this: Story) {
   this.clients.stop();
   await this.fleet.world.run(4_000);
   assert.deepEqual(
@@ -70,7 +70,7 @@
   );
 });
 
-Then('the agent of {word} has stopped as {string}', function then(this: Story, _edge: string, kind: string) {
+Then('the agent of {word} has stopped with fault {string}', function then(this: Story, _edge: string, kind: string) {
   assert.equal(this.process?.alive(), false);
   const reason = this.process?.stoppedBy() ?? Option.none;
   assert.ok(Option.isSome(reason) && fault.kind(reason.value) === kind);
