--- a/packages/acceptance/features/leaving.feature
+++ b/packages/acceptance/features/leaving.feature
@@ -16,7 +16,7 @@
 
   Scenario: A draining primary that no member can replace gets no new writes after seven seconds
     Given a fleet of Red Común with its placement configuration applied and its primaries elected
-    And every other member of "bookings" is killed
+    And all members of "bookings" but the primary are killed
     When an operator marks the primary of "bookings" draining
     And 7 s pass
     Then a write to "bookings" through edge-1 is denied as "read-only"
