--- a/packages/acceptance/src/administration.ts
+++ b/packages/acceptance/src/administration.ts
@@ -136,7 +136,7 @@
 );
 
 When(
-  'the agent of {word} is stopped gracefully and started again {int} ms later',
+  'the agent of {word} is shut down gracefully and started again {int} ms later',
   async function when(this: Story, edge: string, milliseconds: number) {
     const slot = edgeOf(this, edge);
     void slot.agent.running?.stop();
