--- a/packages/acceptance/src/orders.ts
+++ b/packages/acceptance/src/orders.ts
@@ -173,12 +173,12 @@
 
 Then('the newest numbers are known, and the oldest are forgotten for any text', async function then(this: OrderStory) {
   for (let number = this.claimed - 1_000; number < this.claimed; number += 1) {
-    assert.deepEqual(await this.ledger.claimVersion(number, `text ${number}`, 1_000), Either.right('own'));
-    assert.deepEqual(await this.ledger.claimVersion(number, 'another text', 1_000), Either.right('other'));
+    assert.deepEqual(await this.ledger.claimVersion(number, `text ${number}`, 1_000), Either.right('same'));
+    assert.deepEqual(await this.ledger.claimVersion(number, 'another text', 1_000), Either.right('different'));
   }
   for (let number = 0; number < 1_000; number += 1) {
-    assert.deepEqual(await this.ledger.claimVersion(number, `text ${number}`, 1_000), Either.right('forgotten'));
-    assert.deepEqual(await this.ledger.claimVersion(number, 'another text', 1_000), Either.right('forgotten'));
+    assert.deepEqual(await this.ledger.claimVersion(number, `text ${number}`, 1_000), Either.right('expired'));
+    assert.deepEqual(await this.ledger.claimVersion(number, 'another text', 1_000), Either.right('expired'));
   }
 });
 
--- a/packages/core/src/administration/administration-context.ts
+++ b/packages/core/src/administration/administration-context.ts
@@ -1,4 +1,4 @@
-/** What the routes of the administration API share. */
+/** Dependencies and shared state of the administration API's routes. */
 import type * as Either from 'fp-ts/lib/Either.js';
 import type * as Option from 'fp-ts/lib/Option.js';
 import type { Election, Liveness } from '@stallstall/election';
@@ -13,24 +13,24 @@
 import type { UsageReporting } from '../usage-reporting.js';
 import type { VersionStore } from '../version-store.js';
 
-/** What the administration needs of the core it runs in. */
+/** What the administration API needs from the core that serves it. */
 export type AdministrationParts = Readonly<{
   node: Node;
   usage: UsageReporting;
-  /** The key that may do everything; undefined lets everybody in. */
+  /** The key with every permission; when undefined, requests need no key. */
   rootKey: string | undefined;
   /** Whether this core answers ballots. */
   ready: () => boolean;
   diskBytes: () => number;
-  /** Why this core's disk does not sync now; none while it does. */
+  /** The error of this core's disk while writes to it fail to sync; none otherwise. */
   diskFault: () => Option.Option<Fault>;
   versions: VersionStore;
-  /** The version that this core's disk holds under a key; 0 when it holds none. */
+  /** The version of the entry under a key on this core's own disk; 0 if there is none. */
   versionOf: (key: string) => number;
-  /** What this core's own disk holds, chosen or not. */
+  /** The entry that this core has accepted under a key, whether or not it has been chosen. */
   accepted: (key: string) => Option.Option<Entry>;
   changeMembership: (next: MembershipChange) => Promise<Either.Either<Fault, Membership>>;
-  /** The configuration version that each node with a link to this core has applied. */
+  /** The configuration version applied by each node that has a link to this core. */
   appliedVersions: () => ReadonlyMap<string, number>;
   metrics: () => Readonly<Record<string, number>>;
 }>;
--- a/packages/core/src/administration/administration.ts
+++ b/packages/core/src/administration/administration.ts
@@ -1,4 +1,4 @@
-/** The administration API: routes for operators of many teams, on every core (design 9.2, 9.4). */
+/** The administration API, which every core serves to operators (design 9.2, 9.4). */
 import type * as Either from 'fp-ts/lib/Either.js';
 import { electionService, livenessService } from '@stallstall/election';
 import type { Fault, HttpRoute, Runtime } from '@stallstall/kernel';
@@ -15,9 +15,9 @@
 
 export type Administration = Readonly<{
   routes: readonly HttpRoute[];
-  /** Takes a configuration under its sender's own version. */
+  /** Stores a configuration under a version number assigned by an external platform. */
   replaceExternal: ConfigurationUpdates['replaceExternal'];
-  /** The newest configuration as its sender wrote it. */
+  /** The text of the current configuration, exactly as its client submitted it. */
   readSource: () => Promise<Either.Either<Fault, string>>;
 }>;
 
@@ -46,7 +46,7 @@
       ...placementRoutes.create(context),
     ],
     replaceExternal: updates.replaceExternal,
-    readSource: () => placementRoutes.source(context),
+    readSource: () => placementRoutes.readSource(context),
   };
 }
 
--- a/packages/core/src/administration/authorization.ts
+++ b/packages/core/src/administration/authorization.ts
@@ -1,9 +1,12 @@
-/** Which operator may call which route (design 9.4). */
+/** Authorization of operators, per route (design 9.4). */
 import * as Either from 'fp-ts/lib/Either.js';
 import { http, type HttpReply, type HttpRequest, type HttpRoute } from '@stallstall/kernel';
 import { operators, type Caller, type OperatorTable, type Scope } from '../operators.js';
 
-/** What a caller must be allowed. What a configuration changes is checked where it is taken, so `placement` lets every operator in. */
+/**
+ * The permission that a route requires. `placement` admits every operator: which services an operator may change is checked when the
+ * configuration is stored.
+ */
 export type Permission = 'read' | 'placement' | 'nodes' | 'operators';
 
 export type AuthorizedHandler = (request: HttpRequest, caller: Caller) => Promise<HttpReply>;
@@ -14,12 +17,13 @@
   return true;
 }
 
-/** A handler that only callers with a permission reach. */
+/** Wraps a handler so that only callers with the permission reach it. */
 export function authorized(table: OperatorTable, permission: Permission, handle: AuthorizedHandler): HttpRoute['handle'] {
   return async function handleAuthorized(request) {
     const caller = await table.authenticate(request);
     if (Either.isLeft(caller)) return http.rejected(caller.left);
-    if (!isAllowed(caller.right.scope, permission)) return http.rejected(operators.rejected(`${caller.right.operator} may not do this`));
+    if (!isAllowed(caller.right.scope, permission))
+      return http.rejected(operators.rejected(`${caller.right.operator} is not allowed to do this`));
     return handle(request, caller.right);
   };
 }
--- a/packages/core/src/administration/election-routes.ts
+++ b/packages/core/src/administration/election-routes.ts
@@ -1,4 +1,4 @@
-/** Routes for elections: their state, and an operator's consent to a loss (design 7.5, 7.11). */
+/** Routes for elections: their state, and an operator's consent to losing commits (design 7.5, 7.11). */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { acceptedLossKey } from '@stallstall/election';
@@ -10,54 +10,59 @@
 import { authorized } from './authorization.js';
 import { pageOf } from './pagination.js';
 
-const nothingAcknowledged: DurableWatermark = { epoch: 0, position: 0 };
+const zeroWatermark: DurableWatermark = { epoch: 0, position: 0 };
 
-function textOf({ epoch, position }: DurableWatermark): string {
+function formatWatermark({ epoch, position }: DurableWatermark): string {
   return `${epoch}/${position}`;
 }
 
-/** Each service with its durable watermark: what any candidate must hold. */
+/** The election state of each service, with its durable watermark: the position that a candidate must have reached. */
 async function electionRows({ durableReports, elections }: AdministrationContext): Promise<Either.Either<Fault, readonly unknown[]>> {
   const watermarks = await durableReports.watermarks();
   if (Either.isLeft(watermarks)) return watermarks;
   const rows = elections.describe().map(function withWatermark(row) {
-    const watermark = watermarks.right[String(row['service'])] ?? nothingAcknowledged;
-    return { ...row, floor: textOf(watermark) };
+    const watermark = watermarks.right[String(row['service'])] ?? zeroWatermark;
+    return { ...row, floor: formatWatermark(watermark) };
   });
   return Either.right(rows);
 }
 
-/** Why a loss may not be accepted for a service now; none where it may. */
-function rejectionOf({ node, liveness: members }: AdministrationContext, service: string, caller: Caller): Option.Option<Fault> {
+/** Why the loss of a service's commits may not be accepted now; none if it may. */
+function rejectionOf({ node, liveness }: AdministrationContext, service: string, caller: Caller): Option.Option<Fault> {
   const configuration = node.configuration();
   if (Option.isNone(configuration) || placements.findService(configuration.value.value.sheet, service) === undefined) {
     return Option.some(
-      fault.create({ kind: 'not-found', message: `no sheet names a service ${service}`, remedy: 'see stallstall elections' }),
+      fault.create({
+        kind: 'not-found',
+        message: `the configuration has no service ${service}`,
+        remedy: 'list the services with stallstall elections',
+      }),
     );
   }
-  if (!operators.covers(caller.scope, service)) return Option.some(operators.rejected(`${caller.operator} may not change ${service}`));
+  if (!operators.covers(caller.scope, service))
+    return Option.some(operators.rejected(`${caller.operator} is not allowed to change ${service}`));
   const elected = node.electedPrimary(service);
-  if (Option.isNone(elected) || !members.isAlive(elected.value.primary)) return Option.none;
+  if (Option.isNone(elected) || !liveness.isAlive(elected.value.primary)) return Option.none;
   return Option.some(
     fault.create({
       kind: 'unsafe-step',
-      message: `${elected.value.primary} leads ${service} and is alive: nothing needs to be lost`,
-      remedy: 'leave it, or retire that member',
+      message: `${elected.value.primary} is the primary of ${service} and is alive, so no commits need to be given up`,
+      remedy: 'keep this primary, or retire that member first',
     }),
   );
 }
 
-/** An operator consents that commits up to the watermark of this moment may be lost, if their primary never comes back. */
+/** Records that the operator accepts losing the commits up to the current durable watermark if their primary never returns. */
 async function acceptLoss(context: AdministrationContext, request: HttpRequest, caller: Caller): Promise<HttpReply> {
   const service = request.query['service'] ?? '';
   const rejection = rejectionOf(context, service, caller);
   if (Option.isSome(rejection)) return http.rejected(rejection.value);
   const watermarks = await context.durableReports.watermarks();
   if (Either.isLeft(watermarks)) return http.rejected(watermarks.left);
-  const watermark = watermarks.right[service] ?? nothingAcknowledged;
+  const watermark = watermarks.right[service] ?? zeroWatermark;
   const written = await context.register.change(acceptedLossKey(service), () => Option.some(watermark));
   if (Either.isLeft(written)) return http.rejected(written.left);
-  await context.operators.recordAction(caller.operator, 'accept-loss', `${service} up to ${textOf(watermark)}`);
+  await context.operators.recordAction(caller.operator, 'accept-loss', `${service} up to ${formatWatermark(watermark)}`);
   return { status: 200, body: { service, floor: watermark } };
 }
 
--- a/packages/core/src/administration/fleet-view.ts
+++ b/packages/core/src/administration/fleet-view.ts
@@ -1,4 +1,4 @@
-/** What this core sees of the fleet's nodes and members, as operators are shown it (design 9.2). */
+/** The state of the fleet's nodes and members as this core sees it, for the administration API (design 9.2). */
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Seat } from '@stallstall/message';
 import type { Peer } from '@stallstall/peer';
@@ -9,15 +9,17 @@
 
 type Row = Readonly<Record<string, unknown>>;
 
-/** Shown for what is not known. */
-const unknown = -1;
+/** Reported in place of a number that is not known. */
+const unknownValue = -1;
 
-/** The nodes heard within a term, this one among them. */
+/** The nodes whose last heartbeat is less than a lease term old, and this node itself. */
 function reachableNodes({ runtime, node }: AdministrationContext): readonly string[] {
   const names = node.membership().value.seats.map((seat) => seat.node);
   return names.filter(function isReachable(name) {
-    const heardAt = node.lastHeartbeatAt(name);
-    return name === node.settings.node || (Option.isSome(heardAt) && runtime.clock.now() - heardAt.value < leaseTermMilliseconds);
+    const lastHeartbeatAt = node.lastHeartbeatAt(name);
+    return (
+      name === node.settings.node || (Option.isSome(lastHeartbeatAt) && runtime.clock.now() - lastHeartbeatAt.value < leaseTermMilliseconds)
+    );
   });
 }
 
@@ -32,9 +34,9 @@
 
 function nodeRow(context: AdministrationContext, seat: Seat, appliedVersions: ReadonlyMap<string, number>): Row {
   const { runtime, node } = context;
-  const isOwn = seat.node === node.settings.node;
-  const heardAt = node.lastHeartbeatAt(seat.node);
-  const heardMilliseconds = Option.isSome(heardAt) ? Math.round(runtime.clock.now() - heardAt.value) : unknown;
+  const isThisNode = seat.node === node.settings.node;
+  const lastHeartbeatAt = node.lastHeartbeatAt(seat.node);
+  const heardMilliseconds = Option.isSome(lastHeartbeatAt) ? Math.round(runtime.clock.now() - lastHeartbeatAt.value) : unknownValue;
   return {
     node: seat.node,
     role: seat.role,
@@ -42,9 +44,9 @@
     address: seat.address,
     outward: seat.outward,
     draining: seat.draining,
-    heardMilliseconds: isOwn ? 0 : heardMilliseconds,
-    protocol: isOwn ? runtime.protocols.to : protocolOf(context, seat.node),
-    obeys: isOwn ? appliedVersion(context) : (appliedVersions.get(seat.node) ?? unknown),
+    heardMilliseconds: isThisNode ? 0 : heardMilliseconds,
+    protocol: isThisNode ? runtime.protocols.to : protocolOf(context, seat.node),
+    obeys: isThisNode ? appliedVersion(context) : (appliedVersions.get(seat.node) ?? unknownValue),
   };
 }
 
@@ -54,7 +56,7 @@
   const membership = node.membership();
   const { seats } = membership.value;
   const appliedVersions = parts.appliedVersions();
-  const heard = reachableNodes(context).length;
+  const reachable = reachableNodes(context).length;
   return {
     core: node.settings.node,
     fleet: node.fleet(),
@@ -63,24 +65,24 @@
     membership: membership.version,
     size: seats.length,
     quorum: quorum.majority(seats.length),
-    heard,
-    spare: heard - quorum.majority(seats.length),
+    heard: reachable,
+    spare: reachable - quorum.majority(seats.length),
     nodes: seats.map((seat) => nodeRow(context, seat, appliedVersions)),
   };
 }
 
-function memberRow({ runtime, node, liveness: members }: AdministrationContext, service: string, member: MemberPlacement): Row {
+function memberRow({ runtime, node, liveness }: AdministrationContext, service: string, member: MemberPlacement): Row {
   const elected = node.electedPrimary(service);
-  const state = members.latestState(member.member);
-  const heardAt = members.lastHeartbeatAt(member.member);
+  const state = liveness.latestState(member.member);
+  const lastHeartbeatAt = liveness.lastHeartbeatAt(member.member);
   return {
     service,
     member: member.member,
     area: member.area,
     address: member.address,
     state: member.state,
-    alive: members.isAlive(member.member),
-    heardMilliseconds: Option.isSome(heardAt) ? Math.round(runtime.clock.now() - heardAt.value) : unknown,
+    alive: liveness.isAlive(member.member),
+    heardMilliseconds: Option.isSome(lastHeartbeatAt) ? Math.round(runtime.clock.now() - lastHeartbeatAt.value) : unknownValue,
     leads: Option.isSome(elected) && elected.value.primary === member.member,
     epoch: Option.isSome(state) ? state.value.epoch : 0,
     received: Option.isSome(state) ? state.value.received : 0,
--- a/packages/core/src/administration/health-checks.ts
+++ b/packages/core/src/administration/health-checks.ts
@@ -1,4 +1,4 @@
-/** The checks of a core's health, each with its remedy (design 9.5). */
+/** Health checks of a core, each with a remedy for the operator (design 9.5). */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { quorum } from '@stallstall/quorum';
@@ -6,12 +6,12 @@
 import type { AdministrationContext } from './administration-context.js';
 import { fleetView } from './fleet-view.js';
 
-/** `sound` is false where an operator should act. The field names are those of the administration API. @internal */
+/** `sound` is false if an operator should act. The field names are part of the administration API. @internal */
 export type HealthCheck = Readonly<{ check: string; sound: boolean; detail: string; remedy: string }>;
 
-/** Health speaks up before a core's disk is full. Unit: bytes. */
-const diskBytesMost = 128 * 1024 * 1024;
-/** A usage window that was not sent so long after its end is late. Unit: milliseconds. */
+/** Size of a core's data from which the health check fails, so that operators can act before the disk is full. Unit: bytes. */
+const diskWarningBytes = 128 * 1024 * 1024;
+/** A usage window that has not been sent this long after its end counts as late. Unit: milliseconds. */
 const usageLateMilliseconds = 10_000;
 
 function megabytes(bytes: number): number {
@@ -20,25 +20,25 @@
 
 function checkCores(context: AdministrationContext): HealthCheck {
   const cores = context.node.cores();
-  const reachable = fleetView.reachableNodes(context);
-  const heard = cores.filter((core) => reachable.includes(core.node)).length;
+  const reachableNodes = fleetView.reachableNodes(context);
+  const reachableCores = cores.filter((core) => reachableNodes.includes(core.node)).length;
   return {
     check: 'cores',
-    sound: heard >= quorum.majority(cores.length),
-    detail: `${heard} of ${cores.length} heard`,
-    remedy: 'bring a core back',
+    sound: reachableCores >= quorum.majority(cores.length),
+    detail: `${reachableCores} of ${cores.length} heard`,
+    remedy: 'restart the cores that are down, or restore their network connections',
   };
 }
 
 function checkNodes(context: AdministrationContext): HealthCheck {
   const total = context.node.membership().value.seats.length;
-  const heard = fleetView.reachableNodes(context).length;
+  const reachable = fleetView.reachableNodes(context).length;
   const needed = quorum.majority(total);
   return {
     check: 'nodes',
-    sound: heard >= needed,
-    detail: `${heard} of ${total} heard, ${needed} needed`,
-    remedy: 'bring nodes back',
+    sound: reachable >= needed,
+    detail: `${reachable} of ${total} heard, ${needed} needed`,
+    remedy: 'restart the nodes that are down, or restore their network connections',
   };
 }
 
@@ -51,23 +51,23 @@
   return {
     check: 'configuration',
     sound: behind.length === 0,
-    detail: behind.length === 0 ? `all obey ${version}` : `behind ${version}: ${behind.join(' ')}`,
-    remedy: 'see whether these nodes reach a majority of cores',
+    detail: behind.length === 0 ? `all nodes have applied version ${version}` : `nodes behind version ${version}: ${behind.join(' ')}`,
+    remedy: 'check whether these nodes can reach a majority of cores',
   };
 }
 
-function checkLeaders({ node, liveness: members }: AdministrationContext): HealthCheck {
+function checkLeaders({ node, liveness }: AdministrationContext): HealthCheck {
   const configuration = node.configuration();
   const services = Option.isSome(configuration) ? configuration.value.value.sheet.services.map((service) => service.service) : [];
   const leaderless = services.filter(function hasNoLeader(service) {
     const elected = node.electedPrimary(service);
-    return Option.isNone(elected) || !members.isAlive(elected.value.primary);
+    return Option.isNone(elected) || !liveness.isAlive(elected.value.primary);
   });
   return {
     check: 'leaders',
     sound: leaderless.length === 0,
-    detail: leaderless.length === 0 ? 'each service has one' : `none alive: ${leaderless.join(' ')}`,
-    remedy: 'see stallstall elections and members',
+    detail: leaderless.length === 0 ? 'every service has a live leader' : `services without a live leader: ${leaderless.join(' ')}`,
+    remedy: 'see stallstall elections and stallstall members',
   };
 }
 
@@ -79,27 +79,27 @@
   return {
     check: 'usage',
     sound: late.length === 0,
-    detail: late.length === 0 ? 'sent in time' : `late windows: ${late.join(' ')}`,
-    remedy: 'see whether the platform answers',
+    detail: late.length === 0 ? 'all windows were sent in time' : `late windows: ${late.join(' ')}`,
+    remedy: 'check whether the platform replies',
   };
 }
 
 function checkDiskSyncs({ parts }: AdministrationContext): HealthCheck {
-  const trouble = parts.diskFault();
+  const diskFault = parts.diskFault();
   return {
     check: 'disk-syncs',
-    sound: Option.isNone(trouble),
-    detail: Option.isSome(trouble) ? trouble.value.message : 'what is put on the disk is synced',
-    remedy: 'make room, or mend the disk: this core answers no ballot until then, and goes on by itself after it',
+    sound: Option.isNone(diskFault),
+    detail: Option.isSome(diskFault) ? diskFault.value.message : 'writes to the disk are synced',
+    remedy: 'free disk space or repair the disk; this core answers no ballots until then and resumes without a restart',
   };
 }
 
 function checkDiskSpace({ parts }: AdministrationContext): HealthCheck {
   return {
     check: 'disk',
-    sound: parts.diskBytes() < diskBytesMost,
-    detail: `${megabytes(parts.diskBytes())} MB of ${megabytes(diskBytesMost)} MB`,
-    remedy: 'start this core with an empty folder, so that it copies the others',
+    sound: parts.diskBytes() < diskWarningBytes,
+    detail: `${megabytes(parts.diskBytes())} MB of ${megabytes(diskWarningBytes)} MB`,
+    remedy: 'restart this core with an empty data folder; it copies its data from the other cores',
   };
 }
 
--- a/packages/core/src/administration/health-routes.ts
+++ b/packages/core/src/administration/health-routes.ts
@@ -1,4 +1,4 @@
-/** Routes that tell of this core's own state, also to whoever has no key: readiness, health, metrics, usage (design 9.5). */
+/** Routes for the state of this core: readiness, health, metrics and usage. All but usage need no key (design 9.5). */
 import * as Either from 'fp-ts/lib/Either.js';
 import { http, type HttpReply, type HttpRequest, type HttpRoute } from '@stallstall/kernel';
 import type { AdministrationContext } from './administration-context.js';
@@ -11,7 +11,7 @@
   return { status: ready ? 200 : 503, body: { node: node.settings.node, ready } };
 }
 
-/** 503 when one of the checks fails. */
+/** Replies with status 503 if a check fails. */
 async function health(context: AdministrationContext): Promise<HttpReply> {
   const checks = await healthChecks.run(context);
   const isHealthy = checks.every((check) => check.sound);
--- a/packages/core/src/administration/node-routes.ts
+++ b/packages/core/src/administration/node-routes.ts
@@ -1,4 +1,4 @@
-/** Routes for nodes: the fleet's state, its members, draining and removing an edge (design 9.2). */
+/** Routes for nodes: the state of the fleet, its members, and draining and removing edges (design 9.2). */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { fault, http, type Fault, type HttpReply, type HttpRequest, type HttpRoute } from '@stallstall/kernel';
@@ -10,29 +10,29 @@
 import { fleetView } from './fleet-view.js';
 import { pageOf } from './pagination.js';
 
-/** An edge heard within this span still runs. Unit: milliseconds. */
-const runningMilliseconds = 5_000;
+/** An edge whose last heartbeat is younger than this counts as running. Unit: milliseconds. */
+const recentHeartbeatMilliseconds = 5_000;
 
 function unsafeStep(reason: string, remedy: string): Fault {
   return fault.create({ kind: 'unsafe-step', message: reason, remedy });
 }
 
-/** The edge that a request names; left where the membership table has none of that name. */
-function edgeOf({ node }: AdministrationContext, name: string): Either.Either<Fault, Seat> {
+/** Finds an edge in the membership table. Errors: `not-found`. */
+function findEdge({ node }: AdministrationContext, name: string): Either.Either<Fault, Seat> {
   const seat = quorum.seat(node.membership().value, name);
   if (seat !== undefined && seat.role === 'edge') return Either.right(seat);
   return Either.left(
     fault.create({
       kind: 'not-found',
-      message: `the membership table names no edge ${name}`,
-      remedy: 'see stallstall status for the names',
+      message: `the membership table has no edge ${name}`,
+      remedy: 'list the nodes with stallstall status',
     }),
   );
 }
 
 async function setDraining(context: AdministrationContext, request: HttpRequest, caller: Caller, draining: boolean): Promise<HttpReply> {
   const name = request.query['node'] ?? '';
-  const edge = edgeOf(context, name);
+  const edge = findEdge(context, name);
   if (Either.isLeft(edge)) return http.rejected(edge.left);
   const changed = await context.parts.changeMembership(function withDraining(before) {
     const current = quorum.seat(before, name);
@@ -43,26 +43,29 @@
   return http.toReply(Either.right({ node: name, draining }));
 }
 
-/** Why an edge may not be removed now; none where it may. */
+/** Why an edge may not be removed now; none if it may. */
 function removalRisk(context: AdministrationContext, edge: Seat, isForced: boolean): Option.Option<Fault> {
   const { runtime, node } = context;
-  const heardAt = node.lastHeartbeatAt(edge.node);
-  const isRunning = Option.isSome(heardAt) && runtime.clock.now() - heardAt.value < runningMilliseconds;
+  const lastHeartbeatAt = node.lastHeartbeatAt(edge.node);
+  const isRunning = Option.isSome(lastHeartbeatAt) && runtime.clock.now() - lastHeartbeatAt.value < recentHeartbeatMilliseconds;
   if (!edge.draining && isRunning) {
-    return Option.some(unsafeStep(`${edge.node} still runs and is not drained`, `run stallstall drain ${edge.node} first`));
+    return Option.some(unsafeStep(`${edge.node} is still running and has not been drained`, `run stallstall drain ${edge.node} first`));
   }
-  const left = node.membership().value.seats.length - 1;
-  const needed = quorum.majority(left);
-  const heard = fleetView.reachableNodes(context).filter((name) => name !== edge.node).length;
-  if (isForced || heard >= needed) return Option.none;
+  const remaining = node.membership().value.seats.length - 1;
+  const needed = quorum.majority(remaining);
+  const reachable = fleetView.reachableNodes(context).filter((name) => name !== edge.node).length;
+  if (isForced || reachable >= needed) return Option.none;
   return Option.some(
-    unsafeStep(`only ${heard} other nodes are heard, and ${left} nodes need ${needed}`, 'bring nodes back first, or repeat it with force'),
+    unsafeStep(
+      `only ${reachable} of the ${remaining} remaining nodes are reachable, and a majority needs ${needed}`,
+      'restart the nodes that are down, or repeat the request with force',
+    ),
   );
 }
 
 async function remove(context: AdministrationContext, request: HttpRequest, caller: Caller): Promise<HttpReply> {
   const name = request.query['node'] ?? '';
-  const edge = edgeOf(context, name);
+  const edge = findEdge(context, name);
   if (Either.isLeft(edge)) return http.rejected(edge.left);
   const risk = removalRisk(context, edge.right, request.query['force'] === 'true');
   if (Option.isSome(risk)) return http.rejected(risk.value);
--- a/packages/core/src/administration/operator-routes.ts
+++ b/packages/core/src/administration/operator-routes.ts
@@ -1,4 +1,4 @@
-/** Routes for operators of many teams, and the audit trail of what they did (design 9.4). */
+/** Routes for managing operators and for reading the audit trail (design 9.4). */
 import * as Either from 'fp-ts/lib/Either.js';
 import { fault, http, type Fault, type HttpReply, type HttpRequest, type HttpRoute } from '@stallstall/kernel';
 import { message } from '@stallstall/message';
@@ -8,18 +8,18 @@
 import { pageOf } from './pagination.js';
 
 const operatorName = /^[a-z0-9][a-z0-9._-]{0,62}$/i;
-/** The name of whoever holds the root key. */
+/** The operator name that stands for the root key; no other operator may have it. */
 const rootName = 'root';
 
 function malformedOperator(): Fault {
   return fault.create({
     kind: 'bad-request',
-    message: 'an operator has a name and {services: [...], nodes: truth, operators: truth}',
-    remedy: 'send that shape; the name root is taken',
+    message: 'an operator needs a valid name and a body {services: [...], nodes: boolean, operators: boolean}',
+    remedy: 'send a body of that form; the name root is reserved',
   });
 }
 
-function describe(operator: string, scope: Scope): string {
+function describeOperator(operator: string, scope: Scope): string {
   return `${operator} services=${scope.services.join('+')} nodes=${scope.nodes} operators=${scope.operators}`;
 }
 
@@ -30,7 +30,7 @@
   if (!isValid) return http.rejected(malformedOperator());
   const key = await context.operators.put(operator, body);
   if (Either.isLeft(key)) return http.rejected(key.left);
-  await context.operators.recordAction(caller.operator, 'operator-put', describe(operator, body));
+  await context.operators.recordAction(caller.operator, 'operator-put', describeOperator(operator, body));
   return http.toReply(Either.right({ operator, key: key.right }));
 }
 
@@ -39,7 +39,11 @@
   const removed = await context.operators.remove(operator);
   if (Either.isLeft(removed)) return http.rejected(removed.left);
   if (!removed.right) {
-    const unknown = fault.create({ kind: 'not-found', message: `there is no operator ${operator}`, remedy: 'see stallstall operators' });
+    const unknown = fault.create({
+      kind: 'not-found',
+      message: `there is no operator ${operator}`,
+      remedy: 'list them with stallstall operators',
+    });
     return http.rejected(unknown);
   }
   await context.operators.recordAction(caller.operator, 'operator-removed', operator);
@@ -48,16 +52,16 @@
 
 function create(context: AdministrationContext): readonly HttpRoute[] {
   const { operators } = context;
-  function listed(rows: Either.Either<Fault, readonly unknown[]>, request: HttpRequest): HttpReply {
+  function pageReply(rows: Either.Either<Fault, readonly unknown[]>, request: HttpRequest): HttpReply {
     return http.toReply(Either.map((all: readonly unknown[]) => pageOf(all, request))(rows));
   }
   async function list(request: HttpRequest): Promise<HttpReply> {
-    return listed(await operators.list(), request);
+    return pageReply(await operators.list(), request);
   }
-  /** The newest first. */
+  /** Lists the audit trail, newest entries first. */
   async function audit(request: HttpRequest): Promise<HttpReply> {
     const trail = await operators.auditTrail();
-    return listed(Either.map((entries: readonly unknown[]) => [...entries].reverse())(trail), request);
+    return pageReply(Either.map((entries: readonly unknown[]) => [...entries].reverse())(trail), request);
   }
   return [
     { method: 'GET', path: '/v1/audit', handle: authorized(operators, 'read', audit) },
--- a/packages/core/src/administration/pagination.ts
+++ b/packages/core/src/administration/pagination.ts
@@ -1,21 +1,21 @@
-/** Pages of listings. */
+/** Pagination of listings. */
 import type { HttpRequest } from '@stallstall/kernel';
 
-/** `next` is where the following page begins; it is missing on the last. */
+/** `next` is the offset of the next page; it is absent on the last page. */
 export type Page = Readonly<{ rows: readonly unknown[]; total: number; next?: number }>;
 
-const defaultRows = 100;
-const mostRows = 500;
+const defaultLimit = 100;
+const maxLimit = 500;
 
-function wholeNumberOf(text: string | undefined, otherwise: number): number {
-  return Math.floor(Number(text ?? otherwise)) || otherwise;
+function integerOr(text: string | undefined, fallback: number): number {
+  return Math.floor(Number(text ?? fallback)) || fallback;
 }
 
-/** One page: `limit` rows after the row whose place is `after`, both named in the query. */
+/** One page of rows: at most `limit` rows from offset `after`. Both are query parameters. */
 export function pageOf(rows: readonly unknown[], request: HttpRequest): Page {
-  const limit = Math.min(mostRows, Math.max(1, wholeNumberOf(request.query['limit'], defaultRows)));
-  const after = Math.max(0, wholeNumberOf(request.query['after'], 0));
-  const shown = rows.slice(after, after + limit);
-  const end = after + shown.length;
-  return { rows: shown, total: rows.length, ...(end < rows.length ? { next: end } : {}) };
+  const limit = Math.min(maxLimit, Math.max(1, integerOr(request.query['limit'], defaultLimit)));
+  const after = Math.max(0, integerOr(request.query['after'], 0));
+  const pageRows = rows.slice(after, after + limit);
+  const end = after + pageRows.length;
+  return { rows: pageRows, total: rows.length, ...(end < rows.length ? { next: end } : {}) };
 }
--- a/packages/core/src/administration/placement-routes.ts
+++ b/packages/core/src/administration/placement-routes.ts
@@ -1,4 +1,4 @@
-/** Routes for the placement configuration: send, check, read back, list versions (design 9.2). */
+/** Routes for the placement configuration: submit, validate, read, and list versions (design 9.2). */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { Type } from '@sinclair/typebox';
@@ -10,7 +10,7 @@
 import { authorized } from './authorization.js';
 import { pageOf } from './pagination.js';
 
-/** The field names are those of the administration API. */
+/** The field names are part of the administration API. */
 const SendSchema = Type.Object({
   sheet: Type.Unknown(),
   sentBy: Type.Optional(Type.String({ maxLength: 200 })),
@@ -21,24 +21,24 @@
   return http.rejected(fault.create({ kind: 'bad-request', message: reason, remedy }));
 }
 
-function notSent(remedy: string): Fault {
-  return fault.create({ kind: 'not-found', message: 'no sheet has been sent yet', remedy });
+function noConfiguration(remedy: string): Fault {
+  return fault.create({ kind: 'not-found', message: 'no placement configuration has been sent yet', remedy });
 }
 
-function notKept(requested: string | undefined, wanted: number, latest: number, oldest: number): Fault {
-  const neverWas = wanted > latest || !Number.isInteger(wanted) || wanted < 1;
+function versionUnavailable(requested: string | undefined, version: number, latest: number, oldest: number): Fault {
+  const neverExisted = version > latest || !Number.isInteger(version) || version < 1;
   return fault.create({
-    kind: neverWas ? 'not-found' : 'version-forgotten',
-    message: `version ${requested} is not kept`,
-    remedy: `ask for ${oldest} to ${latest}`,
+    kind: neverExisted ? 'not-found' : 'version-forgotten',
+    message: `version ${requested} is not available`,
+    remedy: `request a version from ${oldest} to ${latest}`,
   });
 }
 
-/** The version that an If-Match header names; left where it names none. */
+/** The version in an If-Match header; none without the header, and a reply with an error if it holds no version. */
 function expectedVersion(header: string | undefined): Either.Either<HttpReply, Option.Option<number>> {
   if (header === undefined) return Either.right(Option.none);
   if (!/^"?\d+"?$/.test(header)) {
-    return Either.left(badRequest('If-Match names no version', 'give a version number, as in If-Match: 7'));
+    return Either.left(badRequest('the If-Match header holds no version number', 'send a version number, as in If-Match: 7'));
   }
   return Either.right(Option.some(Number(header.replaceAll('"', ''))));
 }
@@ -46,7 +46,10 @@
 async function send({ runtime, updates, operators }: AdministrationContext, request: HttpRequest, caller: Caller): Promise<HttpReply> {
   const { body } = request;
   if (!message.matches(SendSchema, body)) {
-    return badRequest('a sheet is sent as {"sheet": {...}, "sentBy": "..."}', 'send that shape, or use stallstall sheet send');
+    return badRequest(
+      'the request body must have the form {"sheet": {...}, "sentBy": "..."}',
+      'send a body of that form, or use stallstall sheet send',
+    );
   }
   const checked = placements.validate(body.sheet);
   if (Either.isLeft(checked)) return http.rejected(checked.left);
@@ -58,7 +61,7 @@
     placement: checked.right,
     document: body.sheet,
     sendId: body.sendId ?? runtime.randomness.token(),
-    isNamed: body.sendId !== undefined,
+    hasClientSendId: body.sendId !== undefined,
     sentBy,
     expected: expected.right,
   });
@@ -71,17 +74,17 @@
 async function readBack({ versions }: AdministrationContext, request: HttpRequest): Promise<HttpReply> {
   const read = await versions.current();
   if (Either.isLeft(read)) return http.rejected(read.left);
-  if (Option.isNone(read.right)) return http.rejected(notSent('send one with stallstall sheet send'));
+  if (Option.isNone(read.right)) return http.rejected(noConfiguration('send one with stallstall sheet send'));
   const current = read.right.value;
   const latest = current.version;
   const oldest = versions.oldest(latest);
   const requested = request.query['version'];
-  const wanted = requested === undefined ? latest : Number(requested);
-  const found = await versions.at(wanted, current);
+  const version = requested === undefined ? latest : Number(requested);
+  const found = await versions.find(version, current);
   if (Either.isLeft(found)) return http.rejected(found.left);
-  if (Option.isNone(found.right)) return http.rejected(notKept(requested, wanted, latest, oldest));
+  if (Option.isNone(found.right)) return http.rejected(versionUnavailable(requested, version, latest, oldest));
   const { sheet, sentBy, sentAt } = found.right.value;
-  return { status: 200, headers: { etag: `"${wanted}"` }, body: { version: wanted, sheet, sentBy, sentAt, oldest, latest } };
+  return { status: 200, headers: { etag: `"${version}"` }, body: { version, sheet, sentBy, sentAt, oldest, latest } };
 }
 
 async function listVersions({ versions }: AdministrationContext, request: HttpRequest): Promise<HttpReply> {
@@ -89,9 +92,9 @@
   if (Either.isLeft(read)) return http.rejected(read.left);
   if (Option.isNone(read.right)) return { status: 200, body: pageOf([], request) };
   const current = read.right.value;
-  const shown = pageOf(versions.numbers(current.version), request);
-  const rows = await Promise.all((shown.rows as readonly number[]).map((version) => versions.row(version, current)));
-  return { status: 200, body: { ...shown, rows } };
+  const page = pageOf(versions.availableVersions(current.version), request);
+  const rows = await Promise.all((page.rows as readonly number[]).map((version) => versions.summary(version, current)));
+  return { status: 200, body: { ...page, rows } };
 }
 
 async function check(request: HttpRequest): Promise<HttpReply> {
@@ -99,13 +102,15 @@
   return http.toReply(Either.map(() => ({ sound: true }))(checked));
 }
 
-/** The newest configuration as its sender wrote it. Errors: `not-found`, and those of the register. */
-async function source({ versions }: AdministrationContext): Promise<Either.Either<Fault, string>> {
+/** The text of the current configuration, exactly as its client submitted it. Errors: `not-found`, and those of the register. */
+async function readSource({ versions }: AdministrationContext): Promise<Either.Either<Fault, string>> {
   const read = await versions.current();
   if (Either.isLeft(read)) return read;
   const external = Option.isSome(read.right) ? read.right.value.value.external : undefined;
   if (external !== undefined) return Either.right(external.source);
-  return Either.left(fault.create({ kind: 'not-found', message: 'no configuration has been sent yet', remedy: 'send one' }));
+  return Either.left(
+    fault.create({ kind: 'not-found', message: 'no configuration has been sent yet', remedy: 'send a configuration first' }),
+  );
 }
 
 function create(context: AdministrationContext): readonly HttpRoute[] {
@@ -123,4 +128,4 @@
 }
 
 /** @internal */
-export const placementRoutes = { create, source } as const;
+export const placementRoutes = { create, readSource } as const;
--- a/packages/core/src/claim-table.ts
+++ b/packages/core/src/claim-table.ts
@@ -1,6 +1,6 @@
 /**
- * The ledger of orders: which document each order number, and each send id, stands for. A claim is chosen in the register
- * before the configuration it belongs to can be chosen, so that no crash leaves a confirmed number without its digest
+ * Records which document each external version number and each send id was first used for. A claim is chosen in the register
+ * before the configuration it belongs to can be chosen, so that no crash leaves an acknowledged version without its digest
  * (design 6.6).
  */
 import { createHash } from 'node:crypto';
@@ -13,15 +13,15 @@
 
 const DigestSchema = Type.String({ maxLength: 100 });
 
-/** Claims of one slot, by rising number. No claim at or below `forgotten` can be judged unless it is still listed. */
-const NumbersSchema = Type.Object({
+/** Version claims of one slot, in ascending order. For a version up to `forgotten` that is not listed, the document is no longer known. */
+const VersionClaimsSchema = Type.Object({
   forgotten: Type.Integer(),
   claims: Type.Array(Type.Object({ number: Type.Integer(), digest: DigestSchema })),
 });
-type Numbers = Readonly<Static<typeof NumbersSchema>>;
+type VersionClaims = Readonly<Static<typeof VersionClaimsSchema>>;
 
-/** Claims of one slot, the oldest first. `since`: the configuration's version when the id was claimed. */
-const SendsSchema = Type.Object({
+/** Send id claims of one slot, oldest first. `since`: the configuration's version when the id was claimed. */
+const SendIdClaimsSchema = Type.Object({
   claims: Type.Array(
     Type.Object({
       sendId: Type.String(),
@@ -31,90 +31,90 @@
     }),
   ),
 });
-type Sends = Readonly<Static<typeof SendsSchema>>;
-export type SendIdClaim = Sends['claims'][number];
+type SendIdClaims = Readonly<Static<typeof SendIdClaimsSchema>>;
+export type SendIdClaim = SendIdClaims['claims'][number];
 
-/** Whose document a number stands for; `forgotten`: too old to be told. */
-export type VersionClaim = 'own' | 'other' | 'forgotten';
+/** Whether a version is claimed for the given document or a different one; `expired`: its claim has been dropped as too old. */
+export type VersionClaim = 'same' | 'different' | 'expired';
 
 export type ClaimTable = Readonly<{
-  /** Claims a number for a document, unless it stands for one already. */
-  claimVersion: (number: number, digest: string, milliseconds: number) => Promise<Either.Either<Fault, VersionClaim>>;
-  /** Claims a send id, unless it is claimed already; gives the claim that stands. */
+  /** Claims a version number for a document, unless the number is claimed already. */
+  claimVersion: (version: number, digest: string, timeoutMilliseconds: number) => Promise<Either.Either<Fault, VersionClaim>>;
+  /** Claims a send id, unless it is claimed already; returns the claim in effect. */
   claimSendId: (claim: SendIdClaim) => Promise<Either.Either<Fault, SendIdClaim>>;
-  /** Keeps the version that a send was taken as. */
+  /** Adds to a send id's claim the configuration version under which its document was stored. */
   recordVersion: (sendId: string, version: number) => Promise<void>;
 }>;
 
-/** Claims lie in so many cells, so that a change carries only a small part of them. */
-const slots = 64;
-/** So many claims are kept in each slot: 32,768 numbers in all, some 2 MB. */
+/** Claims are spread over this many register entries, so that each change rewrites only a small part of them. */
+const slotCount = 64;
+/** Claims kept per slot: 32,768 numbers in all, about 2 MB. */
 export const maxClaimsPerSlot = 512;
 
-const noNumbers: Numbers = { forgotten: -1, claims: [] };
-const noSends: Sends = { claims: [] };
+const noVersionClaims: VersionClaims = { forgotten: -1, claims: [] };
+const noSendIdClaims: SendIdClaims = { claims: [] };
 
-/** Numbers may rise in steps of any size: their digests spread evenly where the numbers themselves need not. */
+/** Slots are assigned by digest, because version numbers may rise in steps of any size and would not spread evenly themselves. */
 function slotOf(name: string): number {
-  return (createHash('sha256').update(name).digest()[0] ?? 0) % slots;
+  return (createHash('sha256').update(name).digest()[0] ?? 0) % slotCount;
 }
 
-function numbersOf(entry: Option.Option<Entry>): Numbers {
-  return Option.isSome(entry) && message.matches(NumbersSchema, entry.value.value) ? entry.value.value : noNumbers;
+function versionClaimsOf(entry: Option.Option<Entry>): VersionClaims {
+  return Option.isSome(entry) && message.matches(VersionClaimsSchema, entry.value.value) ? entry.value.value : noVersionClaims;
 }
 
-function sendsOf(entry: Option.Option<Entry>): Sends {
-  return Option.isSome(entry) && message.matches(SendsSchema, entry.value.value) ? entry.value.value : noSends;
+function sendIdClaimsOf(entry: Option.Option<Entry>): SendIdClaims {
+  return Option.isSome(entry) && message.matches(SendIdClaimsSchema, entry.value.value) ? entry.value.value : noSendIdClaims;
 }
 
-/** Adds a claim; the lowest numbers are forgotten first, for a late copy of an order is likeliest a recent one. */
-function withNumber(numbers: Numbers, number: number, digest: string): Numbers {
-  const claims = [...numbers.claims, { number, digest }].sort((left, right) => left.number - right.number);
-  const dropped = claims.slice(0, Math.max(0, claims.length - maxClaimsPerSlot));
-  return { forgotten: Math.max(numbers.forgotten, dropped.at(-1)?.number ?? -1), claims: claims.slice(dropped.length) };
+/** Adds a claim and drops the lowest numbers first, because an update that arrives late is most likely a recent one. */
+function withVersionClaim(stored: VersionClaims, version: number, digest: string): VersionClaims {
+  const claims = [...stored.claims, { number: version, digest }].sort((left, right) => left.number - right.number);
+  const expired = claims.slice(0, Math.max(0, claims.length - maxClaimsPerSlot));
+  return { forgotten: Math.max(stored.forgotten, expired.at(-1)?.number ?? -1), claims: claims.slice(expired.length) };
 }
 
-function claimOf(numbers: Numbers, number: number, digest: string): VersionClaim {
-  const found = numbers.claims.find((claim) => claim.number === number);
-  if (found === undefined) return 'forgotten';
-  return found.digest === digest ? 'own' : 'other';
+function compareClaim(stored: VersionClaims, version: number, digest: string): VersionClaim {
+  const found = stored.claims.find((claim) => claim.number === version);
+  if (found === undefined) return 'expired';
+  return found.digest === digest ? 'same' : 'different';
 }
 
 function create(register: Register): ClaimTable {
-  async function claimVersion(number: number, digest: string, milliseconds: number): Promise<Either.Either<Fault, VersionClaim>> {
+  async function claimVersion(version: number, digest: string, timeoutMilliseconds: number): Promise<Either.Either<Fault, VersionClaim>> {
     const changed = await register.change(
-      `ledger/numbers/${slotOf(String(number))}`,
-      function claim(current) {
-        const numbers = numbersOf(current);
-        const known = number <= numbers.forgotten || numbers.claims.some((one) => one.number === number);
-        return known ? Option.none : Option.some(withNumber(numbers, number, digest));
+      `ledger/numbers/${slotOf(String(version))}`,
+      function addClaim(current) {
+        const stored = versionClaimsOf(current);
+        const isKnown = version <= stored.forgotten || stored.claims.some((claim) => claim.number === version);
+        return isKnown ? Option.none : Option.some(withVersionClaim(stored, version, digest));
       },
-      milliseconds,
+      timeoutMilliseconds,
     );
     if (Either.isLeft(changed)) return changed;
-    return Either.right(claimOf(numbersOf(changed.right.entry), number, digest));
+    return Either.right(compareClaim(versionClaimsOf(changed.right.entry), version, digest));
   }
 
   async function claimSendId(claim: SendIdClaim): Promise<Either.Either<Fault, SendIdClaim>> {
-    const changed = await register.change(`ledger/sends/${slotOf(claim.sendId)}`, function put(current) {
-      const { claims } = sendsOf(current);
-      if (claims.some((one) => one.sendId === claim.sendId)) return Option.none;
+    const changed = await register.change(`ledger/sends/${slotOf(claim.sendId)}`, function addClaim(current) {
+      const { claims } = sendIdClaimsOf(current);
+      if (claims.some((existing) => existing.sendId === claim.sendId)) return Option.none;
       return Option.some({ claims: [...claims, claim].slice(-maxClaimsPerSlot) });
     });
     if (Either.isLeft(changed)) return changed;
-    return Either.right(sendsOf(changed.right.entry).claims.find((one) => one.sendId === claim.sendId) ?? claim);
+    return Either.right(sendIdClaimsOf(changed.right.entry).claims.find((existing) => existing.sendId === claim.sendId) ?? claim);
   }
 
-  async function settleSend(sendId: string, version: number): Promise<void> {
-    await register.change(`ledger/sends/${slotOf(sendId)}`, function settle(current) {
-      const { claims } = sendsOf(current);
-      const open = claims.some((one) => one.sendId === sendId && one.version === undefined);
-      if (!open) return Option.none;
-      return Option.some({ claims: claims.map((one) => (one.sendId === sendId ? { ...one, version } : one)) });
+  async function recordVersion(sendId: string, version: number): Promise<void> {
+    await register.change(`ledger/sends/${slotOf(sendId)}`, function setVersion(current) {
+      const { claims } = sendIdClaimsOf(current);
+      const isPending = claims.some((claim) => claim.sendId === sendId && claim.version === undefined);
+      if (!isPending) return Option.none;
+      return Option.some({ claims: claims.map((claim) => (claim.sendId === sendId ? { ...claim, version } : claim)) });
     });
   }
 
-  return { claimVersion, claimSendId, recordVersion: settleSend };
+  return { claimVersion, claimSendId, recordVersion };
 }
 
 export const claimTable = { create } as const;
--- a/packages/core/src/configuration-entry.ts
+++ b/packages/core/src/configuration-entry.ts
@@ -3,17 +3,17 @@
 import type { Entry } from '@stallstall/message';
 import type { Configuration } from '@stallstall/node';
 
-/** Undefined while none was sent. */
+/** Undefined if no configuration has been stored yet. */
 export function configurationOf(entry: Option.Option<Entry>): Configuration | undefined {
   return Option.isSome(entry) ? (entry.value.value as Configuration) : undefined;
 }
 
-/** 0 while none was sent. */
+/** 0 if no configuration has been stored yet. */
 export function versionOf(entry: Option.Option<Entry>): number {
   return Option.isSome(entry) ? entry.value.version : 0;
 }
 
-/** The ids of the latest sends, by the version that each was taken as; a disk of format 1 has them in its history. */
+/** The most recent send ids with the versions they were stored under; disk format 1 keeps them in `history`. */
 export function recentSends(configuration: Configuration | undefined): Configuration['recent'] {
   if (configuration === undefined) return [];
   return (configuration as Partial<Configuration>).recent ?? configuration.history ?? [];
--- a/packages/core/src/configuration-updates.ts
+++ b/packages/core/src/configuration-updates.ts
@@ -1,4 +1,4 @@
-/** Configurations that operators send, each taken exactly once however often it arrives (design 6.2, 6.5, 6.6). */
+/** Updates of the configuration, each applied exactly once however often it arrives (design 6.2, 6.5, 6.6). */
 import type * as Either from 'fp-ts/lib/Either.js';
 import type * as Option from 'fp-ts/lib/Option.js';
 import type { Fault, Runtime } from '@stallstall/kernel';
@@ -17,8 +17,8 @@
   /** Errors: `outcome-unknown`, `version-conflict` and `key-denied`. */
   replace: (update: PlacementUpdate) => Promise<Either.Either<Fault, UpdateResult>>;
   /**
-   * Of two external versions the higher stands; a lower one, or the same again, changes nothing and is right all the same. Errors:
-   * `version-conflict`, `outcome-unknown`, and those of the register.
+   * Stores a configuration if its external version is higher than the current one; a lower or equal version changes nothing and still
+   * succeeds. Errors: `version-conflict`, `outcome-unknown`, and those of the register.
    */
   replaceExternal: (external: ExternalVersion, placement: PlacementConfiguration) => Promise<Either.Either<Fault, UpdateResult>>;
 }>;
@@ -26,7 +26,7 @@
 export type ConfigurationUpdateParts = Readonly<{
   register: Register;
   versions: ConfigurationVersions;
-  /** The configuration on this core's own disk, chosen or not. */
+  /** The configuration that this core has accepted, whether or not it has been chosen. */
   accepted: () => Option.Option<Entry>;
 }>;
 
--- a/packages/core/src/configuration-versions.ts
+++ b/packages/core/src/configuration-versions.ts
@@ -1,4 +1,4 @@
-/** The configuration's current version and those before it, wherever they are kept (design 5.4). */
+/** Reads the current version of the configuration and earlier ones, wherever they are stored (design 5.4). */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Fault } from '@stallstall/kernel';
@@ -11,19 +11,19 @@
 
 export type CurrentVersion = Applied<Configuration>;
 
-/** What listings tell of a version; its number alone where nobody keeps it. */
+/** A version in a listing; only its number if no core has it any more. */
 export type ListedVersion = Pick<VersionSummary, 'version'> & Partial<VersionSummary>;
 
 export type ConfigurationVersions = Readonly<{
-  /** The newest that is chosen; none if none was sent. */
+  /** The newest chosen version; none if no configuration has been stored yet. */
   current: () => Promise<Either.Either<Fault, Option.Option<CurrentVersion>>>;
-  /** A version by its number: the current one, or an earlier one from any core that keeps it. */
-  at: (wanted: number, current: CurrentVersion) => Promise<Either.Either<Fault, Option.Option<ArchivedConfiguration>>>;
-  row: (wanted: number, current: CurrentVersion) => Promise<ListedVersion>;
-  /** The oldest number that may be kept while this is the latest. */
+  /** Finds a version by its number: the current one, or an earlier one on any core that has it. */
+  find: (version: number, current: CurrentVersion) => Promise<Either.Either<Fault, Option.Option<ArchivedConfiguration>>>;
+  summary: (version: number, current: CurrentVersion) => Promise<ListedVersion>;
+  /** The oldest version that may still be stored when `latest` is the newest. */
   oldest: (latest: number) => number;
-  /** The numbers that may be kept while this is the latest, from the latest down. */
-  numbers: (latest: number) => readonly number[];
+  /** The versions that may still be stored when `latest` is the newest, in descending order. */
+  availableVersions: (latest: number) => readonly number[];
 }>;
 
 async function readCurrent(register: Register): Promise<Either.Either<Fault, Option.Option<CurrentVersion>>> {
@@ -32,50 +32,50 @@
   return Either.right(Option.map((entry: Entry) => ({ version: entry.version, value: entry.value as Configuration }))(read.right));
 }
 
-/** A release before this one kept each version in a cell of the register. */
-async function readEarlierRelease(register: Register, wanted: number): Promise<Either.Either<Fault, Option.Option<ArchivedConfiguration>>> {
+/** Reads a version that an earlier release stored in a register entry of its own. */
+async function readLegacyCell(register: Register, wanted: number): Promise<Either.Either<Fault, Option.Option<ArchivedConfiguration>>> {
   const read = await register.read(legacyVersionKey(wanted));
   if (Either.isLeft(read)) return read;
-  const kept = Option.isSome(read.right) ? (read.right.value.value as ArchivedConfiguration & Readonly<{ number: number }>) : undefined;
-  return Either.right(kept?.number === wanted ? Option.some(kept) : Option.none);
+  const stored = Option.isSome(read.right) ? (read.right.value.value as ArchivedConfiguration & Readonly<{ number: number }>) : undefined;
+  return Either.right(stored?.number === wanted ? Option.some(stored) : Option.none);
 }
 
-async function readAt(
+async function readVersion(
   register: Register,
   store: VersionStore,
   wanted: number,
   { version, value }: CurrentVersion,
 ): Promise<Either.Either<Fault, Option.Option<ArchivedConfiguration>>> {
   if (wanted === version) return Either.right(Option.some(value));
-  const mayBeKept = Number.isInteger(wanted) && wanted <= version && wanted >= store.oldestVersion(version);
-  if (!mayBeKept) return Either.right(Option.none);
-  const listed = value.history?.find((earlier) => earlier.version === wanted);
-  if (listed !== undefined) return Either.right(Option.some(listed));
-  const kept = await store.read(wanted);
-  return Option.isSome(kept) ? Either.right(kept) : readEarlierRelease(register, wanted);
+  const isInRange = Number.isInteger(wanted) && wanted <= version && wanted >= store.oldestVersion(version);
+  if (!isInRange) return Either.right(Option.none);
+  const fromHistory = value.history?.find((earlier) => earlier.version === wanted);
+  if (fromHistory !== undefined) return Either.right(Option.some(fromHistory));
+  const archived = await store.read(wanted);
+  return Option.isSome(archived) ? Either.right(archived) : readLegacyCell(register, wanted);
 }
 
 function create(register: Register, store: VersionStore): ConfigurationVersions {
-  async function row(wanted: number, current: CurrentVersion): Promise<ListedVersion> {
-    const own = wanted === current.version ? undefined : store.summary(wanted);
-    if (own !== undefined) return { version: wanted, sentBy: own.sentBy, sentAt: own.sentAt };
-    const found = await readAt(register, store, wanted, current);
+  async function summary(wanted: number, current: CurrentVersion): Promise<ListedVersion> {
+    const local = wanted === current.version ? undefined : store.summary(wanted);
+    if (local !== undefined) return { version: wanted, sentBy: local.sentBy, sentAt: local.sentAt };
+    const found = await readVersion(register, store, wanted, current);
     if (Either.isLeft(found) || Option.isNone(found.right)) return { version: wanted };
     const { sentBy, sentAt } = found.right.value;
     return { version: wanted, sentBy, sentAt };
   }
 
-  function numbers(latest: number): readonly number[] {
+  function availableVersions(latest: number): readonly number[] {
     const oldest = store.oldestVersion(latest);
     return Array.from({ length: latest - oldest + 1 }, (_, index) => latest - index);
   }
 
   return {
     current: () => readCurrent(register),
-    at: (wanted, current) => readAt(register, store, wanted, current),
-    row,
+    find: (wanted, current) => readVersion(register, store, wanted, current),
+    summary,
     oldest: store.oldestVersion,
-    numbers,
+    availableVersions,
   };
 }
 
--- a/packages/core/src/core-seat.ts
+++ b/packages/core/src/core-seat.ts
@@ -2,7 +2,7 @@
 import * as Option from 'fp-ts/lib/Option.js';
 import type { CoreSet, Entry } from '@stallstall/message';
 import { watcher } from '@stallstall/register';
-import { withoutHistory, type ChangeSubscribers } from './change-subscribers.js';
+import { withoutClientMetadata, type ChangeSubscribers } from './change-subscribers.js';
 import type { CoreServices } from './core-context.js';
 import { setOf, type Fleet } from './fleet-record.js';
 import { currentSet } from './peer-handlers.js';
@@ -43,7 +43,7 @@
       const entry = cells.accepted(key);
       if (!watcher.isWatched(key) || Option.isNone(entry)) continue;
       lastNumber += 1;
-      const change = { number: lastNumber, key, entry: withoutHistory(key, entry.value), ...currentSet(coreSetView) };
+      const change = { number: lastNumber, key, entry: withoutClientMetadata(key, entry.value), ...currentSet(coreSetView) };
       node.receiveOwnChange(context.settings.node, change);
     }
   }
--- a/packages/core/src/document-digest.ts
+++ b/packages/core/src/document-digest.ts
@@ -1,18 +1,18 @@
 /**
- * Digests of orders. Two texts are the same order when they hold the same document: the order of an object's fields and the
- * blanks between them say nothing, so a text that was written anew on its way is never taken for another (design 6.6).
+ * Digests of configuration documents. Texts that differ only in the order of an object's fields or in white space have the same
+ * digest, so that a document that was re-serialized on its way is not mistaken for a different one (design 6.6).
  */
 import { createHash } from 'node:crypto';
 import stringify from 'safe-stable-stringify';
 
-/** The digest of a document, whichever order its fields come in. */
+/** The digest of a document, independent of the order of its fields. */
 function ofDocument(document: unknown): string {
   return createHash('sha256')
     .update(stringify(document) ?? '')
     .digest('base64url');
 }
 
-/** The digest of the document that a text holds; of the text itself where it is no JSON. */
+/** The digest of the JSON document in a text, or of the text itself if it is not JSON. */
 function ofText(text: string): string {
   try {
     return ofDocument(JSON.parse(text));
--- a/packages/core/src/external-updates.ts
+++ b/packages/core/src/external-updates.ts
@@ -1,4 +1,4 @@
-/** Configurations under versions that their senders count themselves (design 6.5, 6.6). */
+/** Configurations with version numbers assigned by an external platform (design 6.5, 6.6). */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { fault, type Fault, type Runtime } from '@stallstall/kernel';
@@ -13,7 +13,7 @@
 import type { UpdateResult } from './placement-updates.js';
 import { updateFaults } from './update-faults.js';
 
-/** A version that the sender counts itself, with the text as sent: it is read back unchanged. */
+/** A version number assigned by the client, with the text as submitted, which reads return unchanged. */
 export type ExternalVersion = Readonly<{ version: number; source: string }>;
 
 /** @internal */
@@ -22,26 +22,29 @@
   register: Register;
   claims: ClaimTable;
   versions: ConfigurationVersions;
-  /** The configuration on this core's own disk, chosen or not. */
+  /** The configuration that this core has accepted, whether or not it has been chosen. */
   accepted: () => Option.Option<Entry>;
 }>;
 
-/** An operator that hears nothing for a second turns to another core. */
-const replaceMilliseconds = 850;
+/** Below 1 s, after which a client without a reply tries another core. */
+const updateTimeoutMilliseconds = 850;
 
-/** What an earlier release left in force without a claim is claimed before anything else is judged. */
-async function claimCurrent(parts: ExternalUpdateParts, milliseconds: number): Promise<Either.Either<Fault, unknown>> {
+/**
+ * Claims the version of the current configuration if an earlier release stored it without a claim. This comes before any new claim, so that
+ * its version number cannot be claimed for a different document.
+ */
+async function claimCurrent(parts: ExternalUpdateParts, timeoutMilliseconds: number): Promise<Either.Either<Fault, unknown>> {
   const local = configurationOf(parts.accepted())?.external;
   if (local?.digest !== undefined) return Either.right(undefined);
   const read = await parts.versions.current();
   if (Either.isLeft(read) || Option.isNone(read.right)) return read;
   const { external } = read.right.value.value;
   if (external === undefined || external.digest !== undefined) return Either.right(undefined);
-  return parts.claims.claimVersion(external.version, documentDigest.ofText(external.source), milliseconds);
+  return parts.claims.claimVersion(external.version, documentDigest.ofText(external.source), timeoutMilliseconds);
 }
 
-/** Claims a version for a text. Errors: `version-conflict`, `outcome-unknown`, and those of the register. */
-async function claimVersion(
+/** Claims a version for the document with a digest. Errors: `version-conflict`, `outcome-unknown`, and those of the register. */
+async function claimExternalVersion(
   parts: ExternalUpdateParts,
   version: number,
   textDigest: string,
@@ -52,8 +55,8 @@
   if (Either.isLeft(current)) return current;
   const claimed = await claims.claimVersion(version, textDigest, deadline - runtime.clock.now());
   if (Either.isLeft(claimed)) return claimed;
-  if (claimed.right === 'other') return Either.left(updateFaults.versionTaken(version));
-  if (claimed.right === 'forgotten') return Either.left(updateFaults.versionForgotten(version));
+  if (claimed.right === 'different') return Either.left(updateFaults.versionInUse(version));
+  if (claimed.right === 'expired') return Either.left(updateFaults.versionExpired(version));
   return Either.right(undefined);
 }
 
@@ -74,16 +77,16 @@
   };
 }
 
-/** Of two external versions the higher stands; a lower one, or the same again, changes nothing and is right all the same. */
+/** Stores a configuration if its external version is higher than the current one; otherwise changes nothing and still succeeds. */
 async function replace(
   parts: ExternalUpdateParts,
   external: ExternalVersion,
   placement: PlacementConfiguration,
 ): Promise<Either.Either<Fault, UpdateResult>> {
   const { runtime, register } = parts;
-  const deadline = runtime.clock.now() + replaceMilliseconds;
+  const deadline = runtime.clock.now() + updateTimeoutMilliseconds;
   const textDigest = documentDigest.ofText(external.source);
-  const claimed = await claimVersion(parts, external.version, textDigest, deadline);
+  const claimed = await claimExternalVersion(parts, external.version, textDigest, deadline);
   if (Either.isLeft(claimed)) {
     runtime.log('configuration.not-taken', { external: external.version, reason: fault.kind(claimed.left) });
     return claimed;
@@ -91,15 +94,15 @@
   const changed = await register.change(
     'configuration',
     function next(current) {
-      const before = configurationOf(current)?.external;
-      if (before !== undefined && before.version >= external.version) return Option.none;
+      const previous = configurationOf(current)?.external;
+      if (previous !== undefined && previous.version >= external.version) return Option.none;
       return Option.some(successor(parts, external, placement, textDigest, current));
     },
     deadline - runtime.clock.now(),
   );
   if (Either.isLeft(changed)) return changed;
   const current = configurationOf(changed.right.entry)?.external?.version ?? 0;
-  runtime.log('configuration.taken', { external: external.version, standing: current, wrote: changed.right.wrote });
+  runtime.log('configuration.taken', { external: external.version, current, written: changed.right.wrote });
   return Either.right({ version: current });
 }
 
--- a/packages/core/src/member-registration.ts
+++ b/packages/core/src/member-registration.ts
@@ -1,4 +1,4 @@
-/** Members that register by their heartbeats, and edges that hold leases, as one core serves them (design 4.7, 7.12). */
+/** Serves members that register by heartbeat, and edges that hold leases, on one core (design 4.7, 7.12). */
 import * as Option from 'fp-ts/lib/Option.js';
 import { runtimeUtilities, type Disk, type Runtime } from '@stallstall/kernel';
 import { leaseGrantor, leaseGrantorService, type LeaseGrantor, type LeaseGrantorContext } from '@stallstall/lease';
@@ -18,25 +18,25 @@
 export type MemberRegistrationParts = Readonly<{
   node: Node;
   disk: Pick<Disk, 'put'>;
-  /** What the disk held of the registry when the process started. */
+  /** The registry as read from the disk when the process started. */
   storedRegistry: unknown;
   grantorContext: Omit<LeaseGrantorContext, 'epochs' | 'registry' | 'isLeaderMissing' | 'onConnectionRefused'>;
-  /** Whether a majority of cores has replied within the last moment. */
+  /** Whether a majority of cores has replied recently. */
   isInContact: () => boolean;
 }>;
 
 export type MemberRegistration = Readonly<{
   grantor: LeaseGrantor;
-  /** The members of a service, its leader among them. */
+  /** The members of a service, including its leader. */
   membersOf: (service: string) => readonly MemberPlacement[];
-  /** Resolves to false when no majority of cores would know of the heartbeat, so that the member turns to another core. */
+  /** Resolves to false if this core cannot pass the heartbeat on to a majority of cores; the member then tries another core. */
   heartbeat: (registration: Registration) => Promise<boolean>;
-  /** Resolves to true once a majority of cores knows that the member has left. */
+  /** Resolves to true once a majority of cores has recorded that the member has left. */
   leave: (member: string) => Promise<boolean>;
   /**
-   * Takes heartbeats that another core received; resolves to true once those that say that a member drains or has left are synced.
+   * Merges heartbeats that another core received; resolves to true once any that report a draining or departed member are synced to disk.
    */
-  mergeBeats: (beats: readonly ReceivedHeartbeat[]) => Promise<boolean>;
+  mergeHeartbeats: (heartbeats: readonly ReceivedHeartbeat[]) => Promise<boolean>;
   start: () => void;
   stop: () => void;
 }>;
@@ -54,32 +54,32 @@
   isStopped: boolean;
 };
 
-const broadcastMilliseconds = 100;
-/** Changes within this span are broadcast together. */
-const gatherMilliseconds = 1;
-/** How often this core sees that its own connection to each leader is open. */
-const leaderCheckMilliseconds = 300;
+const broadcastIntervalMilliseconds = 100;
+/** Changes within this delay are batched into one broadcast. */
+const broadcastDelayMilliseconds = 1;
+/** How often this core ensures that its own connection to each leader is open. */
+const leaderCheckIntervalMilliseconds = 300;
 
 function broadcast({ broadcaster, isStopped }: RegistrationState): void {
   if (!isStopped) broadcaster.broadcast();
 }
 
-/** A change goes to the other cores and to the edges at once, and to the disk some time later. */
+/** Sends a change to the edges immediately and to the other cores after the batching delay, and schedules the write to disk. */
 function onRegistryChanged(state: RegistrationState): void {
   state.grantor.notify();
   state.file.writeLater();
   if (state.isBroadcastScheduled) return;
   state.isBroadcastScheduled = true;
-  state.runtime.clock.startTimer(gatherMilliseconds, function broadcastNow() {
+  state.runtime.clock.startTimer(broadcastDelayMilliseconds, function broadcastNow() {
     state.isBroadcastScheduled = false;
     broadcast(state);
   });
 }
 
-/** Resolves to true once a majority of cores, this one included, has on its disk what a member said of its end (design 7.14). */
+/** Resolves to true once a majority of cores, including this one, has on disk that a member is draining or has left (design 7.14). */
 async function confirm({ file, broadcaster }: RegistrationState, member: string): Promise<boolean> {
-  const [own, others] = await Promise.all([file.write(), broadcaster.confirm(member)]);
-  return own && others;
+  const [isWritten, isConfirmed] = await Promise.all([file.write(), broadcaster.confirm(member)]);
+  return isWritten && isConfirmed;
 }
 
 async function heartbeat(state: RegistrationState, registration: Registration): Promise<boolean> {
@@ -92,12 +92,12 @@
   return state.isInContact() && confirm(state, member);
 }
 
-async function mergeBeats({ registry, file }: RegistrationState, beats: readonly ReceivedHeartbeat[]): Promise<boolean> {
-  registry.mergeHeartbeats(beats);
-  return !beats.some(({ entry }) => entry.gone || entry.draining) || file.write();
+async function mergeHeartbeats({ registry, file }: RegistrationState, heartbeats: readonly ReceivedHeartbeat[]): Promise<boolean> {
+  registry.mergeHeartbeats(heartbeats);
+  return !heartbeats.some(({ entry }) => entry.gone || entry.draining) || file.write();
 }
 
-/** A leader that no heartbeat has named yet is not gone: liveness tells whether it is DOWN (design 7.1). */
+/** Includes a leader that has sent no heartbeat yet: it has not departed, and failure detection decides if it is DOWN (design 7.1). */
 function membersOf({ node, registry }: RegistrationState, service: string): readonly MemberPlacement[] {
   const members = registry.membersOf(service);
   const elected = node.electedPrimary(service);
@@ -114,8 +114,8 @@
     registry.sweep();
     broadcast(state);
   }
-  void runtimeUtilities.every(runtime.clock, broadcastMilliseconds, sweepAndBroadcast, isRunning);
-  void runtimeUtilities.every(runtime.clock, leaderCheckMilliseconds, leaders.checkLeaders, isRunning);
+  void runtimeUtilities.every(runtime.clock, broadcastIntervalMilliseconds, sweepAndBroadcast, isRunning);
+  void runtimeUtilities.every(runtime.clock, leaderCheckIntervalMilliseconds, leaders.checkLeaders, isRunning);
 }
 
 function stop(state: RegistrationState): void {
@@ -160,7 +160,7 @@
     membersOf: (service) => membersOf(state, service),
     heartbeat: (registration) => heartbeat(state, registration),
     leave: (member) => leave(state, member),
-    mergeBeats: (beats) => mergeBeats(state, beats),
+    mergeHeartbeats: (heartbeats) => mergeHeartbeats(state, heartbeats),
     start: () => start(state),
     stop: () => stop(state),
   };
--- a/packages/core/src/membership-table.ts
+++ b/packages/core/src/membership-table.ts
@@ -1,4 +1,7 @@
-/** The membership table where an operator runs the fleet: one change at a time, each applied by a majority before the next (design 4.2). */
+/**
+ * The membership table of a fleet that operators manage. Changes are made one at a time, each only after a majority of nodes has applied
+ * the previous one (design 4.2).
+ */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { fault, owner, type Fault } from '@stallstall/kernel';
@@ -13,52 +16,52 @@
   ready: () => boolean;
 }>;
 
-/** Returns its argument when nothing is to be changed. */
+/** Computes the new table; returns its argument if nothing changes. */
 export type MembershipChange = (table: Membership) => Membership;
 
 export type MembershipTable = Readonly<{
-  /** Applies a change and returns the table that stands then. Errors: `no-majority`, `version-conflict`, and those of the register. */
+  /** Applies a change and returns the resulting table. Errors: `no-majority`, `version-conflict`, and those of the register. */
   change: (next: MembershipChange) => Promise<Either.Either<Fault, Membership>>;
-  /** A node asks to be listed. */
-  join: (ask: Request<'join'>) => Promise<Reply<'join'>>;
+  /** Handles the request of a node to be added to the table. */
+  join: (request: Request<'join'>) => Promise<Reply<'join'>>;
 }>;
 
 type ReportedEpochs = ReturnType<Node['reportedEpochs']>[number];
 
-const reasonCharactersMost = 300;
+const maxReasonLength = 300;
 
-function noMajorityApplies(applying: number, nodes: number, version: number): Fault {
+function notAppliedByMajority(applied: number, nodes: number, version: number): Fault {
   return fault.create({
     kind: 'no-majority',
-    message: `only ${applying} of ${nodes} nodes obey membership ${version} so far`,
-    remedy: 'wait until a majority does, then try again',
+    message: `only ${applied} of ${nodes} nodes have applied membership version ${version}`,
+    remedy: 'retry after a majority of nodes has applied it',
     retryAfterSeconds: 1,
   });
 }
 
-function changedMeanwhile(): Fault {
+function changedConcurrently(): Fault {
   return fault.create({
     kind: 'version-conflict',
-    message: 'the membership table changed meanwhile',
-    remedy: 'try again',
+    message: 'the membership table was changed concurrently',
+    remedy: 'retry the request',
     retryAfterSeconds: 1,
   });
 }
 
-/** The highest epochs that the table or any of these nodes stands at. */
-function barrierOf(table: Membership, applying: readonly ReportedEpochs[]): Record<string, number> {
-  const barrier: Record<string, number> = { ...table.epochs };
-  for (const node of applying) {
-    for (const [service, epoch] of Object.entries(node.epochs)) barrier[service] = Math.max(epoch, barrier[service] ?? 0);
+/** The highest epoch of each service in the table or among the epochs that these nodes reported. */
+function highestEpochs(table: Membership, reported: readonly ReportedEpochs[]): Record<string, number> {
+  const highest: Record<string, number> = { ...table.epochs };
+  for (const node of reported) {
+    for (const [service, epoch] of Object.entries(node.epochs)) highest[service] = Math.max(epoch, highest[service] ?? 0);
   }
-  return barrier;
+  return highest;
 }
 
 function create(parts: MembershipTableParts): MembershipTable {
   const { node, register } = parts;
   const commands = owner.create('membership', null);
 
-  function applyingNodes(table: Membership, version: number): readonly ReportedEpochs[] {
+  function nodesThatApplied(table: Membership, version: number): readonly ReportedEpochs[] {
     return node
       .reportedEpochs()
       .filter((reported) => reported.membership === version && (version === 0 || quorum.seat(table, reported.node) !== undefined));
@@ -70,35 +73,36 @@
     const version = Option.isSome(read.right) ? read.right.value.version : 0;
     const table =
       Option.isSome(read.right) && message.matches(MembershipSchema, read.right.value.value) ? read.right.value.value : quorum.empty;
-    const wanted = next(table);
-    if (wanted === table) return Either.right(table);
-    const applying = applyingNodes(table, version);
-    if (version > 0 && applying.length < quorum.majority(table.seats.length)) {
-      return Either.left(noMajorityApplies(applying.length, table.seats.length, version));
+    const updated = next(table);
+    if (updated === table) return Either.right(table);
+    const applied = nodesThatApplied(table, version);
+    if (version > 0 && applied.length < quorum.majority(table.seats.length)) {
+      return Either.left(notAppliedByMajority(applied.length, table.seats.length, version));
     }
-    const changed: Membership = { ...wanted, epochs: barrierOf(table, applying) };
-    const written = await register.change('membership', function put(current) {
+    const changed: Membership = { ...updated, epochs: highestEpochs(table, applied) };
+    const written = await register.change('membership', function replaceIfUnchanged(current) {
       return (Option.isSome(current) ? current.value.version : 0) === version ? Option.some(changed) : Option.none;
     });
     if (Either.isLeft(written)) return written;
-    return written.right.wrote ? Either.right(changed) : Either.left(changedMeanwhile());
+    return written.right.wrote ? Either.right(changed) : Either.left(changedConcurrently());
   }
 
   function change(next: MembershipChange): Promise<Either.Either<Fault, Membership>> {
     return commands.run(() => apply(next));
   }
 
-  async function join(ask: Request<'join'>): Promise<Reply<'join'>> {
-    if (!parts.ready()) return { joined: false, reason: 'this core is not open yet' };
-    // A node that is listed as it is has only not read the table yet: no step, and what an operator drained stays drained.
-    const done = await change(function list(table) {
-      const listed = quorum.seat(table, ask.seat.node);
-      if (listed === undefined) return quorum.put(table, ask.seat);
-      const isSame = listed.address === ask.seat.address && listed.outward === ask.seat.outward && listed.area === ask.seat.area;
-      return isSame ? table : quorum.put(table, { ...ask.seat, draining: listed.draining });
+  async function join(request: Request<'join'>): Promise<Reply<'join'>> {
+    if (!parts.ready()) return { joined: false, reason: 'this core does not answer ballots yet' };
+    // A node that is already listed with the same data has just not read the table yet, so nothing changes. A draining node keeps draining.
+    const changed = await change(function list(table) {
+      const listed = quorum.seat(table, request.seat.node);
+      if (listed === undefined) return quorum.put(table, request.seat);
+      const isSame =
+        listed.address === request.seat.address && listed.outward === request.seat.outward && listed.area === request.seat.area;
+      return isSame ? table : quorum.put(table, { ...request.seat, draining: listed.draining });
     });
-    if (Either.isRight(done)) return { joined: true, reason: '' };
-    return { joined: false, reason: done.left.message.slice(0, reasonCharactersMost) };
+    if (Either.isRight(changed)) return { joined: true, reason: '' };
+    return { joined: false, reason: changed.left.message.slice(0, maxReasonLength) };
   }
 
   return { change, join };
--- a/packages/core/src/packed-version.ts
+++ b/packages/core/src/packed-version.ts
@@ -1,31 +1,31 @@
-/** How an earlier version of the configuration lies on a core's disk: compressed, in the form of a cell (design 5.4). */
+/** The format of earlier configuration versions on a core's disk: compressed, in the form of a register cell (design 5.4). */
 import { deflateSync, inflateSync } from 'node:zlib';
 import { ballotZero, EarlierVersionSchema, message, type EarlierVersion } from '@stallstall/message';
 import type { Configuration } from '@stallstall/node';
 import { acceptor, archivePrefix, archiveStoragePrefix, type CellState } from '@stallstall/register';
 
-/** What is kept of a version: what is carried along for later sends alone is left out. */
+/** The part of a version that is archived: fields that only serve to recognize repeated sends are left out. */
 export type ArchivedConfiguration = Omit<Configuration, 'recent' | 'history'>;
 
-/** So many versions are kept at the most; a version so many later takes the place over. */
+/** The most versions kept: a newer version overwrites the one that is this many versions older. */
 export const maxVersions = 10_000;
 
-/** Where versions lie in the data folder. */
+/** The key prefix of versions in the data folder. */
 export const versionStoragePrefix = `${archiveStoragePrefix}versions/`;
 
-/** Where a version lies. @internal */
+/** The storage key of a version. @internal */
 export function storageKeyOf(version: number): string {
   return `${versionStoragePrefix}${version % maxVersions}`;
 }
 
-/** The register's key where releases before kept a version, in a cell of its own. */
+/** The register key under which earlier releases stored a version. */
 export function legacyVersionKey(version: number): string {
   return `${archivePrefix}configuration/${version % maxVersions}`;
 }
 
-function pack(version: number, kept: ArchivedConfiguration): EarlierVersion {
-  const content = deflateSync(JSON.stringify(kept));
-  return { version, sentBy: kept.sentBy, sentAt: kept.sentAt, content: content.toString('base64') };
+function pack(version: number, configuration: ArchivedConfiguration): EarlierVersion {
+  const content = deflateSync(JSON.stringify(configuration));
+  return { version, sentBy: configuration.sentBy, sentAt: configuration.sentAt, content: content.toString('base64') };
 }
 
 function unpack(stored: EarlierVersion): ArchivedConfiguration {
@@ -33,15 +33,15 @@
   return JSON.parse(text.toString()) as ArchivedConfiguration;
 }
 
-/** In the form of a cell, as the release before this one expects of all that lies there: it may be taken back. */
-function toCell(kept: EarlierVersion): CellState {
-  return { promised: ballotZero, accepted: { ballot: ballotZero, version: kept.version, value: kept } };
+/** Stored as a cell, because the previous release expects cells under these keys, and a downgrade to it must stay possible. */
+function toCell(version: EarlierVersion): CellState {
+  return { promised: ballotZero, accepted: { ballot: ballotZero, version: version.version, value: version } };
 }
 
-/** In place of a version that is forgotten. */
+/** Overwrites a version that has been dropped. */
 const emptyCell: CellState = { promised: ballotZero, accepted: null };
 
-/** Undefined where a stored value holds no version. */
+/** Returns undefined if the stored value is not a valid version. */
 function fromCell(stored: unknown): EarlierVersion | undefined {
   const value = acceptor.isCellState(stored) ? stored.accepted?.value : undefined;
   return message.matches(EarlierVersionSchema, value) ? value : undefined;
--- a/packages/core/src/peer-handlers.ts
+++ b/packages/core/src/peer-handlers.ts
@@ -83,7 +83,7 @@
     const subscriber = subscribers.subscribe(storage.cells, request, caller);
     return {
       ready: storage.cells.ready(),
-      number: subscriber?.number ?? 0,
+      number: subscriber?.lastChangeNumber ?? 0,
       configuration: coreStorage.versionOf(storage, 'configuration'),
       membership: coreStorage.membershipVersion(storage),
       puts: context.disk.puts(),
@@ -111,7 +111,7 @@
 function spreadHandler({ services }: PeerHandlerParts): NonNullable<Handlers['spread']> {
   const { context, storage } = services;
   return async function spread(request) {
-    const isMerged = Option.isSome(context.registration) && (await context.registration.value.mergeBeats(request.beats));
+    const isMerged = Option.isSome(context.registration) && (await context.registration.value.mergeHeartbeats(request.beats));
     return { taken: isMerged && storage.cells.ready() };
   };
 }
--- a/packages/core/src/placement-updates.ts
+++ b/packages/core/src/placement-updates.ts
@@ -1,4 +1,4 @@
-/** Placement configurations that operators of this product send, each taken once however often it arrives (design 6.2, 6.6). */
+/** Placement configurations sent over the administration API, each applied once however often it arrives (design 6.2, 6.6). */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { fault, type Fault, type Runtime } from '@stallstall/kernel';
@@ -16,17 +16,17 @@
 export type PlacementUpdate = Readonly<{
   caller: Caller;
   placement: PlacementConfiguration;
-  /** The placement as sent, before anything was filled in: what a send id stands for. */
+  /** The placement as sent, before defaults were filled in: the document that the send id identifies. */
   document: unknown;
   sendId: string;
-  /** Whether the sender chose the send id, and may send again under it. */
-  isNamed: boolean;
+  /** Whether the client chose the send id, and so may repeat the update under it. */
+  hasClientSendId: boolean;
   sentBy: string;
-  /** The version that it is to replace. */
+  /** The version that the update must replace; none if any version may be replaced. */
   expected: Option.Option<number>;
 }>;
 
-/** The version that an update was taken as. */
+/** The version under which an update was stored; for external updates, the current external version after the update. */
 export type UpdateResult = Readonly<{ version: number }>;
 
 /** @internal */
@@ -37,54 +37,54 @@
   versions: ConfigurationVersions;
 }>;
 
-/** What an attempt to write an update came to. */
-type Attempt = Readonly<{ entry: Option.Option<Entry>; rejection: Option.Option<Fault> }>;
+/** The outcome of an attempt to write an update. */
+type WriteAttempt = Readonly<{ entry: Option.Option<Entry>; rejection: Option.Option<Fault> }>;
 
-/** The ids of so many sends are remembered in the configuration itself, so that one whose fate was not known may be repeated. */
-const recentKept = 200;
-/** A claim may be so many versions older than what the configuration tells of its send, for reads race with sends. */
-const recentSlack = 10;
+/** The configuration itself lists this many recent send ids, so that an update with an unknown outcome can be repeated safely. */
+const maxRecentSends = 200;
+/** Safety margin for that list: a claim may carry an older version, because reading the version races with other updates. */
+const recentSendSlack = 10;
 
-/** Whether the configuration still tells of every send that was claimed at that version or later. */
-function stillTellsOf(version: number, claim: SendIdClaim): boolean {
-  return version - claim.since < recentKept - recentSlack;
+/** Whether the configuration at a version still lists the send id of this claim if its update was applied. */
+function isCoveredByRecentSends(version: number, claim: SendIdClaim): boolean {
+  return version - claim.since < maxRecentSends - recentSendSlack;
 }
 
-/** A send id that its sender chose stands for one placement, for good. Errors: `version-conflict`, and those of the register. */
+/** Claims a send id that the client chose for one document. Errors: `version-conflict`, and those of the register. */
 async function claimSendId(
   { claims, versions }: PlacementUpdateParts,
   update: PlacementUpdate,
 ): Promise<Either.Either<Fault, SendIdClaim>> {
-  const wanted = { sendId: update.sendId, digest: documentDigest.ofDocument(update.document) };
-  if (!update.isNamed) return Either.right({ ...wanted, since: Number.MAX_SAFE_INTEGER });
+  const requested = { sendId: update.sendId, digest: documentDigest.ofDocument(update.document) };
+  if (!update.hasClientSendId) return Either.right({ ...requested, since: Number.MAX_SAFE_INTEGER });
   const read = await versions.current();
   if (Either.isLeft(read)) return read;
   const since = Option.isSome(read.right) ? read.right.value.version : 0;
-  const claimed = await claims.claimSendId({ ...wanted, since });
+  const claimed = await claims.claimSendId({ ...requested, since });
   if (Either.isLeft(claimed)) return claimed;
-  return claimed.right.digest === wanted.digest ? claimed : Either.left(updateFaults.sendIdTaken(update.sendId));
+  return claimed.right.digest === requested.digest ? claimed : Either.left(updateFaults.sendIdInUse(update.sendId));
 }
 
-/** Why an update may not follow this entry; none where it may. */
+/** Why an update may not replace the current entry; none if it may. */
 function rejectionOf(update: PlacementUpdate, claim: SendIdClaim, current: Option.Option<Entry>): Option.Option<Fault> {
   const version = versionOf(current);
-  const allowed = operators.mayChange(update.caller, configurationOf(current)?.sheet, update.placement);
-  if (!stillTellsOf(version, claim)) return Option.some(updateFaults.sendForgotten(update.sendId));
+  const allowed = operators.checkChange(update.caller, configurationOf(current)?.sheet, update.placement);
+  if (!isCoveredByRecentSends(version, claim)) return Option.some(updateFaults.sendIdExpired(update.sendId));
   if (Either.isLeft(allowed)) return Option.some(allowed.left);
   const isExpected = Option.isNone(update.expected) || update.expected.value === version;
   return isExpected ? Option.none : Option.some(updateFaults.versionConflict(version));
 }
 
 function successor(update: PlacementUpdate, current: Option.Option<Entry>, sentAt: number): Configuration {
-  const before = configurationOf(current);
-  const sent = { version: versionOf(current) + 1, sendId: update.sendId };
+  const previous = configurationOf(current);
+  const send = { version: versionOf(current) + 1, sendId: update.sendId };
   return {
     sheet: update.placement,
     sendId: update.sendId,
     sentBy: update.sentBy,
     sentAt,
-    ...(before?.external === undefined ? {} : { external: before.external }),
-    recent: [...recentSends(before), sent].slice(-recentKept),
+    ...(previous?.external === undefined ? {} : { external: previous.external }),
+    recent: [...recentSends(previous), send].slice(-maxRecentSends),
   };
 }
 
@@ -92,13 +92,13 @@
   { runtime, register }: PlacementUpdateParts,
   update: PlacementUpdate,
   claim: SendIdClaim,
-): Promise<Either.Either<Fault, Attempt>> {
+): Promise<Either.Either<Fault, WriteAttempt>> {
   const sentAt = runtime.clock.wall();
   let rejection: Option.Option<Fault> = Option.none;
   const changed = await register.change('configuration', function next(current) {
     rejection = Option.none;
-    const isTaken = recentSends(configurationOf(current)).some((old) => old.sendId === update.sendId);
-    if (isTaken) return Option.none;
+    const isApplied = recentSends(configurationOf(current)).some((send) => send.sendId === update.sendId);
+    if (isApplied) return Option.none;
     rejection = rejectionOf(update, claim, current);
     return Option.isSome(rejection) ? Option.none : Option.some(successor(update, current, sentAt));
   });
@@ -117,9 +117,9 @@
   if (Either.isLeft(written)) return Either.left(updateFaults.outcomeUnknown(update.sendId));
   if (Option.isSome(written.right.rejection)) return Either.left(written.right.rejection.value);
   const { entry } = written.right;
-  const taken = recentSends(configurationOf(entry)).find((old) => old.sendId === update.sendId);
-  const version = taken?.version ?? versionOf(entry);
-  if (update.isNamed) await parts.claims.recordVersion(update.sendId, version);
+  const recorded = recentSends(configurationOf(entry)).find((send) => send.sendId === update.sendId);
+  const version = recorded?.version ?? versionOf(entry);
+  if (update.hasClientSendId) await parts.claims.recordVersion(update.sendId, version);
   return Either.right({ version });
 }
 
--- a/packages/core/src/platform-api.ts
+++ b/packages/core/src/platform-api.ts
@@ -1,4 +1,4 @@
-/** What a core offers to the routes of another platform: decisions stay here, words there (design 9.6). */
+/** The operations that a core offers to the routes of an external platform, which only translate formats (design 9.6). */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { fault, type Fault } from '@stallstall/kernel';
@@ -12,20 +12,23 @@
 export type PlatformApi = Readonly<{
   ready: () => boolean;
   /**
-   * Takes a complete placement under its sender's own version; of two the higher stands, and a lower one changes nothing. Errors:
-   * `bad-sheet`, `version-conflict`, `outcome-unknown`, `no-majority`.
+   * Stores a complete placement under a version number assigned by the client, if it is higher than the current one; otherwise changes
+   * nothing. Errors: `bad-sheet`, `version-conflict`, `outcome-unknown`, `no-majority`.
    */
   configure: (external: ExternalVersion, placement: unknown) => Promise<Either.Either<Fault, UpdateResult>>;
-  /** The newest configuration as its sender wrote it. Errors: `not-found`, `no-majority`. */
+  /** The text of the current configuration, exactly as its client submitted it. Errors: `not-found`, `no-majority`. */
   readSource: () => Promise<Either.Either<Fault, string>>;
-  /** Resolves to false when no majority of cores would know of the heartbeat; that a member drains is confirmed by one. */
+  /**
+   * Resolves to false if this core cannot pass the heartbeat on to a majority of cores. A heartbeat of a draining member must be confirmed
+   * by a majority.
+   */
   heartbeat: (registration: Registration) => Promise<boolean>;
-  /** Resolves to true once a majority of cores knows that the member has left. */
+  /** Resolves to true once a majority of cores has recorded that the member has left. */
   leave: (member: string) => Promise<boolean>;
 }>;
 
 export type PlatformApiParts = Readonly<{
-  /** This core answers as an occupant of its seat. */
+  /** Whether this core has a seat in a fleet and answers for it. */
   isOpen: () => boolean;
   isDraining: () => boolean;
   contact: QuorumContact;
@@ -36,8 +39,8 @@
 function notOpen(): Fault {
   return fault.create({
     kind: 'no-majority',
-    message: 'this core is of no fleet yet',
-    remedy: 'turn to another core',
+    message: 'this core does not belong to a fleet yet',
+    remedy: 'use another core',
     retryAfterSeconds: 1,
   });
 }
@@ -52,8 +55,8 @@
       return contact.whileInContact(() => administration.replaceExternal(external, checked.right));
     },
     readSource: async () => (isOpen() ? contact.whileInContact(administration.readSource) : Either.left(notOpen())),
-    // A core that is of no fleet could tell nobody, nor one that no majority answers: whoever calls turns to another.
-    heartbeat: async (given) => Option.isSome(registration) && isOpen() && registration.value.heartbeat(given),
+    // A core without a fleet or without contact to a majority could not pass this on: the caller has to try another core.
+    heartbeat: async (memberState) => Option.isSome(registration) && isOpen() && registration.value.heartbeat(memberState),
     leave: async (member) => Option.isSome(registration) && isOpen() && registration.value.leave(member),
   };
 }
--- a/packages/core/src/registry-broadcaster.ts
+++ b/packages/core/src/registry-broadcaster.ts
@@ -1,4 +1,7 @@
-/** Heartbeats that this core received go to the other cores; what a member builds on is confirmed by a majority (design 4.7, 7.14). */
+/**
+ * Sends the heartbeats that this core received to the other cores, and has a majority of cores confirm that a member is draining or has
+ * left (design 4.7, 7.14).
+ */
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Runtime } from '@stallstall/kernel';
 import type { MemberRegistry, ReceivedHeartbeat } from '@stallstall/member-registry';
@@ -7,9 +10,9 @@
 import { quorum } from '@stallstall/quorum';
 
 export type RegistryBroadcaster = Readonly<{
-  /** Sends what is new to all other cores, and everything to whoever has missed some of it. */
+  /** Sends new records to all other cores, and the whole registry to each core that may have missed some. */
   broadcast: () => void;
-  /** Sends what is known of a member to the others; resolves to true once a majority of cores, this one included, knows it. */
+  /** Sends a member's record to the other cores; resolves to true once a majority of cores, including this one, has it. */
   confirm: (member: string) => Promise<boolean>;
 }>;
 
@@ -17,17 +20,17 @@
   runtime: Runtime;
   node: Node;
   registry: MemberRegistry;
-  /** Cores that have been sent everything, over a link that has been open since. */
+  /** Cores that have received the whole registry over a link that has stayed open since. */
   upToDate: Set<string>;
-  /** Cores to which everything is on its way. */
+  /** Cores to which the whole registry is being sent. */
   catchingUp: Set<string>;
 }>;
 
-const sendMilliseconds = 1_000;
-/** A member gives an acknowledgement one second. */
-const confirmMilliseconds = 800;
-/** Everything is sent again to a core that did not take it after so long. */
-const retryMilliseconds = 1_000;
+const sendTimeoutMilliseconds = 1_000;
+/** Below 1 s, the time that a member waits for the acknowledgement. */
+const confirmTimeoutMilliseconds = 800;
+/** Delay before the whole registry is sent again to a core that did not accept it. */
+const retryDelayMilliseconds = 1_000;
 
 function otherCores({ node }: BroadcasterState): readonly string[] {
   return node
@@ -36,22 +39,27 @@
     .filter((core) => core !== node.settings.node);
 }
 
-async function send(link: Peer, beats: readonly ReceivedHeartbeat[], milliseconds: number): Promise<boolean> {
-  const reply = await link.call('spread', { beats: [...beats] }, milliseconds);
+async function send(link: Peer, heartbeats: readonly ReceivedHeartbeat[], timeoutMilliseconds: number): Promise<boolean> {
+  const reply = await link.call('spread', { beats: [...heartbeats] }, timeoutMilliseconds);
   return Option.isSome(reply) && reply.value.taken;
 }
 
-async function sendRecent({ upToDate }: BroadcasterState, core: string, link: Peer, beats: readonly ReceivedHeartbeat[]): Promise<void> {
-  const isTaken = await send(link, beats, sendMilliseconds);
-  if (!isTaken) upToDate.delete(core);
+async function sendRecent(
+  { upToDate }: BroadcasterState,
+  core: string,
+  link: Peer,
+  heartbeats: readonly ReceivedHeartbeat[],
+): Promise<void> {
+  const isAccepted = await send(link, heartbeats, sendTimeoutMilliseconds);
+  if (!isAccepted) upToDate.delete(core);
 }
 
 async function sendAll({ runtime, registry, upToDate, catchingUp }: BroadcasterState, core: string, link: Peer): Promise<void> {
   catchingUp.add(core);
-  const isTaken = await send(link, registry.snapshot(), sendMilliseconds);
-  if (isTaken) upToDate.add(core);
-  // One that is there and not open yet takes nothing: it is asked again in a while, not at every broadcast.
-  else await runtime.clock.sleep(retryMilliseconds);
+  const isAccepted = await send(link, registry.snapshot(), sendTimeoutMilliseconds);
+  if (isAccepted) upToDate.add(core);
+  // A core that is still starting accepts nothing: it is tried again after a delay instead of at every broadcast.
+  else await runtime.clock.sleep(retryDelayMilliseconds);
   catchingUp.delete(core);
 }
 
@@ -66,8 +74,8 @@
   }
 }
 
-/** Resolves to true once so many of these confirmations are, to false once too few can be. */
-function enoughOf(confirmations: ReadonlyArray<Promise<boolean>>, needed: number): Promise<boolean> {
+/** Resolves to true once `needed` of the confirmations are true, and to false if fewer are when all have been resolved. */
+function resolveOnEnough(confirmations: ReadonlyArray<Promise<boolean>>, needed: number): Promise<boolean> {
   return new Promise(function count(resolve) {
     let confirmed = 0;
     let outstanding = confirmations.length;
@@ -85,15 +93,15 @@
 
 function confirm(state: BroadcasterState, member: string): Promise<boolean> {
   const { node, registry } = state;
-  const beats = registry.snapshot().filter((one) => one.entry.member === member);
+  const heartbeats = registry.snapshot().filter((heartbeat) => heartbeat.entry.member === member);
   const others = otherCores(state);
   const isCore = others.length < node.cores().length;
   const needed = quorum.majority(node.cores().length) - (isCore ? 1 : 0);
   const confirmations = others.map(async function confirmAt(core) {
     const link = node.peerOf(core);
-    return Option.isSome(link) && (await send(link.value, beats, confirmMilliseconds));
+    return Option.isSome(link) && (await send(link.value, heartbeats, confirmTimeoutMilliseconds));
   });
-  return enoughOf(confirmations, needed);
+  return resolveOnEnough(confirmations, needed);
 }
 
 function create(runtime: Runtime, node: Node, registry: MemberRegistry): RegistryBroadcaster {
--- a/packages/core/src/registry-file.ts
+++ b/packages/core/src/registry-file.ts
@@ -1,4 +1,7 @@
-/** The member registry on a core's disk: where members are until their heartbeats tell, and what they said of their end (design 4.7, 7.14). */
+/**
+ * The member registry on a core's disk. After a restart it supplies the members' addresses until their next heartbeats, and which members
+ * are draining or have left (design 4.7, 7.14).
+ */
 import * as Either from 'fp-ts/lib/Either.js';
 import { Type } from '@sinclair/typebox';
 import type { Disk, Runtime } from '@stallstall/kernel';
@@ -8,9 +11,9 @@
 
 /** @internal */
 export type RegistryFile = Readonly<{
-  /** Resolves to true once the disk holds the registry as it is now. */
+  /** Writes the registry; resolves to true once its current state is on disk. */
   write: () => Promise<boolean>;
-  /** Writes some time later: it saves time after a restart, and nothing depends on it. */
+  /** Schedules a write. It only shortens recovery after a restart; correctness does not depend on it. */
   writeLater: () => void;
   stop: () => void;
 }>;
@@ -18,7 +21,7 @@
 const RecordsSchema = Type.Array(MemberRecordSchema);
 const writeDelayMilliseconds = 300;
 
-/** Has a registry start from what the disk held when the process started. */
+/** Initializes a registry with the records that were on disk when the process started. */
 function restore(registry: MemberRegistry, stored: unknown): void {
   if (message.matches(RecordsSchema, stored)) registry.restore(stored);
 }
--- a/packages/core/src/report-handling.ts
+++ b/packages/core/src/report-handling.ts
@@ -1,8 +1,8 @@
-/** A durable report counts for the set of cores under which it was sent: by who is in that set before and after the sync (design 4.8). */
+/** Stores a durable report. It counts only if this core is in the request's core set both before and after the sync (design 4.8). */
 import type { Reply, Request } from '@stallstall/message';
 import type { CoreSetView, ReportStore } from '@stallstall/register';
 
-/** @param coreSetView - undefined where the set of cores never changes */
+/** @param coreSetView - undefined if the set of cores is fixed */
 export async function storeReport(
   reports: ReportStore,
   coreSetView: CoreSetView | undefined,
--- a/packages/core/src/update-faults.ts
+++ b/packages/core/src/update-faults.ts
@@ -1,31 +1,31 @@
-/** Why a configuration was not taken. */
+/** Errors of configuration updates. */
 import { fault, type Fault } from '@stallstall/kernel';
 
 function outcomeUnknown(sendId: string): Fault {
   return fault.create({
     kind: 'outcome-unknown',
-    message: 'it is not known whether the sheet was taken: no majority of disks answered in time',
-    remedy: 'read the sheet back, or send it again with the same sendId',
+    message: 'it is unknown whether the configuration was stored: no majority of core disks replied in time',
+    remedy: 'read the current configuration, or repeat the request with the same sendId',
     retryAfterSeconds: 1,
     details: { sendId },
   });
 }
 
-function sendForgotten(sendId: string): Fault {
+function sendIdExpired(sendId: string): Fault {
   return fault.create({
     kind: 'outcome-unknown',
-    message: `it is not known any more whether the sheet of send ${sendId} was taken`,
-    remedy: 'read the versions, and send it under a new sendId if it is not among them',
+    message: `it is no longer known whether the configuration sent with sendId ${sendId} was stored`,
+    remedy: 'list the versions, and send it with a new sendId if it is not among them',
     retryAfterSeconds: 1,
     details: { sendId },
   });
 }
 
-function sendIdTaken(sendId: string): Fault {
+function sendIdInUse(sendId: string): Fault {
   return fault.create({
     kind: 'version-conflict',
-    message: `the sendId ${sendId} stands for another sheet already`,
-    remedy: 'send this sheet under a sendId of its own',
+    message: `the sendId ${sendId} was already used for a different configuration`,
+    remedy: 'send this configuration with a new sendId',
     details: { sendId },
   });
 }
@@ -34,28 +34,28 @@
   return fault.create({
     kind: 'version-conflict',
     message: `the current version is ${version}`,
-    remedy: 'read it, merge, and send again',
+    remedy: 'read the current version, merge your change into it, and send the result',
     details: { version },
   });
 }
 
-function versionTaken(version: number): Fault {
+function versionInUse(version: number): Fault {
   return fault.create({
     kind: 'version-conflict',
-    message: `version ${version} stands for another configuration already`,
-    remedy: 'read the newest configuration back, and send this one under a higher version',
+    message: `version ${version} was already used for a different configuration`,
+    remedy: 'read the current configuration, and send this one with a higher version',
     details: { version },
   });
 }
 
-function versionForgotten(version: number): Fault {
+function versionExpired(version: number): Fault {
   return fault.create({
     kind: 'outcome-unknown',
-    message: `version ${version} is too old: which configuration it stood for is not known any more`,
-    remedy: 'read the newest configuration back, and send this one under a higher version',
+    message: `version ${version} is too old: it is no longer known which configuration it was used for`,
+    remedy: 'read the current configuration, and send this one with a higher version',
     details: { version },
   });
 }
 
 /** @internal */
-export const updateFaults = { outcomeUnknown, sendForgotten, sendIdTaken, versionConflict, versionTaken, versionForgotten } as const;
+export const updateFaults = { outcomeUnknown, sendIdExpired, sendIdInUse, versionConflict, versionInUse, versionExpired } as const;
--- a/packages/core/src/usage-reporting.ts
+++ b/packages/core/src/usage-reporting.ts
@@ -1,4 +1,7 @@
-/** Usage: counts are reported to every core, and one holder fixes a window in the register before it is first sent (design 8.6). */
+/**
+ * Usage reporting. Edges report their counts to every core, and the holder of the usage role finalizes each window in the register before
+ * it first sends it to the platform (design 8.6).
+ */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { singletonRole, type PlatformCall, type PlatformCalls, type RoleLease } from '@stallstall/election';
@@ -18,13 +21,13 @@
 
 export type UsageReporting = Readonly<{
   start: () => void;
-  /** Resolves when the role is handed on. */
+  /** Resolves once the role has been released. */
   stop: () => Promise<void>;
-  /** The windows that are fixed, the oldest first. */
+  /** The finalized windows, oldest first. */
   windows: () => Promise<Either.Either<Fault, readonly UsageWindow[]>>;
 }>;
 
-/** Where edges hold leases, and the platform has words of its own (design 9.6). */
+/** Used where edges hold leases and an external platform defines the format of its calls (design 9.6). */
 export type LeasedUsageParts = Readonly<{
   calls: PlatformCalls;
   /** Edges that may still have counts to report. */
@@ -37,40 +40,40 @@
   readonly reports: ReportStore;
   readonly leased: Option.Option<LeasedUsageParts>;
   readonly register: Register;
-  /** Windows on their way to the platform: one that it is slow over holds up none of the others. */
+  /** Windows that are being sent to the platform. They are sent independently, so that a slow call does not delay the others. */
   readonly sending: Set<number>;
   isStopped: boolean;
 };
 
 /**
- * A window is fixed once every edge has reported all of it, or so long after its end. Nothing is served without its report, so all
- * that an edge out of reach can still add is what it had in flight.
+ * A window is finalized once every edge has reported all of it, or this long after its end. Statements are not answered before they are
+ * reported, so an unreachable edge can only add the statements that it had in flight.
  */
 const graceMilliseconds = 2_500;
 /**
- * Where clients hold sessions, replies wait for no report: an edge out of reach serves until its lease ends, and its counts arrive when it
- * is back. They are waited for as long as a window can then still be sent in time.
+ * Where clients hold sessions, replies do not wait for reports: an unreachable edge serves until its lease ends, and its counts arrive once
+ * it is reachable again. The holder waits for them as long as the window can then still be sent in time.
  */
 const sessionGraceMilliseconds = 6_000;
-/** How far the machines' wall clocks may differ. */
+/** The most by which the machines' wall clocks may differ. */
 const clockSkewMilliseconds = 200;
-/** A platform may be slow: the role is renewed beside the call. */
-const sendMilliseconds = 4_000;
-/** A window that has not left by then would arrive too late: it is shown to operators and never sent. */
-const latestSendMilliseconds = 9_000;
-const lookMilliseconds = 500;
-const roundMilliseconds = 400;
-const acquireMilliseconds = 500;
+/** The platform may be slow; the role's lease is renewed while a call is in progress. */
+const sendTimeoutMilliseconds = 4_000;
+/** A window that has not been sent this long after its end would arrive too late: it is listed for operators but never sent. */
+const sendDeadlineMilliseconds = 9_000;
+const readTimeoutMilliseconds = 500;
+const roundIntervalMilliseconds = 400;
+const acquireIntervalMilliseconds = 500;
 
 function endOf(window: number): number {
   return (window + 1) * usageWindowMilliseconds;
 }
 
-/** What a core holds of a window; none when it does not reply or does not count. */
-async function lookAt({ node, reports }: ReportingState, core: string, window: number): Promise<Option.Option<Reply<'usageLook'>>> {
+/** The reports that a core has for a window; none if it does not reply. */
+async function readUsage({ node, reports }: ReportingState, core: string, window: number): Promise<Option.Option<Reply<'usageLook'>>> {
   if (core === node.settings.node) return Option.some(reports.usageOf(window));
   const link = node.peerOf(core);
-  return Option.isNone(link) ? Option.none : link.value.call('usageLook', { window }, lookMilliseconds);
+  return Option.isNone(link) ? Option.none : link.value.call('usageLook', { window }, readTimeoutMilliseconds);
 }
 
 function reportingEdges({ node, leased }: ReportingState): readonly string[] {
@@ -78,12 +81,12 @@
   return quorum.withRole(node.membership().value, 'edge').map((edge) => edge.node);
 }
 
-/** The counts of a window as a majority of disks holds them; none while an edge may still have some to report. */
+/** The counts of a window from a majority of core disks; none without a majority, or while an edge may still have counts to report. */
 async function collectCounts(state: ReportingState, window: number): Promise<Option.Option<Readonly<Record<string, number>>>> {
   const { runtime, node, leased } = state;
   const cores = node.cores();
-  const looks = await Promise.all(cores.map((core) => lookAt(state, core.node, window)));
-  const replies = looks.flatMap((look) => (Option.isSome(look) && look.value.ready ? [look.value] : []));
+  const responses = await Promise.all(cores.map((core) => readUsage(state, core.node, window)));
+  const replies = responses.flatMap((response) => (Option.isSome(response) && response.value.ready ? [response.value] : []));
   if (replies.length < quorum.majority(cores.length)) return Option.none;
   const end = endOf(window);
   const isComplete = reportingEdges(state).every(function hasReported(edge) {
@@ -95,9 +98,13 @@
   return Option.some(reportStore.sumReports(replies.flatMap((reply) => reply.reports)));
 }
 
-async function fixWindow({ runtime, register }: ReportingState, window: number, counts: Readonly<Record<string, number>>): Promise<void> {
-  const fixed = await usageWindows.fix(register, window, counts);
-  if (Option.isNone(fixed) || !fixed.value.isNew) return;
+async function finalizeWindow(
+  { runtime, register }: ReportingState,
+  window: number,
+  counts: Readonly<Record<string, number>>,
+): Promise<void> {
+  const finalized = await usageWindows.finalize(register, window, counts);
+  if (Option.isNone(finalized) || !finalized.value.isNew) return;
   const counted = Object.values(counts).reduce((sum, count) => sum + count, 0);
   runtime.log('usage.fixed', { window, counted });
 }
@@ -113,48 +120,48 @@
   };
 }
 
-async function send(state: ReportingState, fixed: UsageWindow, role: RoleLease): Promise<void> {
+async function send(state: ReportingState, window: UsageWindow, role: RoleLease): Promise<void> {
   const { node, register, sending } = state;
-  if (sending.has(fixed.window)) return;
-  sending.add(fixed.window);
+  if (sending.has(window.window)) return;
+  sending.add(window.window);
   const platform = identifiers.address(node.settings.platform());
-  const reply = await role.call(platform, requestOf(state, fixed, role.fencingToken), sendMilliseconds);
-  sending.delete(fixed.window);
-  if (Either.isRight(reply) && reply.right.status === 200) await usageWindows.markSent(register, fixed.window);
+  const reply = await role.call(platform, requestOf(state, window, role.fencingToken), sendTimeoutMilliseconds);
+  sending.delete(window.window);
+  if (Either.isRight(reply) && reply.right.status === 200) await usageWindows.markSent(register, window.window);
 }
 
-/** Fixes every window that has ended, also one that is too late to send. */
-async function fixEnded(state: ReportingState, known: readonly UsageWindow[]): Promise<void> {
+/** Finalizes every window that has ended, including those that are too late to send. */
+async function finalizeEnded(state: ReportingState, stored: readonly UsageWindow[]): Promise<void> {
   const last = Math.floor((state.runtime.clock.wall() - clockSkewMilliseconds) / usageWindowMilliseconds) - 1;
-  const newest = known.at(-1)?.window ?? last - 1;
+  const newest = stored.at(-1)?.window ?? last - 1;
   const first = Math.max(newest + 1, last - usageWindowsKept + 2);
   for (let window = first; window <= last; window += 1) {
     const counts = await collectCounts(state, window);
     if (Option.isNone(counts)) return;
-    await fixWindow(state, window, counts.value);
+    await finalizeWindow(state, window, counts.value);
   }
 }
 
-/** One round of the holder: fixes what has ended, then sends what can still arrive in time. */
+/** One round of the role's holder: finalizes the windows that have ended, then sends those that can still arrive in time. */
 async function runRound(state: ReportingState, role: RoleLease): Promise<void> {
   const { runtime, register } = state;
-  const known = await usageWindows.read(register);
-  if (Either.isLeft(known)) return;
-  await fixEnded(state, known.right);
-  const fixed = await usageWindows.read(register);
-  if (Either.isLeft(fixed)) return;
-  for (const window of fixed.right) {
-    const isTooLate = endOf(window.window) + latestSendMilliseconds < runtime.clock.wall();
-    if (!window.sent && !isTooLate && !state.isStopped) void send(state, window, role);
+  const stored = await usageWindows.read(register);
+  if (Either.isLeft(stored)) return;
+  await finalizeEnded(state, stored.right);
+  const finalized = await usageWindows.read(register);
+  if (Either.isLeft(finalized)) return;
+  for (const window of finalized.right) {
+    const isPastDeadline = endOf(window.window) + sendDeadlineMilliseconds < runtime.clock.wall();
+    if (!window.sent && !isPastDeadline && !state.isStopped) void send(state, window, role);
   }
 }
 
-async function hold(state: ReportingState, role: RoleLease): Promise<void> {
+async function runAsHolder(state: ReportingState, role: RoleLease): Promise<void> {
   const { runtime } = state;
   runtime.log('usage.holding', { fencingToken: role.fencingToken });
   while (!state.isStopped && (await role.renew())) {
     await runRound(state, role);
-    await runtime.clock.sleep(roundMilliseconds);
+    await runtime.clock.sleep(roundIntervalMilliseconds);
   }
   runtime.log('usage.ended', { fencingToken: role.fencingToken });
 }
@@ -166,14 +173,14 @@
   while (!state.isStopped) {
     const lease = node.incarnation() > 0 ? await role.tryAcquire() : Option.none;
     if (Option.isSome(lease)) {
-      await hold(state, lease.value);
+      await runAsHolder(state, lease.value);
       if (state.isStopped) await lease.value.release();
     }
-    await runtime.clock.sleep(acquireMilliseconds);
+    await runtime.clock.sleep(acquireIntervalMilliseconds);
   }
 }
 
-/** @param leased - none where members and edges are named by an operator */
+/** @param leased - none where operators list the members and edges in the configuration */
 function create(runtime: Runtime, node: Node, reports: ReportStore, leased: Option.Option<LeasedUsageParts> = Option.none): UsageReporting {
   const register = runtime.services.find(registerService);
   const state: ReportingState = { runtime, node, reports, leased, register, sending: new Set(), isStopped: false };
--- a/packages/core/src/usage-windows.ts
+++ b/packages/core/src/usage-windows.ts
@@ -1,4 +1,4 @@
-/** Usage windows as the register keeps them: each is fixed once, before it is first sent (design 8.6). */
+/** Usage windows in the register. Each is finalized once, before it is first sent (design 8.6). */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { Type, type Static } from '@sinclair/typebox';
@@ -6,7 +6,7 @@
 import { message, type Entry } from '@stallstall/message';
 import { usageWindowsKept, type Register } from '@stallstall/register';
 
-/** `counts`: statements that began to run in the window, by tenant or service. The field names are those of stored data. */
+/** `counts`: statements that started in the window, by tenant or service. The field names are those of stored data. */
 const UsageSchema = Type.Object({
   windows: Type.Array(
     Type.Object({
@@ -19,52 +19,52 @@
 export type UsageWindow = Readonly<Static<typeof UsageSchema>['windows'][number]>;
 
 const usageKey = 'usage';
-const registerMilliseconds = 1_000;
-const fixMilliseconds = 1_500;
-const windowsKept = 2 * usageWindowsKept;
+const registerTimeoutMilliseconds = 1_000;
+const finalizeTimeoutMilliseconds = 1_500;
+const maxWindows = 2 * usageWindowsKept;
 
 function windowsOf(entry: Option.Option<Entry>): readonly UsageWindow[] {
   return Option.isSome(entry) && message.matches(UsageSchema, entry.value.value) ? entry.value.value.windows : [];
 }
 
-/** The windows that are fixed, the oldest first. */
+/** The finalized windows, oldest first. */
 async function read(register: Register): Promise<Either.Either<Fault, readonly UsageWindow[]>> {
-  return Either.map(windowsOf)(await register.read(usageKey, registerMilliseconds));
+  return Either.map(windowsOf)(await register.read(usageKey, registerTimeoutMilliseconds));
 }
 
-/** `isNew` is false where another holder of the role has fixed the window before; none while no majority of cores replies. */
-async function fix(
+/** Finalizes a window. `isNew` is false if another holder of the role has finalized it before; none without a majority of cores. */
+async function finalize(
   register: Register,
   window: number,
   counts: Readonly<Record<string, number>>,
-): Promise<Option.Option<Readonly<{ fixed: UsageWindow; isNew: boolean }>>> {
+): Promise<Option.Option<Readonly<{ finalized: UsageWindow; isNew: boolean }>>> {
   const changed = await register.change(
     usageKey,
     function next(current) {
       const windows = windowsOf(current);
-      if (windows.some((known) => known.window >= window)) return Option.none;
-      return Option.some({ windows: [...windows, { window, counts: { ...counts }, sent: false }].slice(-windowsKept) });
+      if (windows.some((existing) => existing.window >= window)) return Option.none;
+      return Option.some({ windows: [...windows, { window, counts: { ...counts }, sent: false }].slice(-maxWindows) });
     },
-    fixMilliseconds,
+    finalizeTimeoutMilliseconds,
   );
   if (Either.isLeft(changed)) return Option.none;
-  const fixed = windowsOf(changed.right.entry).find((known) => known.window === window);
-  return fixed === undefined ? Option.none : Option.some({ fixed, isNew: changed.right.wrote });
+  const finalized = windowsOf(changed.right.entry).find((existing) => existing.window === window);
+  return finalized === undefined ? Option.none : Option.some({ finalized, isNew: changed.right.wrote });
 }
 
-/** Keeps that the platform has taken a window. */
+/** Records that the platform has accepted a window. */
 async function markSent(register: Register, window: number): Promise<void> {
   await register.change(
     usageKey,
     function next(current) {
       const windows = windowsOf(current);
-      const isUnsent = windows.some((known) => known.window === window && !known.sent);
+      const isUnsent = windows.some((existing) => existing.window === window && !existing.sent);
       if (!isUnsent) return Option.none;
-      return Option.some({ windows: windows.map((known) => (known.window === window ? { ...known, sent: true } : known)) });
+      return Option.some({ windows: windows.map((existing) => (existing.window === window ? { ...existing, sent: true } : existing)) });
     },
-    registerMilliseconds,
+    registerTimeoutMilliseconds,
   );
 }
 
 /** @internal */
-export const usageWindows = { read, fix, markSent } as const;
+export const usageWindows = { read, finalize, markSent } as const;
--- a/packages/core/src/version-index.ts
+++ b/packages/core/src/version-index.ts
@@ -1,51 +1,51 @@
-/** Which earlier versions a core's disk keeps, and how many bytes they take (design 5.4). */
+/** Index of the earlier versions on a core's disk and of the bytes that they take up (design 5.4). */
 import type { EarlierVersion } from '@stallstall/message';
 
-/** What listings tell of a version; `sentAt` is the wall time in milliseconds since 1970. */
+/** The listed properties of a version; `sentAt` is the wall-clock time in milliseconds since 1970. */
 export type VersionSummary = Readonly<{ version: number; sentBy: string; sentAt: number }>;
 
 /** @internal */
 export type VersionIndex = {
-  readonly rows: Map<number, VersionSummary & Readonly<{ bytes: number }>>;
+  readonly summaries: Map<number, VersionSummary & Readonly<{ bytes: number }>>;
   bytes: number;
-  /** Versions up to here were forgotten for want of room. */
-  forgottenUpTo: number;
+  /** Versions up to this one have been dropped to stay within the size limit. */
+  droppedUpTo: number;
 };
 
-/** No more than so many bytes of versions are kept: the oldest go first. */
+/** The most bytes of versions that are kept; the oldest are dropped first. */
 export const maxVersionBytes = 16 * 1024 * 1024;
 
 function create(): VersionIndex {
-  return { rows: new Map(), bytes: 0, forgottenUpTo: 0 };
+  return { summaries: new Map(), bytes: 0, droppedUpTo: 0 };
 }
 
 function add(index: VersionIndex, { version, sentBy, sentAt, content }: EarlierVersion): void {
   const bytes = content.length;
-  index.bytes += bytes - (index.rows.get(version)?.bytes ?? 0);
-  index.rows.set(version, { version, sentBy, sentAt, bytes });
+  index.bytes += bytes - (index.summaries.get(version)?.bytes ?? 0);
+  index.summaries.set(version, { version, sentBy, sentAt, bytes });
 }
 
 function remove(index: VersionIndex, version: number): void {
-  index.bytes -= index.rows.get(version)?.bytes ?? 0;
-  index.rows.delete(version);
-  index.forgottenUpTo = Math.max(index.forgottenUpTo, version);
+  index.bytes -= index.summaries.get(version)?.bytes ?? 0;
+  index.summaries.delete(version);
+  index.droppedUpTo = Math.max(index.droppedUpTo, version);
 }
 
-/** Whether a version is kept, or was kept and forgotten: it need not be stored again. */
-function isSettled(index: VersionIndex, version: number): boolean {
-  return index.rows.has(version) || version <= index.forgottenUpTo;
+/** Whether a version is stored, or was stored and dropped: either way it is not stored again. */
+function isStoredOrDropped(index: VersionIndex, version: number): boolean {
+  return index.summaries.has(version) || version <= index.droppedUpTo;
 }
 
-/** The version to forget next; undefined while all that is kept is within its bound. */
-function surplus(index: VersionIndex): number | undefined {
-  const isOver = index.bytes > maxVersionBytes && index.rows.size > 1;
-  return isOver ? Math.min(...index.rows.keys()) : undefined;
+/** The version to drop next; undefined while the stored versions are within the size limit. */
+function oldestOverLimit(index: VersionIndex): number | undefined {
+  const isOver = index.bytes > maxVersionBytes && index.summaries.size > 1;
+  return isOver ? Math.min(...index.summaries.keys()) : undefined;
 }
 
-/** After a start: versions older than those found were forgotten before, if those found take much of the room. */
-function rememberForgotten(index: VersionIndex): void {
-  if (index.bytes > maxVersionBytes / 2) index.forgottenUpTo = Math.min(...index.rows.keys()) - 1;
+/** After a start: if the versions on disk take up much of the size limit, older ones are assumed to have been dropped. */
+function restoreDroppedUpTo(index: VersionIndex): void {
+  if (index.bytes > maxVersionBytes / 2) index.droppedUpTo = Math.min(...index.summaries.keys()) - 1;
 }
 
 /** @internal */
-export const versionIndex = { create, add, remove, isSettled, surplus, rememberForgotten } as const;
+export const versionIndex = { create, add, remove, isStoredOrDropped, oldestOverLimit, restoreDroppedUpTo } as const;
--- a/packages/core/src/version-store.ts
+++ b/packages/core/src/version-store.ts
@@ -1,6 +1,6 @@
 /**
- * Earlier versions of the configuration on each core's own disk: a bounded tail behind the newest (design 5.4). A version is stored as its
- * successor is accepted; what a core has missed it asks the others for, while it serves.
+ * Stores a bounded number of earlier configuration versions on each core's own disk (design 5.4). A version is stored when its successor is
+ * accepted; versions that a core has missed are fetched from the other cores in the background.
  */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
@@ -12,27 +12,27 @@
 
 export type VersionStoreParts = Readonly<{
   disk: Disk;
-  /** The version of the configuration on this core's own disk. */
+  /** The version of the current configuration on this core's own disk. */
   currentVersion: () => number;
-  /** The other cores, and the links to them as far as there are any. */
+  /** Supplies the cores of the fleet and the links to them. */
   node: Pick<Node, 'cores' | 'peerOf'>;
 }>;
 
 export type VersionStore = Readonly<{
   /**
-   * Stores an entry that is about to be replaced; with a history, as disks of format 1 have it, that too. Resolves to false when the disk
-   * did not sync.
+   * Stores an entry that is about to be replaced, and the history in it if it was written in disk format 1. Resolves to false if a write to
+   * the disk fails.
    */
   archive: (entry: Entry) => Promise<boolean>;
-  /** A version from this disk, else from any core that keeps it. */
+  /** Reads a version from this core's disk, or else from any other core that has it. */
   read: (version: number) => Promise<Option.Option<ArchivedConfiguration>>;
-  /** What listings tell of a version, as far as it is kept on this disk. */
+  /** The listed properties of a version; undefined if it is not on this core's disk. */
   summary: (version: number) => VersionSummary | undefined;
-  /** The oldest version that may be asked for. */
+  /** The oldest version that may still be stored when `latest` is the newest. */
   oldestVersion: (latest: number) => number;
-  /** What is kept here of the versions that another core asks for, as far as a reply may hold it. */
+  /** Replies to another core with the requested versions that are on this disk, up to the size limit of a reply. */
   readBatch: (request: Request<'earlier'>) => Promise<Reply<'earlier'>>;
-  /** Reads which versions the disk keeps, then begins to ask the others for what is missing. */
+  /** Reads which versions are on the disk, then starts to fetch missing ones from the other cores. */
   start: () => Promise<void>;
   stop: () => void;
 }>;
@@ -42,20 +42,20 @@
   readonly parts: VersionStoreParts;
   readonly index: VersionIndex;
   readonly commands: Owner<null>;
-  /** Versions that no other core keeps, and when they are asked for again. */
-  readonly unavailableUntil: Map<number, number>;
+  /** Versions that no other core has, and when they are requested again. */
+  readonly retryAt: Map<number, number>;
   isStopped: boolean;
 };
 
-const pageBytes = 256 * 1024;
+const maxPageBytes = 256 * 1024;
 const versionsPerRequest = 50;
-const requestMilliseconds = 1_000;
-const repairMilliseconds = 500;
-const unavailableMilliseconds = 10_000;
+const requestTimeoutMilliseconds = 1_000;
+const fetchIntervalMilliseconds = 500;
+const unavailableRetryMilliseconds = 10_000;
 
-/** Makes room: the oldest versions are forgotten until all that is kept is within its bound. */
-async function forgetSurplus({ parts, index }: StoreState): Promise<void> {
-  for (let oldest = versionIndex.surplus(index); oldest !== undefined; oldest = versionIndex.surplus(index)) {
+/** Drops the oldest versions until the rest are within the size limit. */
+async function dropOverLimit({ parts, index }: StoreState): Promise<void> {
+  for (let oldest = versionIndex.oldestOverLimit(index); oldest !== undefined; oldest = versionIndex.oldestOverLimit(index)) {
     versionIndex.remove(index, oldest);
     await parts.disk.put(storageKeyOf(oldest), packedVersion.emptyCell);
   }
@@ -63,21 +63,21 @@
 
 async function write(store: StoreState, version: EarlierVersion): Promise<boolean> {
   const { parts, index } = store;
-  if (versionIndex.isSettled(index, version.version)) return true;
+  if (versionIndex.isStoredOrDropped(index, version.version)) return true;
   const written = await parts.disk.put(storageKeyOf(version.version), packedVersion.toCell(version));
   if (Either.isLeft(written)) return false;
   const replaced = version.version - maxVersions;
-  if (index.rows.has(replaced)) versionIndex.remove(index, replaced);
+  if (index.summaries.has(replaced)) versionIndex.remove(index, replaced);
   versionIndex.add(index, version);
-  await forgetSurplus(store);
+  await dropOverLimit(store);
   return true;
 }
 
-async function keep(store: StoreState, entry: Entry): Promise<boolean> {
-  const { recent: _recent, history, ...kept } = entry.value as Configuration;
+async function archive(store: StoreState, entry: Entry): Promise<boolean> {
+  const { recent: _recent, history, ...configuration } = entry.value as Configuration;
   const versions = [
     ...(history ?? []).map(({ version, ...earlier }) => packedVersion.pack(version, earlier)),
-    packedVersion.pack(entry.version, kept),
+    packedVersion.pack(entry.version, configuration),
   ];
   for (const version of versions) {
     const isWritten = await store.commands.run(() => write(store, version));
@@ -86,99 +86,99 @@
   return true;
 }
 
-async function readOwn({ parts, index }: StoreState, version: number): Promise<Option.Option<EarlierVersion>> {
-  if (!index.rows.has(version)) return Option.none;
+async function readLocal({ parts, index }: StoreState, version: number): Promise<Option.Option<EarlierVersion>> {
+  if (!index.summaries.has(version)) return Option.none;
   const read = await parts.disk.read(storageKeyOf(version));
-  const kept = Either.isRight(read) && Option.isSome(read.right) ? packedVersion.fromCell(read.right.value) : undefined;
-  return kept?.version === version ? Option.some(kept) : Option.none;
+  const stored = Either.isRight(read) && Option.isSome(read.right) ? packedVersion.fromCell(read.right.value) : undefined;
+  return stored?.version === version ? Option.some(stored) : Option.none;
 }
 
-async function earlier(store: StoreState, request: Request<'earlier'>): Promise<Reply<'earlier'>> {
+async function readBatch(store: StoreState, request: Request<'earlier'>): Promise<Reply<'earlier'>> {
   const found: EarlierVersion[] = [];
-  let bytesLeft = pageBytes;
+  let bytesLeft = maxPageBytes;
   for (const version of request.versions) {
     if (bytesLeft <= 0) break;
-    const own = await readOwn(store, version);
-    if (Option.isNone(own)) continue;
-    found.push(own.value);
-    bytesLeft -= own.value.content.length;
+    const local = await readLocal(store, version);
+    if (Option.isNone(local)) continue;
+    found.push(local.value);
+    bytesLeft -= local.value.content.length;
   }
   return { found };
 }
 
-/** What every other core keeps of the versions asked for, as far as it replies. */
-async function askOthers({ parts }: StoreState, versions: readonly number[]): Promise<ReadonlyArray<Reply<'earlier'>>> {
+/** Requests versions from all other cores and returns the replies that arrived. */
+async function requestFromOthers({ parts }: StoreState, versions: readonly number[]): Promise<ReadonlyArray<Reply<'earlier'>>> {
   const links = parts.node.cores().map((core) => parts.node.peerOf(core.node));
   const replies = await Promise.all(
-    links.map(async function ask(link) {
-      return Option.isSome(link) ? link.value.call('earlier', { versions: [...versions] }, requestMilliseconds) : Option.none;
+    links.map(async function requestVersions(link) {
+      return Option.isSome(link) ? link.value.call('earlier', { versions: [...versions] }, requestTimeoutMilliseconds) : Option.none;
     }),
   );
   return replies.flatMap((reply) => (Option.isSome(reply) ? [reply.value] : []));
 }
 
 async function read(store: StoreState, version: number): Promise<Option.Option<ArchivedConfiguration>> {
-  const own = await readOwn(store, version);
-  if (Option.isSome(own)) return Option.some(packedVersion.unpack(own.value));
-  const replies = await askOthers(store, [version]);
-  const found = replies.flatMap((reply) => reply.found).find((one) => one.version === version);
+  const local = await readLocal(store, version);
+  if (Option.isSome(local)) return Option.some(packedVersion.unpack(local.value));
+  const replies = await requestFromOthers(store, [version]);
+  const found = replies.flatMap((reply) => reply.found).find((earlier) => earlier.version === version);
   return found === undefined ? Option.none : Option.some(packedVersion.unpack(found));
 }
 
-function oldest({ index }: StoreState, latest: number): number {
-  return Math.max(1, latest - maxVersions + 1, index.forgottenUpTo + 1);
+function oldestVersion({ index }: StoreState, latest: number): number {
+  return Math.max(1, latest - maxVersions + 1, index.droppedUpTo + 1);
 }
 
-/** Versions to ask for now, the newest first, for these are read most. */
-function missing(store: StoreState): readonly number[] {
-  const { runtime, parts, index, unavailableUntil } = store;
+/** The missing versions to request now, newest first because these are read most. */
+function missingVersions(store: StoreState): readonly number[] {
+  const { runtime, parts, index, retryAt: retryAt } = store;
   const newest = parts.currentVersion();
-  const least = oldest(store, newest);
+  const lowest = oldestVersion(store, newest);
   const found: number[] = [];
-  for (let version = newest - 1; version >= least && found.length < versionsPerRequest; version -= 1) {
-    const isDue = (unavailableUntil.get(version) ?? 0) <= runtime.clock.now();
-    if (!index.rows.has(version) && isDue) found.push(version);
+  for (let version = newest - 1; version >= lowest && found.length < versionsPerRequest; version -= 1) {
+    const isDue = (retryAt.get(version) ?? 0) <= runtime.clock.now();
+    if (!index.summaries.has(version) && isDue) found.push(version);
   }
   return found;
 }
 
-/** Asks the other cores for what is missing, until nothing is or none of them replies. */
-async function repair(store: StoreState): Promise<void> {
-  const { runtime, index, commands, unavailableUntil } = store;
-  for (let versions = missing(store); versions.length > 0 && !store.isStopped; versions = missing(store)) {
-    const replies = await askOthers(store, versions);
+/** Fetches missing versions from the other cores until none is missing or no core replies. */
+async function fetchMissing(store: StoreState): Promise<void> {
+  const { runtime, index, commands, retryAt: retryAt } = store;
+  for (let versions = missingVersions(store); versions.length > 0 && !store.isStopped; versions = missingVersions(store)) {
+    const replies = await requestFromOthers(store, versions);
     if (replies.length === 0) return;
-    const before = index.rows.size;
+    const before = index.summaries.size;
     for (const found of replies.flatMap((reply) => reply.found)) {
       const isWritten = await commands.run(() => write(store, found));
       if (!isWritten) return;
     }
-    if (index.rows.size > before) continue;
-    for (const version of versions) unavailableUntil.set(version, runtime.clock.now() + unavailableMilliseconds);
+    if (index.summaries.size > before) continue;
+    for (const version of versions) retryAt.set(version, runtime.clock.now() + unavailableRetryMilliseconds);
   }
 }
 
-/** Lists what the disk keeps; what cannot be read now is asked of the other cores, as after a lost disk. */
+/** Builds the index from the disk; versions that cannot be read are fetched from the other cores later, as after the loss of a disk. */
 async function loadIndex({ parts, index }: StoreState): Promise<void> {
   let after: string | undefined = '';
   while (after !== undefined) {
-    const page = await parts.disk.page(versionStoragePrefix, after, pageBytes);
+    const page = await parts.disk.page(versionStoragePrefix, after, maxPageBytes);
     const entries: ReadonlyArray<readonly [string, unknown]> = Either.isRight(page) ? page.right : [];
     for (const [, value] of entries) {
-      const kept = packedVersion.fromCell(value);
-      if (kept !== undefined) versionIndex.add(index, kept);
+      const stored = packedVersion.fromCell(value);
+      if (stored !== undefined) versionIndex.add(index, stored);
     }
     after = entries.at(-1)?.[0];
   }
-  versionIndex.rememberForgotten(index);
+  versionIndex.restoreDroppedUpTo(index);
 }
 
 async function start(store: StoreState): Promise<void> {
   await loadIndex(store);
   void runtimeUtilities.every(
     store.runtime.clock,
-    repairMilliseconds,
-    () => repair(store),
+    fetchIntervalMilliseconds,
+    () => fetchMissing(store),
     () => !store.isStopped,
   );
 }
@@ -189,15 +189,15 @@
     parts,
     index: versionIndex.create(),
     commands: owner.create('versions', null),
-    unavailableUntil: new Map(),
+    retryAt: new Map(),
     isStopped: false,
   };
   return {
-    archive: (entry) => keep(store, entry),
+    archive: (entry) => archive(store, entry),
     read: (version) => read(store, version),
-    summary: (version) => store.index.rows.get(version),
-    oldestVersion: (latest) => oldest(store, latest),
-    readBatch: (request) => earlier(store, request),
+    summary: (version) => store.index.summaries.get(version),
+    oldestVersion: (latest) => oldestVersion(store, latest),
+    readBatch: (request) => readBatch(store, request),
     start: () => start(store),
     stop: function stop() {
       store.isStopped = true;
