--- a/packages/core/src/administration/fleet-view.ts
+++ b/packages/core/src/administration/fleet-view.ts
@@ -16,10 +16,8 @@
 function reachableNodes({ runtime, node }: AdministrationContext): readonly string[] {
   const names = node.membership().value.seats.map((seat) => seat.node);
   return names.filter(function isReachable(name) {
-    const lastHeartbeatAt = node.lastHeartbeatAt(name);
-    return (
-      name === node.settings.node || (Option.isSome(lastHeartbeatAt) && runtime.clock.now() - lastHeartbeatAt.value < leaseTermMilliseconds)
-    );
+    const heartbeatAt = node.lastHeartbeatAt(name);
+    return name === node.settings.node || (Option.isSome(heartbeatAt) && runtime.clock.now() - heartbeatAt.value < leaseTermMilliseconds);
   });
 }
 
