--- a/packages/core/src/core-seat.ts
+++ b/packages/core/src/core-lifecycle.ts
@@ -1,20 +1,20 @@
-/** This core as the occupant of a seat: it answers, answers in another set, or answers nothing any more (design 4.8). */
+/** Moves this core between its states: serving, serving in a newer core set, and no longer serving (design 4.8). */
 import * as Option from 'fp-ts/lib/Option.js';
 import type { CoreSet, Entry } from '@stallstall/message';
 import { watcher } from '@stallstall/register';
 import { withoutClientMetadata, type ChangeSubscribers } from './change-subscribers.js';
 import type { CoreServices } from './core-context.js';
-import { setOf, type Fleet } from './fleet-record.js';
+import { coreSetOf, type FleetRecord } from './fleet-record.js';
 import { currentSet } from './peer-handlers.js';
 import type { QuorumContact } from './quorum-contact.js';
 
 /** @internal */
-export type CoreSeat = Readonly<{
-  /** Begins to answer ballots as the record says. */
-  open: (known: Fleet) => void;
-  /** Answers in another set than before: what is watched is pushed anew at every set. */
-  changeSet: (known: Fleet) => void;
-  /** Answers nothing any more, and goes on asking whoever has the seats by now: what is in flight here is still finished. */
+export type CoreLifecycle = Readonly<{
+  /** Starts to serve ballots as a core of the recorded set. */
+  open: (record: FleetRecord) => void;
+  /** Continues in the recorded, newer set: every watched entry is pushed again, since pushes of an earlier set no longer count. */
+  changeSet: (record: FleetRecord) => void;
+  /** Stops serving and follows the given set as an ordinary node; requests in flight are still completed. */
   close: (set: CoreSet) => void;
   /** Pushes an entry that this core's disk has accepted. */
   publish: (key: string, entry: Entry) => void;
@@ -22,47 +22,47 @@
 }>;
 
 /** @internal */
-export type CoreSeatParts = Readonly<{
+export type CoreLifecycleParts = Readonly<{
   services: CoreServices;
   subscribers: ChangeSubscribers;
   contact: QuorumContact;
 }>;
 
-function create({ services, subscribers, contact }: CoreSeatParts): CoreSeat {
+function create({ services, subscribers, contact }: CoreLifecycleParts): CoreLifecycle {
   const { context, storage, node } = services;
   const { cells, reports, coreSetView } = storage;
-  let lastNumber = 0;
+  let lastChangeNumber = 0;
 
   function notifyLeaseHolders(): void {
     if (Option.isSome(context.registration)) context.registration.value.grantor.notify();
   }
 
-  /** This core's own disk is one of those that push what is watched. */
+  /** Pushes all watched entries to the node in this process, for which this core's own disk is one of the sources. */
   function pushToOwnNode(): void {
     for (const key of cells.keys()) {
       const entry = cells.accepted(key);
       if (!watcher.isWatched(key) || Option.isNone(entry)) continue;
-      lastNumber += 1;
-      const change = { number: lastNumber, key, entry: withoutClientMetadata(key, entry.value), ...currentSet(coreSetView) };
+      lastChangeNumber += 1;
+      const change = { number: lastChangeNumber, key, entry: withoutHistory(key, entry.value), ...currentSet(coreSetView) };
       node.receiveOwnChange(context.settings.node, change);
     }
   }
 
-  function open(known: Fleet): void {
-    node.setFleet(known.fleet);
-    if (Option.isNone(context.parts)) node.setCores(known.cores);
-    else node.followCoreSet(setOf(known));
+  function open(record: FleetRecord): void {
+    node.setFleet(record.fleet);
+    if (Option.isNone(context.platform)) node.setCores(record.cores);
+    else node.followCoreSet(coreSetOf(record));
     context.openedAt = context.runtime.clock.now();
     cells.open();
     reports.open();
-    contact.opened();
+    contact.markOpened();
     pushToOwnNode();
     notifyLeaseHolders();
-    context.runtime.log('core.open', { fleet: known.fleet, cores: known.cores.length });
+    context.runtime.log('core.open', { fleet: record.fleet, cores: record.cores.length });
   }
 
-  function changeSet(known: Fleet): void {
-    node.followCoreSet(setOf(known));
+  function changeSet(record: FleetRecord): void {
+    node.followCoreSet(coreSetOf(record));
     subscribers.pushAll(cells);
     pushToOwnNode();
     notifyLeaseHolders();
@@ -86,4 +86,4 @@
 }
 
 /** @internal */
-export const coreSeats = { create } as const;
+export const coreLifecycle = { create } as const;
--- a/packages/core/src/core-storage.ts
+++ b/packages/core/src/core-storage.ts
@@ -1,20 +1,20 @@
-/** Opens what lies on a core's disk (design 4.3, 5.1, 5.5). */
+/** Restores a core's stored state from its disk and creates the stores that write to it (design 4.3, 5.1, 5.5). */
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Disk, Runtime } from '@stallstall/kernel';
 import type { Entry } from '@stallstall/message';
 import { acceptor, reportStore } from '@stallstall/register';
 import { coreCalls } from './core-calls.js';
 import type { CoreContext, CoreStorage } from './core-context.js';
-import { coreSetViewOf, fleetRecord } from './fleet-record.js';
+import { createCoreSetView, fleetRecordStore } from './fleet-record.js';
 import { stateTransfer } from './state-transfer.js';
 import { coreVoteStore } from './vote-store.js';
 
 /** @internal */
 export type StorageEvents = Readonly<{
-  /** Called once an entry is on the disk. */
+  /** Called once an entry is synced to the disk. */
   onAccepted: (key: string, entry: Entry) => void;
-  /** Keeps an entry that is about to be replaced; resolves to false when the disk did not sync. */
-  keepEarlier: (entry: Entry) => Promise<boolean>;
+  /** Archives an entry that is about to be replaced; resolves to false when the disk did not sync. */
+  archiveEntry: (entry: Entry) => Promise<boolean>;
 }>;
 
 function logDiskTrouble(runtime: Runtime, disk: Disk): void {
@@ -25,18 +25,18 @@
 }
 
 /** @param stored - what the disk held when the process started */
-function create(context: CoreContext, stored: ReadonlyMap<string, unknown>, { onAccepted, keepEarlier }: StorageEvents): CoreStorage {
+function create(context: CoreContext, stored: ReadonlyMap<string, unknown>, { onAccepted, archiveEntry }: StorageEvents): CoreStorage {
   const { runtime, disk } = context;
   logDiskTrouble(runtime, disk);
-  const record = fleetRecord.create(disk, stored);
-  const coreSetView = Option.isNone(context.parts) ? undefined : coreSetViewOf(record.current, () => context.isBetweenSets);
+  const record = fleetRecordStore.create(disk, stored);
+  const coreSetView = Option.isNone(context.platform) ? undefined : createCoreSetView(record.current, () => context.isInSetTransition);
   const cells = acceptor.create({
     disk,
     stored,
     onAccepted,
     onDamaged: (error) => runtime.log('disk.damaged', { reason: error.message }),
     ...(coreSetView === undefined ? {} : { coreSet: coreSetView }),
-    keepEarlier,
+    archiveEntry,
   });
   const reports = reportStore.create(runtime, disk, stored);
   const votes = coreVoteStore(disk, stored);
@@ -48,16 +48,16 @@
     votes,
     stopped: () => context.isStopped,
   });
-  return { record, coreSetView, cells, reports, votes, calls, transfer };
+  return { recordStore: record, coreSetView, cells, reports, votes, calls, transfer };
 }
 
-/** The version of a key that the disk holds, chosen or not; 0 when it holds none. */
+/** The accepted version of a key on this disk, whether or not it was chosen; 0 if there is none. */
 function versionOf({ cells }: CoreStorage, key: string): number {
   const entry = cells.accepted(key);
   return Option.isSome(entry) ? entry.value.version : 0;
 }
 
-/** The set of cores is the membership table where edges have no seat (design 4.8). */
+/** Where edges are not listed in the membership table, the core set takes its place, and the set's number is the version (design 4.8). */
 function membershipVersion(storage: CoreStorage): number {
   const { coreSetView } = storage;
   return coreSetView === undefined ? versionOf(storage, 'membership') : Math.max(0, coreSetView.number());
--- a/packages/core/src/learner.ts
+++ b/packages/core/src/learner.ts
@@ -1,8 +1,11 @@
-/** A core without a seat: it copies the fleet's cores, asks for a vacant seat, and answers nothing until it has caught up (design 4.8). */
+/**
+ * A core that no core set lists: it copies the state of the fleet's cores, asks them to be listed, and serves nothing until it has caught
+ * up in the set that lists it (design 4.8).
+ */
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Runtime } from '@stallstall/kernel';
 import type { CoreSet, Seat } from '@stallstall/message';
-import { catchUp, isSameOccupant, proposer, type Acceptor, type NumberedRegister, type RegisterReplica } from '@stallstall/register';
+import { catchUp, isSameNodeAndDisk, proposer, type Acceptor, type CoreSetRegister, type RegisterReplica } from '@stallstall/register';
 import type { CoreCall } from './core-calls.js';
 import type { StateTransfer } from './state-transfer.js';
 
@@ -10,96 +13,96 @@
   callCore: CoreCall;
   cells: Acceptor;
   transfer: StateTransfer;
-  /** This node with the disk that it has now. */
-  seat: () => Seat;
-  /** Where the fleet may be found besides the cores that are known. */
+  /** This node's entry for a core set, with its current disk identity. */
+  ownSeat: () => Seat;
+  /** Addresses to try besides those of the cores in the newest known set. */
   seeds: () => readonly string[];
-  /** Whether this core is still to be given a seat. */
-  isWanted: () => boolean;
-  /** Begins to answer in this set, once that is on the disk; resolves to false when it may not. */
+  /** False once this core serves, leaves or stops. */
+  shouldRun: () => boolean;
+  /** Starts to serve in this set once the set is synced to the disk; resolves to false when this core may not serve in it. */
   open: (set: CoreSet) => Promise<boolean>;
 }>;
 
 export type Learner = Readonly<{
-  /** Some core reported this set. */
+  /** Called with every set that another core reports. */
   observe: (set: CoreSet) => void;
 }>;
 
 type LearnerState = {
   readonly runtime: Runtime;
   readonly parts: LearnerParts;
-  newest: Option.Option<CoreSet>;
+  newestSet: Option.Option<CoreSet>;
   isRunning: boolean;
   lastReason: string;
 };
 
 const joinMilliseconds = 1_200;
-/** A core that has not replied by then is not waited for before the next one is asked. */
+/** How long to wait for a core's reply to a join request before the next core is asked as well. */
 const nextCoreMilliseconds = 400;
-const pauseMilliseconds = 100;
+const retryMilliseconds = 100;
 
-function isNewest({ newest }: LearnerState, set: CoreSet): boolean {
+function isNewest({ newestSet: newest }: LearnerState, set: CoreSet): boolean {
   return Option.isSome(newest) && newest.value.number === set.number;
 }
 
-function isSeated({ parts }: LearnerState, set: CoreSet): boolean {
-  return set.seats.some((seat) => isSameOccupant(seat, parts.seat()));
+function isListed({ parts }: LearnerState, set: CoreSet): boolean {
+  return set.seats.some((seat) => isSameNodeAndDisk(seat, parts.ownSeat()));
 }
 
-function otherSeats({ parts }: LearnerState, set: CoreSet): readonly Seat[] {
-  return set.seats.filter((seat) => seat.node !== parts.seat().node);
+function peerSeats({ parts }: LearnerState, set: CoreSet): readonly Seat[] {
+  return set.seats.filter((seat) => seat.node !== parts.ownSeat().node);
 }
 
-/** Copies enough of the others that are in no earlier set than `since`; abandoned once a newer set is known. */
-function copyOthers(learner: LearnerState, set: CoreSet, epochs: Record<string, number>, since: number): Promise<boolean> {
+/** Copies the state of as many other cores as needed that are in set `since` or a later one; abandoned once a newer set is known. */
+function copyFromPeers(learner: LearnerState, set: CoreSet, epochs: Record<string, number>, since: number): Promise<boolean> {
   const { runtime, parts } = learner;
-  runtime.log('core.copying', { set: set.number, seated: isSeated(learner, set) });
-  return catchUp.copyEnough(
-    otherSeats(learner, set),
-    catchUp.sourcesNeeded(set.seats.length),
+  runtime.log('core.copying', { set: set.number, seated: isListed(learner, set) });
+  return catchUp.copyFromEnough(
+    peerSeats(learner, set),
+    catchUp.requiredSources(set.seats.length),
     (source, isUnneeded) => parts.transfer.copyFrom(source, Option.some(since), epochs, isUnneeded),
-    () => !parts.isWanted() || !isNewest(learner, set),
+    () => !parts.shouldRun() || !isNewest(learner, set),
   );
 }
 
-/** The register as the others serve it: this core asks, and counts for nothing. */
-function registerOver(learner: LearnerState, set: CoreSet): NumberedRegister {
+/** A register client over the other cores; this core's own disk is not one of the replicas. */
+function createRemoteRegister(learner: LearnerState, set: CoreSet): CoreSetRegister {
   const { runtime, parts } = learner;
-  const replicas = otherSeats(learner, set).map((seat): RegisterReplica => ({
+  const replicas = peerSeats(learner, set).map((seat): RegisterReplica => ({
     core: seat.node,
     send: (call, body, milliseconds) => parts.callCore(seat.address, call, body, milliseconds),
   }));
   return proposer.create(runtime, {
-    name: parts.seat().node,
+    name: parts.ownSeat().node,
     replicas: () => replicas,
     replicaCount: () => set.seats.length,
     coreSets: {
-      // Once a newer set is known these rounds end: their majority may be none any more.
+      // 0 ends these rounds once a newer set is known, since their majority may be no majority of the newer set.
       number: () => (isNewest(learner, set) ? set.number : 0),
       observe: (newer) => observe(learner, newer),
     },
   });
 }
 
-/** Catches up in the set that lists this core, and opens there. */
-async function becomeLevel(learner: LearnerState, set: CoreSet): Promise<void> {
+/** Catches up in the set that lists this core, then starts to serve in it. */
+async function catchUpAndOpen(learner: LearnerState, set: CoreSet): Promise<void> {
   const { parts } = learner;
   const epochs: Record<string, number> = { ...set.epochs };
-  if (!(await copyOthers(learner, set, epochs, set.number))) return;
+  if (!(await copyFromPeers(learner, set, epochs, set.number))) return;
   await parts.transfer.abstain(epochs);
-  const register = registerOver(learner, set).inSet(set.number);
+  const register = createRemoteRegister(learner, set).forCoreSet(set.number);
   if (!(await catchUp.completeUnresolved(parts.cells, register))) return;
-  if (isNewest(learner, set) && parts.isWanted()) await parts.open(set);
+  if (isNewest(learner, set) && parts.shouldRun()) await parts.open(set);
 }
 
-/** Asks one core for a seat; what it replies later than it is waited for is taken all the same. */
-async function askForSeat(learner: LearnerState, set: CoreSet, attempt: number): Promise<void> {
+/** Asks one core to list this one; a reply that arrives after the wait has ended is still processed. */
+async function requestJoin(learner: LearnerState, set: CoreSet, attempt: number): Promise<void> {
   const { runtime, parts } = learner;
-  const addresses = [...otherSeats(learner, set).map((seat) => seat.address), ...parts.seeds()];
-  const others = [...new Set(addresses)].filter((address) => address !== parts.seat().address);
+  const addresses = [...peerSeats(learner, set).map((seat) => seat.address), ...parts.seeds()];
+  const others = [...new Set(addresses)].filter((address) => address !== parts.ownSeat().address);
   const address = others[attempt % others.length];
   if (address === undefined) return;
-  const join = parts.callCore(address, 'join', { seat: parts.seat() }, joinMilliseconds).then(function onReply(reply) {
+  const join = parts.callCore(address, 'join', { seat: parts.ownSeat() }, joinMilliseconds).then(function onReply(reply) {
     if (Option.isNone(reply)) return;
     const { joined, reason, set: reported } = reply.value;
     if (reported !== undefined) observe(learner, reported);
@@ -113,28 +116,28 @@
   const { runtime, parts } = learner;
   let isCopied = false;
   let attempts = 0;
-  while (parts.isWanted() && Option.isSome(learner.newest)) {
-    const set = learner.newest.value;
-    if (isSeated(learner, set)) await becomeLevel(learner, set);
-    else if (!isCopied) isCopied = await copyOthers(learner, set, {}, 0);
+  while (parts.shouldRun() && Option.isSome(learner.newestSet)) {
+    const set = learner.newestSet.value;
+    if (isListed(learner, set)) await catchUpAndOpen(learner, set);
+    else if (!isCopied) isCopied = await copyFromPeers(learner, set, {}, 0);
     else {
       attempts += 1;
-      await askForSeat(learner, set, attempts);
+      await requestJoin(learner, set, attempts);
     }
-    if (parts.isWanted() && isNewest(learner, set)) await runtime.clock.sleep(pauseMilliseconds);
+    if (parts.shouldRun() && isNewest(learner, set)) await runtime.clock.sleep(retryMilliseconds);
   }
   learner.isRunning = false;
 }
 
 function observe(learner: LearnerState, set: CoreSet): void {
-  if (Option.isNone(learner.newest) || set.number > learner.newest.value.number) learner.newest = Option.some(set);
-  if (learner.isRunning || !learner.parts.isWanted()) return;
+  if (Option.isNone(learner.newestSet) || set.number > learner.newestSet.value.number) learner.newestSet = Option.some(set);
+  if (learner.isRunning || !learner.parts.shouldRun()) return;
   learner.isRunning = true;
   void run(learner);
 }
 
 function create(runtime: Runtime, parts: LearnerParts): Learner {
-  const learner: LearnerState = { runtime, parts, newest: Option.none, isRunning: false, lastReason: '' };
+  const learner: LearnerState = { runtime, parts, newestSet: Option.none, isRunning: false, lastReason: '' };
   return { observe: (set) => observe(learner, set) };
 }
 
--- a/packages/core/src/member-registration.ts
+++ b/packages/core/src/member-registration.ts
@@ -133,7 +133,7 @@
     epochs: node.epochs,
     registry,
     isLeaderMissing: leaders.isLeaderMissing,
-    onConnectionRefused: leaders.check,
+    onConnectionRefused: leaders.checkConnection,
   });
   const state: RegistrationState = {
     runtime,
--- a/packages/core/src/membership-table.ts
+++ b/packages/core/src/membership-table.ts
@@ -8,11 +8,11 @@
 import { MembershipSchema, message, type Request, type Membership, type Reply } from '@stallstall/message';
 import type { Node } from '@stallstall/node';
 import { quorum } from '@stallstall/quorum';
-import type { NumberedRegister } from '@stallstall/register';
+import type { CoreSetRegister } from '@stallstall/register';
 
 export type MembershipTableParts = Readonly<{
   node: Pick<Node, 'reportedEpochs'>;
-  register: Pick<NumberedRegister, 'read' | 'change'>;
+  register: Pick<CoreSetRegister, 'read' | 'change'>;
   ready: () => boolean;
 }>;
 
@@ -64,7 +64,7 @@
   function nodesThatApplied(table: Membership, version: number): readonly ReportedEpochs[] {
     return node
       .reportedEpochs()
-      .filter((reported) => reported.membership === version && (version === 0 || quorum.seat(table, reported.node) !== undefined));
+      .filter((reported) => reported.membership === version && (version === 0 || quorum.findNode(table, reported.node) !== undefined));
   }
 
   async function apply(next: MembershipChange): Promise<Either.Either<Fault, Membership>> {
--- a/packages/core/src/platform-api.ts
+++ b/packages/core/src/platform-api.ts
@@ -52,7 +52,7 @@
       if (!isOpen()) return Either.left(notOpen());
       const checked = placements.validate(placement);
       if (Either.isLeft(checked)) return checked;
-      return contact.whileInContact(() => administration.replaceExternal(external, checked.right));
+      return contact.runInContact(() => administration.replaceExternal(external, checked.right));
     },
     readSource: async () => (isOpen() ? contact.whileInContact(administration.readSource) : Either.left(notOpen())),
     // A core without a fleet or without contact to a majority could not pass this on: the caller has to try another core.
--- a/packages/core/src/usage-reporting.ts
+++ b/packages/core/src/usage-reporting.ts
@@ -13,7 +13,7 @@
   registerService,
   reportStore,
   usageWindowMilliseconds,
-  usageWindowsKept,
+  retainedUsageWindows,
   type Register,
   type ReportStore,
 } from '@stallstall/register';
@@ -78,7 +78,7 @@
 
 function reportingEdges({ node, leased }: ReportingState): readonly string[] {
   if (Option.isSome(leased)) return leased.value.edges();
-  return quorum.withRole(node.membership().value, 'edge').map((edge) => edge.node);
+  return quorum.nodesWithRole(node.membership().value, 'edge').map((edge) => edge.node);
 }
 
 /** The counts of a window from a majority of core disks; none without a majority, or while an edge may still have counts to report. */
@@ -95,7 +95,7 @@
   });
   const grace = Option.isSome(leased) ? sessionGraceMilliseconds : graceMilliseconds;
   if (!isComplete && runtime.clock.wall() < end + grace) return Option.none;
-  return Option.some(reportStore.sumReports(replies.flatMap((reply) => reply.reports)));
+  return Option.some(reportStore.sumUsageReports(replies.flatMap((reply) => reply.reports)));
 }
 
 async function finalizeWindow(
--- a/packages/core/src/usage-windows.ts
+++ b/packages/core/src/usage-windows.ts
@@ -4,7 +4,7 @@
 import { Type, type Static } from '@sinclair/typebox';
 import type { Fault } from '@stallstall/kernel';
 import { message, type Entry } from '@stallstall/message';
-import { usageWindowsKept, type Register } from '@stallstall/register';
+import { retainedUsageWindows, type Register } from '@stallstall/register';
 
 /** `counts`: statements that started in the window, by tenant or service. The field names are those of stored data. */
 const UsageSchema = Type.Object({
--- a/packages/register/src/acceptor.ts
+++ b/packages/register/src/acceptor.ts
@@ -29,7 +29,7 @@
   ready: () => boolean;
 }>;
 
-export type AcceptorParts = Readonly<{
+export type AcceptorOptions = Readonly<{
   disk: Disk;
   /** What the disk held when the process started. */
   stored: ReadonlyMap<string, unknown>;
@@ -43,15 +43,15 @@
    * Keeps an entry that is about to be replaced by its successor; without it the successor is not accepted.
    * @default keeps nothing
    */
-  keepEarlier?: (entry: Entry) => Promise<boolean>;
+  archiveEntry?: (entry: Entry) => Promise<boolean>;
 }>;
 
 type AcceptorState = {
   readonly disk: Disk;
   readonly table: CellTable;
   readonly coreSet: CoreSetView;
-  readonly onAccepted: AcceptorParts['onAccepted'];
-  readonly keepEarlier: (entry: Entry) => Promise<boolean>;
+  readonly onAccepted: AcceptorOptions['onAccepted'];
+  readonly archiveEntry: (entry: Entry) => Promise<boolean>;
   isOpen: boolean;
 };
 
@@ -86,14 +86,14 @@
 function entryOf(request: Request<'accept'>, { accepted }: CellState): Option.Option<Entry> {
   if (request.base === undefined) return Option.some(request.entry);
   if (accepted === null || message.compareBallots(accepted.ballot, request.base.ballot) !== 0) return Option.none;
-  const joined = compressedDifference.join(accepted.value, request.base.difference);
+  const joined = compressedDifference.apply(accepted.value, request.base.difference);
   return Either.isLeft(joined) ? Option.none : Option.some({ ...request.entry, value: joined.right });
 }
 
 /** Keeps only the very entry that the new one succeeds: what else is held here may never have been chosen (design 5.4). */
-async function keepReplaced({ keepEarlier }: AcceptorState, { accepted }: CellState, next: Entry): Promise<boolean> {
+async function keepReplaced({ archiveEntry }: AcceptorState, { accepted }: CellState, next: Entry): Promise<boolean> {
   if (accepted === null || next.after === undefined || message.compareBallots(accepted.ballot, next.after) !== 0) return true;
-  return keepEarlier(accepted);
+  return archiveEntry(accepted);
 }
 
 async function acceptInCell(acceptor: AcceptorState, cell: Cell, request: Request<'accept'>): Promise<Reply<'accept'>> {
@@ -130,7 +130,7 @@
   });
 }
 
-function create(parts: AcceptorParts): Acceptor {
+function create(parts: AcceptorOptions): Acceptor {
   const { disk, stored, onAccepted, onDamaged, coreSet = fixedCoreSetView } = parts;
   const table = cellTable.create(disk, stored, onDamaged);
   const acceptor: AcceptorState = {
@@ -138,7 +138,7 @@
     table,
     coreSet,
     onAccepted,
-    keepEarlier: parts.keepEarlier ?? (() => Promise.resolve(true)),
+    archiveEntry: parts.archiveEntry ?? (() => Promise.resolve(true)),
     isOpen: false,
   };
   return {
--- a/packages/simulator/src/explored-machines.ts
+++ b/packages/simulator/src/explored-machines.ts
@@ -5,7 +5,15 @@
 import { soundDisk } from './sound-disk.js';
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
-import { stateTransfer, coreSetManager, setOf, coreSetViewOf, type CoreCall, type CoreSetManager, type Fleet } from '@stallstall/core';
+import {
+  stateTransfer,
+  coreSetManager,
+  coreSetOf,
+  createCoreSetView,
+  type CoreCall,
+  type CoreSetManager,
+  type FleetRecord,
+} from '@stallstall/core';
 import { identifiers, type Clock, type Disk, type Instant, type Runtime } from '@stallstall/kernel';
 import type { Request, CoreSet, MessageKind, Reply, Seat } from '@stallstall/message';
 import {
@@ -14,7 +22,7 @@
   coreSetKey,
   type Acceptor,
   type CoreSetSource,
-  type NumberedRegister,
+  type CoreSetRegister,
   type RegisterReplica,
 } from '@stallstall/register';
 
@@ -51,7 +59,7 @@
   /** A machine that was founded with the first set, or one that is blank. */
   add: (founders: readonly string[]) => Machine;
   /** A register for somebody who is no core: it learns of sets as it goes on. */
-  client: (name: string, first: CoreSet) => NumberedRegister;
+  client: (name: string, first: CoreSet) => CoreSetRegister;
   /** Says one thing to one core, as a proposer would that ended right after. */
   tell: <Kind extends 'prepare' | 'accept'>(seat: Seat, kind: Kind, body: Request<Kind>) => Promise<Option.Option<Reply<Kind>>>;
   newest: () => CoreSet;
@@ -62,7 +70,7 @@
   seats: (names: readonly string[]) => readonly Seat[];
 }>;
 
-type Running = { readonly cells: Acceptor; readonly cores: CoreSetManager; joins: number; fleet: Option.Option<Fleet> };
+type Running = { readonly cells: Acceptor; readonly cores: CoreSetManager; joins: number; fleet: Option.Option<FleetRecord> };
 type State = {
   readonly name: string;
   entries: Map<string, unknown>;
@@ -153,7 +161,7 @@
 
   async function copied(running: Running, ask: Request<'copy'>): Promise<Reply<'copy'>> {
     const isFormed = running.cells.ready() && Option.isSome(running.fleet) && running.fleet.value.stage === 'formed';
-    const set = Option.isSome(running.fleet) ? setOf(running.fleet.value).number : 0;
+    const set = Option.isSome(running.fleet) ? coreSetOf(running.fleet.value).number : 0;
     const page = await running.cells.page(ask.after);
     const read = Either.isRight(page) ? page.right : { entries: [], next: '' };
     const ready = isFormed && Either.isRight(page);
@@ -196,7 +204,7 @@
     call: CoreCall,
     set: () => CoreSet,
     learn: CoreSetSource['observe'],
-  ): NumberedRegister {
+  ): CoreSetRegister {
     return proposer.create(runtime, {
       name,
       replicas: () =>
@@ -215,13 +223,13 @@
     const disk = diskOf(state, alive);
     const call = callFrom(state.name, alive);
     let between = false;
-    const running = { joins: 0, fleet: Option.fromNullable(state.entries.get('fleet') as Fleet | undefined) } as Running;
+    const running = { joins: 0, fleet: Option.fromNullable(state.entries.get('fleet') as FleetRecord | undefined) } as Running;
     const cells = acceptor.create({
       disk,
       stored: state.entries,
       onAccepted: () => undefined,
       onDamaged: () => undefined,
-      coreSet: coreSetViewOf(
+      coreSet: createCoreSetView(
         () => running.fleet,
         () => between,
       ),
@@ -230,7 +238,7 @@
       state.name,
       runtime,
       call,
-      () => (Option.isSome(running.fleet) ? setOf(running.fleet.value) : { number: 0, seats: [], epochs: {} }),
+      () => (Option.isSome(running.fleet) ? coreSetOf(running.fleet.value) : { number: 0, seats: [], epochs: {} }),
       (set) => running.cores.observe(set),
     );
     const created = coreSetManager.create(runtime, {
@@ -257,8 +265,8 @@
         votes: { epochs: () => Promise.resolve({}), record: () => Promise.resolve(true) },
         stopped: () => !alive(),
       }),
-      fleet: () => running.fleet,
-      keepFleet: async function keepFleet(next) {
+      record: () => running.fleet,
+      saveRecord: async function keepFleet(next) {
         await disk.put('fleet', next);
         running.fleet = Option.some(next);
         return true;
@@ -266,7 +274,7 @@
       open: cells.open,
       changeSet: () => undefined,
       close: cells.close,
-      onBetweenSets: function onBetweenSets(isBetween) {
+      onSetTransition: function onBetweenSets(isBetween) {
         between = isBetween;
       },
     });
@@ -288,7 +296,7 @@
     function level(): Option.Option<CoreSet> {
       const { running } = state;
       return running !== undefined && running.cells.ready() && Option.isSome(running.fleet) && running.fleet.value.stage === 'formed'
-        ? Option.some(setOf(running.fleet.value))
+        ? Option.some(coreSetOf(running.fleet.value))
         : Option.none;
     }
     return {
@@ -300,10 +308,10 @@
       hears: function hears(set) {
         if (state.running === undefined) return;
         if (Option.isSome(level())) state.running.cores.observe(set);
-        else state.running.cores.fleetFound('explored', set);
+        else state.running.cores.onFleetFound('explored', set);
       },
       leave: function leave() {
-        void state.running?.cores.handOverSeat(identifiers.instant(Number.POSITIVE_INFINITY));
+        void state.running?.cores.handOverMembership(identifiers.instant(Number.POSITIVE_INFINITY));
       },
       crash: (wiped) => end(state, wiped),
       start: () => begin(state),
@@ -322,7 +330,7 @@
     return machine;
   }
 
-  function client(name: string, first: CoreSet): NumberedRegister {
+  function client(name: string, first: CoreSet): CoreSetRegister {
     let set = first;
     return registerFrom(
       name,
