--- a/packages/core/src/administration/node-routes.ts
+++ b/packages/core/src/administration/node-routes.ts
@@ -19,7 +19,7 @@
 
 /** Finds an edge in the membership table. Errors: `not-found`. */
 function findEdge({ node }: AdministrationContext, name: string): Either.Either<Fault, Seat> {
-  const seat = quorum.seat(node.membership().value, name);
+  const seat = quorum.findNode(node.membership().value, name);
   if (seat !== undefined && seat.role === 'edge') return Either.right(seat);
   return Either.left(
     fault.create({
--- a/packages/core/src/core-lifecycle.ts
+++ b/packages/core/src/core-lifecycle.ts
@@ -43,7 +43,7 @@
       const entry = cells.accepted(key);
       if (!watcher.isWatched(key) || Option.isNone(entry)) continue;
       lastChangeNumber += 1;
-      const change = { number: lastChangeNumber, key, entry: withoutHistory(key, entry.value), ...currentSet(coreSetView) };
+      const change = { number: lastChangeNumber, key, entry: withoutClientMetadata(key, entry.value), ...currentSet(coreSetView) };
       node.receiveOwnChange(context.settings.node, change);
     }
   }
--- a/packages/core/src/member-registration.ts
+++ b/packages/core/src/member-registration.ts
@@ -115,7 +115,7 @@
     broadcast(state);
   }
   void runtimeUtilities.every(runtime.clock, broadcastIntervalMilliseconds, sweepAndBroadcast, isRunning);
-  void runtimeUtilities.every(runtime.clock, leaderCheckIntervalMilliseconds, leaders.checkLeaders, isRunning);
+  void runtimeUtilities.every(runtime.clock, leaderCheckIntervalMilliseconds, leaders.checkLeaderConnections, isRunning);
 }
 
 function stop(state: RegistrationState): void {
--- a/packages/core/src/membership-table.ts
+++ b/packages/core/src/membership-table.ts
@@ -72,7 +72,9 @@
     if (Either.isLeft(read)) return read;
     const version = Option.isSome(read.right) ? read.right.value.version : 0;
     const table =
-      Option.isSome(read.right) && message.matches(MembershipSchema, read.right.value.value) ? read.right.value.value : quorum.empty;
+      Option.isSome(read.right) && message.matches(MembershipSchema, read.right.value.value)
+        ? read.right.value.value
+        : quorum.emptyMembership;
     const updated = next(table);
     if (updated === table) return Either.right(table);
     const applied = nodesThatApplied(table, version);
@@ -95,11 +97,11 @@
     if (!parts.ready()) return { joined: false, reason: 'this core does not answer ballots yet' };
     // A node that is already listed with the same data has just not read the table yet, so nothing changes. A draining node keeps draining.
     const changed = await change(function list(table) {
-      const listed = quorum.seat(table, request.seat.node);
-      if (listed === undefined) return quorum.put(table, request.seat);
+      const listed = quorum.findNode(table, request.seat.node);
+      if (listed === undefined) return quorum.putNode(table, request.seat);
       const isSame =
         listed.address === request.seat.address && listed.outward === request.seat.outward && listed.area === request.seat.area;
-      return isSame ? table : quorum.put(table, { ...request.seat, draining: listed.draining });
+      return isSame ? table : quorum.putNode(table, { ...request.seat, draining: listed.draining });
     });
     if (Either.isRight(changed)) return { joined: true, reason: '' };
     return { joined: false, reason: changed.left.message.slice(0, maxReasonLength) };
--- a/packages/core/src/platform-api.ts
+++ b/packages/core/src/platform-api.ts
@@ -54,7 +54,7 @@
       if (Either.isLeft(checked)) return checked;
       return contact.runInContact(() => administration.replaceExternal(external, checked.right));
     },
-    readSource: async () => (isOpen() ? contact.whileInContact(administration.readSource) : Either.left(notOpen())),
+    readSource: async () => (isOpen() ? contact.runInContact(administration.readSource) : Either.left(notOpen())),
     // A core without a fleet or without contact to a majority could not pass this on: the caller has to try another core.
     heartbeat: async (memberState) => Option.isSome(registration) && isOpen() && registration.value.heartbeat(memberState),
     leave: async (member) => Option.isSome(registration) && isOpen() && registration.value.leave(member),
--- a/packages/core/src/usage-reporting.ts
+++ b/packages/core/src/usage-reporting.ts
@@ -134,7 +134,7 @@
 async function finalizeEnded(state: ReportingState, stored: readonly UsageWindow[]): Promise<void> {
   const last = Math.floor((state.runtime.clock.wall() - clockSkewMilliseconds) / usageWindowMilliseconds) - 1;
   const newest = stored.at(-1)?.window ?? last - 1;
-  const first = Math.max(newest + 1, last - usageWindowsKept + 2);
+  const first = Math.max(newest + 1, last - retainedUsageWindows + 2);
   for (let window = first; window <= last; window += 1) {
     const counts = await collectCounts(state, window);
     if (Option.isNone(counts)) return;
--- a/packages/core/src/usage-windows.ts
+++ b/packages/core/src/usage-windows.ts
@@ -21,7 +21,7 @@
 const usageKey = 'usage';
 const registerTimeoutMilliseconds = 1_000;
 const finalizeTimeoutMilliseconds = 1_500;
-const maxWindows = 2 * usageWindowsKept;
+const maxWindows = 2 * retainedUsageWindows;
 
 function windowsOf(entry: Option.Option<Entry>): readonly UsageWindow[] {
   return Option.isSome(entry) && message.matches(UsageSchema, entry.value.value) ? entry.value.value.windows : [];
