--- a/packages/simulator/exploring-mutations.mjs
+++ b/packages/simulator/exploring-mutations.mjs
@@ -27,34 +27,34 @@
   {
     name: 'copies-fewer',
     file: 'register/build/catch-up.js',
-    from: 'seats - quorum.majority(seats) + 1',
-    to: 'seats - quorum.majority(seats)',
+    from: 'coreCount - quorum.majority(coreCount) + 1',
+    to: 'coreCount - quorum.majority(coreCount)',
   },
-  { name: 'copies-others-at-earlier-sets', file: 'register/build/catch-up.js', from: 'reported >= since', to: 'true' },
+  { name: 'copies-others-at-earlier-sets', file: 'register/build/catch-up.js', from: 'reportedSet >= joinedSet', to: 'true' },
   {
     name: 'doubtful-cells-not-settled',
     file: 'register/build/catch-up.js',
-    from: 'async function completeUnresolved(cells, register) {',
-    to: 'async function completeUnresolved(cells, register) { return true;',
+    from: 'async function completeUnresolved(acceptor, register) {',
+    to: 'async function completeUnresolved(acceptor, register) { return true;',
   },
   {
     name: 'another-seat-before-the-first-is-level',
     file: 'register/build/core-set-changes.js',
-    from: 'leavesMajority(set, confirmed.upToDate, node, occupant));',
+    from: 'leavesMajority(set, confirmed.upToDate, node, joiningCore));',
     to: 'true);',
   },
   {
     name: 'a-lost-disk-is-the-same-occupant',
     file: 'register/build/core-set-changes.js',
-    from: 'one.node === other.node && one.disk === other.disk',
-    to: 'one.node === other.node',
+    from: 'left.node === right.node && left.disk === right.disk',
+    to: 'left.node === right.node',
     story: 'A core that lost its disk answers only in a later set',
   },
   {
     name: 'round-of-two-sets',
     file: 'register/build/ballot-round.js',
-    from: 'const complete = { key, entry, ...set };',
-    to: 'const complete = { key, entry, ...currentSet(context).set };',
+    from: 'const complete = { key, entry, ...setField };',
+    to: 'const complete = { key, entry, ...currentSet(context).setField };',
     // Every core whose accept counts has itself promised this ballot and stands at the later set. As many cores as a majority of either
     // set have then promised, so that whatever a lower ballot chose under either set was seen or can be chosen no more.
     equivalent: 'the accepts that count are a majority of cores that promised, whichever of the two sets they name',
@@ -81,7 +81,7 @@
     file: 'lease/build/lease-grantor.js',
     from: 'laterOf(startedAt, context.servingSince())',
     to: 'startedAt',
-    story: 'A core that was given its seat anew',
+    story: 'A core that became an active voter again',
   },
 ];
 
