--- a/packages/acceptance/features/fleet.feature
+++ b/packages/acceptance/features/fleet.feature
@@ -35,7 +35,7 @@
 
   Scenario: A retired primary hands over and nothing acknowledged is missing
     Given a fleet of Red Común with its placement configuration applied and its primaries elected
-    When a sender puts "booking" as 5 in "bookings" through edge-1
+    When a client puts "booking" as 5 in "bookings" through edge-1
     And an operator marks the primary of "bookings" draining
     Then within 8 s another member of "bookings" is elected at a later epoch
     And a leader-read of "booking" in "bookings" through edge-2 gives 5
--- a/packages/core/src/core-lifecycle.ts
+++ b/packages/core/src/core-lifecycle.ts
@@ -2,7 +2,7 @@
 import * as Option from 'fp-ts/lib/Option.js';
 import type { CoreSet, Entry } from '@stallstall/message';
 import { watcher } from '@stallstall/register';
-import { withoutHistory, type ChangeSubscribers } from './change-subscribers.js';
+import { withoutClientMetadata, type ChangeSubscribers } from './change-subscribers.js';
 import type { CoreServices } from './core-context.js';
 import { coreSetOf, type FleetRecord } from './fleet-record.js';
 import { currentSet } from './peer-handlers.js';
@@ -43,7 +43,7 @@
       const entry = cells.accepted(key);
       if (!watcher.isWatched(key) || Option.isNone(entry)) continue;
       lastChangeNumber += 1;
-      const change = { number: lastChangeNumber, key, entry: withoutHistory(key, entry.value), ...currentSet(coreSetView) };
+      const change = { number: lastChangeNumber, key, entry: withoutClientMetadata(key, entry.value), ...currentSet(coreSetView) };
       node.receiveOwnChange(context.settings.node, change);
     }
   }
