--- a/packages/acceptance/features/watcher.feature
+++ b/packages/acceptance/features/watcher.feature
@@ -1,7 +1,7 @@
 Feature: A node applies what a majority of cores has pushed
 
-  Scenario Outline: A stream of changes is applied though the cores push it out of step, <delay> ms apart
-    Then of changes every 100 ms, which core-2 pushes <delay> ms later than core-1 does, each is applied <bound> ms after core-1 pushed it
+  Scenario Outline: A stream of changes is applied although the cores push each change <delay> ms apart
+    Then of changes every 100 ms, which core-2 pushes <delay> ms after core-1, each is applied within <bound> ms of the push by core-1
 
     Examples:
       | delay | bound |
@@ -9,11 +9,11 @@
       | 150   | 160   |
       | 900   | 910   |
 
-  Scenario: A change pushed under an earlier set of cores counts for nothing under a later one
-    Then what cores pushed under different sets is never counted together
+  Scenario: A change pushed under an earlier core set does not count under a later one
+    Then pushes under different core sets are never counted together
 
-  Scenario: The changes that are remembered are bounded
-    Then of a key that nobody completes a node keeps 16 changes of each core at the most
+  Scenario: The number of retained changes is limited
+    Then of a key whose changes reach no majority, a node retains at most 16 changes per core
 
-  Scenario: What a core pushed under an earlier set and has lost since is forgotten
-    Then a change that a core no longer has under a later set leaves no doubt behind
+  Scenario: A change that a core pushed under an earlier core set and has lost since then is dropped
+    Then a change that a core no longer has under a later core set does not remain unapplied
--- a/packages/simulator/pooled-mutations.mjs
+++ b/packages/simulator/pooled-mutations.mjs
@@ -473,21 +473,21 @@
   },
   {
     name: 'whole-in-each-ballot',
-    story: 'A change moves little',
+    story: 'A change transfers little',
     file: 'register/build/ballot-round.js',
     from: 'coresWithLocalEntry.has(target.core) ? withDifference : complete',
     to: 'complete',
   },
   {
     name: 'held-entry-sent-again',
-    story: 'A change moves little',
+    story: 'A change transfers little',
     file: 'register/build/acceptor.js',
     from: 'return isHeld ?',
     to: 'return false ?',
   },
   {
     name: 'difference-not-checked',
-    story: 'A difference leads',
+    story: 'A difference yields',
     file: 'register/build/compressed-difference.js',
     from: 'if (digestOf(text) !== difference.digest)',
     to: 'if (false)',
@@ -625,7 +625,7 @@
   },
   {
     name: 'pushes-of-another-set-counted',
-    story: 'A change pushed under an earlier set',
+    story: 'A change pushed under an earlier core set',
     file: 'register/build/watcher.js',
     from: 'left.set === right.set && ',
     to: '',
