--- a/packages/acceptance/features/disks.feature
+++ b/packages/acceptance/features/disks.feature
@@ -1,73 +1,73 @@
-Feature: Core disks that are lost, old, or moved
+Feature: Core disks that are lost, outdated, full or hanging
 
-  Scenario: A core that comes back with an old copy of its disk copies the others before it answers
+  Scenario: A core that restarts with an old copy of its disk copies the others before it serves ballots
     Given a fleet of Red Común with its sheet obeyed and its primaries elected
-    When the disk of core-2 is copied, an operator sends two more sheets, and core-2 comes back with the copy
-    Then core-2 logs "core.old-disk" and opens within 3 s
+    When the disk of core-2 is copied, an operator sends two more configurations, and core-2 restarts with the copy
+    Then core-2 logs "core.old-disk" and serves ballots within 3 s
     And core-2 holds version 3 on its own disk
 
-  Scenario: A core that lost its disk does not vote again where it may have voted
+  Scenario: A core that lost its disk does not vote again in an epoch in which it may have voted
     Given a fleet of Red Común with its sheet obeyed and its primaries elected
     When every node votes for the primary of "bookings" at epoch 5
     And core-1 comes back with an empty disk
     And 1 s pass
-    Then core-1 denies another proposal for epoch 5
-    And within 12 s the primary of "bookings" is settled at a later epoch than 5
+    Then core-1 rejects another proposal for epoch 5
+    And within 12 s a primary of "bookings" is elected at a later epoch than 5
 
-  Scenario: A core machine is replaced by another at another address
+  Scenario: A core machine is replaced by another machine at another address
     Given a fleet of Red Común with its sheet obeyed and its primaries elected
-    When core-3 is replaced by a blank machine at "10.1.0.9"
+    When core-3 is replaced by a machine with an empty disk at "10.1.0.9"
     And 4 s pass
     And core-1 is killed
     And 1 s pass
     Then a write to "bookings" through edge-1 is served
-    And core-2 takes a sheet
+    And core-2 accepts a configuration
 
-  Scenario: A step that would lose the quorum is denied
+  Scenario: A removal that would lose the quorum is denied
     Given a fleet of Red Común with its sheet obeyed and its primaries elected
     When edges 1, 2, 3 and 4 are killed and 6 s pass
     And an operator tries to remove edge-1 after edge-5 is killed too
     Then it is denied as "unsafe-step" with 0 faults that name row, column and remedy
 
-  Scenario: A core whose disk is full says so, answers no ballot, and is back by itself
+  Scenario: A core whose disk is full reports it, serves no ballots, and recovers by itself
     Given a fleet of Red Común with its sheet obeyed and its primaries elected
-    When the disk of core-2 takes no more bytes
+    When the disk of core-2 is full
     And 2 s pass
-    And core-1 takes a sheet 10 times, each within 1 s
-    Then core-2 answers no ballot, vote or note
-    And core-2 has logged "disk.failed" once and "disk.works" 0 times, and its liveness names "disk-syncs"
-    When the disk of core-2 is mended, and 2 s pass
-    Then core-2 has logged "disk.failed" once and "disk.works" 1 times, and its liveness is sound of "disk-syncs"
-    And core-2 takes a sheet
+    And core-1 accepts 10 configurations, each within 1 s
+    Then core-2 rejects prepare, accept and report calls
+    And core-2 has logged "disk.failed" once and "disk.works" 0 times, and its liveness check "disk-syncs" fails
+    When the disk of core-2 is repaired, and 2 s pass
+    Then core-2 has logged "disk.failed" once and "disk.works" 1 times, and its liveness check "disk-syncs" passes
+    And core-2 accepts a configuration
     And every process still runs
 
-  Scenario: A core whose disk hangs holds nobody up
+  Scenario: A core whose disk hangs blocks no other process
     Given a fleet of Red Común with its sheet obeyed and its primaries elected
     When the disk of core-2 hangs
     And 2 s pass
-    And core-1 takes a sheet 10 times, each within 1 s
-    Then core-2 answers no ballot, vote or note
-    And core-2 says what it accepted while its disk hangs
-    When the disk of core-2 is mended, and 2 s pass
-    Then core-2 has logged "disk.failed" once and "disk.works" 1 times, and its liveness is sound of "disk-syncs"
-    And core-2 takes a sheet
+    And core-1 accepts 10 configurations, each within 1 s
+    Then core-2 rejects prepare, accept and report calls
+    And core-2 replies with its accepted entry while its disk hangs
+    When the disk of core-2 is repaired, and 2 s pass
+    Then core-2 has logged "disk.failed" once and "disk.works" 1 times, and its liveness check "disk-syncs" passes
+    And core-2 accepts a configuration
 
-  Scenario: A core whose store is half there copies the others, and is told apart from one of another node
+  Scenario: A core whose store is damaged copies the others, while the store of another node is refused
     Given a fleet of Red Común with its sheet obeyed and its primaries elected
     Then a write to "bookings" through edge-1 is served
-    And core-3 comes back like this when its disk has lost this:
-      | what is lost               | comes back as |
-      | the fleet                  | replaced      |
-      | a word of the fleet        | replaced      |
+    And core-3 restarts as follows after its disk has lost data:
+      | lost data                  | restarts as   |
+      | the fleet record           | replaced      |
+      | a field of the fleet record | replaced     |
       | half of a cell             | replaced      |
       | half of a vote             | replaced      |
-      | half of the notes          | replaced      |
-      | the count of puts          | old           |
+      | half of an edge report     | replaced      |
+      | the put count              | old           |
       | everything                 | copying       |
-      | its place, to another node | refused       |
+      | its own node name          | refused       |
 
-  Scenario: Cores that all lost what they held found nothing anew
+  Scenario: Cores that all have lost their stores do not found a new fleet
     Given a fleet of Red Común with its sheet obeyed and its primaries elected
-    When every core has lost half of a cell, and starts again
+    When every core loses half of a cell and restarts
     And 20 s pass
-    Then no core is open, and each has logged "disk.replaced"
+    Then no core serves ballots, and each has logged "disk.replaced"
--- a/packages/acceptance/features/input.feature
+++ b/packages/acceptance/features/input.feature
@@ -34,4 +34,4 @@
     Then both were asked again and again, and every other process still runs
     And a write to "bookings" through edge-1 is served
     And a write to "bookings" through edge-6 is denied as "read-only" or "stale-configuration"
-    And core-2 takes a sheet
+    And core-2 accepts a configuration
--- a/packages/acceptance/features/runtime.feature
+++ b/packages/acceptance/features/runtime.feature
@@ -72,54 +72,54 @@
 
   Scenario: Of puts, the disk tells only those that are synced
     Given an empty data folder
-    When 20 puts are begun and none is awaited
-    Then none is told until it is synced, and all are told then
-    And a process that opens the folder again tells all 20
+    When 20 puts are started and none is awaited
+    Then the put count includes none of them before it is synced, and all of them afterwards
+    And a process that opens the folder again counts all 20 puts
 
   Scenario: A full disk takes nothing and ends no process, and takes puts again once it has room
-    Given a process of its own that has put something
-    When its disk takes no more bytes
-    Then its puts fail as "disk-failed", and it tells once that its disk does not sync
-    When the disk has room again
-    Then it tells once that its disk syncs, and what it puts then is there
+    Given a separate process that has completed a put
+    When its disk is full
+    Then its puts fail as "disk-failed", and it reports the disk fault once
+    When the disk has space again
+    Then it reports once that the disk works, and a later put can be read back
 
   Scenario: A process that starts on a full disk waits until there is room
-    Given a process of its own that starts on a full disk
-    Then it tells once that its disk does not sync, and waits
-    When the disk has room again
-    Then it opens, and what it puts then is there
+    Given a separate process that starts on a full disk
+    Then it reports the disk fault once, and waits
+    When the disk has space again
+    Then it opens the folder, and a later put can be read back
 
   Scenario: A disk that hangs holds up no read and no caller
     Given an empty data folder
-    When its disk hangs under a put
-    Then within 2 s it is in trouble, and 50 more puts fail at once
-    And what was synced before is read at once
-    When the disk goes on
-    Then the put that hung stands, and the trouble is over, told once each
+    When its disk hangs during a put
+    Then within 2 s the disk reports a fault, and 50 more puts fail at once
+    And what was synced before can be read at once
+    When the disk resumes
+    Then the put that hung succeeds, and the start and the end of the fault are reported once each
 
   Scenario: A store that must be opened anew after a failed sync is opened anew
     Given an empty data folder
     When the sync of its meta page fails once
-    Then that put fails as "disk-failed", and within 2 s puts are taken again
+    Then that put fails as "disk-failed", and within 2 s puts succeed again
 
   Scenario: What a loss of power leaves of a data folder is told apart
-    Then a folder that was used is opened like this after a loss of power:
-      | what is left                                    | opened as |
-      | all of it                                       | sound     |
-      | the store, and no holder                        | sound     |
-      | the store, and half a holder                    | sound     |
-      | the store, and another that was being made      | sound     |
-      | the holder, and no store                        | lost      |
-      | the holder, and a store that was being made     | lost      |
-      | an empty store                                  | lost      |
-      | half a first page                               | lost      |
-      | a store whose first pages are noise             | lost      |
-      | a store without its second page                 | lost      |
-      | a store whose count of puts is gone             | lost      |
-      | a store that ends before its last page          | lost      |
-      | a store whose entries are noise                 | damaged   |
-      | nothing but a store that was being made         | blank     |
-      | nothing                                         | blank     |
+    Then a folder with data is opened as follows after a power loss:
+      | what is left                                 | opened as |
+      | everything                                   | intact    |
+      | the store without the holder file            | intact    |
+      | the store and half of the holder file        | intact    |
+      | the store and another one in creation        | intact    |
+      | the holder file without a store              | lost      |
+      | the holder file and a store in creation      | lost      |
+      | an empty store                               | lost      |
+      | half of the first page                       | lost      |
+      | a store whose first pages are overwritten    | lost      |
+      | a store without its second page              | lost      |
+      | a store without its put count                | lost      |
+      | a store that ends before its last page       | lost      |
+      | a store whose entries are overwritten        | damaged   |
+      | only a store in creation                     | blank     |
+      | nothing                                      | blank     |
 
   Scenario: The program that a fleet of real processes starts is there
     Then the daemons of a fleet of real processes can be started by name
--- a/packages/acceptance/src/disks.ts
+++ b/packages/acceptance/src/disks.ts
@@ -1,4 +1,4 @@
-/** Steps of the stories of disks.feature about disks that are full, hang, or hold the half of what they held. */
+/** Steps of disks.feature about disks that are full, hang, or have lost part of their data. */
 import assert from 'node:assert/strict';
 import { Then, When, type DataTable } from '@cucumber/cucumber';
 import * as Option from 'fp-ts/lib/Option.js';
@@ -7,9 +7,9 @@
 import { peer } from '@stallstall/peer';
 import { coreOf, type Story } from './story.js';
 
-const patienceMilliseconds = 10_000;
+const timeoutMilliseconds = 10_000;
 
-When('the disk of {word} takes no more bytes', function when(this: Story, core: string) {
+When('the disk of {word} is full', function when(this: Story, core: string) {
   coreOf(this, core).disk.trouble.failing = true;
 });
 
@@ -17,13 +17,13 @@
   coreOf(this, core).disk.trouble.hanging = true;
 });
 
-When('the disk of {word} is mended, and {int} s pass', async function when(this: Story, core: string, seconds: number) {
+When('the disk of {word} is repaired, and {int} s pass', async function when(this: Story, core: string, seconds: number) {
   Object.assign(coreOf(this, core).disk.trouble, { failing: false, hanging: false });
   await this.fleet.world.run(seconds * 1_000);
 });
 
 When(
-  '{word} takes a sheet {int} times, each within {int} s',
+  '{word} accepts {int} configurations, each within {int} s',
   async function when(this: Story, core: string, times: number, seconds: number) {
     const index = this.fleet.cores.indexOf(coreOf(this, core));
     for (let attempt = 0; attempt < times; attempt += 1) {
@@ -35,47 +35,47 @@
   },
 );
 
-/** A link to a core, as another node holds one. */
-async function dialled(story: Story, core: string): Promise<ReturnType<typeof peer.dial>> {
-  const { runtime } = story.fleet.world.spawn(`asker of ${core}`, 'asker-machine');
+/** Opens a link to a core, as another node would. */
+async function dialCore(story: Story, core: string): Promise<ReturnType<typeof peer.dial>> {
+  const { runtime } = story.fleet.world.spawn(`client of ${core}`, 'client-machine');
   const link = peer.dial(runtime, identifiers.address(story.fleet.place(coreOf(story, core)).address));
-  assert.ok(await story.fleet.until(link.connected, patienceMilliseconds));
+  assert.ok(await story.fleet.until(link.connected, timeoutMilliseconds));
   return link;
 }
 
-/** Runs virtual time until an answer has come. */
-async function answered<Reply>(story: Story, asked: Promise<Option.Option<Reply>>): Promise<Reply> {
+/** Runs virtual time until the call has a reply. */
+async function replyTo<Reply>(story: Story, call: Promise<Option.Option<Reply>>): Promise<Reply> {
   let reply: Option.Option<Reply> = Option.none;
-  void asked.then((reported) => (reply = reported));
-  await story.fleet.until(() => Option.isSome(reply), patienceMilliseconds);
-  const come = reply as Option.Option<Reply>;
-  assert.ok(Option.isSome(come), 'no answer came');
-  return come.value;
+  void call.then((received) => (reply = received));
+  await story.fleet.until(() => Option.isSome(reply), timeoutMilliseconds);
+  const received = reply as Option.Option<Reply>;
+  assert.ok(Option.isSome(received), 'no reply was received');
+  return received.value;
 }
 
-Then('{word} answers no ballot, vote or note', async function then(this: Story, core: string) {
-  const link = await dialled(this, core);
-  const ballot = { counter: 1_000_000, node: 'asker' };
-  const prepared = await answered(this, link.call('prepare', { key: 'configuration', ballot }, patienceMilliseconds));
+Then('{word} rejects prepare, accept and report calls', async function then(this: Story, core: string) {
+  const link = await dialCore(this, core);
+  const ballot = { counter: 1_000_000, node: 'client' };
+  const prepared = await replyTo(this, link.call('prepare', { key: 'configuration', ballot }, timeoutMilliseconds));
   assert.equal(prepared.ready, false);
   const entry: Request<'accept'>['entry'] = { ballot, version: 99, value: null };
-  assert.equal((await answered(this, link.call('accept', { key: 'configuration', entry }, patienceMilliseconds))).ready, false);
+  assert.equal((await replyTo(this, link.call('accept', { key: 'configuration', entry }, timeoutMilliseconds))).ready, false);
   const note: Request<'note'> = { floors: {}, reports: [], through: { 'edge-1': 1 } };
-  assert.equal((await answered(this, link.call('note', note, patienceMilliseconds))).ready, false);
+  assert.equal((await replyTo(this, link.call('note', note, timeoutMilliseconds))).ready, false);
   link.close();
 });
 
-Then('{word} says what it accepted while its disk hangs', async function then(this: Story, core: string) {
-  const link = await dialled(this, core);
-  const looked = await answered(this, link.call('look', { key: 'configuration' }, patienceMilliseconds));
-  assert.ok(looked.ready && coreOf(this, core).disk.trouble.hanging);
+Then('{word} replies with its accepted entry while its disk hangs', async function then(this: Story, core: string) {
+  const link = await dialCore(this, core);
+  const lookReply = await replyTo(this, link.call('look', { key: 'configuration' }, timeoutMilliseconds));
+  assert.ok(lookReply.ready && coreOf(this, core).disk.trouble.hanging);
   link.close();
 });
 
-async function disksSyncs(story: Story, core: string): Promise<boolean> {
+async function doesDiskSync(story: Story, core: string): Promise<boolean> {
   const reply = await story.fleet.operate('GET', '/v1/liveness', undefined, {}, story.fleet.cores.indexOf(coreOf(story, core)));
   const { checks } = reply.body as { checks: ReadonlyArray<Readonly<{ check: string; sound: boolean }>> };
-  return checks.find((one) => one.check === 'disk-syncs')?.sound ?? false;
+  return checks.find((result) => result.check === 'disk-syncs')?.sound ?? false;
 }
 
 function assertLogged(story: Story, core: string, event: string, times: number): void {
@@ -83,68 +83,69 @@
 }
 
 Then(
-  'core-{int} has logged {string} once and {string} {int} times, and its liveness names {string}',
+  'core-{int} has logged {string} once and {string} {int} times, and its liveness check {string} fails',
   async function then(this: Story, index: number, failed: string, works: string, times: number, _check: string) {
     assertLogged(this, `core-${index}`, failed, 1);
     assertLogged(this, `core-${index}`, works, times);
-    assert.equal(await disksSyncs(this, `core-${index}`), false);
+    assert.equal(await doesDiskSync(this, `core-${index}`), false);
   },
 );
 
 Then(
-  'core-{int} has logged {string} once and {string} {int} times, and its liveness is sound of {string}',
+  'core-{int} has logged {string} once and {string} {int} times, and its liveness check {string} passes',
   async function then(this: Story, index: number, failed: string, works: string, times: number, _check: string) {
     assertLogged(this, `core-${index}`, failed, 1);
     assertLogged(this, `core-${index}`, works, times);
-    assert.equal(await disksSyncs(this, `core-${index}`), true);
+    assert.equal(await doesDiskSync(this, `core-${index}`), true);
   },
 );
 
-// -- Stores that hold the half of what they held.
+// -- Stores that have lost part of their data.
 
 type Entries = Map<string, string>;
 
+/** Truncates the first entry under a prefix to half of its length. */
 function halve(entries: Entries, prefix: string): void {
-  const key = [...entries.keys()].find((one) => one.startsWith(prefix));
-  assert.ok(key !== undefined, `nothing lies under ${prefix}`);
+  const key = [...entries.keys()].find((candidate) => candidate.startsWith(prefix));
+  assert.ok(key !== undefined, `no entry is stored under ${prefix}`);
   const text = entries.get(key) as string;
   entries.set(key, text.slice(0, text.length / 2));
 }
 
-/** The word of the fleet under a name, changed by another. */
-function rewrite(entries: Entries, changes: Readonly<Record<string, unknown>>): void {
+/** Changes fields of the stored fleet record. */
+function changeFleetRecord(entries: Entries, changes: Readonly<Record<string, unknown>>): void {
   entries.set('fleet', JSON.stringify({ ...(JSON.parse(entries.get('fleet') ?? '{}') as object), ...changes }));
 }
 
 const losses: Readonly<Record<string, (entries: Entries) => void>> = {
-  'the fleet': (entries) => entries.delete('fleet'),
-  'a word of the fleet': (entries) => rewrite(entries, { stage: 'halfway' }),
+  'the fleet record': (entries) => entries.delete('fleet'),
+  'a field of the fleet record': (entries) => changeFleetRecord(entries, { stage: 'halfway' }),
   'half of a cell': (entries) => halve(entries, 'register/configuration'),
   'half of a vote': (entries) => halve(entries, 'vote/'),
-  'half of the notes': (entries) => halve(entries, 'notes/'),
-  'the count of puts': (entries) => entries.delete('#puts'),
+  'half of an edge report': (entries) => halve(entries, 'notes/'),
+  'the put count': (entries) => entries.delete('#puts'),
   everything: (entries) => entries.clear(),
-  'its place, to another node': (entries) => rewrite(entries, { node: 'core-1' }),
+  'its own node name': (entries) => changeFleetRecord(entries, { node: 'core-1' }),
 };
 
 function loggedSince(story: Story, core: string, from: number): ReadonlySet<string> {
   return new Set(story.fleet.world.logs.slice(from).flatMap((line) => (line.process === core ? [line.event] : [])));
 }
 
-async function comesBackAs(story: Story, core: string): Promise<string> {
+async function restartResult(story: Story, core: string): Promise<string> {
   const slot = coreOf(story, core);
   const from = story.fleet.world.logs.length;
   await story.fleet.startCore(slot);
-  await story.fleet.until(() => slot.running?.isOpen() === true || slot.process?.alive() === false, patienceMilliseconds);
+  await story.fleet.until(() => slot.running?.isOpen() === true || slot.process?.alive() === false, timeoutMilliseconds);
   const stoppedBy = slot.process?.stoppedBy() ?? Option.none;
   if (Option.isSome(stoppedBy)) return fault.kind(stoppedBy.value) === 'foreign-disk' ? 'refused' : fault.kind(stoppedBy.value);
-  assert.equal(slot.running?.isOpen(), true, 'it did not open');
+  assert.equal(slot.running?.isOpen(), true, 'the core did not open');
   const logged = loggedSince(story, core, from);
-  assert.ok(logged.has('core.copying'), 'it copied nothing');
+  assert.ok(logged.has('core.copying'), 'the core copied nothing');
   return logged.has('disk.replaced') ? 'replaced' : logged.has('core.old-disk') ? 'old' : 'copying';
 }
 
-Then('{word} comes back like this when its disk has lost this:', async function then(this: Story, core: string, table: DataTable) {
+Then('{word} restarts as follows after its disk has lost data:', async function then(this: Story, core: string, table: DataTable) {
   const slot = coreOf(this, core);
   for (const [lost = '', expected = ''] of table.rows()) {
     this.fleet.stopSlot(slot);
@@ -152,12 +153,12 @@
     losses[lost]?.(entries);
     slot.disk = this.fleet.world.disk();
     for (const [key, value] of entries) slot.disk.entries.set(key, value);
-    assert.equal(await comesBackAs(this, core), expected, lost);
+    assert.equal(await restartResult(this, core), expected, lost);
     await this.fleet.world.run(1_000);
   }
 });
 
-When('every core has lost half of a cell, and starts again', async function when(this: Story) {
+When('every core loses half of a cell and restarts', async function when(this: Story) {
   for (const slot of this.fleet.cores) this.fleet.stopSlot(slot);
   for (const slot of this.fleet.cores) {
     losses['half of a cell']?.(slot.disk.entries);
@@ -165,7 +166,7 @@
   }
 });
 
-Then('no core is open, and each has logged {string}', function then(this: Story, event: string) {
+Then('no core serves ballots, and each has logged {string}', function then(this: Story, event: string) {
   for (const slot of this.fleet.cores) {
     assert.equal(slot.running?.isOpen(), false, slot.name);
     assert.ok(loggedSince(this, slot.name, 0).has(event));
--- a/packages/acceptance/src/full-disk-process.ts
+++ b/packages/acceptance/src/full-disk-process.ts
@@ -1,4 +1,7 @@
-/** A process of its own on a disk that may be full, for runtime.feature: puts once for each line it reads, and says how that went. */
+/**
+ * A separate process on a disk that may be full, for runtime.feature: runs a put for each line it reads, whose key the line is, and prints
+ * the results.
+ */
 import readline from 'node:readline';
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
@@ -7,31 +10,31 @@
 
 const putCharacters = 20_000;
 
-// The limit that stands in for a full disk comes with a signal, which ends a process that does not take it.
+// A write beyond the file size limit, which stands for a full disk, raises SIGXFSZ; without a handler the signal ends the process.
 process.on('SIGXFSZ', () => undefined);
 
-function say(word: string): void {
-  process.stdout.write(`${word}\n`);
+function print(line: string): void {
+  process.stdout.write(`${line}\n`);
 }
 
-function sayTrouble(reason: Fault): void {
-  say(`trouble ${fault.kind(reason)}`);
+function printDiskFault(reason: Fault): void {
+  print(`disk fault ${fault.kind(reason)}`);
 }
 
-async function put(own: Disk, key: string): Promise<void> {
-  const kept = await own.put(key, 'x'.repeat(putCharacters));
-  if (Either.isLeft(kept)) return say(`failed ${fault.kind(kept.left)}`);
-  const read = await own.read(key);
-  say(Either.isRight(read) && Option.isSome(read.right) ? 'kept' : 'not kept');
+async function put(ownDisk: Disk, key: string): Promise<void> {
+  const stored = await ownDisk.put(key, 'x'.repeat(putCharacters));
+  if (Either.isLeft(stored)) return print(`put failed ${fault.kind(stored.left)}`);
+  const read = await ownDisk.read(key);
+  print(Either.isRight(read) && Option.isSome(read.right) ? 'put succeeded' : 'put not readable');
 }
 
 async function main(folder: string): Promise<void> {
-  const opened = await disk.openWhenWorking(folder, sayTrouble);
+  const opened = await disk.openWhenWorking(folder, printDiskFault);
   if (Either.isLeft(opened)) throw opened.left;
-  const own = opened.right;
-  own.onTrouble((trouble) => (Option.isSome(trouble) ? sayTrouble(trouble.value) : say('works')));
-  readline.createInterface({ input: process.stdin }).on('line', (key) => void put(own, key));
-  say('opened');
+  const ownDisk = opened.right;
+  ownDisk.onTrouble((trouble) => (Option.isSome(trouble) ? printDiskFault(trouble.value) : print('disk works')));
+  readline.createInterface({ input: process.stdin }).on('line', (key) => void put(ownDisk, key));
+  print('opened');
 }
 
 void main(process.argv[2] ?? '');
--- a/packages/acceptance/src/replaced-core-steps.ts
+++ b/packages/acceptance/src/replaced-core-steps.ts
@@ -1,4 +1,4 @@
-/** Steps for cores whose disk or machine was replaced, and for competing proposals. */
+/** Steps about cores whose disk or machine was replaced, and about competing proposals in elections. */
 import assert from 'node:assert/strict';
 import { When, Then } from '@cucumber/cucumber';
 import { identifiers } from '@stallstall/kernel';
@@ -7,7 +7,7 @@
 import { type Story, coreOf, primary, edgeOf } from './story.js';
 
 When(
-  'the disk of {word} is copied, an operator sends two more sheets, and {word} comes back with the copy',
+  'the disk of {word} is copied, an operator sends two more configurations, and {word} restarts with the copy',
   async function when(this: Story, core: string, _again: string) {
     const slot = coreOf(this, core);
     await this.fleet.world.run(1_000);
@@ -22,13 +22,16 @@
   },
 );
 
-Then('{word} logs {string} and opens within {int} s', async function then(this: Story, core: string, event: string, seconds: number) {
-  assert.ok(await this.fleet.until(() => coreOf(this, core).running?.isOpen() === true, seconds * 1_000), 'it did not open');
-  assert.ok(
-    this.fleet.world.logs.some((line) => line.process === core && line.event === event),
-    `no ${event}`,
-  );
-});
+Then(
+  '{word} logs {string} and serves ballots within {int} s',
+  async function then(this: Story, core: string, event: string, seconds: number) {
+    assert.ok(await this.fleet.until(() => coreOf(this, core).running?.isOpen() === true, seconds * 1_000), 'the core did not open');
+    assert.ok(
+      this.fleet.world.logs.some((line) => line.process === core && line.event === event),
+      `no ${event}`,
+    );
+  },
+);
 
 Then('{word} holds version {int} on its own disk', function then(this: Story, core: string, version: number) {
   const cell = JSON.parse(coreOf(this, core).disk.entries.get('register/configuration') ?? 'null') as { accepted: { version: number } };
@@ -37,17 +40,17 @@
 
 async function proposeTo(story: Story, address: string, proposer: string, epoch: number): Promise<boolean> {
   const runtime = story.fleet.world.spawn(proposer, 'proposer-machine').runtime;
-  const dialled = peer.dial(runtime, identifiers.address(address));
+  const link = peer.dial(runtime, identifiers.address(address));
   await story.fleet.world.run(50);
   const membership = story.fleet.cores[1]?.running?.node.membership().version ?? 0;
-  const asked = dialled.call(
+  const pendingReply = link.call(
     'propose',
     { service: 'bookings', epoch, candidate: primary(story, 'bookings').place.member, position: 100, node: proposer, membership },
     1_000,
   );
   await story.fleet.world.run(100);
-  const reply = await asked;
-  dialled.close();
+  const reply = await pendingReply;
+  link.close();
   return Option.isSome(reply) && reply.value.accepted;
 }
 
@@ -59,39 +62,42 @@
   for (const address of addresses) assert.ok(await proposeTo(this, address, 'edge-1', epoch), `${address} did not vote`);
 });
 
-Then('{word} denies another proposal for epoch {int}', async function then(this: Story, core: string, epoch: number) {
+Then('{word} rejects another proposal for epoch {int}', async function then(this: Story, core: string, epoch: number) {
   const slot = coreOf(this, core);
-  assert.ok(await this.fleet.until(() => slot.running?.isOpen() === true, 2_000), 'it did not open');
-  // Long enough that it obeys the membership table and the sheet again: nothing but its vote may stand in the way.
+  assert.ok(await this.fleet.until(() => slot.running?.isOpen() === true, 2_000), 'the core did not open');
+  // Long enough for the core to apply the membership table and the configuration again, so that only its vote can reject the proposal.
   await this.fleet.world.run(1_000);
   assert.equal(await proposeTo(this, this.fleet.place(slot).address, 'edge-2', epoch), false);
 });
 
 Then(
-  'within {int} s the primary of {string} is settled at a later epoch than {int}',
+  'within {int} s a primary of {string} is elected at a later epoch than {int}',
   async function then(this: Story, seconds: number, service: string, epoch: number) {
     assert.ok(
       await this.fleet.until(
         () =>
           this.fleet.edges.every((slot) => {
-            const settled = slot.agent.running?.node.electedPrimary(service) ?? Option.none;
-            return Option.isSome(settled) && settled.value.epoch > epoch;
+            const elected = slot.agent.running?.node.electedPrimary(service) ?? Option.none;
+            return Option.isSome(elected) && elected.value.epoch > epoch;
           }),
         seconds * 1_000,
       ),
-      'no later epoch was settled',
+      'no primary was elected at a later epoch',
     );
   },
 );
 
-When('core-{int} is replaced by a blank machine at {string}', async function when(this: Story, index: number, address: string) {
-  const slot = coreOf(this, `core-${index}`);
-  this.fleet.stopSlot(slot);
-  slot.disk = this.fleet.world.disk();
-  await this.fleet.startCore(slot, address);
-});
+When(
+  'core-{int} is replaced by a machine with an empty disk at {string}',
+  async function when(this: Story, index: number, address: string) {
+    const slot = coreOf(this, `core-${index}`);
+    this.fleet.stopSlot(slot);
+    slot.disk = this.fleet.world.disk();
+    await this.fleet.startCore(slot, address);
+  },
+);
 
-Then('{word} takes a sheet', async function then(this: Story, core: string) {
+Then('{word} accepts a configuration', async function then(this: Story, core: string) {
   const reply = await this.fleet.operate(
     'PUT',
     '/v1/sheet',
--- a/packages/acceptance/src/runtime.ts
+++ b/packages/acceptance/src/runtime.ts
@@ -32,10 +32,10 @@
   far: Stream;
   dataFolder: string;
   disk: Disk;
-  toldAtOnce: number;
+  putsBeforeSync: number;
   child: ChildProcess;
-  /** What the process of its own has said. */
-  said: string[];
+  /** Lines that the separate process has printed. */
+  printed: string[];
   store: FaultyStore;
   put: Promise<Either.Either<Fault, null>>;
   /** Each change between a disk that syncs and one that does not. */
--- a/packages/simulator/exploring-mutations.mjs
+++ b/packages/simulator/exploring-mutations.mjs
@@ -48,7 +48,7 @@
     file: 'register/build/core-set-changes.js',
     from: 'one.node === other.node && one.disk === other.disk',
     to: 'one.node === other.node',
-    story: 'A core that lost its disk answers only in a later set',
+    story: 'A core that lost its disk serves ballots only in a later set',
   },
   {
     name: 'round-of-two-sets',
@@ -64,7 +64,7 @@
     file: 'core/build/core-set-membership.js',
     from: 'const isStillListed = isListed(coreSet);',
     to: 'const isStillListed = true;',
-    story: 'A core that is cut off while its seat is given away',
+    story: 'A core that is cut off while it is replaced',
   },
   {
     name: 'any-seat-is-vacant',
@@ -74,7 +74,7 @@
     more: [
       { file: 'core/build/core-set-manager.js', from: 'confirmed.unreachable.has(core) && !confirmed.upToDate.includes(core)', to: 'true' },
     ],
-    story: 'A blank machine waits until a seat is vacant',
+    story: 'A new core waits until a core can be replaced',
   },
   {
     name: 'not-blind-after-it-opened',
--- a/packages/simulator/pooled-mutations.mjs
+++ b/packages/simulator/pooled-mutations.mjs
@@ -558,7 +558,7 @@
   },
   {
     name: 'lost-core-founds',
-    story: 'lost what they held',
+    story: 'have lost their stores',
     file: 'core/build/fleet-bootstrap.js',
     from: 'disk.lost()',
     to: 'Option.none',
@@ -573,7 +573,7 @@
   },
   {
     name: 'damaged-entries-kept',
-    story: 'whose store is half there',
+    story: 'whose store is damaged',
     file: 'core/build/data-folder.js',
     from: 'if (!isReadable(key, value))',
     to: 'if (false)',
@@ -710,7 +710,7 @@
   },
   {
     name: 'blank-core-that-is-called-stays-blank',
-    story: 'knows no seed that still runs',
+    story: 'has no seed that still runs',
     file: 'core/build/core-set-manager.js',
     from: 'if (Option.isNone(parts.record()) && !state.isStopped && !state.isLeaving)',
     to: 'if (false)',
