--- a/packages/lease/src/commit-watermarks.ts
+++ b/packages/lease/src/commit-watermarks.ts
@@ -36,7 +36,7 @@
    */
   processRestarted: (node: string, archivedName: string) => void;
   /** The watermark of each service in the format of the lease reply. */
-  current: (holders: CommitAcknowledgers) => Record<string, { term: number; number: number; ago: number }>;
+  current: (acknowledgers: CommitAcknowledgers) => Record<string, { term: number; number: number; ago: number }>;
 }>;
 
 type TableState = Readonly<{
--- a/packages/lease/src/core-links.ts
+++ b/packages/lease/src/core-links.ts
@@ -7,6 +7,7 @@
 /** @internal */
 export type CoreLinks = Readonly<{
   find: (core: string) => Peer | undefined;
+  /** Opens a link to a core, or replaces it if the core's address has changed. */
   connect: (core: Seat) => void;
   /** Closes the links to all cores but these; returns the names of the cores whose links were closed. */
   retain: (cores: readonly string[]) => readonly string[];
@@ -35,7 +36,7 @@
 const retryMilliseconds = 120;
 
 function create(context: HolderContext, events: CoreLinkEvents): CoreLinks {
-  const { runtime, callbacks: parts } = context;
+  const { runtime, callbacks } = context;
   const links = new Map<string, OpenLink>();
 
   function find(core: string): Peer | undefined {
@@ -48,7 +49,7 @@
         await runtime.clock.sleep(reconnectPollMilliseconds);
         continue;
       }
-      const hold = parts.isLeaderMissing() ? leaderlessHoldMilliseconds : holdMilliseconds;
+      const hold = callbacks.isLeaderMissing() ? leaderlessHoldMilliseconds : holdMilliseconds;
       const hasReplied = await events.requestLease(core, link, hold);
       if (!hasReplied) await runtime.clock.sleep(retryMilliseconds);
     }
@@ -77,8 +78,8 @@
   }
 
   return {
-    find: find,
-    connect: connect,
+    find,
+    connect,
     retain,
     connected: () => [...links].map(([core, open]) => [core, open.peer] as const).filter(([, link]) => link.connected()),
     closeAll: function closeAll() {
--- a/packages/lease/src/core-replies.ts
+++ b/packages/lease/src/core-replies.ts
@@ -51,7 +51,7 @@
 function create(): CoreReplies {
   const replies = new Map<string, ReportedState>();
   return {
-    getOrCreate: function of(core) {
+    getOrCreate: function getOrCreate(core) {
       const existing = replies.get(core);
       if (existing !== undefined) return existing;
       const created = empty();
--- a/packages/lease/src/holder-table.ts
+++ b/packages/lease/src/holder-table.ts
@@ -4,6 +4,7 @@
 
 /** @internal */
 export type HolderTable = Readonly<{
+  /** Whether an edge has sent a request before. */
   isKnown: (node: string) => boolean;
   /** Stores what an edge reported with its request. */
   record: (request: Request<'lease'>) => void;
--- a/packages/lease/src/lease-grantor.ts
+++ b/packages/lease/src/lease-grantor.ts
@@ -20,7 +20,7 @@
   configurationVersion: () => number;
   /** The version of the membership table on this core's disk. */
   membershipVersion: () => number;
-  /** Number of writes on this core's disk; one that is behind what others have seen is an old copy. */
+  /** Number of writes to this core's disk. A disk with fewer writes than other nodes have seen is an outdated copy. */
   putCount: () => number;
   registry: MemberRegistry;
   /** Whether a service has no leader or is about to change it; edges are then asked for their commit positions. */
--- a/packages/lease/src/lease-holder.ts
+++ b/packages/lease/src/lease-holder.ts
@@ -40,7 +40,7 @@
   coreCount: () => number;
   /** Number of cores that replied within the last lease term. */
   grantingCoreCount: () => number;
-  /** Sends the proxy's current state to each core at once. */
+  /** Sends a request with the proxy's current state to each connected core at once. */
   reportNow: () => void;
   /** Notifies each core that the proxy restarted: the former process may have acknowledged commits that it never reported (design 8.11). */
   onProxyRestarted: () => void;
--- a/packages/lease/src/lease-request.ts
+++ b/packages/lease/src/lease-request.ts
@@ -6,7 +6,7 @@
 import type { HolderState } from './holder-state.js';
 
 /** @internal */
-export type LeaseRequestParts = Readonly<{
+export type LeaseRequestInputs = Readonly<{
   context: HolderContext;
   state: HolderState;
   replies: CoreReplies;
@@ -18,7 +18,7 @@
 const noReportAgeMilliseconds = 3_600_000;
 
 /** The released epochs that an election may still wait for. None does once a primary is elected at that epoch. */
-function pendingReleases({ context, state }: LeaseRequestParts): Record<string, number> {
+function pendingReleases({ context, state }: LeaseRequestInputs): Record<string, number> {
   const pending = Object.entries(context.callbacks.releasedEpochs()).filter(function isPending([service, epoch]) {
     const elected = state.electedPrimary(service);
     return Option.isNone(elected) || epoch > elected.value.epoch;
@@ -27,7 +27,7 @@
 }
 
 /** This edge's commit positions; empty unless a core asks for them, since they are only needed then. */
-function commitReport({ context, replies }: LeaseRequestParts): Pick<Request<'lease'>, 'positions' | 'marks' | 'positionsAgo'> {
+function commitReport({ context, replies }: LeaseRequestInputs): Pick<Request<'lease'>, 'positions' | 'marks' | 'positionsAgo'> {
   const isReportWanted = replies.all().some((reported) => reported.wantsCommitReport);
   if (!isReportWanted) return { positions: {}, marks: {}, positionsAgo: noReportAgeMilliseconds };
   const { callbacks } = context;
@@ -48,7 +48,7 @@
  * The core that is asked to push configurations with their full content: preferably one that is up to date and in this edge's area. The
  * choice is spread over the cores by a hash of the edge's name (design 5.6). Empty while no core is connected.
  */
-function contentCore({ context, state, isConnected }: LeaseRequestParts): string {
+function contentCore({ context, state, isConnected }: LeaseRequestInputs): string {
   const { cores, settings } = context;
   const connected = cores.filter((core) => isConnected(core.node));
   const current = preferred(connected, (core) => state.isCurrent(core.node));
@@ -58,8 +58,8 @@
 }
 
 /** @param reportedState - what the core reported with its replies */
-function create(requestParts: LeaseRequestParts, core: string, reportedState: ReportedState, holdMilliseconds: number): Request<'lease'> {
-  const { context, state } = requestParts;
+function create(inputs: LeaseRequestInputs, core: string, reportedState: ReportedState, holdMilliseconds: number): Request<'lease'> {
+  const { context, state } = inputs;
   const { settings, callbacks } = context;
   const configuration = state.configuration();
   return {
@@ -70,11 +70,11 @@
     hold: holdMilliseconds,
     acknowledged: reportedState.acknowledgedChange,
     obeyed: Option.isSome(configuration) ? configuration.value.version : 0,
-    released: pendingReleases(requestParts),
-    ...commitReport(requestParts),
+    released: pendingReleases(inputs),
+    ...commitReport(inputs),
     notListening: [...callbacks.refusedMembers()],
     demand: callbacks.statementRate(),
-    content: core === contentCore(requestParts),
+    content: core === contentCore(inputs),
     holds: state.contentBallot(),
     set: context.setNumber,
   };
--- a/packages/lease/src/service-leases.ts
+++ b/packages/lease/src/service-leases.ts
@@ -13,7 +13,10 @@
   validUntil: (service: string) => Instant;
   /** No new work may start below this epoch; 0 before any majority of cores has reported one. */
   releaseEpoch: (service: string) => number;
-  /** Records a core's grant, which runs from this time. */
+  /**
+   * Records a core's grant at the epochs that it last reported.
+   * @param sentAt - when the lease starts
+   */
   recordGrant: (core: string, sentAt: Instant) => void;
   /** Updates the release epochs from the epochs that cores report. */
   observeEpochs: () => void;
@@ -26,6 +29,7 @@
 function create(context: HolderContext, state: HolderState, replies: CoreReplies): ServiceLeases {
   const grants = quorumLease.create();
   const releaseEpochs = new Map<string, number>();
+  /** Leases granted by an earlier core set, by service. */
   const carriedOver = new Map<string, Readonly<{ epoch: number; until: Instant }>>();
 
   function releaseEpoch(service: string): number {
--- a/packages/placement/src/schema.ts
+++ b/packages/placement/src/schema.ts
@@ -39,6 +39,7 @@
   }),
   weights: z.record(name, z.number().min(0).max(1_000)).default({}),
   staleMilliseconds: z.number().int().min(200).max(60_000).default(1_500),
+  /** Number of queued statements at which an edge rejects further ones as overloaded. */
   mostWaiting: z.number().int().min(1).max(100_000).default(400),
 });
 
@@ -66,8 +67,11 @@
   service: name,
   reads: z.enum(['leader', 'bounded', 'own']),
   staleMilliseconds: z.number().int().min(0).max(600_000).default(0),
+  /** Deadline of a statement, from its arrival. */
   horizonMilliseconds: z.number().int().min(1).max(600_000),
+  /** Latency target of a statement. */
   aimMilliseconds: z.number().int().min(1).max(600_000).default(1_000),
+  /** Queued statements of a database with a lower rank are served first. */
   rank: z.number().int().min(0).max(1_000).default(0),
   /** Whether clients may connect without a key. */
   open: z.boolean().default(false),
@@ -100,6 +104,7 @@
   weekly: z.array(weeklySchema).max(50).default([]),
   /** How long before a window the data is copied. */
   holdMilliseconds: z.number().int().min(1_000).max(86_400_000).default(600_000),
+  /** Maximum size of the data that an edge copies for one window. */
   mostBytes: z.number().int().min(1_024).max(67_108_864).default(16_777_216),
   /** Reads to be copied even if no client has sent them. */
   things: z
@@ -122,7 +127,7 @@
   mappings: z.array(mappingSchema).max(5_000).default([]),
   databases: z.array(databaseSchema).max(20_000).default([]),
   tenants: z.array(tenantSchema).max(10_000).default([]),
-  /** Optional without a default, so that a configuration without outages is stored byte for byte as it was sent. */
+  /** Optional without a default, so that a configuration without outages keeps the same bytes as before outages existed. */
   outages: z.array(outageSchema).max(500).optional(),
   bounds: boundsSchema.default({ restMilliseconds: 5_000, messageBytes: 1_048_576 }),
 });
