--- a/packages/election/src/election.ts
+++ b/packages/election/src/election.ts
@@ -30,11 +30,11 @@
 
 /** How long after a vote no new candidacy starts while no primary has been elected for its epoch. Unit: milliseconds. */
 const pendingTimeoutMilliseconds = leaseTermMilliseconds + leaseMarginMilliseconds + electionTimeoutMilliseconds;
-/** Where members implement this product's own HTTP API, a node delays its candidacy by a partly random time that rises with its rank. */
+/** Without `platformCalls`, a node delays its candidacy by a partly random time that rises with its rank. */
 const randomizedRankDelayMilliseconds = 120;
 /**
- * Elsewhere, nodes become candidates one after the other by rank. The step is longer than the interval of `tick`, so that the second node
- * has received the first one's proposal.
+ * With `platformCalls`, nodes become candidates one after the other by rank. The step is longer than the interval of `tick`, so that the
+ * second node has received the first one's proposal by then.
  */
 const rankDelayMilliseconds = 450;
 
@@ -53,14 +53,14 @@
   return Math.max(0, index);
 }
 
-function startDelay(services: ElectionServices): number {
+function candidacyDelay(services: ElectionServices): number {
   const { runtime, context } = services;
   const rank = rankOf(services);
   if (Option.isSome(context.platformCalls)) return rank * rankDelayMilliseconds;
   return (rank + runtime.randomness.fraction()) * randomizedRankDelayMilliseconds;
 }
 
-function isDue(services: ElectionServices, service: ServicePlacement, state: ServiceState): boolean {
+function isCandidacyDue(services: ElectionServices, service: ServicePlacement, state: ServiceState): boolean {
   const { runtime, epochs } = services;
   const hasPendingVote = epochs.votedEpoch(service.service) > epochs.electedEpoch(service.service);
   if (hasPendingVote) return runtime.clock.now() - state.votedAt >= pendingTimeoutMilliseconds;
@@ -92,14 +92,14 @@
     return;
   }
   if (state.isCandidate) return;
-  if (!isDue(services, service, state)) {
+  if (!isCandidacyDue(services, service, state)) {
     state.candidacyStartsAt = Option.none;
     return;
   }
   const now = services.runtime.clock.now();
   const candidacyStartsAt = Option.isSome(state.candidacyStartsAt)
     ? state.candidacyStartsAt.value
-    : identifiers.after(now, startDelay(services));
+    : identifiers.after(now, candidacyDelay(services));
   state.candidacyStartsAt = Option.some(candidacyStartsAt);
   if (now < candidacyStartsAt || !mayBeCandidate(schedule, now)) return;
   void runCandidacy(schedule, service, state);
--- a/packages/election/src/liveness.ts
+++ b/packages/election/src/liveness.ts
@@ -5,7 +5,7 @@
 import { httpStateProbes, type HttpStateProbes } from './http-state-probes.js';
 import type { MemberProbe, MemberState, ProbedState } from './member-state.js';
 
-/** A member that has been silent for this long is DOWN (the paper's down_after). Unit: milliseconds. */
+/** A member that has been silent for this long is DOWN (`down_after` in the paper that the election follows). Unit: milliseconds. */
 export const downAfterMilliseconds = 5_000;
 
 export type Liveness = Readonly<{
--- a/packages/election/src/promotion.ts
+++ b/packages/election/src/promotion.ts
@@ -48,7 +48,9 @@
   return fault.create({
     kind: isSuperseded ? 'superseded' : 'unreachable',
     message: `the platform rejected the promotion with status ${status}`,
-    remedy: isSuperseded ? 'none: the platform has seen a later fencing token, so this candidacy ends' : 'none: the call is retried',
+    remedy: isSuperseded
+      ? 'no action is needed: the platform has seen a later fencing token, so this candidacy ends'
+      : 'no action is needed: the call is retried',
   });
 }
 
--- a/packages/election/src/role-lease.ts
+++ b/packages/election/src/role-lease.ts
@@ -89,7 +89,7 @@
   return fault.create({
     kind: 'superseded',
     message: `the remaining term of role ${context.name} under fencing token ${fencingToken} is too short for a call`,
-    remedy: 'none: the next holder of the role makes the call',
+    remedy: 'no action is needed: the next holder of the role makes the call',
   });
 }
 
--- a/packages/election/src/vote-collection.ts
+++ b/packages/election/src/vote-collection.ts
@@ -7,7 +7,7 @@
 import type { ElectionServices } from './election-services.js';
 import { proposals } from './proposals.js';
 
-/** The paper's election timeout. Unit: milliseconds. */
+/** The election timeout of the paper that the election follows. Unit: milliseconds. */
 export const electionTimeoutMilliseconds = 3_000;
 
 /** When the majority was reached, and the edges to which its voters had granted leases; none if a voter does not know them. @internal */
--- a/packages/member-registry/src/member-registry.ts
+++ b/packages/member-registry/src/member-registry.ts
@@ -15,7 +15,7 @@
   recordDeparture: (member: string) => void;
   /** Applies heartbeats that another core received. */
   mergeHeartbeats: (heartbeats: readonly ReceivedHeartbeat[]) => void;
-  /** Adds records stored before a restart. They serve until heartbeats arrive, and never replace a record that is already there. */
+  /** Adds records stored before a restart, which serve until heartbeats arrive. They never replace a record that is already there. */
   restore: (records: readonly MemberRecord[]) => void;
   /** Returns the heartbeats and departures that this core received since the last call, to be sent to the other cores. */
   takeRecentHeartbeats: () => readonly ReceivedHeartbeat[];
@@ -31,8 +31,9 @@
 }>;
 
 /**
- * `changedAt`: the registry's version at the last change. `hasLeft`: the member announced its departure; a member that is gone only because
- * it was silent returns with its next heartbeat.
+ * `changedAt`: the registry's version at the last change. `receivedAt`: when a core received the last heartbeat or the departure, or when the
+ * member was marked as gone. `hasLeft`: the member announced its departure; a member that is gone only because it was silent returns with its
+ * next heartbeat.
  */
 type RegisteredMember = Readonly<{ record: MemberRecord; changedAt: number; receivedAt: Instant; hasLeft: boolean }>;
 
