--- a/packages/acceptance/features/disks.feature
+++ b/packages/acceptance/features/disks.feature
@@ -27,7 +27,7 @@
     Given a fleet of Red Común with its sheet obeyed and its primaries elected
     When edges 1, 2, 3 and 4 are killed and 6 s pass
     And an operator tries to remove edge-1 after edge-5 is killed too
-    Then it is denied as "unsafe-step" with 0 faults that name row, column and remedy
+    Then it is rejected as "unsafe-step" with 0 faults that state row, column and remedy
 
   Scenario: A core whose disk is full reports it, serves no ballots, and recovers by itself
     Given a fleet of Red Común with its sheet obeyed and its primaries elected
--- a/packages/lease/src/lease-holder.ts
+++ b/packages/lease/src/lease-holder.ts
@@ -40,7 +40,7 @@
   coreCount: () => number;
   /** Number of cores that replied within the last lease term. */
   grantingCoreCount: () => number;
-  /** Sends the proxy's current state to each core at once. */
+  /** Sends a request with the proxy's current state to each connected core at once. */
   reportNow: () => void;
   /** Notifies each core that the proxy restarted: the former process may have acknowledged commits that it never reported (design 8.11). */
   onProxyRestarted: () => void;
@@ -141,7 +141,7 @@
 function start({ context, state }: Assembly, search: FleetSearch): void {
   function poll(): void {
     search.contactSeeds();
-    state.readUncertain();
+    state.readUnapplied();
   }
   void runtimeUtilities.every(context.runtime.clock, pollIntervalMilliseconds, poll, () => !context.isStopped);
 }
