--- a/packages/simulator/exploring-mutations.mjs
+++ b/packages/simulator/exploring-mutations.mjs
@@ -48,7 +48,7 @@
     file: 'register/build/core-set-changes.js',
     from: 'left.node === right.node && left.disk === right.disk',
     to: 'left.node === right.node',
-    story: 'A core that lost its disk answers only in a later set',
+    story: 'A core that lost its disk serves ballots only in a later set',
   },
   {
     name: 'round-of-two-sets',
