--- a/packages/acceptance/src/ballots.ts
+++ b/packages/acceptance/src/ballots.ts
@@ -220,7 +220,7 @@
 
 Given('a version store whose contents do not compress', async function given(this: BallotStory) {
   this.world = worlds.create(23);
-  const spawned = this.world.spawn('keeper', 'keeper-machine', this.world.disk());
+  const spawned = this.world.spawn('store', 'store-machine', this.world.disk());
   assert.ok(Option.isSome(spawned.runtime.disk));
   this.disk = spawned.runtime.disk.value;
   this.storedVersion = 0;
@@ -228,7 +228,7 @@
 });
 
 async function startStore(story: BallotStory): Promise<VersionStore> {
-  const { runtime } = story.world.spawn('keeper', 'keeper-machine');
+  const { runtime } = story.world.spawn('store', 'store-machine');
   const store = versionStore.create(runtime, {
     disk: story.disk,
     currentVersion: () => story.storedVersion + 1,
--- a/packages/acceptance/src/contents.ts
+++ b/packages/acceptance/src/contents.ts
@@ -86,7 +86,9 @@
     const sheet = this.pooled.firstSheet();
     const changed = {
       ...sheet,
-      databases: sheet.databases.map((one, index) => (index === 0 ? { ...one, aimMilliseconds: one.aimMilliseconds + 1 } : one)),
+      databases: sheet.databases.map((database, index) =>
+        index === 0 ? { ...database, aimMilliseconds: database.aimMilliseconds + 1 } : database,
+      ),
     };
     assert.ok(await this.pooled.drive(this.pooled.configure(4, changed, 0)));
     await this.pooled.world.run(500);
--- a/packages/register/src/core-set-changes.ts
+++ b/packages/register/src/core-set-changes.ts
@@ -88,7 +88,7 @@
  */
 async function distribute(options: CoreSetChangeOptions, previous: CoreSet, set: CoreSet): Promise<boolean> {
   for (const core of set.seats) {
-    const wasListed = previous.seats.some((known) => known.node === core.node && known.address === core.address);
+    const wasListed = previous.seats.some((listed) => listed.node === core.node && listed.address === core.address);
     if (!wasListed) void options.adopt(core, set);
   }
   const { upToDate } = await confirm(options, set, previous.seats);
--- a/packages/register/src/durable-reports.ts
+++ b/packages/register/src/durable-reports.ts
@@ -25,7 +25,7 @@
 function noMajority(stored: number, replicaCount: number): Fault {
   return fault.create({
     kind: 'no-majority',
-    message: `only ${stored} of ${replicaCount} core disks stored the report`,
+    message: `only ${stored} of ${replicaCount} core disks confirmed the report`,
     remedy: 'restore unavailable cores or repair their disks',
     retryAfterSeconds: 1,
   });
--- a/packages/register/src/report-store.ts
+++ b/packages/register/src/report-store.ts
@@ -52,8 +52,8 @@
 function sumUsageReports(reports: readonly UsageReport[]): Readonly<Record<string, number>> {
   const latest = new Map<string, UsageReport>();
   for (const report of reports) {
-    const known = latest.get(processOf(report));
-    if (known === undefined || report.number > known.number) latest.set(processOf(report), report);
+    const previous = latest.get(processOf(report));
+    if (previous === undefined || report.number > previous.number) latest.set(processOf(report), report);
   }
   const total: Record<string, number> = {};
   for (const { counts } of latest.values()) {
@@ -72,10 +72,10 @@
 }
 
 function mergeReport(store: StoreState, report: UsageReport): void {
-  const known = store.reports.get(report.window) ?? new Map<string, UsageReport>();
-  store.reports.set(report.window, known);
-  if ((known.get(processOf(report))?.number ?? -1) >= report.number) return;
-  known.set(processOf(report), report);
+  const windowReports = store.reports.get(report.window) ?? new Map<string, UsageReport>();
+  store.reports.set(report.window, windowReports);
+  if ((windowReports.get(processOf(report))?.number ?? -1) >= report.number) return;
+  windowReports.set(processOf(report), report);
   markChanged(store, report.window);
 }
 
