--- a/packages/acceptance/features/cores.feature
+++ b/packages/acceptance/features/cores.feature
@@ -55,7 +55,7 @@
     Given a fleet of 3 cores, an edge that holds a lease, and an operator that sends configurations
     When core-3 is lost permanently
     And a new core starts with core-1 and core-2 as its seeds
-    And core-4 is killed while it copies, permanently
+    And core-4 is killed permanently while it copies
     And a new core starts with core-1 and core-2 as its seeds
     Then within 6 s the core set is core-1, core-2 and core-5
     And every core in the set reads the latest acknowledged configuration
@@ -64,7 +64,7 @@
     Given a fleet of 3 cores, an edge that holds a lease, and an operator that sends configurations
     When core-3 is lost permanently
     And a new core starts with core-1 and core-2 as its seeds
-    And core-4 is killed as soon as a set lists it, permanently
+    And core-4 is killed permanently as soon as a set lists it
     Then within 2 s another configuration is acknowledged
     When a new core starts with core-1 and core-2 as its seeds
     Then within 5 s the core set is core-1, core-2 and core-5
@@ -157,7 +157,7 @@
 
   Scenario: A core that restarts at another address is listed there
     Given a fleet of 3 cores, an edge that holds a lease, and an operator that sends configurations
-    When core-3 restarts with its disk at "10.1.0.33"
+    When core-3 restarts at "10.1.0.33" with its disk
     Then within 10 s every core lists core-3 at "10.1.0.33:7000"
     When core-1 is lost permanently
     Then every core in the set reads the latest acknowledged configuration
--- a/packages/acceptance/src/cores.ts
+++ b/packages/acceptance/src/cores.ts
@@ -63,7 +63,7 @@
   await this.cores.spare([first, second].map((index) => this.cores.machine(`core-${index}`).address));
 });
 
-// Configurations that arrive faster than such slow disks can decide them keep preempting each other, so the operator slows down too.
+// Configurations that arrive faster than such slow disks can decide them keep preempting each other in any core set, so the operator slows down too.
 When(
   'every disk write takes {int} ms longer, and the operator sends a configuration every {int} ms',
   function when(this: CoreStory, disk: number, send: number) {
@@ -161,11 +161,11 @@
   await this.cores.start(machine, false);
 });
 
-When('core-{int} is killed while it copies, permanently', async function when(this: CoreStory, index: number) {
+When('core-{int} is killed permanently while it copies', async function when(this: CoreStory, index: number) {
   await killWhileCopying(this.cores, index);
 });
 
-When('core-{int} is killed as soon as a set lists it, permanently', async function when(this: CoreStory, index: number) {
+When('core-{int} is killed permanently as soon as a set lists it', async function when(this: CoreStory, index: number) {
   const machine = this.cores.machine(`core-${index}`);
   function isListed(fleet: CoreFleet): boolean {
     return alive(fleet).some((other) => fleet.setOf(other).cores.includes(machine.name));
@@ -326,7 +326,7 @@
   );
 });
 
-When('core-{int} restarts with its disk at {string}', async function when(this: CoreStory, index: number, host: string) {
+When('core-{int} restarts at {string} with its disk', async function when(this: CoreStory, index: number, host: string) {
   const machine = this.cores.machine(`core-${index}`);
   this.cores.kill(machine);
   machine.address = `${host}:7000`;
--- a/packages/core/src/core-context.ts
+++ b/packages/core/src/core-context.ts
@@ -42,5 +42,5 @@
   transfer: StateTransfer;
 }>;
 
-/** @internal */
+/** The context, the stores and the node of a running core. @internal */
 export type CoreServices = Readonly<{ context: CoreContext; storage: CoreStorage; node: Node }>;
--- a/packages/core/src/core-set-manager.ts
+++ b/packages/core/src/core-set-manager.ts
@@ -94,7 +94,7 @@
   return isLeaving ? [...unreachable, parts.node.settings.node] : unreachable;
 }
 
-/** Whether a core may be replaceable by this core's own knowledge; saves a round to the others if not. */
+/** Whether, as far as this core itself knows, some core may be replaced; if not, the other cores need not be asked. */
 function mayHaveVacancy({ state, membership }: Manager, joiningNode: Seat): boolean {
   const set = membership.set();
   return state.isLeaving || silentCores(state, set).length > 0 || quorum.findNode(set, joiningNode.node) !== undefined;
--- a/packages/core/src/core-storage.ts
+++ b/packages/core/src/core-storage.ts
@@ -17,7 +17,7 @@
   archiveEntry: (entry: Entry) => Promise<boolean>;
 }>;
 
-function logDiskTrouble(runtime: Runtime, disk: Disk): void {
+function logDiskFaults(runtime: Runtime, disk: Disk): void {
   disk.onTrouble(function onTrouble(trouble) {
     if (Option.isSome(trouble)) runtime.log('disk.failed', { reason: trouble.value.message });
     else runtime.log('disk.works', {});
@@ -27,7 +27,7 @@
 /** @param stored - what the disk held when the process started */
 function create(context: CoreContext, stored: ReadonlyMap<string, unknown>, { onAccepted, archiveEntry }: StorageEvents): CoreStorage {
   const { runtime, disk } = context;
-  logDiskTrouble(runtime, disk);
+  logDiskFaults(runtime, disk);
   const record = fleetRecordStore.create(disk, stored);
   const coreSetView = Option.isNone(context.platform) ? undefined : createCoreSetView(record.current, () => context.isInSetTransition);
   const cells = acceptor.create({
--- a/packages/core/src/founding.ts
+++ b/packages/core/src/founding.ts
@@ -46,7 +46,7 @@
 }
 
 /** Where an operator configures the number of cores, the core with the lowest name proposes once that many were found. */
-function proposeOnceComplete({ cores: cores, node }: FleetBootstrapSettings): ProposalRule {
+function proposeOnceComplete({ cores, node }: FleetBootstrapSettings): ProposalRule {
   return (everyone) => everyone.length === cores && everyone[0]?.node === node;
 }
 
--- a/packages/core/src/learner.ts
+++ b/packages/core/src/learner.ts
@@ -41,8 +41,8 @@
 const nextCoreMilliseconds = 400;
 const retryMilliseconds = 100;
 
-function isNewest({ newestSet: newest }: LearnerState, set: CoreSet): boolean {
-  return Option.isSome(newest) && newest.value.number === set.number;
+function isNewest({ newestSet }: LearnerState, set: CoreSet): boolean {
+  return Option.isSome(newestSet) && newestSet.value.number === set.number;
 }
 
 function isListed({ parts }: LearnerState, set: CoreSet): boolean {
--- a/packages/core/src/peer-handlers.ts
+++ b/packages/core/src/peer-handlers.ts
@@ -102,7 +102,7 @@
     if (Option.isNone(context.registration)) throw new Error('this fleet does not use leases');
     subscribers.subscribe(cells, request, caller);
     const reply = await context.registration.value.grantor.grant(request);
-    // The grantor may have waited until this core opened; the node is then subscribed only now, so that it gets the watched entries first.
+    // The grantor may have waited until this core opened. The node is then subscribed here, so that watched entries precede the reply.
     if (reply.ready) subscribers.subscribe(cells, request, caller);
     const newer = coreSetView?.newerThan(request.set ?? 0);
     const current = currentSet(coreSetView);
--- a/packages/core/src/state-transfer.ts
+++ b/packages/core/src/state-transfer.ts
@@ -23,7 +23,10 @@
    * longer needed or this process stops.
    */
   copyFrom: (other: Seat, set: CopiedSet, epochs: Record<string, number>, isUnneeded?: () => boolean) => Promise<boolean>;
-  /** Records an abstention in these epochs: this core has lost its votes and must not vote a second time in an epoch that it voted in. */
+  /**
+   * Records an abstention in these epochs, since this core has lost its votes and must not vote twice in an epoch. That loses no outcome:
+   * an election that its lost vote may have helped to win has other voters.
+   */
   abstain: (epochs: Readonly<Record<string, number>>) => Promise<void>;
 }>;
 
