--- a/packages/acceptance/src/contents.ts
+++ b/packages/acceptance/src/contents.ts
@@ -86,9 +86,7 @@
     const sheet = this.pooled.firstSheet();
     const changed = {
       ...sheet,
-      databases: sheet.databases.map((database, index) =>
-        index === 0 ? { ...database, aimMilliseconds: database.aimMilliseconds + 1 } : database,
-      ),
+      databases: sheet.databases.map((entry, index) => (index === 0 ? { ...entry, aimMilliseconds: entry.aimMilliseconds + 1 } : entry)),
     };
     assert.ok(await this.pooled.drive(this.pooled.configure(4, changed, 0)));
     await this.pooled.world.run(500);
