--- a/packages/acceptance/features/runtime.feature
+++ b/packages/acceptance/features/runtime.feature
@@ -105,7 +105,7 @@
   Scenario: What a loss of power leaves of a data folder is told apart
     Then a folder with data is opened as follows after a power loss:
       | what is left                                 | opened as |
-      | everything                                   | intact    |
+      | all files                                    | intact    |
       | the store without the holder file            | intact    |
       | the store and half of the holder file        | intact    |
       | the store and another one in creation        | intact    |
--- a/packages/acceptance/src/data-folders.ts
+++ b/packages/acceptance/src/data-folders.ts
@@ -229,7 +229,7 @@
 
 /** Changes a folder to the state that a row names. */
 const powerLosses: Readonly<Record<string, (folder: string) => void | Promise<void>>> = {
-  everything: () => undefined,
+  'all files': () => undefined,
   'the store without the holder file': (folder) => fs.rmSync(path.join(folder, 'holder')),
   'the store and half of the holder file': (folder) => fs.truncateSync(path.join(folder, 'holder'), 3),
   'the store and another one in creation': (folder) => fs.writeFileSync(path.join(folder, `${storeName}.new`), 'half'),
