--- a/packages/acceptance/features/fleet.feature
+++ b/packages/acceptance/features/fleet.feature
@@ -43,7 +43,7 @@
   Scenario: Usage is told once for each window, also when an edge is cut off as the window ends
     Given a fleet of Red Común with its placement configuration applied and its primaries elected
     And its clients are sending statements
-    And a platform that takes usage but loses its replies
+    And a platform that accepts usage calls but whose replies are lost
     When edge-1 is cut off from the cores 2 s before a window ends, for 6 s
     And 12 s pass
-    Then that window was told more than once, always with the same counts, in time, and as they were served
+    Then that window was sent more than once, in time, and always with the same counts of what was served
--- a/packages/acceptance/features/orders.feature
+++ b/packages/acceptance/features/orders.feature
@@ -1,33 +1,33 @@
-Feature: Orders, each number for one text
+Feature: Configuration versions and send ids, each bound to one document
 
-  Scenario: A number stands for one text at every core, after higher numbers, lost disks and a stop of everything
-    Given a pooled fleet that has taken versions 3 and 8
-    Then every core acknowledges version 3 again, also written in another order, and refuses another sheet under it
-    And every core acknowledges version 5 that nobody sent before, refuses another sheet under it, and reads back version 8
-    When each core in turn comes back with an empty disk
-    Then every core acknowledges version 3 again, also written in another order, and refuses another sheet under it
-    And every core acknowledges version 5 again, refuses another sheet under it, and reads back version 8
-    When all cores are stopped and come back
-    Then every core acknowledges version 3 again, also written in another order, and refuses another sheet under it
-    And every core acknowledges version 5 again, refuses another sheet under it, and reads back version 8
+  Scenario: A version stays bound to one document on every core, after higher versions, lost disks and a restart of all cores
+    Given a pooled fleet that has stored configuration versions 3 and 8
+    Then every core acknowledges version 3 again, also with its fields reordered, and rejects another configuration under it
+    And every core acknowledges version 5 that nobody sent before, rejects another configuration under it, and reads back version 8
+    When each core in turn restarts with an empty disk
+    Then every core acknowledges version 3 again, also with its fields reordered, and rejects another configuration under it
+    And every core acknowledges version 5 again, rejects another configuration under it, and reads back version 8
+    When all cores are stopped and restarted
+    Then every core acknowledges version 3 again, also with its fields reordered, and rejects another configuration under it
+    And every core acknowledges version 5 again, rejects another configuration under it, and reads back version 8
 
-  Scenario: Of two sheets under one number exactly one is taken, whenever the core that took the first is cut off
-    Given a pooled fleet that has taken versions 3 and 8
-    When 24 pairs of sheets are sent under one number each, and the core of the first is cut off 2 ms later each time
-    Then each time one sheet is acknowledged by every core and the other is refused, and the history is one of a single register
+  Scenario: Of two configurations under one version exactly one is stored, whenever the core that received the first is cut off
+    Given a pooled fleet that has stored configuration versions 3 and 8
+    When 24 pairs of configurations are sent under one version each, and the core that receives the first is cut off after a delay that grows by 2 ms
+    Then of each pair one is acknowledged by every core and the other rejected, and all replies are consistent with a single register
 
-  Scenario: A number that was confirmed before orders were kept in a ledger stands for its text all the same
-    Given a pooled fleet that has taken versions 3 and 8
-    When all cores come back on data folders that hold no ledger
-    Then every core refuses another sheet under version 8, and acknowledges version 8 again
+  Scenario: A version that was acknowledged by a release without claims stays bound to its document
+    Given a pooled fleet that has stored configuration versions 3 and 8
+    When all cores restart with data folders that contain no claims
+    Then every core rejects another configuration under version 8, and acknowledges version 8 again
 
-  Scenario: A number that the ledger has forgotten gets no clear reply, never a refusal and never another text
-    Given a ledger of numbers that has taken more claims than it keeps
-    Then the newest numbers are known, and the oldest are forgotten for any text
+  Scenario: A version whose claim has been dropped is reported as expired, and never accepted or rejected
+    Given a claim table that has recorded more version claims than it keeps
+    Then the newest versions are recognized, and the oldest are reported as expired for any document
 
-  Scenario: A send id stands for one sheet, however many sends come after it
+  Scenario: A send id stays bound to one configuration, however many others are sent after it
     Given a fleet of Red Común with its placement configuration applied and its primaries elected
-    When an operator sends a sheet under a send id, and again through another core, and another sheet under the same send id
-    Then both replies to the same sheet name one version, and the other sheet is refused as "version-conflict"
-    When 205 more sheets are sent
-    Then the same sheet under the send id is replied with its first version, and the other is refused still
+    When an operator sends a configuration under a send id, again through another core, and another configuration under the same send id
+    Then both replies to the same configuration contain the same version, and the other configuration is rejected as "version-conflict"
+    When 205 more configurations are sent
+    Then the reply to the same configuration under the send id is still its first version, and the other is still rejected
--- a/packages/acceptance/src/administration.ts
+++ b/packages/acceptance/src/administration.ts
@@ -1,4 +1,4 @@
-/** Steps over the administration API, the changes pushed to nodes, and the calls to the platform. */
+/** Steps about the administration API, changes pushed to nodes, and calls to the platform. */
 import assert from 'node:assert/strict';
 import { fileURLToPath } from 'node:url';
 import { Given, Then, When } from '@cucumber/cucumber';
@@ -20,7 +20,7 @@
   },
 );
 
-When('root makes an operator {string} for the service {string}', async function when(this: Story, operator: string, service: string) {
+When('root creates an operator {string} for the service {string}', async function when(this: Story, operator: string, service: string) {
   const reply = await this.fleet.operate(
     'PUT',
     `/v1/operators/${operator}`,
@@ -31,7 +31,7 @@
   this.key = (reply.body as { key: string }).key;
 });
 
-async function sendWeights(story: Story, service: string): Promise<HttpReply> {
+async function sendChangedWeights(story: Story, service: string): Promise<HttpReply> {
   const current = await story.fleet.operate('GET', '/v1/sheet', undefined, { 'x-stallstall-operator': story.key });
   const { sheet } = current.body as { sheet: { rows: Array<{ service: string; weights: Record<string, number> }> } };
   for (const row of sheet.rows) if (row.service === service) for (const member of Object.keys(row.weights)) row.weights[member] = 7;
@@ -39,16 +39,16 @@
 }
 
 Then(
-  '{string} may send a sheet that changes the weights of {string}',
+  '{string} may send a configuration that changes the weights of {string}',
   async function then(this: Story, _operator: string, service: string) {
-    assert.equal((await sendWeights(this, service)).status, 200);
+    assert.equal((await sendChangedWeights(this, service)).status, 200);
   },
 );
 
 Then(
-  '{string} may not send a sheet that changes the weights of {string}',
+  '{string} may not send a configuration that changes the weights of {string}',
   async function then(this: Story, _operator: string, service: string) {
-    within(await sendWeights(this, service), ['key-denied']);
+    within(await sendChangedWeights(this, service), ['key-denied']);
   },
 );
 
@@ -56,21 +56,21 @@
   within(await this.fleet.operate('POST', `/v1/nodes/${edge}/drain`, {}, { 'x-stallstall-operator': this.key }), ['key-denied']);
 });
 
-Then('a stranger may not read the fleet', async function then(this: Story) {
+Then('a caller without a key may not read the fleet status', async function then(this: Story) {
   within(await this.fleet.operate('GET', '/v1/fleet'), ['key-denied']);
 });
 
 Then(
-  'the trail tells of a sheet sent by {string} and an operator made by {string}',
-  async function then(this: Story, sender: string, maker: string) {
+  'the audit trail lists a configuration sent by {string} and an operator created by {string}',
+  async function then(this: Story, sender: string, creator: string) {
     const reply = await this.fleet.operate('GET', '/v1/audit', undefined, { 'x-stallstall-operator': rootKey });
     const rows = (reply.body as { rows: ReadonlyArray<{ by: string; action: string }> }).rows;
     assert.ok(rows.some((row) => row.by === sender && row.action === 'sheet'));
-    assert.ok(rows.some((row) => row.by === maker && row.action === 'operator-put'));
+    assert.ok(rows.some((row) => row.by === creator && row.action === 'operator-put'));
   },
 );
 
-When('an operator reads the members {int} at a time', async function when(this: Story, limit: number) {
+When('an operator lists the members {int} at a time', async function when(this: Story, limit: number) {
   this.replies = [];
   for (let after: number | undefined = 0; after !== undefined;) {
     const reply: HttpReply = await this.fleet.operate('GET', `/v1/members?limit=${limit}&after=${after}`);
@@ -79,26 +79,26 @@
   }
 });
 
-Then('{int} members came in {int} pages and none twice', function then(this: Story, members: number, pages: number) {
+Then('{int} members are listed on {int} pages and none twice', function then(this: Story, members: number, pages: number) {
   const names = this.replies.flatMap((reply) => (reply.body as { rows: ReadonlyArray<{ member: string }> }).rows.map((row) => row.member));
   assert.equal(this.replies.length, pages);
   assert.equal(names.length, members);
   assert.equal(new Set(names).size, members);
 });
 
-Then('the health page is sound', async function then(this: Story) {
+Then('all health checks pass', async function then(this: Story) {
   const reply = await this.fleet.operate('GET', '/v1/liveness');
   assert.equal(reply.status, 200, JSON.stringify(reply.body));
 });
 
-Then('the health page fails {string} with a remedy', async function then(this: Story, check: string) {
+Then('only the health check {string} fails, with a remedy', async function then(this: Story, check: string) {
   const reply = await this.fleet.operate('GET', '/v1/liveness');
   assert.equal(reply.status, 503);
   const failed = (reply.body as { checks: ReadonlyArray<{ check: string; sound: boolean; remedy: string }> }).checks.filter(
-    (one) => !one.sound,
+    (result) => !result.sound,
   );
   assert.deepEqual(
-    failed.map((one) => one.check),
+    failed.map((result) => result.check),
     [check],
   );
   assert.ok((failed[0]?.remedy ?? '').length > 0);
@@ -113,9 +113,9 @@
 
 Then(
   'the import contains {string} and {string} and skips {string}',
-  function then(this: Story, first: string, second: string, out: string) {
+  function then(this: Story, first: string, second: string, skipped: string) {
     assert.deepEqual(this.imported.mappings.map((mapping) => mapping.mapping).sort(), [first, second].sort());
-    assert.deepEqual(this.imported.leftOut, [out]);
+    assert.deepEqual(this.imported.leftOut, [skipped]);
   },
 );
 
@@ -150,45 +150,45 @@
   assert.deepEqual([...this.fleet.ledger.reasons.keys()], ['served']);
 });
 
-function handOver(story: Story, core: string, version: number): void {
+function pushVersion(story: Story, core: string, version: number): void {
   story.watcher.receive(core, {
     number: version,
     key: 'configuration',
-    entry: { ballot: { counter: version * 10, node: 'x' }, version, value: `sheet ${version}` },
+    entry: { ballot: { counter: version * 10, node: 'x' }, version, value: `configuration ${version}` },
   });
 }
 
 Given('a node to which three cores push changes', function given(this: Story) {
   this.world = worlds.create(4);
   const { runtime } = this.world.spawn('node', 'node-machine');
-  const silent: Register = {
+  const emptyRegister: Register = {
     read: () => Promise.resolve(Either.right(Option.none)),
     change: () => Promise.resolve(Either.right({ wrote: false, entry: Option.none })),
   };
-  this.watcher = watcher.create(runtime, { register: silent, coreCount: () => 3, onApplied: () => undefined });
+  this.watcher = watcher.create(runtime, { register: emptyRegister, coreCount: () => 3, onApplied: () => undefined });
 });
 
 When('a majority pushes version {int}, and then another majority version {int}', function when(this: Story, newer: number, older: number) {
-  handOver(this, 'core-1', newer);
-  handOver(this, 'core-2', newer);
-  handOver(this, 'core-2', older);
-  handOver(this, 'core-3', older);
+  pushVersion(this, 'core-1', newer);
+  pushVersion(this, 'core-2', newer);
+  pushVersion(this, 'core-2', older);
+  pushVersion(this, 'core-3', older);
 });
 
 When('a single core pushes version {int}', function when(this: Story, version: number) {
-  handOver(this, 'core-1', version);
+  pushVersion(this, 'core-1', version);
 });
 
 When('a second core pushes the same version {int}', function when(this: Story, version: number) {
-  handOver(this, 'core-3', version);
+  pushVersion(this, 'core-3', version);
 });
 
 Then('it has applied version {int}', function then(this: Story, version: number) {
-  const obeyed = this.watcher.applied('configuration');
-  assert.equal(Option.isSome(obeyed) ? obeyed.value.version : 0, version);
+  const applied = this.watcher.applied('configuration');
+  assert.equal(Option.isSome(applied) ? applied.value.version : 0, version);
 });
 
-Given('a platform that takes usage but loses its replies', function given(this: Story) {
+Given('a platform that accepts usage calls but whose replies are lost', function given(this: Story) {
   this.fleet.platform().knobs.losesReplies = true;
 });
 
@@ -210,13 +210,13 @@
   },
 );
 
-Then('that window was told more than once, always with the same counts, in time, and as they were served', function then(this: Story) {
+Then('that window was sent more than once, in time, and always with the same counts of what was served', function then(this: Story) {
   const reported = this.fleet.platformStore.usage.filter((call) => call.window === this.window);
-  assert.ok(reported.length > 1, `it was told ${reported.length} times`);
+  assert.ok(reported.length > 1, `the window was sent ${reported.length} times`);
   assert.deepEqual(checks.usage({ usage: reported }, this.fleet.ledger.usageByWindow, this.window, this.window), []);
 });
 
-function proposalOf(story: Story, service: string, since: number): string | undefined {
+function proposerOf(story: Story, service: string, since: number): string | undefined {
   return story.fleet.world.logs.find((line) => line.at >= since && line.event === 'election.propose' && line.fields['service'] === service)
     ?.process;
 }
@@ -225,9 +225,9 @@
   'the node that proposes for {string} is killed {int} s after its proposal',
   async function when(this: Story, service: string, seconds: number) {
     const since = this.fleet.world.now();
-    assert.ok(await this.fleet.until(() => proposalOf(this, service, since) !== undefined, 9_000), 'nobody proposed');
+    assert.ok(await this.fleet.until(() => proposerOf(this, service, since) !== undefined, 9_000), 'no node proposed an election');
     await this.fleet.world.run(seconds * 1_000);
-    const proposer = proposalOf(this, service, since) as string;
+    const proposer = proposerOf(this, service, since) as string;
     const slots = [
       ...this.fleet.cores.map((slot) => [slot.name, slot] as const),
       ...this.fleet.edges.map((slot) => [`${slot.name}/agent`, slot.agent] as const),
@@ -245,19 +245,19 @@
   const promotedAt = this.fleet.world.now();
   await this.fleet.world.run(seconds * 1_000);
   this.fleet.platform().knobs.losesReplies = false;
-  const settled = this.fleet.world.logs.filter(
+  const appliedEpochs = this.fleet.world.logs.filter(
     (line) => line.at >= promotedAt && line.event === 'node.applied' && line.fields['key'] === 'epoch/bookings',
   );
-  this.window = Math.min(...settled.map((line) => line.at - promotedAt));
+  this.window = Math.min(...appliedEpochs.map((line) => line.at - promotedAt));
 });
 
 Given(
   'replicas of {string} that no longer receive its log, and a primary that waits for no replica',
   async function given(this: Story, service: string) {
     this.fleet = await bringUp('Red Común', { synchronous: 0 });
-    const leads = primary(this, service);
+    const leader = primary(this, service);
     for (const slot of this.fleet.members)
-      if (slot.place.service === service && slot !== leads && slot.running !== undefined) slot.running.knobs.deaf = true;
+      if (slot.place.service === service && slot !== leader && slot.running !== undefined) slot.running.knobs.deaf = true;
   },
 );
 
@@ -272,14 +272,14 @@
 Then(
   'another member of {string} was elected within {int} s of the first promotion',
   function then(this: Story, service: string, seconds: number) {
-    assert.ok(this.window < seconds * 1_000, `it took ${this.window} ms`);
+    assert.ok(this.window < seconds * 1_000, `the election took ${this.window} ms`);
     assert.notEqual(primary(this, service).place.member, this.before.member);
   },
 );
 
 Then('all promotion calls of that election used one fencing token', function then(this: Story) {
   const epochs = this.fleet.platformStore.promotions.filter((call) => call.epoch > this.before.epoch && call.service === 'bookings');
-  assert.ok(epochs.length > 0, 'it was never called');
+  assert.ok(epochs.length > 0, 'the platform received no promotion call');
   assert.equal(new Set(epochs.map((call) => call.turn)).size, 1);
 });
 
