--- a/packages/core/src/core-set-manager.ts
+++ b/packages/core/src/core-set-manager.ts
@@ -81,7 +81,7 @@
  * Cores that the joining node may replace, in order of preference. A node that is listed with another disk or address may only replace
  * its own entry; any other node replaces an unreachable core first, and this core if it is leaving.
  */
-function findVacantCores(
+function findReplaceableCores(
   { parts, isLeaving }: CoreSetState,
   joiningNode: Seat,
   set: CoreSet,
@@ -95,7 +95,7 @@
 }
 
 /** Whether, as far as this core itself knows, some core may be replaced; if not, the other cores need not be asked. */
-function mayHaveVacancy({ state, membership }: Manager, joiningNode: Seat): boolean {
+function mayReplaceCore({ state, membership }: Manager, joiningNode: Seat): boolean {
   const set = membership.set();
   return state.isLeaving || silentCores(state, set).length > 0 || quorum.findNode(set, joiningNode.node) !== undefined;
 }
@@ -103,13 +103,13 @@
 async function join(manager: Manager, { seat }: Request<'join'>): Promise<Reply<'join'>> {
   const { state, membership, changes } = manager;
   const { runtime, parts } = state;
-  if (!parts.cells.ready()) return { joined: false, reason: 'this core is not open yet' };
+  if (!parts.cells.ready()) return { joined: false, reason: 'this core does not answer ballots yet' };
   const listed = membership.set().seats.find((listedSeat) => isSameNodeAndDisk(listedSeat, seat));
   if (listed?.address === seat.address) return { joined: true, reason: '', set: membership.set() };
   if (listed === undefined) state.lastJoinRequestAt = runtime.clock.now();
-  if (!mayHaveVacancy(manager, seat)) return { joined: false, reason: 'no seat is vacant', set: membership.set() };
+  if (!mayReplaceCore(manager, seat)) return { joined: false, reason: 'no core of the set may be replaced', set: membership.set() };
   runtime.log('core.proposes', { node: seat.node, set: membership.set().number + 1 });
-  const changed = await changes.replaceNode(seat, (set, confirmed) => findVacantCores(state, seat, set, confirmed));
+  const changed = await changes.replaceNode(seat, (set, confirmed) => findReplaceableCores(state, seat, set, confirmed));
   if (Either.isLeft(changed)) return { joined: false, reason: changed.left.message.slice(0, maxReasonLength), set: membership.set() };
   runtime.log('core.seated', { node: seat.node, set: changed.right.number });
   return { joined: true, reason: '', set: changed.right };
--- a/packages/simulator/exploring-mutations.mjs
+++ b/packages/simulator/exploring-mutations.mjs
@@ -69,7 +69,7 @@
   {
     name: 'any-seat-is-vacant',
     file: 'core/build/core-set-manager.js',
-    from: 'if (!mayHaveVacancy(manager, seat))',
+    from: 'if (!mayReplaceCore(manager, seat))',
     to: 'if (false)',
     more: [
       { file: 'core/build/core-set-manager.js', from: 'confirmed.unreachable.has(core) && !confirmed.upToDate.includes(core)', to: 'true' },
