--- a/packages/acceptance/src/administration.ts
+++ b/packages/acceptance/src/administration.ts
@@ -33,9 +33,9 @@
 
 async function sendChangedWeights(story: Story, service: string): Promise<HttpReply> {
   const current = await story.fleet.operate('GET', '/v1/sheet', undefined, { 'x-stallstall-operator': story.key });
-  const { sheet } = current.body as { sheet: { rows: Array<{ service: string; weights: Record<string, number> }> } };
-  for (const row of sheet.rows) if (row.service === service) for (const member of Object.keys(row.weights)) row.weights[member] = 7;
-  return story.fleet.operate('PUT', '/v1/sheet', { sheet }, { 'x-stallstall-operator': story.key });
+  const { sheet: configuration } = current.body as { sheet: { rows: Array<{ service: string; weights: Record<string, number> }> } };
+  for (const row of configuration.rows) if (row.service === service) for (const member of Object.keys(row.weights)) row.weights[member] = 7;
+  return story.fleet.operate('PUT', '/v1/sheet', { sheet: configuration }, { 'x-stallstall-operator': story.key });
 }
 
 Then(
@@ -62,10 +62,10 @@
 
 Then(
   'the audit trail lists a configuration sent by {string} and an operator created by {string}',
-  async function then(this: Story, sender: string, creator: string) {
+  async function then(this: Story, author: string, creator: string) {
     const reply = await this.fleet.operate('GET', '/v1/audit', undefined, { 'x-stallstall-operator': rootKey });
     const rows = (reply.body as { rows: ReadonlyArray<{ by: string; action: string }> }).rows;
-    assert.ok(rows.some((row) => row.by === sender && row.action === 'sheet'));
+    assert.ok(rows.some((row) => row.by === author && row.action === 'sheet'));
     assert.ok(rows.some((row) => row.by === creator && row.action === 'operator-put'));
   },
 );
--- a/packages/acceptance/src/orders.ts
+++ b/packages/acceptance/src/orders.ts
@@ -190,8 +190,8 @@
 const sendId = 'repeated-send-id';
 
 function configurationWithKey(story: ClaimStory, key: string): unknown {
-  const sheet = story.fleet.sheet() as { keys: readonly unknown[] };
-  return { ...sheet, keys: [...sheet.keys, { key, services: ['maps'], kinds: ['leader-read'] }] };
+  const configuration = story.fleet.sheet() as { keys: readonly unknown[] };
+  return { ...configuration, keys: [...configuration.keys, { key, services: ['maps'], kinds: ['leader-read'] }] };
 }
 
 function sendConfiguration(story: ClaimStory, key: string, core: number, requestSendId?: string): Promise<HttpReply> {
--- a/packages/core/src/administration/health-checks.ts
+++ b/packages/core/src/administration/health-checks.ts
@@ -25,7 +25,7 @@
   return {
     check: 'cores',
     sound: reachableCores >= quorum.majority(cores.length),
-    detail: `${reachableCores} of ${cores.length} heard`,
+    detail: `${reachableCores} of ${cores.length} cores reachable`,
     remedy: 'restart the cores that are down, or restore their network connections',
   };
 }
@@ -37,7 +37,7 @@
   return {
     check: 'nodes',
     sound: reachable >= needed,
-    detail: `${reachable} of ${total} heard, ${needed} needed`,
+    detail: `${reachable} of ${total} nodes reachable, ${needed} needed`,
     remedy: 'restart the nodes that are down, or restore their network connections',
   };
 }
--- a/packages/core/src/administration/placement-routes.ts
+++ b/packages/core/src/administration/placement-routes.ts
@@ -63,7 +63,7 @@
     sendId: body.sendId ?? runtime.randomness.token(),
     hasClientSendId: body.sendId !== undefined,
     sentBy,
-    expected: expected.right,
+    expectedVersion: expected.right,
   });
   if (Either.isLeft(sent)) return http.rejected(sent.left);
   const { version } = sent.right;
--- a/packages/core/src/placement-updates.ts
+++ b/packages/core/src/placement-updates.ts
@@ -23,7 +23,7 @@
   hasClientSendId: boolean;
   sentBy: string;
   /** The version that the update must replace; none if any version may be replaced. */
-  expected: Option.Option<number>;
+  expectedVersion: Option.Option<number>;
 }>;
 
 /** The version under which an update was stored; for external updates, the current external version after the update. */
@@ -71,7 +71,7 @@
   const allowed = operators.checkChange(update.caller, configurationOf(current)?.sheet, update.placement);
   if (!isCoveredByRecentSends(version, claim)) return Option.some(updateFaults.sendIdExpired(update.sendId));
   if (Either.isLeft(allowed)) return Option.some(allowed.left);
-  const isExpected = Option.isNone(update.expected) || update.expected.value === version;
+  const isExpected = Option.isNone(update.expectedVersion) || update.expectedVersion.value === version;
   return isExpected ? Option.none : Option.some(updateFaults.versionConflict(version));
 }
 
--- a/packages/core/src/platform-api.ts
+++ b/packages/core/src/platform-api.ts
@@ -36,7 +36,7 @@
   registration: Option.Option<Pick<MemberRegistration, 'heartbeat' | 'leave'>>;
 }>;
 
-function notOpen(): Fault {
+function notInFleet(): Fault {
   return fault.create({
     kind: 'no-majority',
     message: 'this core does not belong to a fleet yet',
@@ -49,14 +49,14 @@
   return {
     ready: () => isOpen() && !isDraining(),
     configure: async function configure(external, placement) {
-      if (!isOpen()) return Either.left(notOpen());
+      if (!isOpen()) return Either.left(notInFleet());
       const checked = placements.validate(placement);
       if (Either.isLeft(checked)) return checked;
       return contact.runInContact(() => administration.replaceExternal(external, checked.right));
     },
-    readSource: async () => (isOpen() ? contact.runInContact(administration.readSource) : Either.left(notOpen())),
+    readSource: async () => (isOpen() ? contact.runInContact(administration.readSource) : Either.left(notInFleet())),
     // A core without a fleet or without contact to a majority could not pass this on: the caller has to try another core.
-    heartbeat: async (memberState) => Option.isSome(registration) && isOpen() && registration.value.heartbeat(memberState),
+    heartbeat: async (report) => Option.isSome(registration) && isOpen() && registration.value.heartbeat(report),
     leave: async (member) => Option.isSome(registration) && isOpen() && registration.value.leave(member),
   };
 }
--- a/packages/core/src/version-store.ts
+++ b/packages/core/src/version-store.ts
@@ -148,12 +148,12 @@
   for (let versions = missingVersions(store); versions.length > 0 && !store.isStopped; versions = missingVersions(store)) {
     const replies = await requestFromOthers(store, versions);
     if (replies.length === 0) return;
-    const before = index.summaries.size;
+    const countBefore = index.summaries.size;
     for (const found of replies.flatMap((reply) => reply.found)) {
       const isWritten = await commands.run(() => write(store, found));
       if (!isWritten) return;
     }
-    if (index.summaries.size > before) continue;
+    if (index.summaries.size > countBefore) continue;
     for (const version of versions) retryAt.set(version, runtime.clock.now() + unavailableRetryMilliseconds);
   }
 }
--- a/packages/simulator/pooled-mutations.mjs
+++ b/packages/simulator/pooled-mutations.mjs
@@ -184,8 +184,8 @@
     story: 'no fleet',
     // Two guards in a row: a core that is not open yet, and one that no majority answers.
     file: 'core/build/platform-api.js',
-    from: 'isOpen() && registration.value.heartbeat(memberState)',
-    to: 'registration.value.heartbeat(memberState)',
+    from: 'isOpen() && registration.value.heartbeat(report)',
+    to: 'registration.value.heartbeat(report)',
     more: [
       { file: 'core/build/member-registration.js', from: 'state.isInContact() && (!registration.draining', to: '(!registration.draining' },
     ],
