--- a/packages/acceptance/run.mjs
+++ b/packages/acceptance/run.mjs
@@ -44,7 +44,7 @@
         'build/soak-steps.js',
         'build/dialect-steps.js',
         'build/outages.js',
-        'build/orders.js',
+        'build/version-claims.js',
         'build/simulator.js',
         'build/ballots.js',
         'build/commit-watermark-steps.js',
--- a/packages/acceptance/src/orders.ts
+++ b/packages/acceptance/src/version-claims.ts
@@ -1,4 +1,4 @@
-/** Steps for orders.feature: versions and send ids that are each bound to one document. */
+/** Steps for version-claims.feature: versions and send ids that are each bound to one document. */
 import assert from 'node:assert/strict';
 import { Given, Then, When } from '@cucumber/cucumber';
 import * as Either from 'fp-ts/lib/Either.js';
