--- a/packages/acceptance/src/candidacies.ts
+++ b/packages/acceptance/src/candidacies.ts
@@ -6,7 +6,7 @@
 import { election, livenessService, type Election, type Liveness, type MemberState } from '@stallstall/election';
 import { quorumLease, quorumLeaseService } from '@stallstall/quorum-lease';
 import { identifiers } from '@stallstall/kernel';
-import { ballotZero, type Entry, type Seat, type ElectedPrimary } from '@stallstall/message';
+import { ballotZero, type Entry, type NodeRecord, type ElectedPrimary } from '@stallstall/message';
 import { durableReportsService, registerService, type DurableReports, type CoreSetRegister } from '@stallstall/register';
 import type { PlacementConfiguration } from '@stallstall/placement';
 import { world as worlds, type World } from '@stallstall/simulator';
@@ -32,7 +32,14 @@
 const platformAddress = '10.4.0.1:9000';
 const stepMilliseconds = 200;
 const firstElected: ElectedPrimary = { epoch: 4, primary: 'ferries-1', wonBy: 'core-1', position: 10, settledAt: 0 };
-const seat: Seat = { node: 'core-1', role: 'core', area: 'north', address: '10.1.0.1:7000', outward: '10.1.0.1:7001', draining: false };
+const seat: NodeRecord = {
+  node: 'core-1',
+  role: 'core',
+  area: 'north',
+  address: '10.1.0.1:7000',
+  outward: '10.1.0.1:7001',
+  draining: false,
+};
 
 function members(count: number): PlacementConfiguration['services'][number]['members'] {
   return Array.from({ length: count }, (_, index) => ({
--- a/packages/acceptance/src/commit-watermark-steps.ts
+++ b/packages/acceptance/src/commit-watermark-steps.ts
@@ -4,7 +4,7 @@
 import { leaseAgent } from '@stallstall/agent';
 import { identifiers, type Instant, type Runtime } from '@stallstall/kernel';
 import { leaseGrantor, type LeaseGrantor } from '@stallstall/lease';
-import type { Request, Reply, Seat } from '@stallstall/message';
+import type { Request, Reply, NodeRecord } from '@stallstall/message';
 import { peer, type Peer } from '@stallstall/peer';
 import type { MemberRegistry } from '@stallstall/member-registry';
 import { world as worlds, type World } from '@stallstall/simulator';
@@ -119,16 +119,16 @@
 const agentAddress = '10.2.0.1:7000';
 const replyDelayMilliseconds = 50;
 
-function seatOf(index: number): Seat {
+function seatOf(index: number): NodeRecord {
   const host = `10.1.0.${index + 1}`;
   return { node: `core-${index + 1}`, role: 'core', area: 'north', address: `${host}:7000`, outward: `${host}:7001`, draining: false };
 }
 
 /** A core that reports no epochs, and records the tokens of the requests that it receives. */
-async function startRecordingCore(story: WatermarkStory, index: number, seats: readonly Seat[]): Promise<void> {
+async function startRecordingCore(story: WatermarkStory, index: number, seats: readonly NodeRecord[]): Promise<void> {
   const { runtime } = story.world.spawn(`core-${index + 1}`, `core-machine-${index + 1}`);
   const set = { number: 1, seats: [...seats], epochs: {} };
-  const own = seats[index] as Seat;
+  const own = seats[index] as NodeRecord;
   await peer.listen(runtime, identifiers.address(own.address), {
     hello: () =>
       ({
--- a/packages/acceptance/src/contents.ts
+++ b/packages/acceptance/src/contents.ts
@@ -32,8 +32,8 @@
     for (let pair = 0; pair < count; pair += 1) {
       const second = asJson(pair % 50 === 0 ? sampleValue(Math.floor(random() * 8)) : fuzz.spoil(first, random));
       const before = JSON.stringify(first);
-      const all = asJson(differences.between(first, second)) as ReturnType<typeof differences.between>;
-      assert.deepEqual(differences.applied(first, all), second);
+      const all = asJson(differences.compute(first, second)) as ReturnType<typeof differences.compute>;
+      assert.deepEqual(differences.apply(first, all), second);
       assert.equal(JSON.stringify(first), before);
       first = typeof second === 'object' && second !== null ? second : asJson(sampleValue(4));
     }
@@ -41,10 +41,10 @@
 );
 
 Then('differences that do not apply to a value yield no value', function then() {
-  assert.equal(differences.applied({ a: 1 }, [{ path: ['b', 'c'], set: 1 }]), undefined);
-  assert.equal(differences.applied({ a: [1] }, [{ path: ['a'], splice: { at: 1, gone: 1, come: [] } }]), undefined);
-  assert.equal(differences.applied({ a: 1 }, [{ path: ['a'], splice: { at: 0, gone: 0, come: [1] } }]), undefined);
-  assert.equal(differences.applied({}, [{ path: ['__proto__', 'x'], set: 1 }]), undefined);
+  assert.equal(differences.apply({ a: 1 }, [{ path: ['b', 'c'], set: 1 }]), undefined);
+  assert.equal(differences.apply({ a: [1] }, [{ path: ['a'], splice: { at: 1, gone: 1, come: [] } }]), undefined);
+  assert.equal(differences.apply({ a: 1 }, [{ path: ['a'], splice: { at: 0, gone: 0, come: [1] } }]), undefined);
+  assert.equal(differences.apply({}, [{ path: ['__proto__', 'x'], set: 1 }]), undefined);
 });
 
 // -- What a core sends to its receivers.
@@ -66,9 +66,9 @@
 async function watchCore(fleet: PooledFleet, name: string, fields: object): Promise<WatchingReceiver> {
   const changes: Change[] = [];
   const link = peer.dial(fleet.world.spawn(name, 'watcher-machine').runtime, identifiers.address(coreAddress), {
-    changed: (change: Change) => void changes.push(change),
+    onChange: (change: Change) => void changes.push(change),
   });
-  assert.ok(await fleet.until(link.connected, 5_000));
+  assert.ok(await fleet.until(link.isConnected, 5_000));
   void link.call('watch', { node: name, incarnation: 0, acknowledged: 0, obeyed: 0, ...fields }, 1_000);
   await fleet.world.run(200);
   return { changes, close: link.close };
@@ -97,7 +97,7 @@
   if (change === undefined) return 'nothing';
   if (change.differs !== undefined) {
     assert.equal(change.entry.value, null);
-    assert.deepEqual(differences.applied(base, change.differs.all), complete);
+    assert.deepEqual(differences.apply(base, change.differs.all), complete);
     return 'differences that yield the complete content';
   }
   return change.entry.value === null ? 'no content' : 'the complete content';
--- a/packages/acceptance/src/disks.ts
+++ b/packages/acceptance/src/disks.ts
@@ -39,7 +39,7 @@
 async function dialCore(story: Story, core: string): Promise<ReturnType<typeof peer.dial>> {
   const { runtime } = story.fleet.world.spawn(`client of ${core}`, 'client-machine');
   const link = peer.dial(runtime, identifiers.address(story.fleet.place(coreOf(story, core)).address));
-  assert.ok(await story.fleet.until(link.connected, timeoutMilliseconds));
+  assert.ok(await story.fleet.until(link.isConnected, timeoutMilliseconds));
   return link;
 }
 
--- a/packages/acceptance/src/lease-holder-steps.ts
+++ b/packages/acceptance/src/lease-holder-steps.ts
@@ -4,13 +4,13 @@
 import * as Option from 'fp-ts/lib/Option.js';
 import { identifiers } from '@stallstall/kernel';
 import { leaseHolder } from '@stallstall/lease';
-import type { Reply, MemberRecord, Seat } from '@stallstall/message';
+import type { Reply, MemberRecord, NodeRecord } from '@stallstall/message';
 import { peer, type Caller } from '@stallstall/peer';
 import { world as worlds } from '@stallstall/simulator';
 import { registration } from './member-registry-steps.js';
 import type { UnitStory, StubCore } from './unit-story.js';
 
-function seatOf(index: number): Seat {
+function seatOf(index: number): NodeRecord {
   return {
     node: `core-${index + 1}`,
     role: 'core',
@@ -21,7 +21,7 @@
   };
 }
 
-function electedChange(epoch: number): Parameters<Caller['change']>[0] {
+function electedChange(epoch: number): Parameters<Caller['pushChange']>[0] {
   return {
     number: epoch,
     set: 1,
@@ -35,7 +35,7 @@
 }
 
 /** A core's reply to a hello, with all seats in the first core set. */
-function helloOf({ node }: Seat, seats: readonly Seat[]): Reply<'hello'> {
+function helloOf({ node }: NodeRecord, seats: readonly NodeRecord[]): Reply<'hello'> {
   return {
     node,
     role: 'core',
@@ -70,21 +70,21 @@
   };
 }
 
-async function startStub(story: UnitStory, index: number, seats: readonly Seat[]): Promise<void> {
+async function startStub(story: UnitStory, index: number, seats: readonly NodeRecord[]): Promise<void> {
   const { runtime } = story.world.spawn(`core-${index + 1}`, `core-machine-${index + 1}`);
   const stub = story.cores[index] as StubCore;
-  await peer.listen(runtime, identifiers.address((seats[index] as Seat).address), {
-    hello: () => helloOf(seats[index] as Seat, seats),
+  await peer.listen(runtime, identifiers.address((seats[index] as NodeRecord).address), {
+    hello: () => helloOf(seats[index] as NodeRecord, seats),
     lease: async function lease(request, caller) {
       if (!stub.subscribers.has(caller)) {
         stub.subscribers.add(caller);
-        caller.change({
+        caller.pushChange({
           number: 1,
           set: 1,
           key: 'configuration',
           entry: { ballot: { counter: 1, node: 'core-1' }, version: 1, value: { sheet: { services: [{ service: 'ferries' }] } } },
         });
-        caller.change(electedChange(stub.electedEpoch));
+        caller.pushChange(electedChange(stub.electedEpoch));
       }
       if (stub.isSilent) await runtime.clock.sleep(60_000);
       const reported = stub.reply === undefined ? {} : await stub.reply(request);
@@ -103,7 +103,7 @@
 }
 
 /** Starts the lease holder of an edge that has nothing to report. */
-function startLeaseHolder(story: UnitStory, seats: readonly Seat[]): void {
+function startLeaseHolder(story: UnitStory, seats: readonly NodeRecord[]): void {
   const { runtime } = story.world.spawn('edge-1', 'edge-machine');
   story.runtime = runtime;
   story.leaseHolder = leaseHolder.create(
@@ -169,7 +169,8 @@
       await peer.listen(runtime, identifiers.address(seat.address), {
         hello: () => helloOf(seat, seats),
         lease: async function lease(request, caller) {
-          if (!notified.has(caller)) caller.change({ number: 1, set: 1, key: 'configuration', entry: { ballot, version: 1, value: null } });
+          if (!notified.has(caller))
+            caller.pushChange({ number: 1, set: 1, key: 'configuration', entry: { ballot, version: 1, value: null } });
           notified.add(caller);
           await runtime.clock.sleep(Math.min(request.hold, 300));
           return leaseReplyOf(index);
@@ -257,7 +258,7 @@
 });
 
 When(/^the cores are at epochs ([\d, ]+) and epoch (\d+) is elected$/, async function when(this: UnitStory, epochs: string, epoch: string) {
-  for (const stub of this.cores) for (const caller of stub.subscribers) caller.change(electedChange(Number(epoch)));
+  for (const stub of this.cores) for (const caller of stub.subscribers) caller.pushChange(electedChange(Number(epoch)));
   await setCoreEpochs(this, epochs);
 });
 
--- a/packages/agent/src/lease-agent.ts
+++ b/packages/agent/src/lease-agent.ts
@@ -119,7 +119,7 @@
   const startedAt = clock.now();
   const deadline = identifiers.after(startedAt, graceMilliseconds);
   function isNeeded(): boolean {
-    return state.reports.underWay() > 0 || state.proxyLink?.open() === true || clock.now() - startedAt < drainLeastMilliseconds;
+    return state.reports.underWay() > 0 || state.proxyLink?.isOpen() === true || clock.now() - startedAt < drainLeastMilliseconds;
   }
   while (clock.now() < deadline && isNeeded()) await clock.sleep(drainPollMilliseconds);
 }
--- a/packages/core/src/administration/fleet-view.ts
+++ b/packages/core/src/administration/fleet-view.ts
@@ -1,6 +1,6 @@
 /** The state of the fleet's nodes and members as this core sees it, for the administration API (design 9.2). */
 import * as Option from 'fp-ts/lib/Option.js';
-import type { Seat } from '@stallstall/message';
+import type { NodeRecord } from '@stallstall/message';
 import type { Peer } from '@stallstall/peer';
 import type { MemberPlacement } from '@stallstall/placement';
 import { quorum } from '@stallstall/quorum';
@@ -27,10 +27,10 @@
 }
 
 function protocolOf({ node }: AdministrationContext, name: string): number {
-  return Option.getOrElse(() => 0)(Option.map((peer: Peer) => peer.protocol())(node.peerOf(name)));
+  return Option.getOrElse(() => 0)(Option.map((peer: Peer) => peer.protocolVersion())(node.peerOf(name)));
 }
 
-function nodeRow(context: AdministrationContext, seat: Seat, appliedVersions: ReadonlyMap<string, number>): Row {
+function nodeRow(context: AdministrationContext, seat: NodeRecord, appliedVersions: ReadonlyMap<string, number>): Row {
   const { runtime, node } = context;
   const isThisNode = seat.node === node.settings.node;
   const lastHeartbeatAt = node.lastHeartbeatAt(seat.node);
--- a/packages/core/src/administration/node-routes.ts
+++ b/packages/core/src/administration/node-routes.ts
@@ -2,7 +2,7 @@
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { fault, http, type Fault, type HttpReply, type HttpRequest, type HttpRoute } from '@stallstall/kernel';
-import type { Seat } from '@stallstall/message';
+import type { NodeRecord } from '@stallstall/message';
 import { quorum } from '@stallstall/quorum';
 import type { Caller } from '../operators.js';
 import type { AdministrationContext } from './administration-context.js';
@@ -18,7 +18,7 @@
 }
 
 /** Finds an edge in the membership table. Errors: `not-found`. */
-function findEdge({ node }: AdministrationContext, name: string): Either.Either<Fault, Seat> {
+function findEdge({ node }: AdministrationContext, name: string): Either.Either<Fault, NodeRecord> {
   const seat = quorum.findNode(node.membership().value, name);
   if (seat !== undefined && seat.role === 'edge') return Either.right(seat);
   return Either.left(
@@ -44,7 +44,7 @@
 }
 
 /** Why an edge may not be removed now; none if it may. */
-function removalRisk(context: AdministrationContext, edge: Seat, isForced: boolean): Option.Option<Fault> {
+function removalRisk(context: AdministrationContext, edge: NodeRecord, isForced: boolean): Option.Option<Fault> {
   const { runtime, node } = context;
   const lastHeartbeatAt = node.lastHeartbeatAt(edge.node);
   const isRunning = Option.isSome(lastHeartbeatAt) && runtime.clock.now() - lastHeartbeatAt.value < recentHeartbeatMilliseconds;
--- a/packages/core/src/change-subscribers.ts
+++ b/packages/core/src/change-subscribers.ts
@@ -66,7 +66,7 @@
 
 function pushTo(table: SubscriberTable, subscriber: Subscriber, key: string, entry: Entry): void {
   subscriber.lastChangeNumber += 1;
-  subscriber.caller.change({
+  subscriber.caller.pushChange({
     number: subscriber.lastChangeNumber,
     key,
     ...contentFor(table, subscriber, key, entry),
@@ -75,7 +75,7 @@
 }
 
 function openSubscribers({ subscribers }: SubscriberTable): readonly Subscriber[] {
-  return [...subscribers.values()].filter((subscriber) => subscriber.caller.open());
+  return [...subscribers.values()].filter((subscriber) => subscriber.caller.isOpen());
 }
 
 function pushAllTo(table: SubscriberTable, acceptor: Acceptor, subscribers: readonly Subscriber[]): void {
@@ -102,7 +102,7 @@
 }
 
 function removeClosed({ subscribers }: SubscriberTable): void {
-  for (const caller of subscribers.keys()) if (!caller.open()) subscribers.delete(caller);
+  for (const caller of subscribers.keys()) if (!caller.isOpen()) subscribers.delete(caller);
 }
 
 function subscribe(table: SubscriberTable, acceptor: Acceptor, request: WatchRequest, caller: Caller): Subscriber | undefined {
--- a/packages/core/src/configuration-versions.ts
+++ b/packages/core/src/configuration-versions.ts
@@ -3,13 +3,13 @@
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Fault } from '@stallstall/kernel';
 import type { Entry } from '@stallstall/message';
-import type { Applied, Configuration } from '@stallstall/node';
+import type { AppliedValue, Configuration } from '@stallstall/node';
 import type { Register } from '@stallstall/register';
 import { legacyVersionKey, type ArchivedConfiguration } from './packed-version.js';
 import type { VersionSummary } from './version-index.js';
 import type { VersionStore } from './version-store.js';
 
-export type CurrentVersion = Applied<Configuration>;
+export type CurrentVersion = AppliedValue<Configuration>;
 
 /** A version in a listing; only its number if no core has it any more. */
 export type ListedVersion = Pick<VersionSummary, 'version'> & Partial<VersionSummary>;
--- a/packages/core/src/core-calls.ts
+++ b/packages/core/src/core-calls.ts
@@ -51,7 +51,7 @@
   ): Promise<Option.Option<Reply<Kind>>> {
     const link = linkTo(address);
     link.pendingCalls += 1;
-    for (let polls = 0; polls < connectPolls && !link.peer.connected(); polls += 1) await runtime.clock.sleep(connectPollMilliseconds);
+    for (let polls = 0; polls < connectPolls && !link.peer.isConnected(); polls += 1) await runtime.clock.sleep(connectPollMilliseconds);
     const reply = await link.peer.call(kind, body, milliseconds);
     link.pendingCalls -= 1;
     link.usedAt = runtime.clock.now();
--- a/packages/core/src/core-node.ts
+++ b/packages/core/src/core-node.ts
@@ -57,14 +57,14 @@
     role: 'core',
     votes: () => votes,
     localReplica: Option.some({
-      target: localRegisterReplica(context, storage),
-      note: async (body) => Option.some(await storeReport(reports, coreSetView, body)),
-      accepted: cells.accepted,
+      registerReplica: localRegisterReplica(context, storage),
+      reportReplica: async (body) => Option.some(await storeReport(reports, coreSetView, body)),
+      acceptedEntry: cells.accepted,
     }),
     connectionCaps: () => ({}),
     onApplied: events.notifyLeaseHolders,
     onHelloReply: events.onHelloReply,
-    ...(Option.isNone(platform) ? {} : { registered: registrationSupport(context, platform.value, events) }),
+    ...(Option.isNone(platform) ? {} : { registration: registrationSupport(context, platform.value, events) }),
   });
 }
 
--- a/packages/core/src/core-set-manager.ts
+++ b/packages/core/src/core-set-manager.ts
@@ -2,7 +2,7 @@
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { identifiers, runtimeUtilities, owner, type Instant, type Runtime } from '@stallstall/kernel';
-import type { CoreSet, Reply, Request, Seat } from '@stallstall/message';
+import type { CoreSet, Reply, Request, NodeRecord } from '@stallstall/message';
 import { quorum } from '@stallstall/quorum';
 import { coreSetChanges, coreSetKey, isSameNodeAndDisk, type ConfirmedCores, type CoreSetChanges } from '@stallstall/register';
 import type { CoreSetManagerParts, CoreSetState } from './core-set-state.js';
@@ -65,13 +65,13 @@
 }
 
 /** Asks a core to adopt a set; none when it does not reply in time. */
-async function requestAdopt(manager: Manager, seat: Seat, set: CoreSet): Promise<Option.Option<Reply<'adopt'>>> {
+async function requestAdopt(manager: Manager, seat: NodeRecord, set: CoreSet): Promise<Option.Option<Reply<'adopt'>>> {
   const { state, membership } = manager;
   const { parts } = state;
   const record = parts.record();
   if (Option.isNone(record)) return Option.none;
   const request: Request<'adopt'> = { fleet: record.value.fleet, set };
-  if (seat.address === parts.node.ownSeat().address) return Option.some(await adopt(manager, request));
+  if (seat.address === parts.node.ownRecord().address) return Option.some(await adopt(manager, request));
   // A call to a silent core would only run into its timeout. Once that core is back, it learns the set from the first core it reaches.
   if (silentCores(state, membership.set()).includes(seat.node)) return Option.none;
   return parts.callCore(seat.address, 'adopt', request, callMilliseconds);
@@ -83,7 +83,7 @@
  */
 function findReplaceableCores(
   { parts, isLeaving }: CoreSetState,
-  joiningNode: Seat,
+  joiningNode: NodeRecord,
   set: CoreSet,
   confirmed: ConfirmedCores,
 ): readonly string[] {
@@ -95,7 +95,7 @@
 }
 
 /** Whether, as far as this core itself knows, some core may be replaced; if not, the other cores need not be asked. */
-function mayReplaceCore({ state, membership }: Manager, joiningNode: Seat): boolean {
+function mayReplaceCore({ state, membership }: Manager, joiningNode: NodeRecord): boolean {
   const set = membership.set();
   return state.isLeaving || silentCores(state, set).length > 0 || quorum.findNode(set, joiningNode.node) !== undefined;
 }
@@ -138,7 +138,7 @@
   const { state, membership } = manager;
   const own = membership.ownSeat();
   const listed = membership.set().seats.find((seat) => isSameNodeAndDisk(seat, own));
-  if (!state.parts.cells.ready() || listed === undefined || listed.address === state.parts.node.ownSeat().address) return;
+  if (!state.parts.cells.ready() || listed === undefined || listed.address === state.parts.node.ownRecord().address) return;
   await join(manager, { seat: own });
 }
 
--- a/packages/core/src/core-set-membership.ts
+++ b/packages/core/src/core-set-membership.ts
@@ -1,6 +1,6 @@
 /** The core set that this core's disk belongs to; synced to the disk before this core answers anything in that set (design 4.8). */
 import * as Option from 'fp-ts/lib/Option.js';
-import type { CoreSet, Seat } from '@stallstall/message';
+import type { CoreSet, NodeRecord } from '@stallstall/message';
 import { isSameNodeAndDisk } from '@stallstall/register';
 import type { CoreSetState } from './core-set-state.js';
 import { coreSetOf, type FleetRecord } from './fleet-record.js';
@@ -11,7 +11,7 @@
   /** The set on this disk; number 0 and empty while the disk belongs to no fleet. */
   set: () => CoreSet;
   /** This node's entry for a core set, with its current disk identity. */
-  ownSeat: () => Seat;
+  ownSeat: () => NodeRecord;
   /** Moves to the set if it is newer; resolves to true when this core is then isStillListed in it. */
   adopt: (fleet: string, set: CoreSet) => Promise<boolean>;
   /** Called with every set that another core reports. */
@@ -51,10 +51,10 @@
     return Option.isSome(record) ? coreSetOf(record.value) : noSet;
   }
 
-  function ownSeat(): Seat {
+  function ownSeat(): NodeRecord {
     const record = parts.record();
     const disk = Option.isSome(record) ? record.value.disk : undefined;
-    return { ...node.ownSeat(), ...(disk === undefined ? {} : { disk }) };
+    return { ...node.ownRecord(), ...(disk === undefined ? {} : { disk }) };
   }
 
   function isListed(coreSet: CoreSet): boolean {
--- a/packages/core/src/core-set-state.ts
+++ b/packages/core/src/core-set-state.ts
@@ -9,7 +9,7 @@
 import type { StateTransfer } from './state-transfer.js';
 
 export type CoreSetManagerParts = Readonly<{
-  node: Pick<Node, 'settings' | 'ownSeat' | 'lastHeartbeatAt' | 'setFleet'>;
+  node: Pick<Node, 'settings' | 'ownRecord' | 'lastHeartbeatAt' | 'setFleet'>;
   register: Pick<CoreSetRegister, 'forCoreSet'>;
   callCore: CoreCall;
   cells: Acceptor;
--- a/packages/core/src/data-folder.ts
+++ b/packages/core/src/data-folder.ts
@@ -3,7 +3,7 @@
 import * as Option from 'fp-ts/lib/Option.js';
 import { Type } from '@sinclair/typebox';
 import { fault, type Disk, type Fault, type Runtime } from '@stallstall/kernel';
-import { message, messages, SeatSchema } from '@stallstall/message';
+import { message, messages, NodeRecordSchema } from '@stallstall/message';
 import { acceptor, archiveStoragePrefix, reportStoragePrefix, registerStoragePrefix } from '@stallstall/register';
 import { VoteSchema, voteStoragePrefix } from './vote-store.js';
 
@@ -17,7 +17,7 @@
   format: Type.Optional(Type.Integer({ minimum: 1 })),
   fleet: Type.String({ minLength: 1 }),
   node: Type.String({ minLength: 1 }),
-  cores: Type.Array(SeatSchema),
+  cores: Type.Array(NodeRecordSchema),
   /** See `FleetStage`. */
   stage: Type.Union((['founding', 'copying', 'joining', 'copied', 'formed', 'out'] as const).map((stage) => Type.Literal(stage))),
   number: Type.Optional(Type.Integer({ minimum: 1 })),
--- a/packages/core/src/discovered-cores.ts
+++ b/packages/core/src/discovered-cores.ts
@@ -1,15 +1,15 @@
 /** Other cores that this one has exchanged hello messages with, for founding a fleet or returning to one (design 4.3). */
 import type { Instant, Runtime } from '@stallstall/kernel';
-import type { Seat } from '@stallstall/message';
+import type { NodeRecord } from '@stallstall/message';
 import { quorum } from '@stallstall/quorum';
 import type { FleetRecord } from './fleet-record.js';
 
 /** `fleet` is the fleet that the core reported; empty if it belongs to none. @internal */
-export type DiscoveredCore = Readonly<{ seat: Seat; fleet: string; seenAt: Instant }>;
+export type DiscoveredCore = Readonly<{ seat: NodeRecord; fleet: string; seenAt: Instant }>;
 
 /** @internal */
 export type DiscoveredCores = Readonly<{
-  observe: (seat: Seat, fleet: string) => void;
+  observe: (seat: NodeRecord, fleet: string) => void;
   /** Cores whose last hello is recent enough for founding a fleet. */
   recent: () => readonly DiscoveredCore[];
   /** Whether this core and the discovered cores of its fleet are a majority of the fleet's cores. */
--- a/packages/core/src/fleet-bootstrap.ts
+++ b/packages/core/src/fleet-bootstrap.ts
@@ -21,7 +21,7 @@
 }>;
 
 export type FleetBootstrapParts = Readonly<{
-  node: Pick<Node, 'ownSeat' | 'setFleet'>;
+  node: Pick<Node, 'ownRecord' | 'setFleet'>;
   cells: Pick<Acceptor, 'ready'>;
   disk: Pick<Disk, 'puts' | 'lost'>;
   recordStore: FleetRecordStore;
@@ -95,7 +95,7 @@
 function onHelloReply(bootstrap: Bootstrap, reply: Reply<'hello'>, address: string): void {
   const { runtime, settings, parts, cores, recovery } = bootstrap;
   if (reply.role !== 'core' || reply.node === settings.node) return;
-  cores.observe({ ...parts.node.ownSeat(), node: reply.node, address }, reply.fleet);
+  cores.observe({ ...parts.node.ownRecord(), node: reply.node, address }, reply.fleet);
   recovery.observeKnownPuts(reply.knownPuts);
   if (reply.fleet === '') return;
   const record = parts.recordStore.current();
--- a/packages/core/src/fleet-record.ts
+++ b/packages/core/src/fleet-record.ts
@@ -2,7 +2,7 @@
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Disk } from '@stallstall/kernel';
-import type { CoreSet, Seat } from '@stallstall/message';
+import type { CoreSet, NodeRecord } from '@stallstall/message';
 import type { CoreSetView } from '@stallstall/register';
 import { diskFormat } from './data-folder.js';
 
@@ -17,7 +17,7 @@
   format?: number;
   fleet: string;
   node: string;
-  cores: readonly Seat[];
+  cores: readonly NodeRecord[];
   stage: FleetStage;
   /** The number of the core set, in a fleet whose core set changes without an operator; 1 if absent. */
   number?: number;
--- a/packages/core/src/founding.ts
+++ b/packages/core/src/founding.ts
@@ -1,7 +1,7 @@
 /** Founds a fleet, once: one core proposes it to all others that it found, and each writes it to its disk before it agrees (design 4.3). */
 import * as Option from 'fp-ts/lib/Option.js';
 import { identifiers, type Runtime } from '@stallstall/kernel';
-import type { Reply, Request, Seat } from '@stallstall/message';
+import type { Reply, Request, NodeRecord } from '@stallstall/message';
 import { heartbeatMilliseconds } from '@stallstall/node';
 import { peer } from '@stallstall/peer';
 import type { FleetBootstrapParts, FleetBootstrapSettings } from './fleet-bootstrap.js';
@@ -17,7 +17,7 @@
 }>;
 
 /** Whether this core is to propose a fleet of these cores now. */
-type ProposalRule = (everyone: readonly Seat[]) => boolean;
+type ProposalRule = (everyone: readonly NodeRecord[]) => boolean;
 
 /** How long no further core must have appeared before the fleet is proposed; lets cores that start a little later take part. */
 const gatherMilliseconds = 700;
@@ -25,7 +25,7 @@
 const dialMilliseconds = 50;
 const formMilliseconds = 1_000;
 
-function byName(left: Seat, right: Seat): number {
+function byName(left: NodeRecord, right: NodeRecord): number {
   return left.node < right.node ? -1 : 1;
 }
 
@@ -51,7 +51,12 @@
 }
 
 /** Sends one step of the founding to all other cores; resolves to true if all agreed. */
-async function sendToFounders(runtime: Runtime, fleet: FleetRecord, others: readonly Seat[], step: 'propose' | 'formed'): Promise<boolean> {
+async function sendToFounders(
+  runtime: Runtime,
+  fleet: FleetRecord,
+  others: readonly NodeRecord[],
+  step: 'propose' | 'formed',
+): Promise<boolean> {
   const replies = await Promise.all(
     others.map(async function send(core) {
       const link = peer.dial(runtime, identifiers.address(core.address));
@@ -78,7 +83,7 @@
     : proposeOnceComplete(settings);
 
   /** The fleet that this core has already agreed to, or a new one; none when the new one could not be synced. */
-  async function proposedFleet(everyone: readonly Seat[]): Promise<Option.Option<FleetRecord>> {
+  async function proposedFleet(everyone: readonly NodeRecord[]): Promise<Option.Option<FleetRecord>> {
     const current = recordStore.current();
     if (Option.isSome(current)) return current;
     const proposed: FleetRecord = { fleet: runtime.randomness.token(), node: settings.node, cores: everyone, stage: 'founding' };
@@ -87,7 +92,7 @@
 
   async function propose(): Promise<void> {
     const others = cores.recent();
-    const everyone = [node.ownSeat(), ...others.map((core) => core.seat)].sort(byName);
+    const everyone = [node.ownRecord(), ...others.map((core) => core.seat)].sort(byName);
     if (!mayPropose(everyone) || others.some((core) => core.fleet !== '')) return;
     const fleet = await proposedFleet(everyone);
     if (Option.isNone(fleet)) return;
--- a/packages/core/src/learner.ts
+++ b/packages/core/src/learner.ts
@@ -4,7 +4,7 @@
  */
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Runtime } from '@stallstall/kernel';
-import type { CoreSet, Seat } from '@stallstall/message';
+import type { CoreSet, NodeRecord } from '@stallstall/message';
 import { catchUp, isSameNodeAndDisk, proposer, type Acceptor, type CoreSetRegister, type RegisterReplica } from '@stallstall/register';
 import type { CoreCall } from './core-calls.js';
 import type { StateTransfer } from './state-transfer.js';
@@ -14,7 +14,7 @@
   cells: Acceptor;
   transfer: StateTransfer;
   /** This node's entry for a core set, with its current disk identity. */
-  ownSeat: () => Seat;
+  ownSeat: () => NodeRecord;
   /** Addresses to try besides those of the cores in the newest known set. */
   seeds: () => readonly string[];
   /** False once this core serves, leaves or stops. */
@@ -49,7 +49,7 @@
   return set.seats.some((seat) => isSameNodeAndDisk(seat, parts.ownSeat()));
 }
 
-function peerSeats({ parts }: LearnerState, set: CoreSet): readonly Seat[] {
+function peerSeats({ parts }: LearnerState, set: CoreSet): readonly NodeRecord[] {
   return set.seats.filter((seat) => seat.node !== parts.ownSeat().node);
 }
 
--- a/packages/core/src/peer-handlers.ts
+++ b/packages/core/src/peer-handlers.ts
@@ -90,7 +90,7 @@
       configuration: coreStorage.versionOf(storage, 'configuration'),
       membership: coreStorage.membershipVersion(storage),
       puts: context.disk.puts(),
-      superseded: request.incarnation > 0 && node.isStale(request.node, request.incarnation),
+      superseded: request.incarnation > 0 && node.isSuperseded(request.node, request.incarnation),
     };
   };
 }
--- a/packages/core/src/recent-contents.ts
+++ b/packages/core/src/recent-contents.ts
@@ -22,7 +22,7 @@
 }
 
 function differencesBetween(base: Content, newest: Content): ContentDifferences | undefined {
-  const all = [...differences.between(base.value, newest.value)];
+  const all = [...differences.compute(base.value, newest.value)];
   const isSmallEnough = JSON.stringify(all).length < maxDifferencesRatio * newest.characters;
   return isSmallEnough ? { from: base.ballot, all } : undefined;
 }
--- a/packages/core/src/registry-broadcaster.ts
+++ b/packages/core/src/registry-broadcaster.ts
@@ -68,7 +68,7 @@
   const recent = registry.takeRecentHeartbeats();
   for (const core of otherCores(state)) {
     const link = node.peerOf(core);
-    if (Option.isNone(link) || !link.value.connected()) upToDate.delete(core);
+    if (Option.isNone(link) || !link.value.isConnected()) upToDate.delete(core);
     else if (!upToDate.has(core) && !catchingUp.has(core)) void sendAll(state, core, link.value);
     else if (recent.length > 0) void sendRecent(state, core, link.value, recent);
   }
--- a/packages/core/src/state-transfer.ts
+++ b/packages/core/src/state-transfer.ts
@@ -1,7 +1,7 @@
 /** Copies another core's cells, votes and edge reports to this core's own disk (design 4.3). */
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Runtime } from '@stallstall/kernel';
-import type { Reply, Seat } from '@stallstall/message';
+import type { Reply, NodeRecord } from '@stallstall/message';
 import { acceptor, catchUp, type Acceptor, type ReportStore } from '@stallstall/register';
 import type { CoreCall } from './core-calls.js';
 import { abstention, type CoreVoteStore } from './vote-store.js';
@@ -22,7 +22,7 @@
    * Copies the state of another core and raises `epochs` to the highest epochs that it voted for; resolves to false once the copy is no
    * longer needed or this process stops.
    */
-  copyFrom: (other: Seat, set: CopiedSet, epochs: Record<string, number>, isUnneeded?: () => boolean) => Promise<boolean>;
+  copyFrom: (other: NodeRecord, set: CopiedSet, epochs: Record<string, number>, isUnneeded?: () => boolean) => Promise<boolean>;
   /**
    * Records an abstention in these epochs, since this core has lost its votes and must not vote twice in an epoch. That loses no outcome:
    * an election that its lost vote may have helped to win has other voters.
@@ -41,7 +41,7 @@
 /** Fetches a page of another core's state; none if it did not reply or may not be copied now. */
 async function fetchPage(
   { callCore }: StateTransferParts,
-  other: Seat,
+  other: NodeRecord,
   set: CopiedSet,
   after: string,
 ): Promise<Option.Option<Reply<'copy'>>> {
@@ -62,7 +62,12 @@
 async function copyFrom(
   runtime: Runtime,
   parts: StateTransferParts,
-  { other, set, epochs, isUnneeded }: Readonly<{ other: Seat; set: CopiedSet; epochs: Record<string, number>; isUnneeded: () => boolean }>,
+  {
+    other,
+    set,
+    epochs,
+    isUnneeded,
+  }: Readonly<{ other: NodeRecord; set: CopiedSet; epochs: Record<string, number>; isUnneeded: () => boolean }>,
 ): Promise<boolean> {
   let after = '';
   while (!parts.stopped() && !isUnneeded()) {
--- a/packages/lease/src/core-links.ts
+++ b/packages/lease/src/core-links.ts
@@ -1,6 +1,6 @@
 /** An edge's connections to the cores, each with a loop that keeps requesting the lease (design 7.12). */
 import { identifiers } from '@stallstall/kernel';
-import type { Change, Seat } from '@stallstall/message';
+import type { Change, NodeRecord } from '@stallstall/message';
 import { peer, type Peer } from '@stallstall/peer';
 import { reconnectPollMilliseconds, type HolderContext } from './holder-context.js';
 
@@ -8,7 +8,7 @@
 export type CoreLinks = Readonly<{
   find: (core: string) => Peer | undefined;
   /** Opens a link to a core, or replaces it if the core's address has changed. */
-  connect: (core: Seat) => void;
+  connect: (core: NodeRecord) => void;
   /** Closes the links to all cores but these; returns the names of the cores whose links were closed. */
   retain: (cores: readonly string[]) => readonly string[];
   connected: () => ReadonlyArray<readonly [string, Peer]>;
@@ -45,7 +45,7 @@
 
   async function keepLease(core: string, link: Peer): Promise<void> {
     while (!context.isStopped && find(core) === link) {
-      if (!link.connected()) {
+      if (!link.isConnected()) {
         await runtime.clock.sleep(reconnectPollMilliseconds);
         continue;
       }
@@ -55,13 +55,13 @@
     }
   }
 
-  function connect(core: Seat): void {
+  function connect(core: NodeRecord): void {
     const open = links.get(core.node);
     if (open !== undefined && open.address === core.address) return;
     open?.peer.close();
     const link = peer.dial(runtime, identifiers.address(core.address), {
-      connected: () => events.onConnected(core.node),
-      changed: (change) => events.onChange(core.node, link, change),
+      onConnected: () => events.onConnected(core.node),
+      onChange: (change) => events.onChange(core.node, link, change),
     });
     links.set(core.node, { address: core.address, peer: link });
     void keepLease(core.node, link);
@@ -81,7 +81,7 @@
     find,
     connect,
     retain,
-    connected: () => [...links].map(([core, open]) => [core, open.peer] as const).filter(([, link]) => link.connected()),
+    connected: () => [...links].map(([core, open]) => [core, open.peer] as const).filter(([, link]) => link.isConnected()),
     closeAll: function closeAll() {
       for (const open of links.values()) open.peer.close();
     },
--- a/packages/lease/src/fleet-search.ts
+++ b/packages/lease/src/fleet-search.ts
@@ -40,7 +40,7 @@
     const link = peer.dial(runtime, identifiers.address(address));
     while (!context.isStopped && hasNoGrantingCore() && settings.seeds().includes(address)) {
       await sendHello(link);
-      await runtime.clock.sleep(link.connected() ? helloIntervalMilliseconds : reconnectPollMilliseconds);
+      await runtime.clock.sleep(link.isConnected() ? helloIntervalMilliseconds : reconnectPollMilliseconds);
     }
     link.close();
     contacted.delete(address);
--- a/packages/lease/src/holder-context.ts
+++ b/packages/lease/src/holder-context.ts
@@ -1,6 +1,6 @@
 /** State shared by the modules of a lease holder. */
 import type { Instant, Runtime } from '@stallstall/kernel';
-import type { CommitWatermarks, LogPosition, Seat } from '@stallstall/message';
+import type { CommitWatermarks, LogPosition, NodeRecord } from '@stallstall/message';
 
 export type LeaseHolderSettings = Readonly<{
   node: string;
@@ -35,9 +35,9 @@
   readonly runtime: Runtime;
   readonly settings: LeaseHolderSettings;
   readonly callbacks: LeaseHolderCallbacks;
-  readonly ownSeat: Seat;
+  readonly ownSeat: NodeRecord;
   /** The cores of the newest core set that any core reported (design 4.8). */
-  cores: readonly Seat[];
+  cores: readonly NodeRecord[];
   setNumber: number;
   /** The fleet's id; empty until a core has reported it. */
   fleet: string;
--- a/packages/lease/src/holder-state.ts
+++ b/packages/lease/src/holder-state.ts
@@ -1,7 +1,7 @@
 /** The replicated keys that an edge applies once a majority of cores has pushed them (design 5.2, 5.6). */
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Ballot, Change, ElectedPrimary } from '@stallstall/message';
-import { appliedValues, type Applied, type Configuration } from '@stallstall/node';
+import { appliedValues, type AppliedValue, type Configuration } from '@stallstall/node';
 import {
   contentFetcher,
   durableReports,
@@ -23,7 +23,7 @@
 /** @internal */
 export type HolderState = Readonly<{
   reports: DurableReports;
-  configuration: () => Option.Option<Applied<Configuration>>;
+  configuration: () => Option.Option<AppliedValue<Configuration>>;
   electedPrimary: (service: string) => Option.Option<ElectedPrimary>;
   /** The services of the applied configuration. */
   services: () => readonly string[];
@@ -101,7 +101,7 @@
   const source = contentSource.create(runtime.clock, () => coreNames(context));
   const lag = configurationLag.create(runtime, () => lagStateOf(context, watch, contents));
 
-  function configuration(): Option.Option<Applied<Configuration>> {
+  function configuration(): Option.Option<AppliedValue<Configuration>> {
     return appliedValues.configuration(watch.applied('configuration'));
   }
 
--- a/packages/lease/src/lease-holder.ts
+++ b/packages/lease/src/lease-holder.ts
@@ -2,7 +2,7 @@
 import * as Option from 'fp-ts/lib/Option.js';
 import { identifiers, runtimeUtilities, type Instant, type Runtime } from '@stallstall/kernel';
 import type { CoreSet, ElectedPrimary, MemberRecord, Reply } from '@stallstall/message';
-import type { Applied, Configuration } from '@stallstall/node';
+import type { AppliedValue, Configuration } from '@stallstall/node';
 import type { Peer } from '@stallstall/peer';
 import { leaseTermMilliseconds, subtractClockDrift } from '@stallstall/quorum-lease';
 import type { DurableReports } from '@stallstall/register';
@@ -19,7 +19,7 @@
 export type LeaseHolder = Readonly<{
   start: () => void;
   stop: () => void;
-  configuration: () => Option.Option<Applied<Configuration>>;
+  configuration: () => Option.Option<AppliedValue<Configuration>>;
   electedPrimary: (service: string) => Option.Option<ElectedPrimary>;
   services: () => readonly string[];
   /** When the lease for a service at its elected epoch ends; in the past when no majority of cores grants it. */
@@ -109,7 +109,7 @@
   const { announcesRestart } = reportedState;
   const sentAt = context.runtime.clock.now();
   function isConnected(name: string): boolean {
-    return links.find(name)?.connected() === true;
+    return links.find(name)?.isConnected() === true;
   }
   const request = leaseRequests.create({ context, state, replies, isConnected }, core, reportedState, holdMilliseconds);
   const reply = await link.call('lease', request, holdMilliseconds + callMilliseconds);
--- a/packages/lease/src/lease-request.ts
+++ b/packages/lease/src/lease-request.ts
@@ -1,6 +1,6 @@
 /** Creates the request by which an edge asks a core for leases (design 7.12). */
 import * as Option from 'fp-ts/lib/Option.js';
-import type { Request, Seat } from '@stallstall/message';
+import type { Request, NodeRecord } from '@stallstall/message';
 import type { CoreReplies, ReportedState } from './core-replies.js';
 import type { HolderContext } from './holder-context.js';
 import type { HolderState } from './holder-state.js';
@@ -39,7 +39,7 @@
 }
 
 /** The cores that match the condition; all of them when none does. */
-function preferred(cores: readonly Seat[], matches: (core: Seat) => boolean): readonly Seat[] {
+function preferred(cores: readonly NodeRecord[], matches: (core: NodeRecord) => boolean): readonly NodeRecord[] {
   const matching = cores.filter(matches);
   return matching.length > 0 ? matching : cores;
 }
--- a/packages/message/src/change-messages.ts
+++ b/packages/message/src/change-messages.ts
@@ -2,11 +2,11 @@
 import { Type, type Static } from '@sinclair/typebox';
 import { BallotSchema, EntrySchema } from './ballots.js';
 import { DifferenceSchema } from './differences.js';
-import { SetNumber } from './membership.js';
+import { CoreSetNumber } from './membership.js';
 import { Count, Name } from './primitives.js';
 
 /** The ballot of the newest configuration whose content is known here; left out by whoever takes complete contents alone (design 5.6). */
-export const Holds = Type.Optional(BallotSchema);
+export const HeldBallot = Type.Optional(BallotSchema);
 
 export const WatchRequest = Type.Object({
   node: Name,
@@ -15,7 +15,7 @@
   obeyed: Count,
   /** False where contents are known without this core's pushing them: for another core (design 5.6). */
   content: Type.Optional(Type.Boolean()),
-  holds: Holds,
+  holds: HeldBallot,
 });
 
 export const WatchReply = Type.Object({
@@ -32,7 +32,7 @@
   number: Count,
   key: Name,
   entry: EntrySchema,
-  set: SetNumber,
+  set: CoreSetNumber,
   /** In place of the content: its differences from the one under another ballot, which the receiver said it holds (design 5.6). */
   differs: Type.Optional(Type.Object({ from: BallotSchema, all: Type.Array(DifferenceSchema) })),
 });
--- a/packages/message/src/core-messages.ts
+++ b/packages/message/src/core-messages.ts
@@ -1,7 +1,7 @@
 /** Messages between cores: copies, sets of cores, earlier versions (design 4.3, 4.8, 5.4). */
 import { Type, type Static } from '@sinclair/typebox';
-import { CoreSetSchema, NewerSet, SetNumber } from './membership.js';
-import { Count, Moment, Name, ServiceCounts } from './primitives.js';
+import { CoreSetSchema, NewerCoreSet, CoreSetNumber } from './membership.js';
+import { Count, WallTimeMilliseconds, Name, ServiceCounts } from './primitives.js';
 import { NoteRequest } from './usage-reports.js';
 
 /** A page of what a disk holds, after the key that ended the page before it; `next` is empty on the last (design 4.3). */
@@ -15,7 +15,7 @@
   entries: Type.Array(Type.Object({ key: Name, state: Type.Unknown() })),
   next: Type.String({ maxLength: 400 }),
   /** The set that this core was in before the page was read. */
-  set: SetNumber,
+  set: CoreSetNumber,
 });
 
 /** Asks a core to adopt a set, on its disk; one that is in a later set replies with it (design 4.8). */
@@ -23,7 +23,7 @@
 
 export const AdoptReply = Type.Object({
   adopted: Type.Boolean(),
-  newer: NewerSet,
+  newer: NewerCoreSet,
   /** Cores of its set that it has not heard for so long that their seats are vacant. */
   silent: Type.Array(Name, { maxItems: 100 }),
 });
@@ -32,7 +32,7 @@
 export const EarlierVersionSchema = Type.Object({
   version: Count,
   sentBy: Type.String({ maxLength: 200 }),
-  sentAt: Moment,
+  sentAt: WallTimeMilliseconds,
   content: Type.String(),
 });
 
--- a/packages/message/src/differences.ts
+++ b/packages/message/src/differences.ts
@@ -29,7 +29,7 @@
 }
 
 function betweenArrays(path: Path, from: readonly unknown[], to: readonly unknown[]): readonly Difference[] {
-  if (from.length === to.length) return from.flatMap((value, index) => between(value, to[index], [...path, index]));
+  if (from.length === to.length) return from.flatMap((value, index) => compute(value, to[index], [...path, index]));
   let at = 0;
   while (at < from.length && at < to.length && same(from[at], to[at])) at += 1;
   let after = 0;
@@ -41,12 +41,12 @@
   const gone = Object.keys(from).filter((name) => own(to, name) === undefined && from[name] !== undefined);
   return [
     ...gone.map((name): Difference => ({ path: [...path, name], remove: true })),
-    ...Object.entries(to).flatMap(([name, value]) => (value === undefined ? [] : between(own(from, name), value, [...path, name]))),
+    ...Object.entries(to).flatMap(([name, value]) => (value === undefined ? [] : compute(own(from, name), value, [...path, name]))),
   ];
 }
 
 /** What makes `to` of `from`. */
-function between(from: unknown, to: unknown, path: Path = []): readonly Difference[] {
+function compute(from: unknown, to: unknown, path: Path = []): readonly Difference[] {
   if (from === to) return [];
   if (Array.isArray(from) && Array.isArray(to)) return betweenArrays(path, from as readonly unknown[], to as readonly unknown[]);
   if (isObject(from) && isObject(to)) return betweenObjects(path, from, to);
@@ -83,8 +83,8 @@
 }
 
 /** `from` with all differences; undefined where they do not fit it. `from` stays as it is. */
-function applied(from: unknown, all: readonly Difference[]): unknown {
+function apply(from: unknown, all: readonly Difference[]): unknown {
   return all.reduce<unknown>((value, difference) => (value === undefined ? undefined : withOne(value, difference)), from);
 }
 
-export const differences = { between, applied } as const;
+export const differences = { compute, apply } as const;
--- a/packages/message/src/election-messages.ts
+++ b/packages/message/src/election-messages.ts
@@ -1,13 +1,13 @@
 /** Elections: proposals, and the primary that was elected (design 7). */
 import { Type, type Static } from '@sinclair/typebox';
-import { Count, Moment, Name } from './primitives.js';
+import { Count, WallTimeMilliseconds, Name } from './primitives.js';
 
 export const ElectedPrimarySchema = Type.Object({
   epoch: Count,
   primary: Name,
   wonBy: Name,
   position: Count,
-  settledAt: Moment,
+  settledAt: WallTimeMilliseconds,
 });
 
 export type ElectedPrimary = Readonly<Static<typeof ElectedPrimarySchema>>;
--- a/packages/message/src/feed-messages.ts
+++ b/packages/message/src/feed-messages.ts
@@ -1,7 +1,7 @@
 /** Messages between a proxy and the agent beside it (design 3.4, 8.10). */
 import { Type, type Static } from '@sinclair/typebox';
 import { MemberRecords } from './member-records.js';
-import { Count, Moment, Name, ServiceCounts } from './primitives.js';
+import { Count, WallTimeMilliseconds, Name, ServiceCounts } from './primitives.js';
 import { CommitWatermarks, DurableWatermarks, LogPositions } from './watermarks.js';
 
 /** Where a service is placed, as a proxy is told (design 8.10). */
@@ -100,7 +100,7 @@
   floors: DurableWatermarks,
   usage: Type.Array(Type.Object({ window: Count, counts: ServiceCounts }), { maxItems: 20 }),
   /** The wall time of this machine at which `usage` held all that was counted. */
-  through: Moment,
+  through: WallTimeMilliseconds,
   incarnation: Name,
 });
 
--- a/packages/message/src/index.ts
+++ b/packages/message/src/index.ts
@@ -12,7 +12,15 @@
 export type { Placement, ServiceFeed, Target } from './feed-messages.js';
 export { FrameSchema, GreetSchema, type Frame } from './frames.js';
 export { MemberRecordSchema, type MemberRecord } from './member-records.js';
-export { CoreSetSchema, MembershipSchema, SeatSchema, type CoreSet, type Membership, type NodeRole, type Seat } from './membership.js';
+export {
+  CoreSetSchema,
+  MembershipSchema,
+  NodeRecordSchema,
+  type CoreSet,
+  type Membership,
+  type NodeRole,
+  type NodeRecord,
+} from './membership.js';
 export { messages, type MessageKind, type Reply, type Request } from './messages.js';
 export type { ValueDifference } from './register-messages.js';
 export type { UsageReport } from './usage-reports.js';
--- a/packages/message/src/lease-messages.ts
+++ b/packages/message/src/lease-messages.ts
@@ -1,8 +1,8 @@
 /** Leases of edges (design 7.12). */
 import { Type } from '@sinclair/typebox';
-import { Holds } from './change-messages.js';
+import { HeldBallot } from './change-messages.js';
 import { MemberRecords } from './member-records.js';
-import { NewerSet, SetNumber } from './membership.js';
+import { NewerCoreSet, CoreSetNumber } from './membership.js';
 import { Count, Name, ServiceCounts } from './primitives.js';
 import { CommitWatermarks, LogPositions } from './watermarks.js';
 
@@ -25,17 +25,17 @@
   positionsAgo: Type.Number({ minimum: 0 }),
   /** Members whose machines refused a connection of this edge. */
   notListening: Type.Array(Name, { maxItems: 1_000 }),
-  set: SetNumber,
+  set: CoreSetNumber,
   /** Statements a second, smoothed. */
   demand: Type.Number({ minimum: 0 }),
   /** Whether this core is to push configurations with their content; the others push that there is one (design 5.6). */
   content: Type.Boolean(),
-  holds: Holds,
+  holds: HeldBallot,
 });
 
 export const LeaseReply = Type.Object({
-  set: SetNumber,
-  newer: NewerSet,
+  set: CoreSetNumber,
+  newer: NewerCoreSet,
   ready: Type.Boolean(),
   /** For how long this core held the request: what it says was so at least this much after the request left. Unit: milliseconds. */
   held: Type.Number({ minimum: 0 }),
--- a/packages/message/src/membership.ts
+++ b/packages/message/src/membership.ts
@@ -6,7 +6,7 @@
 
 export type NodeRole = Static<typeof NodeRoleSchema>;
 
-export const SeatSchema = Type.Object({
+export const NodeRecordSchema = Type.Object({
   node: Name,
   role: NodeRoleSchema,
   area: Name,
@@ -17,21 +17,21 @@
   disk: Type.Optional(Type.String({ maxLength: 100 })),
 });
 
-export type Seat = Readonly<Static<typeof SeatSchema>>;
+export type NodeRecord = Readonly<Static<typeof NodeRecordSchema>>;
 
 /** `epochs` is the barrier of design 4.2: the highest epochs voted before this version of the table was made. */
-export const MembershipSchema = Type.Object({ seats: Type.Array(SeatSchema, { maxItems: 1000 }), epochs: ServiceCounts });
+export const MembershipSchema = Type.Object({ seats: Type.Array(NodeRecordSchema, { maxItems: 1000 }), epochs: ServiceCounts });
 
-export type Membership = Readonly<{ seats: readonly Seat[]; epochs: Readonly<Record<string, number>> }>;
+export type Membership = Readonly<{ seats: readonly NodeRecord[]; epochs: Readonly<Record<string, number>> }>;
 
 /**
  * The set of cores, in its order of steps: the first has number 1, each step changes the occupant of one seat (design 4.8). `epochs` is the
  * barrier of design 4.2. Number 0 stands for a set that never changes.
  */
-export const CoreSetSchema = Type.Object({ number: Count, seats: Type.Array(SeatSchema, { maxItems: 100 }), epochs: ServiceCounts });
+export const CoreSetSchema = Type.Object({ number: Count, seats: Type.Array(NodeRecordSchema, { maxItems: 100 }), epochs: ServiceCounts });
 
 export type CoreSet = Readonly<Static<typeof CoreSetSchema>>;
 
-export const SetNumber = Type.Optional(Count);
+export const CoreSetNumber = Type.Optional(Count);
 
-export const NewerSet = Type.Optional(CoreSetSchema);
+export const NewerCoreSet = Type.Optional(CoreSetSchema);
--- a/packages/message/src/messages.ts
+++ b/packages/message/src/messages.ts
@@ -9,7 +9,7 @@
 import {
   BeatRequest,
   BeatReply,
-  Empty,
+  StatusRequest,
   FormRequest,
   FormReply,
   HelloRequest,
@@ -19,7 +19,7 @@
   StatusReply,
 } from './node-messages.js';
 import { AcceptRequest, LookRequest, RegisterRequest, RegisterReply } from './register-messages.js';
-import { NoteRequest, NoteReply, UsageLook, UsageLookReply } from './usage-reports.js';
+import { NoteRequest, NoteReply, UsageLookRequest, UsageLookReply } from './usage-reports.js';
 
 export const messages = {
   hello: { request: HelloRequest, reply: HelloReply },
@@ -35,9 +35,9 @@
   watch: { request: WatchRequest, reply: WatchReply },
   note: { request: NoteRequest, reply: NoteReply },
   earlier: { request: EarlierRequest, reply: EarlierReply },
-  usageLook: { request: UsageLook, reply: UsageLookReply },
+  usageLook: { request: UsageLookRequest, reply: UsageLookReply },
   tell: { request: TellRequest, reply: TellReply },
-  status: { request: Empty, reply: StatusReply },
+  status: { request: StatusRequest, reply: StatusReply },
   feed: { request: FeedRequest, reply: FeedReply },
   spread: { request: SpreadRequest, reply: SpreadReply },
   lease: { request: LeaseRequest, reply: LeaseReply },
--- a/packages/message/src/primitives.ts
+++ b/packages/message/src/primitives.ts
@@ -5,6 +5,6 @@
 
 export const Name = Type.String({ minLength: 1, maxLength: 200 });
 
-export const Moment = Type.Number();
+export const WallTimeMilliseconds = Type.Number();
 
 export const ServiceCounts = Type.Record(Type.String({ maxLength: 200 }), Count);
--- a/packages/message/src/register-messages.ts
+++ b/packages/message/src/register-messages.ts
@@ -1,14 +1,14 @@
 /** Calls of the register (design 5.1, 5.7). */
 import { Type, type Static } from '@sinclair/typebox';
 import { BallotSchema, EntrySchema } from './ballots.js';
-import { NewerSet, SetNumber } from './membership.js';
+import { NewerCoreSet, CoreSetNumber } from './membership.js';
 import { Name } from './primitives.js';
 
 /** `set`: the number of the set that the proposer counts majorities of; an acceptor at another gives no answer (design 4.8). */
-export const RegisterRequest = Type.Object({ key: Name, ballot: BallotSchema, set: SetNumber, holds: Type.Optional(BallotSchema) });
+export const RegisterRequest = Type.Object({ key: Name, ballot: BallotSchema, set: CoreSetNumber, holds: Type.Optional(BallotSchema) });
 
 /** `holds`: the ballot whose entry the asker has already; a reply leaves that entry out (design 5.7). */
-export const LookRequest = Type.Object({ key: Name, set: SetNumber, holds: Type.Optional(BallotSchema) });
+export const LookRequest = Type.Object({ key: Name, set: CoreSetNumber, holds: Type.Optional(BallotSchema) });
 
 /** What a value differs by from another: pieces of its text, compressed against the other's, and the digest of the whole. */
 export const ValueDifferenceSchema = Type.Object({
@@ -22,7 +22,7 @@
 export const AcceptRequest = Type.Object({
   key: Name,
   entry: EntrySchema,
-  set: SetNumber,
+  set: CoreSetNumber,
   base: Type.Optional(Type.Object({ ballot: BallotSchema, difference: ValueDifferenceSchema })),
 });
 
@@ -36,5 +36,5 @@
   held: Type.Optional(Type.Boolean()),
   /** The difference did not fit: the whole entry is asked for. */
   whole: Type.Optional(Type.Boolean()),
-  newer: NewerSet,
+  newer: NewerCoreSet,
 });
--- a/packages/message/src/usage-reports.ts
+++ b/packages/message/src/usage-reports.ts
@@ -1,7 +1,7 @@
 /** Usage as edges report it, and durable reports (design 5.5, 8.6). */
 import { Type, type Static } from '@sinclair/typebox';
-import { NewerSet, SetNumber } from './membership.js';
-import { Count, Moment, Name, ServiceCounts } from './primitives.js';
+import { NewerCoreSet, CoreSetNumber } from './membership.js';
+import { Count, WallTimeMilliseconds, Name, ServiceCounts } from './primitives.js';
 import { DurableWatermarks } from './watermarks.js';
 
 export const UsageReportSchema = Type.Object({
@@ -23,13 +23,13 @@
 export const NoteRequest = Type.Object({
   floors: DurableWatermarks,
   reports: Type.Array(UsageReportSchema, { maxItems: 10_000 }),
-  through: Type.Record(Type.String({ maxLength: 200 }), Moment),
-  set: SetNumber,
+  through: Type.Record(Type.String({ maxLength: 200 }), WallTimeMilliseconds),
+  set: CoreSetNumber,
 });
 
-export const NoteReply = Type.Object({ ready: Type.Boolean(), floors: DurableWatermarks, newer: NewerSet });
+export const NoteReply = Type.Object({ ready: Type.Boolean(), floors: DurableWatermarks, newer: NewerCoreSet });
 
-export const UsageLook = Type.Object({ window: Count });
+export const UsageLookRequest = Type.Object({ window: Count });
 
 export const UsageLookReply = Type.Object({
   ready: Type.Boolean(),
--- a/packages/node/src/applied-state.ts
+++ b/packages/node/src/applied-state.ts
@@ -4,17 +4,17 @@
 import type { PlacementConfiguration } from '@stallstall/placement';
 import { contentFetcher, watcher, type ContentLink } from '@stallstall/register';
 import { appliedValues } from './applied-values.js';
-import type { Applied, Configuration } from './configuration.js';
+import type { AppliedValue, Configuration } from './configuration.js';
 import type { NodeContext } from './node-context.js';
 import type { RegisterAccess } from './register-access.js';
 
 /** @internal */
 export type AppliedState = Readonly<{
-  configuration: () => Option.Option<Applied<Configuration>>;
+  configuration: () => Option.Option<AppliedValue<Configuration>>;
   /** The version of the applied configuration; 0 while there is none. */
   configurationVersion: () => number;
   /** The membership table, or the set of cores where it may change. */
-  membership: () => Applied<Membership>;
+  membership: () => AppliedValue<Membership>;
   electedPrimary: (service: string) => Option.Option<ElectedPrimary>;
   /** The placement as sent; a service whose members register has those of the member registry. */
   placement: () => Option.Option<PlacementConfiguration>;
@@ -50,11 +50,11 @@
     stopped: () => context.isStopped,
   });
 
-  function configuration(): Option.Option<Applied<Configuration>> {
+  function configuration(): Option.Option<AppliedValue<Configuration>> {
     return appliedValues.configuration(watch.applied('configuration'));
   }
 
-  function membership(): Applied<Membership> {
+  function membership(): AppliedValue<Membership> {
     if (Option.isSome(context.coreSet)) return { version: context.coreSet.value.number, value: context.coreSet.value };
     return appliedValues.membership(watch.applied('membership'));
   }
--- a/packages/node/src/applied-values.ts
+++ b/packages/node/src/applied-values.ts
@@ -2,9 +2,9 @@
 import * as Option from 'fp-ts/lib/Option.js';
 import { ElectedPrimarySchema, MembershipSchema, message, type ElectedPrimary, type Entry, type Membership } from '@stallstall/message';
 import { quorum } from '@stallstall/quorum';
-import type { Applied, Configuration } from './configuration.js';
+import type { AppliedValue, Configuration } from './configuration.js';
 
-function configuration(entry: Option.Option<Entry>): Option.Option<Applied<Configuration>> {
+function configuration(entry: Option.Option<Entry>): Option.Option<AppliedValue<Configuration>> {
   if (Option.isNone(entry)) return Option.none;
   return Option.some({ version: entry.value.version, value: entry.value.value as Configuration });
 }
@@ -16,7 +16,7 @@
 }
 
 /** The empty table, at version 0, where there is no entry. */
-function membership(entry: Option.Option<Entry>): Applied<Membership> {
+function membership(entry: Option.Option<Entry>): AppliedValue<Membership> {
   if (Option.isNone(entry) || !message.matches(MembershipSchema, entry.value.value)) return { version: 0, value: quorum.emptyMembership };
   return { version: entry.value.version, value: entry.value.value };
 }
--- a/packages/node/src/configuration.ts
+++ b/packages/node/src/configuration.ts
@@ -2,7 +2,7 @@
 import type { PlacementConfiguration } from '@stallstall/placement';
 
 /** A version of a key that a majority of cores holds and this node acts by. */
-export type Applied<Value> = Readonly<{ version: number; value: Value }>;
+export type AppliedValue<Value> = Readonly<{ version: number; value: Value }>;
 
 export type Configuration = Readonly<{
   sheet: PlacementConfiguration;
--- a/packages/node/src/core-confirmations.ts
+++ b/packages/node/src/core-confirmations.ts
@@ -25,7 +25,7 @@
   /** The version of a key on this core's own disk. */
   function localVersion(key: string): number {
     const { localReplica } = context.parts;
-    const entry = Option.isSome(localReplica) ? localReplica.value.accepted(key) : Option.none;
+    const entry = Option.isSome(localReplica) ? localReplica.value.acceptedEntry(key) : Option.none;
     return Option.isSome(entry) ? entry.value.version : 0;
   }
 
--- a/packages/node/src/core-watch.ts
+++ b/packages/node/src/core-watch.ts
@@ -49,7 +49,7 @@
   }
 
   async function watch(core: string, link: Peer): Promise<void> {
-    if (!link.connected()) return;
+    if (!link.isConnected()) return;
     const sentAt = runtime.clock.now();
     const reply = await link.call(
       'watch',
--- a/packages/node/src/heartbeats.ts
+++ b/packages/node/src/heartbeats.ts
@@ -56,7 +56,7 @@
   }
 
   async function fetchNewerSet(link: Peer): Promise<void> {
-    const request = { seat: context.ownSeat, incarnation: incarnations.own(), fleet: context.fleet };
+    const request = { seat: context.ownRecord, incarnation: incarnations.own(), fleet: context.fleet };
     const reply = await link.call('hello', request, callMilliseconds);
     if (Option.isSome(reply) && reply.value.fleet === context.fleet && reply.value.set !== undefined) parts.observeCoreSet(reply.value.set);
   }
@@ -71,7 +71,7 @@
   }
 
   async function send(node: string, link: Peer): Promise<void> {
-    if (incarnations.own() === 0 || !link.connected()) return;
+    if (incarnations.own() === 0 || !link.isConnected()) return;
     const sentAt = runtime.clock.now();
     const request = { node: settings.node, incarnation: incarnations.own(), ...ownReport() };
     const reply = await link.call('beat', request, callMilliseconds);
--- a/packages/node/src/membership-join.ts
+++ b/packages/node/src/membership-join.ts
@@ -13,7 +13,7 @@
 async function askCores(context: NodeContext, links: PeerLinks, lastReason: string): Promise<string> {
   let reason = lastReason;
   for (const core of context.cores) {
-    const reply = (await links.of(core.node)?.call('join', { seat: context.ownSeat }, joinMilliseconds)) ?? Option.none;
+    const reply = (await links.of(core.node)?.call('join', { seat: context.ownRecord }, joinMilliseconds)) ?? Option.none;
     if (Option.isNone(reply)) continue;
     if (reply.value.joined) return reason;
     if (reply.value.reason === reason) continue;
--- a/packages/node/src/node-context.ts
+++ b/packages/node/src/node-context.ts
@@ -1,7 +1,7 @@
 /** What the modules of a node share. */
 import type * as Option from 'fp-ts/lib/Option.js';
 import type { Runtime } from '@stallstall/kernel';
-import type { CoreSet, Seat } from '@stallstall/message';
+import type { CoreSet, NodeRecord } from '@stallstall/message';
 import type { NodeParts, RegistrationSupport } from './node-parts.js';
 import type { NodeSettings } from './node-settings.js';
 
@@ -17,9 +17,9 @@
   readonly settings: NodeSettings;
   readonly parts: NodeParts;
   readonly registration: Option.Option<RegistrationSupport>;
-  readonly ownSeat: Seat;
+  readonly ownRecord: NodeRecord;
   /** The cores that this node asks and counts majorities of. */
-  cores: readonly Seat[];
+  cores: readonly NodeRecord[];
   /** The set of cores, where it may change (design 4.8). */
   coreSet: Option.Option<CoreSet>;
   /** The fleet's id; empty until it is found. */
--- a/packages/node/src/node-parts.ts
+++ b/packages/node/src/node-parts.ts
@@ -22,9 +22,9 @@
 
 /** A core's own disk, which it uses without a link. */
 export type LocalReplica = Readonly<{
-  target: RegisterReplica;
-  note: ReportReplica;
-  accepted: (key: string) => Option.Option<Entry>;
+  registerReplica: RegisterReplica;
+  reportReplica: ReportReplica;
+  acceptedEntry: (key: string) => Option.Option<Entry>;
 }>;
 
 export type NodeParts = Readonly<{
@@ -38,5 +38,5 @@
   onApplied: (key: string) => void;
   onHelloReply: (reply: Reply<'hello'>, address: string) => void;
   /** Left out where an operator names the members. */
-  registered?: RegistrationSupport;
+  registration?: RegistrationSupport;
 }>;
--- a/packages/node/src/node.ts
+++ b/packages/node/src/node.ts
@@ -2,13 +2,13 @@
 import * as Option from 'fp-ts/lib/Option.js';
 import { election, electionService, liveness, livenessService, type Election, type Liveness } from '@stallstall/election';
 import { fault, identifiers, runtimeUtilities, type Fault, type HttpRoute, type Instant, type Runtime } from '@stallstall/kernel';
-import type { Change, CoreSet, ElectedPrimary, Membership, Reply, Seat } from '@stallstall/message';
+import type { Change, CoreSet, ElectedPrimary, Membership, Reply, NodeRecord } from '@stallstall/message';
 import type { Handlers, Peer } from '@stallstall/peer';
 import { quorum } from '@stallstall/quorum';
 import { quorumLease, quorumLeaseService, type QuorumLease } from '@stallstall/quorum-lease';
 import type { DurableReports } from '@stallstall/register';
 import { appliedState, type AppliedState } from './applied-state.js';
-import type { Applied, Configuration } from './configuration.js';
+import type { AppliedValue, Configuration } from './configuration.js';
 import { coreWatch, type CoreWatch } from './core-watch.js';
 import { heartbeats as heartbeatTables, type HeartbeatReport, type Heartbeats } from './heartbeats.js';
 import { incarnations as incarnationTables, type Incarnations } from './incarnations.js';
@@ -31,8 +31,8 @@
   settings: NodeSettings;
   handlers: Handlers;
   routes: readonly HttpRoute[];
-  configuration: () => Option.Option<Applied<Configuration>>;
-  membership: () => Applied<Membership>;
+  configuration: () => Option.Option<AppliedValue<Configuration>>;
+  membership: () => AppliedValue<Membership>;
   electedPrimary: (service: string) => Option.Option<ElectedPrimary>;
   /** When a majority of cores last confirmed that nothing newer than what is applied here is acknowledged, plus a term. */
   configurationLeaseUntil: () => Instant;
@@ -49,19 +49,19 @@
   /** The latest moment after which a majority of cores, this node included where it is one, was asked and has replied (design 7.14). */
   majorityContactAt: () => Instant;
   peerOf: (node: string) => Option.Option<Peer>;
-  cores: () => readonly Seat[];
-  setCores: (cores: readonly Seat[]) => void;
+  cores: () => readonly NodeRecord[];
+  setCores: (cores: readonly NodeRecord[]) => void;
   /** Counts majorities of this set of cores from now on, where it may change: it is the membership table as well (design 4.8). */
   followCoreSet: (set: CoreSet) => void;
   incarnation: () => number;
-  ownSeat: () => Seat;
+  ownRecord: () => NodeRecord;
   /** The fleet's id; empty until it is found. */
   fleet: () => string;
   setFleet: (fleet: string) => void;
   /** Takes what a core's own disk accepted, as if it had been pushed. */
   receiveOwnChange: (core: string, change: Change) => void;
   /** Whether a later incarnation of that node is known here. */
-  isStale: (node: string, incarnation: number) => boolean;
+  isSuperseded: (node: string, incarnation: number) => boolean;
   start: () => void;
   stop: () => void;
 }>;
@@ -89,8 +89,8 @@
     runtime,
     settings,
     parts,
-    registration: Option.fromNullable(parts.registered),
-    ownSeat: {
+    registration: Option.fromNullable(parts.registration),
+    ownRecord: {
       node: settings.node,
       role: parts.role,
       area: settings.area,
@@ -142,7 +142,7 @@
   }
 }
 
-function setCores({ context, links }: Assembly, cores: readonly Seat[]): void {
+function setCores({ context, links }: Assembly, cores: readonly NodeRecord[]): void {
   context.cores = cores;
   for (const core of cores) if (core.node !== context.settings.node) links.ensure(core);
 }
@@ -352,13 +352,13 @@
     setCores: (cores) => setCores(assembly, cores),
     followCoreSet: (set) => followCoreSet(assembly, set),
     incarnation: incarnations.own,
-    ownSeat: () => context.ownSeat,
+    ownRecord: () => context.ownRecord,
     fleet: () => context.fleet,
     setFleet: function setFleet(fleet) {
       context.fleet = fleet;
     },
     receiveOwnChange: (core, change) => applied.receive(core, Option.none, change),
-    isStale: incarnations.isSuperseded,
+    isSuperseded: incarnations.isSuperseded,
     start: () => start(assembly),
     stop: () => stop(assembly),
   };
--- a/packages/node/src/peer-links.ts
+++ b/packages/node/src/peer-links.ts
@@ -1,6 +1,6 @@
 /** Links to other nodes: one connection to each, with a task of its own (design 3.2). */
 import { identifiers, runtimeUtilities } from '@stallstall/kernel';
-import type { Change, Seat } from '@stallstall/message';
+import type { Change, NodeRecord } from '@stallstall/message';
 import { peer, type Peer } from '@stallstall/peer';
 import { heartbeatMilliseconds, type NodeContext } from './node-context.js';
 
@@ -9,7 +9,7 @@
   /** The link to a node; undefined where there is none. */
   of: (node: string) => Peer | undefined;
   /** Dials a node, unless there is a link to that address. */
-  ensure: (seat: Seat) => void;
+  ensure: (seat: NodeRecord) => void;
   /** Closes links to all other nodes; returns the nodes that were closed. */
   retain: (isWanted: (node: string) => boolean) => readonly string[];
   closeAll: () => void;
@@ -45,13 +45,13 @@
     );
   }
 
-  function ensure(seat: Seat): void {
+  function ensure(seat: NodeRecord): void {
     const open = links.get(seat.node);
     if (open !== undefined && open.address === seat.address) return;
     open?.peer.close();
     const dialled = peer.dial(runtime, identifiers.address(seat.address), {
-      connected: () => events.onConnected(seat.node),
-      changed: (change) => events.onChange(seat.node, dialled, change),
+      onConnected: () => events.onConnected(seat.node),
+      onChange: (change) => events.onChange(seat.node, dialled, change),
     });
     links.set(seat.node, { address: seat.address, peer: dialled });
     repeat(seat.node, dialled, events.onHeartbeat);
--- a/packages/node/src/register-access.ts
+++ b/packages/node/src/register-access.ts
@@ -30,7 +30,7 @@
       return link === undefined ? Option.none : link.call(kind, body, milliseconds);
     },
   }));
-  return Option.isSome(localReplica) ? [localReplica.value.target, ...remote] : remote;
+  return Option.isSome(localReplica) ? [localReplica.value.registerReplica, ...remote] : remote;
 }
 
 function reportReplicas(context: NodeContext, links: PeerLinks): readonly ReportReplica[] {
@@ -41,7 +41,7 @@
       return link === undefined ? Option.none : link.call('note', body, milliseconds);
     };
   });
-  return Option.isSome(localReplica) ? [localReplica.value.note, ...remote] : remote;
+  return Option.isSome(localReplica) ? [localReplica.value.reportReplica, ...remote] : remote;
 }
 
 /** Offers both to the process's other services. */
@@ -56,7 +56,7 @@
     replicas: () => registerReplicas(context, links),
     replicaCount: () => context.cores.length,
     coreSets,
-    localEntry: (key) => (Option.isSome(parts.localReplica) ? parts.localReplica.value.accepted(key) : Option.none),
+    localEntry: (key) => (Option.isSome(parts.localReplica) ? parts.localReplica.value.acceptedEntry(key) : Option.none),
   });
   const reports = durableReports.create(
     () => reportReplicas(context, links),
--- a/packages/node/src/seed-discovery.ts
+++ b/packages/node/src/seed-discovery.ts
@@ -1,7 +1,7 @@
 /** Finds the fleet through the seeds that the settings name (design 3.3). */
 import * as Option from 'fp-ts/lib/Option.js';
 import { identifiers, runtimeUtilities } from '@stallstall/kernel';
-import type { Seat } from '@stallstall/message';
+import type { NodeRecord } from '@stallstall/message';
 import { peer, type Peer } from '@stallstall/peer';
 import type { Incarnations } from './incarnations.js';
 import { callMilliseconds, heartbeatMilliseconds, type NodeContext } from './node-context.js';
@@ -16,7 +16,7 @@
 export type SeedDiscoveryParts = Readonly<{
   incarnations: Incarnations;
   hasJoined: () => boolean;
-  setCores: (cores: readonly Seat[]) => void;
+  setCores: (cores: readonly NodeRecord[]) => void;
   onSuperseded: () => void;
 }>;
 
@@ -29,7 +29,7 @@
   }
 
   async function greet(address: string, link: Peer): Promise<void> {
-    const request = { seat: context.ownSeat, incarnation: incarnations.own(), fleet: context.fleet };
+    const request = { seat: context.ownRecord, incarnation: incarnations.own(), fleet: context.fleet };
     const reply = await link.call('hello', request, callMilliseconds);
     if (Option.isNone(reply)) return;
     if (reply.value.superseded) onSuperseded();
@@ -42,7 +42,7 @@
   }
 
   async function greetUntilFound(address: string): Promise<void> {
-    const link = peer.dial(runtime, identifiers.address(address), { connected: () => void greet(address, link) });
+    const link = peer.dial(runtime, identifiers.address(address), { onConnected: () => void greet(address, link) });
     await runtimeUtilities.every(
       runtime.clock,
       heartbeatMilliseconds,
--- a/packages/peer/src/dialled-peer.ts
+++ b/packages/peer/src/dialled-peer.ts
@@ -53,7 +53,7 @@
   if ('reply' in frame) return handleReply(state, frame.reply, frame.body);
   if ('deny' in frame) return handleRejection(state, frame.deny, frame.reason);
   if ('change' in frame && message.matches(ChangeSchema, frame.change)) {
-    state.events.changed?.(frame.change);
+    state.events.onChange?.(frame.change);
     return true;
   }
   return false;
@@ -89,7 +89,7 @@
   state.link = Option.some(link);
   state.calls.forgetGivenUp();
   state.timedOut = 0;
-  state.events.connected?.();
+  state.events.onConnected?.();
   await receiveFrames(state, link);
   state.link = Option.none;
   state.version = 0;
@@ -164,8 +164,8 @@
   return {
     address,
     call: (kind, body, milliseconds) => call(state, kind, body, milliseconds),
-    connected: () => Option.isSome(state.link),
-    protocol: () => state.version,
+    isConnected: () => Option.isSome(state.link),
+    protocolVersion: () => state.version,
     close: () => close(state),
   };
 }
--- a/packages/peer/src/peer.ts
+++ b/packages/peer/src/peer.ts
@@ -10,14 +10,14 @@
   address: Address;
   /** None when there is no link, when no reply arrives in time, or when the call is rejected. */
   call: <Kind extends MessageKind>(kind: Kind, body: Request<Kind>, milliseconds: number) => Promise<Option.Option<Reply<Kind>>>;
-  connected: () => boolean;
+  isConnected: () => boolean;
   /** The protocol version agreed on with whoever serves the link; 0 while there is none. */
-  protocol: () => number;
+  protocolVersion: () => number;
   close: () => void;
 }>;
 
 /** What a served link can do besides replying: push changes, and tell whether it is open. */
-export type Caller = Readonly<{ change: (change: Change) => void; open: () => boolean }>;
+export type Caller = Readonly<{ pushChange: (change: Change) => void; isOpen: () => boolean }>;
 
 /** One for each kind of call that a process answers; one that throws rejects the call. */
 export type Handlers = {
@@ -26,9 +26,9 @@
 
 export type PeerEvents = Readonly<{
   /** Called each time a link is open. */
-  connected?: () => void;
+  onConnected?: () => void;
   /** Called with each change that is pushed over the link. */
-  changed?: (change: Change) => void;
+  onChange?: (change: Change) => void;
 }>;
 
 export const peer = { dial, listen } as const;
--- a/packages/peer/src/served-link.ts
+++ b/packages/peer/src/served-link.ts
@@ -57,8 +57,8 @@
   }
   let isOpen = true;
   const caller: Caller = {
-    change: (change) => link.send({ change }),
-    open: () => isOpen,
+    pushChange: (change) => link.send({ change }),
+    isOpen: () => isOpen,
   };
   await answerCalls(runtime, address, link, handlers, caller);
   isOpen = false;
--- a/packages/pooler/src/placement-feed.ts
+++ b/packages/pooler/src/placement-feed.ts
@@ -114,7 +114,7 @@
   async function run(): Promise<void> {
     while (!parts.stopped()) {
       const hold = isTroubled(state.view, runtime.clock.now(), connections) ? troubledHoldMilliseconds : holdMilliseconds;
-      const fed = agent.connected() && (await refresh(hold));
+      const fed = agent.isConnected() && (await refresh(hold));
       if (!fed) await runtime.clock.sleep(pauseMilliseconds);
     }
   }
--- a/packages/pooler/src/pooler.ts
+++ b/packages/pooler/src/pooler.ts
@@ -160,7 +160,7 @@
 
 async function reportUsage({ runtime, agent, usage, feed, lifecycle }: Assembly): Promise<void> {
   while (!lifecycle.stopped) {
-    if (agent.connected()) await usage.tell();
+    if (agent.isConnected()) await usage.tell();
     const edges = Object.values(feed.view().edges).reduce((sum, count) => sum + count, 0);
     const pause = Math.max(reportUsageMilliseconds, edges * reportUsageEdgeMilliseconds);
     await runtime.clock.sleep(Math.min(mostReportUsageMilliseconds, pause));
--- a/packages/proxy/src/durable-reports.ts
+++ b/packages/proxy/src/durable-reports.ts
@@ -133,7 +133,7 @@
       if (state.durable < state.wanted || runtime.clock.now() - state.durableAt >= tickMilliseconds) void report(state);
     },
     flush: () => report(state),
-    sound: agent.connected,
+    sound: agent.isConnected,
     totals: () => ({ notes: state.attempts, noteMilliseconds: Math.round(state.attemptMilliseconds) }),
   };
 }
--- a/packages/quorum/src/index.ts
+++ b/packages/quorum/src/index.ts
@@ -1,5 +1,5 @@
 /** Majority arithmetic and operations on the membership table (design 4). */
-import type { Membership, NodeRole, Seat } from '@stallstall/message';
+import type { Membership, NodeRole, NodeRecord } from '@stallstall/message';
 
 /** The smallest group size out of `total` for which any two groups overlap. */
 function majority(total: number): number {
@@ -18,17 +18,17 @@
 }
 
 /** The table's entry for a node; undefined when the node is not listed. */
-function findNode(membership: Membership, node: string): Seat | undefined {
+function findNode(membership: Membership, node: string): NodeRecord | undefined {
   return membership.seats.find((entry) => entry.node === node);
 }
 
 /** The entries of all nodes with this role. */
-function nodesWithRole(membership: Membership, role: NodeRole): readonly Seat[] {
+function nodesWithRole(membership: Membership, role: NodeRole): readonly NodeRecord[] {
   return membership.seats.filter((entry) => entry.role === role);
 }
 
 /** Adds an entry, or replaces the existing entry of the same node. */
-function putNode(membership: Membership, added: Seat): Membership {
+function putNode(membership: Membership, added: NodeRecord): Membership {
   const others = membership.seats.filter((entry) => entry.node !== added.node);
   return { ...membership, seats: [...others, added].sort(compareNodeNames) };
 }
@@ -40,7 +40,7 @@
   };
 }
 
-function compareNodeNames(left: Seat, right: Seat): number {
+function compareNodeNames(left: NodeRecord, right: NodeRecord): number {
   return left.node < right.node ? -1 : 1;
 }
 
--- a/packages/register/src/catch-up.ts
+++ b/packages/register/src/catch-up.ts
@@ -3,14 +3,14 @@
  * core that lost its disk are the same case.
  */
 import * as Either from 'fp-ts/lib/Either.js';
-import { message, type Seat } from '@stallstall/message';
+import { message, type NodeRecord } from '@stallstall/message';
 import { quorum } from '@stallstall/quorum';
 import type { Acceptor } from './acceptor.js';
 import type { CellState } from './cell-state.js';
 import type { Register } from './register.js';
 
 /** Copies all data of another core; resolves to false once `isUnneeded` reports that the copy is no longer needed. */
-export type CopyFromCore = (source: Seat, isUnneeded: () => boolean) => Promise<boolean>;
+export type CopyFromCore = (source: NodeRecord, isUnneeded: () => boolean) => Promise<boolean>;
 
 /** How many rounds that complete unresolved cells run concurrently. */
 const concurrentRounds = 32;
@@ -35,14 +35,14 @@
 }
 
 /** Copies from all sources at once and resolves as soon as enough copies are complete, without waiting for unreachable sources. */
-function copyFromEnough(sources: readonly Seat[], needed: number, copy: CopyFromCore, isAbandoned: () => boolean): Promise<boolean> {
+function copyFromEnough(sources: readonly NodeRecord[], needed: number, copy: CopyFromCore, isAbandoned: () => boolean): Promise<boolean> {
   return new Promise(function collect(resolve) {
     let copied = 0;
     let outstanding = sources.length;
     function isUnneeded(): boolean {
       return copied >= needed || isAbandoned();
     }
-    async function copyOne(source: Seat): Promise<void> {
+    async function copyOne(source: NodeRecord): Promise<void> {
       if (await copy(source, isUnneeded)) copied += 1;
       outstanding -= 1;
       if (copied >= needed) resolve(true);
--- a/packages/register/src/content-fetcher.ts
+++ b/packages/register/src/content-fetcher.ts
@@ -96,7 +96,7 @@
   const identity = identityOf(change.key, entry.ballot);
   if (contents.has(identity) || differs === undefined) return contents.get(identity);
   const base = contents.get(identityOf(change.key, differs.from));
-  return base === undefined ? undefined : differences.applied(base, differs.all);
+  return base === undefined ? undefined : differences.apply(base, differs.all);
 }
 
 function deliver(fetcher: FetcherState, core: string, change: Change, content: unknown): void {
--- a/packages/register/src/core-set-changes.ts
+++ b/packages/register/src/core-set-changes.ts
@@ -2,7 +2,7 @@
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { fault, owner, type Fault } from '@stallstall/kernel';
-import { CoreSetSchema, message, type CoreSet, type Entry, type Reply, type Seat } from '@stallstall/message';
+import { CoreSetSchema, message, type CoreSet, type Entry, type Reply, type NodeRecord } from '@stallstall/message';
 import { quorum } from '@stallstall/quorum';
 import type { CoreSetRegister } from './register.js';
 
@@ -11,7 +11,7 @@
   set: () => CoreSet;
   registerForCoreSet: CoreSetRegister['forCoreSet'];
   /** Asks a core to adopt a core set; none when it does not reply. */
-  adopt: (core: Seat, set: CoreSet) => Promise<Option.Option<Reply<'adopt'>>>;
+  adopt: (core: NodeRecord, set: CoreSet) => Promise<Option.Option<Reply<'adopt'>>>;
   /** Called with a newer core set that a core reports. */
   observe: (set: CoreSet) => void;
 }>;
@@ -27,7 +27,7 @@
    * Replaces one of the replaceable nodes by a joining core. Resolves to the set that lists the joining core once a majority of that set
    * has adopted it. Errors: `no-majority`, and those of the register.
    */
-  replaceNode: (joiningCore: Seat, findReplaceableNodes: FindReplaceableNodes) => Promise<Either.Either<Fault, CoreSet>>;
+  replaceNode: (joiningCore: NodeRecord, findReplaceableNodes: FindReplaceableNodes) => Promise<Either.Either<Fault, CoreSet>>;
   /** Completes a change whose proposer stopped responding. */
   completeInterrupted: () => Promise<void>;
 }>;
@@ -41,7 +41,7 @@
 }
 
 /** A node that lost its disk counts as a different core than before, because its earlier promises are lost (design 4.3). */
-export function isSameNodeAndDisk(left: Seat, right: Seat): boolean {
+export function isSameNodeAndDisk(left: NodeRecord, right: NodeRecord): boolean {
   return left.node === right.node && left.disk === right.disk;
 }
 
@@ -60,12 +60,12 @@
   return set.seats.filter((core) => nodes.includes(core.node)).length >= quorum.majority(set.seats.length);
 }
 
-function isListed(set: CoreSet, joiningCore: Seat): boolean {
+function isListed(set: CoreSet, joiningCore: NodeRecord): boolean {
   return set.seats.some((core) => isSameNodeAndDisk(core, joiningCore) && core.address === joiningCore.address);
 }
 
 /** Asks cores to adopt a set and returns those that did; a core that is at a newer set reports that set. */
-async function confirm({ adopt, observe }: CoreSetChangeOptions, set: CoreSet, cores: readonly Seat[]): Promise<ConfirmedCores> {
+async function confirm({ adopt, observe }: CoreSetChangeOptions, set: CoreSet, cores: readonly NodeRecord[]): Promise<ConfirmedCores> {
   const replies = await Promise.all(cores.map(async (core) => ({ core, reply: await adopt(core, set) })));
   const upToDate: string[] = [];
   const unreachableReports: Array<ReadonlySet<string>> = [];
@@ -99,7 +99,7 @@
  * Whether a majority is up to date without the replaced node: the joining core copies from these cores, and they serve until it is up to
  * date as well. A core that only changes its address remains up to date.
  */
-function leavesMajority(set: CoreSet, upToDate: readonly string[], replacedNode: string, joiningCore: Seat): boolean {
+function leavesMajority(set: CoreSet, upToDate: readonly string[], replacedNode: string, joiningCore: NodeRecord): boolean {
   const listed = quorum.findNode(set, replacedNode);
   const isSameCore = listed !== undefined && isSameNodeAndDisk(listed, joiningCore);
   return isMajority(
@@ -126,7 +126,7 @@
 
 async function replaceNode(
   options: CoreSetChangeOptions,
-  joiningCore: Seat,
+  joiningCore: NodeRecord,
   findReplaceableNodes: FindReplaceableNodes,
 ): Promise<Either.Either<Fault, CoreSet>> {
   const set = options.set();
--- a/packages/simulator/src/explored-machines.ts
+++ b/packages/simulator/src/explored-machines.ts
@@ -15,7 +15,7 @@
   type FleetRecord,
 } from '@stallstall/core';
 import { identifiers, type Clock, type Disk, type Instant, type Runtime } from '@stallstall/kernel';
-import type { Request, CoreSet, MessageKind, Reply, Seat } from '@stallstall/message';
+import type { Request, CoreSet, MessageKind, Reply, NodeRecord } from '@stallstall/message';
 import {
   acceptor,
   proposer,
@@ -61,13 +61,13 @@
   /** A register for somebody who is no core: it learns of sets as it goes on. */
   client: (name: string, first: CoreSet) => CoreSetRegister;
   /** Says one thing to one core, as a proposer would that ended right after. */
-  tell: <Kind extends 'prepare' | 'accept'>(seat: Seat, kind: Kind, body: Request<Kind>) => Promise<Option.Option<Reply<Kind>>>;
+  tell: <Kind extends 'prepare' | 'accept'>(seat: NodeRecord, kind: Kind, body: Request<Kind>) => Promise<Option.Option<Reply<Kind>>>;
   newest: () => CoreSet;
   /** Seats whose occupant is not up, not level, or behind. */
   short: () => number;
   /** A step is under way that may still be decided. */
   isStepping: () => boolean;
-  seats: (names: readonly string[]) => readonly Seat[];
+  seats: (names: readonly string[]) => readonly NodeRecord[];
 }>;
 
 type Running = { readonly cells: Acceptor; readonly cores: CoreSetManager; joins: number; fleet: Option.Option<FleetRecord> };
@@ -83,7 +83,7 @@
 const millisecondsEach = 10;
 
 /** The seat of a core that is known by its name alone. */
-export function seatOf(name: string): Seat {
+export function seatOf(name: string): NodeRecord {
   return { node: name, role: 'core', area: 'north', address: `${name}:1`, outward: `${name}:2`, draining: false };
 }
 
@@ -251,7 +251,7 @@
           seeds: () => [],
           platform: () => '',
         },
-        ownSeat: () => seatOf(state.name),
+        ownRecord: () => seatOf(state.name),
         lastHeartbeatAt: (other) => Option.some(course.isSilent(state.name, other) ? identifiers.instant(0) : now()),
         setFleet: () => undefined,
       },
@@ -343,7 +343,7 @@
     );
   }
 
-  function isStanding(seat: Seat, set: CoreSet): boolean {
+  function isStanding(seat: NodeRecord, set: CoreSet): boolean {
     const machine = machines.find((one) => one.name === seat.node);
     const level = machine === undefined ? Option.none : machine.level();
     return Option.isSome(level) && level.value.number === set.number;
