--- a/packages/acceptance/src/cores.ts
+++ b/packages/acceptance/src/cores.ts
@@ -7,13 +7,13 @@
 
 type CoreStory = { cores: CoreFleet; operator: Readonly<{ stop: () => void }>; lost: string[]; acknowledgedWhenCut: number };
 
-function alive(fleet: CoreFleet): readonly CoreMachine[] {
+function runningMachines(fleet: CoreFleet): readonly CoreMachine[] {
   return fleet.machines.filter((machine) => machine.process?.alive() === true);
 }
 
 /** Whether all running cores that the newest set lists are in that set, and the set's cores meet the condition. */
 function areInSet(fleet: CoreFleet, isExpected: (cores: readonly string[]) => boolean): boolean {
-  const views = alive(fleet).map((machine) => ({ machine, set: fleet.setOf(machine) }));
+  const views = runningMachines(fleet).map((machine) => ({ machine, set: fleet.setOf(machine) }));
   const newest = Math.max(...views.map((view) => view.set.number));
   const cores = views.find((view) => view.set.number === newest)?.set.cores ?? [];
   return (
@@ -37,7 +37,7 @@
   assert.deepEqual(fleet.violations, []);
   const before = fleet.acknowledged();
   assert.ok(before > 0, 'nothing was acknowledged');
-  for (const machine of alive(fleet)) {
+  for (const machine of runningMachines(fleet)) {
     if (!fleet.setOf(machine).cores.includes(machine.name)) continue;
     const read = await fleet.readAt(machine);
     assert.ok(Option.isSome(read) && read.value >= before, `${machine.name} read ${JSON.stringify(read)} after ${before} was acknowledged`);
@@ -91,7 +91,7 @@
 /** Starts the successor, drains the old machine, and kills it permanently once it has drained, at the latest after 7 s. */
 async function drainAndReplace(fleet: CoreFleet, machine: CoreMachine): Promise<CoreMachine> {
   const successor = await fleet.spare(
-    alive(fleet)
+    runningMachines(fleet)
       .slice(0, 3)
       .map((core) => core.address),
   );
@@ -142,11 +142,11 @@
   const machine = fleet.machine(`core-${index}`);
   const logsBefore = fleet.world.logs.length;
   for (
-    let spent = 0;
+    let elapsed = 0;
     !fleet.world.logs.slice(logsBefore).some((line) => line.process === machine.name && line.event === 'core.copying');
-    spent += 1
+    elapsed += 1
   ) {
-    assert.ok(spent < 10_000, 'the core never copied');
+    assert.ok(elapsed < 10_000, 'the core never copied');
     await fleet.world.run(1);
   }
   await fleet.world.run(2);
@@ -168,10 +168,10 @@
 When('core-{int} is killed permanently as soon as a set lists it', async function when(this: CoreStory, index: number) {
   const machine = this.cores.machine(`core-${index}`);
   function isListed(fleet: CoreFleet): boolean {
-    return alive(fleet).some((other) => fleet.setOf(other).cores.includes(machine.name));
+    return runningMachines(fleet).some((other) => fleet.setOf(other).cores.includes(machine.name));
   }
-  for (let spent = 0; !isListed(this.cores); spent += 1) {
-    assert.ok(spent < 10_000, 'no set lists the core');
+  for (let elapsed = 0; !isListed(this.cores); elapsed += 1) {
+    assert.ok(elapsed < 10_000, 'no set lists the core');
     await this.cores.world.run(1);
   }
   assert.equal(machine.running?.isOpen(), false);
@@ -220,7 +220,7 @@
     this.lost.push(machine.name);
     this.cores.kill(machine);
     await this.cores.world.run(1_000);
-    await this.cores.spare(alive(this.cores).map((core) => core.address));
+    await this.cores.spare(runningMachines(this.cores).map((core) => core.address));
   },
 );
 
@@ -341,7 +341,7 @@
     assert.ok(
       await this.cores.until(
         () =>
-          alive(this.cores).every(
+          runningMachines(this.cores).every(
             (machine) => machine.running?.node.membership().value.seats.find((seat) => seat.node === `core-${index}`)?.address === address,
           ),
         seconds * 1_000,
@@ -353,7 +353,7 @@
 
 async function firstProposer(fleet: CoreFleet): Promise<CoreMachine> {
   let proposer: string | undefined;
-  for (let spent = 0; proposer === undefined && spent < 10_000; spent += 1) {
+  for (let elapsed = 0; proposer === undefined && elapsed < 10_000; elapsed += 1) {
     await fleet.world.run(1);
     proposer = fleet.world.logs.find((line) => line.event === 'core.proposes')?.process;
   }
--- a/packages/core/src/data-folder.ts
+++ b/packages/core/src/data-folder.ts
@@ -28,7 +28,7 @@
 /** Delay before another attempt to discard a damaged store, when the disk does not accept writes. */
 const discardRetryMilliseconds = 500;
 
-/** The stored member registry. It only speeds up a restart: losing it loses nothing that was acknowledged. */
+/** The stored member registry, which saves time after a restart; nothing depends on it. */
 export const registryKey = 'roster';
 
 /** Whether this node can use a folder as it is, must refuse it, or must treat it as a lost disk (design 4.3). */
@@ -57,7 +57,7 @@
   return true;
 }
 
-function stateOf(stored: ReadonlyMap<string, unknown>, node: string): FolderState {
+function checkFolder(stored: ReadonlyMap<string, unknown>, node: string): FolderState {
   const fleet = stored.get('fleet');
   if (fleet === undefined)
     return [...stored.keys()].some((key) => key !== registryKey) ? damaged('it has entries but no fleet record') : usable;
@@ -85,7 +85,7 @@
   const loaded = await disk.load(archiveStoragePrefix);
   const lost = disk.lost();
   if (Option.isSome(lost) && Either.isRight(loaded) && !loaded.right.has('fleet')) runtime.log('disk.replaced', { reason: lost.value });
-  const state = Either.isLeft(loaded) ? damaged(loaded.left.message) : stateOf(loaded.right, node);
+  const state = Either.isLeft(loaded) ? damaged(loaded.left.message) : checkFolder(loaded.right, node);
   if (state.kind === 'refused') return Either.left(state.reason);
   if (state.kind === 'usable') return loaded;
   runtime.log('disk.replaced', { reason: state.reason });
--- a/packages/core/src/founding.ts
+++ b/packages/core/src/founding.ts
@@ -30,7 +30,7 @@
 }
 
 /** The core at the lowest founder address proposes, once all founders were found and no further core has appeared for a while. */
-function proposeOnceGathered(runtime: Runtime, ownAddress: string, founders: readonly string[]): ProposalRule {
+function proposeOnceGathered(runtime: Runtime, ownAddress: string, founderAddresses: readonly string[]): ProposalRule {
   let lastNames = '';
   let unchangedSince = runtime.clock.now();
   return function mayPropose(everyone) {
@@ -39,8 +39,8 @@
       lastNames = names;
       unchangedSince = runtime.clock.now();
     }
-    const isLowest = ownAddress === [...founders].sort()[0];
-    const areAllFound = founders.every((founder) => everyone.some((seat) => seat.address === founder));
+    const isLowest = ownAddress === [...founderAddresses].sort()[0];
+    const areAllFound = founderAddresses.every((address) => everyone.some((seat) => seat.address === address));
     return isLowest && areAllFound && runtime.clock.now() - unchangedSince >= gatherMilliseconds;
   };
 }
