--- a/packages/agent/src/agent-context.ts
+++ b/packages/agent/src/agent-context.ts
@@ -12,7 +12,7 @@
   }>;
 
 /** A proxy that has asked or reported nothing for so long is taken for gone. Unit: milliseconds. @internal */
-export const proxyQuietMilliseconds = 2_500;
+export const proxySilenceMilliseconds = 2_500;
 
 /** @internal */
 export type AgentContext = {
@@ -23,7 +23,7 @@
   readonly freshness: MemberFreshness;
   readonly reports: ProxyReports;
   proxyReportedAt: Instant | undefined;
-  proxyAskedAt: Instant | undefined;
+  proxyRequestedAt: Instant | undefined;
   /** What the proxy has counted since it began. */
   proxyMetrics: Readonly<Record<string, number>>;
   isStopped: boolean;
--- a/packages/agent/src/agent-routes.ts
+++ b/packages/agent/src/agent-routes.ts
@@ -3,8 +3,8 @@
 import type { HttpReply, HttpRoute } from '@stallstall/kernel';
 import { quorum } from '@stallstall/quorum';
 import { leaseTermMilliseconds } from '@stallstall/quorum-lease';
-import { proxyQuietMilliseconds, type AgentContext } from './agent-context.js';
-import { withinTerm } from './proxy-feed.js';
+import { proxySilenceMilliseconds, type AgentContext } from './agent-context.js';
+import { clampToLeaseTerm } from './proxy-feed.js';
 
 /** `sound` is false where an operator should act. */
 type HealthCheck = Readonly<{ check: string; sound: boolean; detail: string; remedy: string }>;
@@ -17,12 +17,12 @@
 }
 
 /** How many nodes were heard within a term, this one among them. */
-function heardNodes({ runtime, node }: AgentContext): number {
-  const heard = node.membership().value.seats.filter(function isHeard(seat) {
+function countReachableNodes({ runtime, node }: AgentContext): number {
+  const reachable = node.membership().value.seats.filter(function isReachable(seat) {
     const at = node.lastHeartbeatAt(seat.node);
     return Option.isSome(at) && runtime.clock.now() - at.value < leaseTermMilliseconds;
   });
-  return 1 + heard.length;
+  return 1 + reachable.length;
 }
 
 async function metrics(context: AgentContext): Promise<HttpReply> {
@@ -32,10 +32,10 @@
     status: 200,
     body: {
       nodes: node.membership().value.seats.length,
-      heard: heardNodes(context),
+      heard: countReachableNodes(context),
       configuration: Option.isSome(configuration) ? configuration.value.version : 0,
       membership: node.membership().version,
-      controlTermMilliseconds: Math.round(withinTerm(node.configurationLeaseUntil() - runtime.clock.now())),
+      controlTermMilliseconds: Math.round(clampToLeaseTerm(node.configurationLeaseUntil() - runtime.clock.now())),
       fencedServices: servicesWithoutLease(context).length,
       ...Object.fromEntries(Object.entries(proxyMetrics).map(([name, count]) => [`proxy.${name}`, count])),
     },
@@ -54,7 +54,7 @@
 
 function checkNodes(context: AgentContext): HealthCheck {
   const total = context.node.membership().value.seats.length;
-  const heard = heardNodes(context);
+  const heard = countReachableNodes(context);
   return {
     check: 'nodes',
     sound: heard >= quorum.majority(total),
@@ -73,8 +73,8 @@
   };
 }
 
-function checkProxy({ runtime, proxyAskedAt }: AgentContext): HealthCheck {
-  const sound = proxyAskedAt !== undefined && runtime.clock.now() - proxyAskedAt < proxyQuietMilliseconds;
+function checkProxy({ runtime, proxyRequestedAt: proxyAskedAt }: AgentContext): HealthCheck {
+  const sound = proxyAskedAt !== undefined && runtime.clock.now() - proxyAskedAt < proxySilenceMilliseconds;
   return {
     check: 'proxy',
     sound,
--- a/packages/agent/src/agent.ts
+++ b/packages/agent/src/agent.ts
@@ -6,7 +6,7 @@
 import type { Reply, Request } from '@stallstall/message';
 import { node as nodes, type Node } from '@stallstall/node';
 import { peer } from '@stallstall/peer';
-import { proxyQuietMilliseconds, type AgentContext, type AgentSettings } from './agent-context.js';
+import { proxySilenceMilliseconds, type AgentContext, type AgentSettings } from './agent-context.js';
 import { agentRoutes } from './agent-routes.js';
 import { connectionCaps } from './connection-caps.js';
 import { edgeVotes } from './edge-votes.js';
@@ -24,8 +24,8 @@
   stop: () => Promise<void>;
 }>;
 
-const probeMilliseconds = 250;
-const graceMilliseconds = 2_000;
+const probeIntervalMilliseconds = 250;
+const drainTimeoutMilliseconds = 2_000;
 const drainPollMilliseconds = 5;
 
 function assemble(runtime: Runtime, settings: AgentSettings): AgentContext {
@@ -48,22 +48,22 @@
     freshness: memberFreshness.create(runtime.clock, node, runtime.services.find(livenessService)),
     reports: proxyReports.create(settings.node, node.durableReports),
     proxyReportedAt: undefined,
-    proxyAskedAt: undefined,
+    proxyRequestedAt: undefined,
     proxyMetrics: {},
     isStopped: false,
   };
 }
 
-function tell(context: AgentContext, request: Request<'tell'>): Promise<Reply<'tell'>> {
+function storeReport(context: AgentContext, request: Request<'tell'>): Promise<Reply<'tell'>> {
   context.proxyReportedAt = context.runtime.clock.now();
-  return context.reports.tell(request);
+  return context.reports.store(request);
 }
 
 /** A proxy that has reported nothing for a while serves nothing more that could still be reported. */
-function reportQuietProxy({ runtime, settings, node, proxyReportedAt }: AgentContext): void {
-  const isQuiet = proxyReportedAt === undefined || runtime.clock.now() - proxyReportedAt > proxyQuietMilliseconds;
-  if (!isQuiet || node.cores().length === 0) return;
-  const through = runtime.clock.wall() - proxyQuietMilliseconds;
+function reportSilentProxy({ runtime, settings, node, proxyReportedAt }: AgentContext): void {
+  const isSilent = proxyReportedAt === undefined || runtime.clock.now() - proxyReportedAt > proxySilenceMilliseconds;
+  if (!isSilent || node.cores().length === 0) return;
+  const through = runtime.clock.wall() - proxySilenceMilliseconds;
   void node.durableReports.report({ floors: {}, reports: [], through: { [settings.node]: through } });
 }
 
@@ -73,7 +73,7 @@
     await peer.listen(runtime, identifiers.address(settings.address), { ...node.handlers }),
     await peer.listen(runtime, identifiers.address(settings.feed), {
       feed: (request) => proxyFeed.reply(context, request),
-      tell: (request) => tell(context, request),
+      tell: (request) => storeReport(context, request),
     }),
     await runtime.network.serve(identifiers.address(settings.outward), { routes: [...node.routes, ...agentRoutes.create(context)] }),
   ];
@@ -85,8 +85,8 @@
     return !context.isStopped;
   }
   node.start();
-  void runtimeUtilities.every(runtime.clock, probeMilliseconds, freshness.probeAll, isRunning);
-  void runtimeUtilities.every(runtime.clock, proxyQuietMilliseconds, () => reportQuietProxy(context), isRunning);
+  void runtimeUtilities.every(runtime.clock, probeIntervalMilliseconds, freshness.probeAll, isRunning);
+  void runtimeUtilities.every(runtime.clock, proxySilenceMilliseconds, () => reportSilentProxy(context), isRunning);
 }
 
 /** Right once the agent listens. Errors: `bad-settings` without a node id. */
@@ -106,8 +106,8 @@
 
   /** What is being reported is stored before this process ends (design 7.10). */
   async function drain(): Promise<void> {
-    const deadline = identifiers.after(runtime.clock.now(), graceMilliseconds);
-    while (runtime.clock.now() < deadline && context.reports.underWay() > 0) await runtime.clock.sleep(drainPollMilliseconds);
+    const deadline = identifiers.after(runtime.clock.now(), drainTimeoutMilliseconds);
+    while (runtime.clock.now() < deadline && context.reports.pendingCount() > 0) await runtime.clock.sleep(drainPollMilliseconds);
     await stop();
   }
 
--- a/packages/agent/src/connection-caps.ts
+++ b/packages/agent/src/connection-caps.ts
@@ -21,13 +21,13 @@
 }>;
 
 /** A layout that has stood so long is known to every node whose leases still run. */
-const layoutSettledMilliseconds = leaseTermMilliseconds + leaseMarginMilliseconds;
+const layoutPropagationMilliseconds = leaseTermMilliseconds + leaseMarginMilliseconds;
 
 /** @param node - looked up at each call: caps are asked for before the node is complete */
 function create(clock: Clock, node: () => Node): ConnectionCaps {
   const caps = new Map<string, number>();
   let open: Readonly<Record<string, number>> = {};
-  let layoutSince: Instant = clock.now();
+  let layoutChangedAt: Instant = clock.now();
 
   function reported(): Readonly<Record<string, number>> {
     const services = new Set([...caps.keys(), ...Object.keys(open)]);
@@ -49,7 +49,7 @@
 
   function mayGrow(): boolean {
     const now = clock.now();
-    return now - layoutSince >= layoutSettledMilliseconds && node().configurationLeaseUntil() > now;
+    return now - layoutChangedAt >= layoutPropagationMilliseconds && node().configurationLeaseUntil() > now;
   }
 
   function refreshService(placement: ServicePlacement): void {
@@ -70,11 +70,11 @@
   }
 
   return {
-    recordOpen: function recordOpen(given) {
-      open = given;
+    recordOpen: function recordOpen(counts) {
+      open = counts;
     },
     onLayoutChanged: function onLayoutChanged() {
-      layoutSince = clock.now();
+      layoutChangedAt = clock.now();
       refresh();
     },
     reported,
--- a/packages/agent/src/edge-votes.ts
+++ b/packages/agent/src/edge-votes.ts
@@ -8,8 +8,8 @@
 
 const VoteSchema = Type.Object({ epoch: Type.Integer({ minimum: 0 }), candidate: Type.String(), proposer: Type.String() });
 
-const loadMilliseconds = 1_500;
-const recordMilliseconds = 2_000;
+const loadTimeoutMilliseconds = 1_500;
+const recordTimeoutMilliseconds = 2_000;
 
 function voteOf(entry: Option.Option<Entry>): Option.Option<Vote> {
   return Option.isSome(entry) && message.matches(VoteSchema, entry.value.value) ? Option.some(entry.value.value) : Option.none;
@@ -26,15 +26,15 @@
   }
 
   return {
-    load: async (service) => Either.map(voteOf)(await register.read(keyOf(service), loadMilliseconds)),
+    load: async (service) => Either.map(voteOf)(await register.read(keyOf(service), loadTimeoutMilliseconds)),
     record: async function record(service, vote) {
       const written = await register.change(
         keyOf(service),
         function next(current) {
-          const known = voteOf(current);
-          return Option.isSome(known) && known.value.epoch >= vote.epoch ? Option.none : Option.some(vote);
+          const recorded = voteOf(current);
+          return Option.isSome(recorded) && recorded.value.epoch >= vote.epoch ? Option.none : Option.some(vote);
         },
-        recordMilliseconds,
+        recordTimeoutMilliseconds,
       );
       if (Either.isLeft(written) || Option.isNone(written.right.entry)) return false;
       return isSameVote(written.right.entry.value.value as Vote, vote);
--- a/packages/agent/src/lease-agent.ts
+++ b/packages/agent/src/lease-agent.ts
@@ -40,12 +40,12 @@
   isDraining: boolean;
 };
 
-const graceMilliseconds = 5_600;
+const drainTimeoutMilliseconds = 5_600;
 /** While the agent drains it holds no request longer, so that it sees the proxy's end soon. */
-const drainingHoldMilliseconds = 50;
+const maxDrainingHoldMilliseconds = 50;
 const drainPollMilliseconds = 10;
 /** A proxy that has just begun gets so long to ask. */
-const drainLeastMilliseconds = 300;
+const minimumDrainMilliseconds = 300;
 
 function placementsOf(runtime: Runtime, holder: LeaseHolder): readonly Placement[] {
   const now = runtime.clock.now();
@@ -63,14 +63,14 @@
 
 function commitWatermarksOf({ runtime, holder }: AgentState): CommitWatermarks {
   const now = runtime.clock.now();
-  const rows = [...holder.commitWatermarks()].map(
+  const watermarks = [...holder.commitWatermarks()].map(
     ([service, { position, coveredUntil }]) => [service, { ...position, ago: Math.max(0, now - coveredUntil) }] as const,
   );
-  return Object.fromEntries(rows);
+  return Object.fromEntries(watermarks);
 }
 
 /** Takes what the proxy reports; what it releases, or is refused by, the cores hear at once. */
-function takeReport({ proxy, holder }: AgentState, request: Request<'placement'>): void {
+function processReport({ proxy, holder }: AgentState, request: Request<'placement'>): void {
   const { isRestarted, isChanged } = proxy.update(request);
   if (isRestarted) holder.onProxyRestarted();
   if (isChanged) holder.reportNow();
@@ -81,7 +81,7 @@
   { token: seenToken, seen, hold }: Request<'placement'>,
 ): Promise<void> {
   const isUpToDate = seenToken === token && seen === updates.current();
-  if (isUpToDate && hold > 0) await updates.wait(isDraining ? Math.min(hold, drainingHoldMilliseconds) : hold);
+  if (isUpToDate && hold > 0) await updates.wait(isDraining ? Math.min(hold, maxDrainingHoldMilliseconds) : hold);
 }
 
 /** Replies at once with an update, or at the latest after the request's `hold`. */
@@ -89,11 +89,11 @@
   const { runtime, settings, token, proxy, holder, updates } = state;
   state.proxyLink = caller;
   const arrivedAt = runtime.clock.now();
-  takeReport(state, request);
+  processReport(state, request);
   await waitForUpdate(state, request);
   const configuration = holder.configuration();
   const version = Option.isSome(configuration) ? configuration.value.version : 0;
-  const isKnown = request.token === token && updates.areMembersKnown(request.seen);
+  const hasCurrentMembers = request.token === token && updates.areMembersUnchangedSince(request.seen);
   return {
     token,
     number: updates.current(),
@@ -103,7 +103,7 @@
       Option.isSome(configuration) && version !== request.configuration ? { version, sheet: configuration.value.value.sheet } : null,
     configurationVersion: version,
     services: [...placementsOf(runtime, holder)],
-    roster: isKnown ? null : [...holder.members()],
+    roster: hasCurrentMembers ? null : [...holder.members()],
     edges: { ...holder.edgeCountByArea() },
     demand: { ...holder.statementRateByArea() },
     marks: commitWatermarksOf(state),
@@ -113,13 +113,13 @@
 }
 
 /** Stays for as long as the proxy does: one that ends needs its leases for what is in flight; the next one's agent is the next (design 7.10). */
-async function waitForProxy(state: AgentState): Promise<void> {
+async function waitForProxyExit(state: AgentState): Promise<void> {
   const { clock } = state.runtime;
   state.isDraining = true;
   const startedAt = clock.now();
-  const deadline = identifiers.after(startedAt, graceMilliseconds);
+  const deadline = identifiers.after(startedAt, drainTimeoutMilliseconds);
   function isNeeded(): boolean {
-    return state.reports.underWay() > 0 || state.proxyLink?.isOpen() === true || clock.now() - startedAt < drainLeastMilliseconds;
+    return state.reports.pendingCount() > 0 || state.proxyLink?.isOpen() === true || clock.now() - startedAt < minimumDrainMilliseconds;
   }
   while (clock.now() < deadline && isNeeded()) await clock.sleep(drainPollMilliseconds);
 }
@@ -143,7 +143,7 @@
   const state = assemble(runtime, settings);
   const listening: Listening = await peer.listen(runtime, identifiers.address(settings.feed), {
     placement: (request, caller) => placement(state, request, caller),
-    tell: state.reports.tell,
+    tell: state.reports.store,
   });
   state.holder.start();
 
@@ -154,7 +154,7 @@
 
   return {
     drain: async function drain() {
-      await waitForProxy(state);
+      await waitForProxyExit(state);
       await stop();
     },
     stop,
--- a/packages/agent/src/member-freshness.ts
+++ b/packages/agent/src/member-freshness.ts
@@ -18,29 +18,29 @@
 /** The primary's position at a moment. */
 type Sample = Readonly<{ at: Instant; position: number }>;
 
-const probeMilliseconds = 700;
-const samplesKept = 40;
+const probeTimeoutMilliseconds = 700;
+const maxSamples = 40;
 /** Reported where freshness is not known. */
-const unknownAgo = -1;
+const unknownFreshness = -1;
 
 function create(clock: Clock, node: Node, members: Liveness): MemberFreshness {
   /** Of one epoch for each service, the oldest first. */
-  const samples = new Map<string, Readonly<{ epoch: number; kept: readonly Sample[] }>>();
+  const samples = new Map<string, Readonly<{ epoch: number; history: readonly Sample[] }>>();
 
   function samplesOf(service: string, epoch: number): readonly Sample[] {
-    const known = samples.get(service);
-    return known?.epoch === epoch ? known.kept : [];
+    const recorded = samples.get(service);
+    return recorded?.epoch === epoch ? recorded.history : [];
   }
 
   async function probe(service: string, { member, address }: MemberPlacement): Promise<void> {
     const elected = node.electedPrimary(service);
-    const probed = await members.probe(member, address, probeMilliseconds);
+    const probed = await members.probe(member, address, probeTimeoutMilliseconds);
     if (Either.isLeft(probed) || Option.isNone(elected)) return;
     const { epoch, primary } = elected.value;
     const { sentAt, state } = probed.right;
     if (primary !== member || state.epoch !== epoch) return;
-    const kept = [...samplesOf(service, epoch), { at: sentAt, position: state.received }].slice(-samplesKept);
-    samples.set(service, { epoch, kept });
+    const history = [...samplesOf(service, epoch), { at: sentAt, position: state.received }].slice(-maxSamples);
+    samples.set(service, { epoch, history });
   }
 
   function probeAll(): void {
@@ -63,7 +63,7 @@
     return {
       member,
       alive: !members.isDown(member),
-      freshAgo: fresh === undefined ? unknownAgo : clock.now() - fresh,
+      freshAgo: fresh === undefined ? unknownFreshness : clock.now() - fresh,
       applied,
       follows: Option.isSome(state) ? state.value.epoch : 0,
     };
--- a/packages/agent/src/placement-updates.ts
+++ b/packages/agent/src/placement-updates.ts
@@ -9,7 +9,7 @@
   /** The number of the newest update. */
   current: () => number;
   /** Whether the members have not changed since an update. */
-  areMembersKnown: (seen: number) => boolean;
+  areMembersUnchangedSince: (seen: number) => boolean;
   /** Anything may have changed: whoever waits is woken if it has. */
   observe: () => void;
   /** Resolves at the next update, or after so many milliseconds. */
@@ -17,10 +17,10 @@
 }>;
 
 /** Changes within this span go out together. */
-const gatherMilliseconds = 1;
+const batchMilliseconds = 1;
 
 /** A renewed lease is no change: whoever asks is told it anyway. */
-function describe(holder: LeaseHolder, placements: readonly Placement[]): string {
+function describeState(holder: LeaseHolder, placements: readonly Placement[]): string {
   const configuration = holder.configuration();
   return [
     Option.isSome(configuration) ? configuration.value.version : 0,
@@ -34,35 +34,35 @@
 function create(clock: Clock, holder: () => LeaseHolder, placements: () => readonly Placement[]): PlacementUpdates {
   const waiting = waiters.create(clock);
   let number = 1;
-  let isGathering = false;
-  let before = '';
+  let isBatching = false;
+  let lastState = '';
   let membersVersion = -1;
   /** The update in which the members changed last. */
   let membersChangedAt = 0;
 
   function publish(): void {
-    isGathering = false;
+    isBatching = false;
     number += 1;
     waiting.wake();
   }
 
   function observe(): void {
     const current = holder();
-    const now = describe(current, placements());
-    if (now === before) return;
-    before = now;
+    const state = describeState(current, placements());
+    if (state === lastState) return;
+    lastState = state;
     if (membersVersion !== current.membersVersion()) {
       membersVersion = current.membersVersion();
       membersChangedAt = number + 1;
     }
-    if (isGathering) return;
-    isGathering = true;
-    clock.startTimer(gatherMilliseconds, publish);
+    if (isBatching) return;
+    isBatching = true;
+    clock.startTimer(batchMilliseconds, publish);
   }
 
   return {
     current: () => number,
-    areMembersKnown: (seen) => seen >= membersChangedAt,
+    areMembersUnchangedSince: (seen) => seen >= membersChangedAt,
     observe,
     wait: waiting.hold,
   };
--- a/packages/agent/src/proxy-feed.ts
+++ b/packages/agent/src/proxy-feed.ts
@@ -7,7 +7,7 @@
 import type { AgentContext } from './agent-context.js';
 
 /** What is left of a term, as JSON can carry it. Unit: milliseconds. @internal */
-export function withinTerm(left: number): number {
+export function clampToLeaseTerm(left: number): number {
   return Math.max(0, Math.min(left, leaseTermMilliseconds));
 }
 
@@ -18,7 +18,7 @@
     service,
     epoch,
     primary: Option.isSome(elected) ? elected.value.primary : '',
-    fence: withinTerm(node.serviceLeaseUntil(service) - runtime.clock.now()),
+    fence: clampToLeaseTerm(node.serviceLeaseUntil(service) - runtime.clock.now()),
     targets: members.map((member) => freshness.targetOf(service, epoch, member.member)),
   };
 }
@@ -28,7 +28,7 @@
   const { runtime, settings, node, caps } = context;
   caps.recordOpen(request.open);
   context.proxyMetrics = request.metrics;
-  context.proxyAskedAt = runtime.clock.now();
+  context.proxyRequestedAt = runtime.clock.now();
   caps.refresh();
   const configuration = node.configuration();
   const placement = Option.isSome(configuration) ? configuration.value.value.sheet : undefined;
@@ -37,7 +37,7 @@
   return {
     configuration: placement !== undefined && version !== request.configuration ? { version, sheet: placement } : null,
     configurationVersion: version,
-    term: withinTerm(node.configurationLeaseUntil() - runtime.clock.now()),
+    term: clampToLeaseTerm(node.configurationLeaseUntil() - runtime.clock.now()),
     services: (placement?.services ?? []).map((service) => serviceFeed(context, service)),
     shares: { ...caps.allowed() },
     draining: seat?.draining ?? false,
--- a/packages/agent/src/proxy-reports.ts
+++ b/packages/agent/src/proxy-reports.ts
@@ -6,12 +6,12 @@
 /** @internal */
 export type ProxyReports = Readonly<{
   /** The reply says whether a majority of disks has synced the report. */
-  tell: (request: Request<'tell'>) => Promise<Reply<'tell'>>;
+  store: (request: Request<'tell'>) => Promise<Reply<'tell'>>;
   /** How many reports are under way. */
-  underWay: () => number;
+  pendingCount: () => number;
 }>;
 
-function reportOf(node: string, { floors, through, usage, incarnation, number }: Request<'tell'>): Request<'note'> {
+function noteRequest(node: string, { floors, through, usage, incarnation, number }: Request<'tell'>): Request<'note'> {
   return {
     floors,
     through: { [node]: through },
@@ -21,15 +21,15 @@
 
 /** @param node - this node's id */
 function create(node: string, reports: DurableReports): ProxyReports {
-  let underWay = 0;
+  let pendingCount = 0;
   return {
-    tell: async function tell(request) {
-      underWay += 1;
-      const stored = await reports.report(reportOf(node, request));
-      underWay -= 1;
+    store: async function tell(request) {
+      pendingCount += 1;
+      const stored = await reports.report(noteRequest(node, request));
+      pendingCount -= 1;
       return { kept: Either.isRight(stored) };
     },
-    underWay: () => underWay,
+    pendingCount: () => pendingCount,
   };
 }
 
--- a/packages/agent/src/proxy-state.ts
+++ b/packages/agent/src/proxy-state.ts
@@ -29,9 +29,9 @@
 
 /** A proxy that asks this often misses a leader somewhere. Unit: milliseconds. */
 export const leaderMissingHoldMilliseconds = 100;
-const repliesKept = 100;
+const maxReplies = 100;
 /** Nothing is known of what the proxy has told its clients. */
-const noPositionsMilliseconds = 3_600_000;
+const unknownPositionsAgeMilliseconds = 3_600_000;
 
 type Report = Pick<Request<'placement'>, 'released' | 'positions' | 'marks' | 'demand' | 'notListening' | 'hold'>;
 
@@ -40,39 +40,39 @@
 /** @param token - names this agent's process: a proxy that reports another has not heard from it */
 function create(clock: Clock, token: string): ProxyState {
   let report = noReport;
-  let wasAsked = false;
-  let askedAt: Instant = identifiers.instant(Number.NEGATIVE_INFINITY);
+  let hasReported = false;
+  let reportedAt: Instant = identifiers.instant(Number.NEGATIVE_INFINITY);
   /** What the proxy reported last was all there was at this moment or later. */
   let positionsAt: Instant | undefined;
-  let conditionBefore = '';
+  let lastCondition = '';
   let lastReply = 0;
   const repliedAt = new Map<number, Instant>();
 
   function update(request: Request<'placement'>): ProxyUpdate {
     // The process before it may have acknowledged commits that it did not live to report.
-    const isRestarted = request.token === '' && wasAsked;
-    wasAsked = true;
-    askedAt = clock.now();
+    const isRestarted = request.token === '' && hasReported;
+    hasReported = true;
+    reportedAt = clock.now();
     report = request;
-    const noOlderThan = request.token === token ? repliedAt.get(request.serial) : undefined;
-    if (noOlderThan !== undefined && (positionsAt === undefined || noOlderThan > positionsAt)) positionsAt = noOlderThan;
+    const reportedSince = request.token === token ? repliedAt.get(request.serial) : undefined;
+    if (reportedSince !== undefined && (positionsAt === undefined || reportedSince > positionsAt)) positionsAt = reportedSince;
     const condition = `${JSON.stringify(request.released)}${request.notListening.join(' ')}`;
-    const isChanged = condition !== conditionBefore;
-    conditionBefore = condition;
+    const isChanged = condition !== lastCondition;
+    lastCondition = condition;
     return { isRestarted, isChanged };
   }
 
   function recordReply(): number {
     lastReply += 1;
     repliedAt.set(lastReply, clock.now());
-    repliedAt.delete(lastReply - repliesKept);
+    repliedAt.delete(lastReply - maxReplies);
     return lastReply;
   }
 
   /** What the proxy saw so long before it asked was seen that much longer ago by now. */
   function commitWatermarks(): CommitWatermarks {
-    const since = Math.max(0, clock.now() - askedAt);
-    const aged = Object.entries(report.marks).map(([service, mark]) => [service, { ...mark, ago: mark.ago + since }] as const);
+    const elapsed = Math.max(0, clock.now() - reportedAt);
+    const aged = Object.entries(report.marks).map(([service, mark]) => [service, { ...mark, ago: mark.ago + elapsed }] as const);
     return Object.fromEntries(aged);
   }
 
@@ -82,7 +82,7 @@
     releasedEpochs: () => report.released,
     commitPositions: () => report.positions,
     commitWatermarks,
-    commitPositionsAge: () => (positionsAt === undefined ? noPositionsMilliseconds : Math.max(0, clock.now() - positionsAt)),
+    commitPositionsAge: () => (positionsAt === undefined ? unknownPositionsAgeMilliseconds : Math.max(0, clock.now() - positionsAt)),
     isLeaderMissing: () => report.hold > 0 && report.hold <= leaderMissingHoldMilliseconds,
     refusedMembers: () => report.notListening,
     statementRate: () => report.demand,
--- a/packages/message/src/differences.ts
+++ b/packages/message/src/differences.ts
@@ -1,11 +1,11 @@
 /** What differs between two JSON values, small enough to be sent in place of the second to whoever holds the first (design 5.6). */
 import { Type, type Static } from '@sinclair/typebox';
 
-const StepSchema = Type.Union([Type.String(), Type.Integer({ minimum: 0 })]);
+const PathStepSchema = Type.Union([Type.String(), Type.Integer({ minimum: 0 })]);
 
 /** One difference: a value set, a name removed, or a stretch of an array exchanged. */
 export const DifferenceSchema = Type.Object({
-  path: Type.Array(StepSchema, { maxItems: 100 }),
+  path: Type.Array(PathStepSchema, { maxItems: 100 }),
   set: Type.Optional(Type.Unknown()),
   remove: Type.Optional(Type.Literal(true)),
   splice: Type.Optional(
@@ -15,7 +15,7 @@
 export type Difference = Readonly<Static<typeof DifferenceSchema>>;
 type Path = ReadonlyArray<string | number>;
 
-function same(left: unknown, right: unknown): boolean {
+function isEqual(left: unknown, right: unknown): boolean {
   return left === right || JSON.stringify(left) === JSON.stringify(right);
 }
 
@@ -24,36 +24,46 @@
 }
 
 /** The value of an object's own property: every object has inherited names. */
-function own(holder: Readonly<Record<string, unknown>>, name: string): unknown {
+function ownProperty(holder: Readonly<Record<string, unknown>>, name: string): unknown {
   return Object.hasOwn(holder, name) ? holder[name] : undefined;
 }
 
-function betweenArrays(path: Path, from: readonly unknown[], to: readonly unknown[]): readonly Difference[] {
+function computeForArrays(path: Path, from: readonly unknown[], to: readonly unknown[]): readonly Difference[] {
   if (from.length === to.length) return from.flatMap((value, index) => compute(value, to[index], [...path, index]));
-  let at = 0;
-  while (at < from.length && at < to.length && same(from[at], to[at])) at += 1;
-  let after = 0;
-  while (after < Math.min(from.length, to.length) - at && same(from[from.length - 1 - after], to[to.length - 1 - after])) after += 1;
-  return [{ path: [...path], splice: { at, gone: from.length - at - after, come: to.slice(at, to.length - after) } }];
+  let start = 0;
+  while (start < from.length && start < to.length && isEqual(from[start], to[start])) start += 1;
+  let commonSuffix = 0;
+  while (
+    commonSuffix < Math.min(from.length, to.length) - start &&
+    isEqual(from[from.length - 1 - commonSuffix], to[to.length - 1 - commonSuffix])
+  )
+    commonSuffix += 1;
+  return [
+    { path: [...path], splice: { at: start, gone: from.length - start - commonSuffix, come: to.slice(start, to.length - commonSuffix) } },
+  ];
 }
 
-function betweenObjects(path: Path, from: Readonly<Record<string, unknown>>, to: Readonly<Record<string, unknown>>): readonly Difference[] {
-  const gone = Object.keys(from).filter((name) => own(to, name) === undefined && from[name] !== undefined);
+function computeForObjects(
+  path: Path,
+  from: Readonly<Record<string, unknown>>,
+  to: Readonly<Record<string, unknown>>,
+): readonly Difference[] {
+  const removed = Object.keys(from).filter((name) => ownProperty(to, name) === undefined && from[name] !== undefined);
   return [
-    ...gone.map((name): Difference => ({ path: [...path, name], remove: true })),
-    ...Object.entries(to).flatMap(([name, value]) => (value === undefined ? [] : compute(own(from, name), value, [...path, name]))),
+    ...removed.map((name): Difference => ({ path: [...path, name], remove: true })),
+    ...Object.entries(to).flatMap(([name, value]) => (value === undefined ? [] : compute(ownProperty(from, name), value, [...path, name]))),
   ];
 }
 
 /** What makes `to` of `from`. */
 function compute(from: unknown, to: unknown, path: Path = []): readonly Difference[] {
   if (from === to) return [];
-  if (Array.isArray(from) && Array.isArray(to)) return betweenArrays(path, from as readonly unknown[], to as readonly unknown[]);
-  if (isObject(from) && isObject(to)) return betweenObjects(path, from, to);
+  if (Array.isArray(from) && Array.isArray(to)) return computeForArrays(path, from as readonly unknown[], to as readonly unknown[]);
+  if (isObject(from) && isObject(to)) return computeForObjects(path, from, to);
   return [{ path: [...path], set: to }];
 }
 
-function spliced(value: unknown, { at, gone, come }: NonNullable<Difference['splice']>): unknown {
+function applySplice(value: unknown, { at, gone, come }: NonNullable<Difference['splice']>): unknown {
   return Array.isArray(value) && at + gone <= value.length ? value.toSpliced(at, gone, ...come) : undefined;
 }
 
@@ -64,9 +74,9 @@
 }
 
 /** The value with one difference, copied along its path alone; undefined where it does not fit. */
-function withOne(value: unknown, difference: Difference, depth = 0): unknown {
+function applyOne(value: unknown, difference: Difference, depth = 0): unknown {
   const step = difference.path[depth];
-  if (step === undefined) return difference.splice === undefined ? difference.set : spliced(value, difference.splice);
+  if (step === undefined) return difference.splice === undefined ? difference.set : applySplice(value, difference.splice);
   const copy = copyOf(value);
   if (copy === undefined || step === '__proto__') return undefined;
   const isLast = depth === difference.path.length - 1;
@@ -74,17 +84,17 @@
     delete copy[step];
     return copy;
   }
-  const known = Object.hasOwn(copy, step);
-  if (!known && !isLast) return undefined;
-  const inner = withOne(known ? copy[step] : undefined, difference, depth + 1);
-  if (inner === undefined) return undefined;
-  copy[step] = inner;
+  const exists = Object.hasOwn(copy, step);
+  if (!exists && !isLast) return undefined;
+  const changed = applyOne(exists ? copy[step] : undefined, difference, depth + 1);
+  if (changed === undefined) return undefined;
+  copy[step] = changed;
   return copy;
 }
 
 /** `from` with all differences; undefined where they do not fit it. `from` stays as it is. */
 function apply(from: unknown, all: readonly Difference[]): unknown {
-  return all.reduce<unknown>((value, difference) => (value === undefined ? undefined : withOne(value, difference)), from);
+  return all.reduce<unknown>((value, difference) => (value === undefined ? undefined : applyOne(value, difference)), from);
 }
 
 export const differences = { compute, apply } as const;
--- a/packages/node/src/applied-state.ts
+++ b/packages/node/src/applied-state.ts
@@ -25,7 +25,7 @@
   /** Counts anew what each core pushed, after the set of cores has changed. */
   recount: () => void;
   /** Reads what is in doubt from the register. */
-  resolve: () => void;
+  readUnapplied: () => void;
 }>;
 
 /** @param onApplied - called with the key once a new version of it is applied */
@@ -62,13 +62,13 @@
   function placement(): Option.Option<PlacementConfiguration> {
     const current = configuration();
     if (Option.isNone(current)) return Option.none;
-    const sent = current.value.value.sheet;
-    if (Option.isNone(registration)) return Option.some(sent);
+    const configured = current.value.value.sheet;
+    if (Option.isNone(registration)) return Option.some(configured);
     const { membersOf } = registration.value;
-    const services = sent.services.map((service) =>
+    const services = configured.services.map((service) =>
       service.registered ? { ...service, members: [...membersOf(service.service)] } : service,
     );
-    return Option.some({ ...sent, services });
+    return Option.some({ ...configured, services });
   }
 
   return {
@@ -83,7 +83,7 @@
     receive: contents.receive,
     contentBallot: contents.latestBallot,
     recount: watch.recount,
-    resolve: watch.readUnapplied,
+    readUnapplied: watch.readUnapplied,
   };
 }
 
--- a/packages/node/src/core-confirmations.ts
+++ b/packages/node/src/core-confirmations.ts
@@ -44,8 +44,8 @@
 
   function leaseUntil(): Instant {
     if (context.cores.length === 0) return identifiers.instant(Number.NEGATIVE_INFINITY);
-    const moments = confirmedAt(applied.configurationVersion(), applied.membership().version);
-    const majorityAt = identifiers.instant(quorum.latestReachedByMajority(moments, context.cores.length, false));
+    const confirmationTimes = confirmedAt(applied.configurationVersion(), applied.membership().version);
+    const majorityAt = identifiers.instant(quorum.latestReachedByMajority(confirmationTimes, context.cores.length, false));
     return identifiers.after(majorityAt, leaseTermMilliseconds);
   }
 
--- a/packages/node/src/core-watch.ts
+++ b/packages/node/src/core-watch.ts
@@ -7,7 +7,7 @@
 import type { AppliedState } from './applied-state.js';
 import { coreConfirmations } from './core-confirmations.js';
 import type { Incarnations } from './incarnations.js';
-import { callMilliseconds, type NodeContext } from './node-context.js';
+import { callTimeoutMilliseconds, type NodeContext } from './node-context.js';
 
 /** @internal */
 export type CoreWatch = Readonly<{
@@ -32,15 +32,15 @@
 export type CoreWatchParts = Readonly<{
   applied: AppliedState;
   incarnations: Incarnations;
-  linkOf: (node: string) => Peer | undefined;
+  linkTo: (node: string) => Peer | undefined;
   onSuperseded: () => void;
 }>;
 
-function create(context: NodeContext, { applied, incarnations, linkOf, onSuperseded }: CoreWatchParts): CoreWatch {
+function create(context: NodeContext, { applied, incarnations, linkTo: linkOf, onSuperseded }: CoreWatchParts): CoreWatch {
   const { runtime, settings, parts } = context;
-  const acknowledged = new Map<string, number>();
+  const acknowledgedChanges = new Map<string, number>();
   const confirmations = coreConfirmations.create(context, applied);
-  const puts = new Map<string, number>();
+  const putCounts = new Map<string, number>();
   /** When the newest call that a node replied to was sent. */
   const repliedAt = new Map<string, Instant>();
 
@@ -56,15 +56,15 @@
       {
         node: settings.node,
         incarnation: incarnations.own(),
-        acknowledged: acknowledged.get(core) ?? 0,
+        acknowledged: acknowledgedChanges.get(core) ?? 0,
         obeyed: applied.configurationVersion(),
         ...(Option.isSome(parts.localReplica) ? { content: false } : { holds: applied.contentBallot() }),
       },
-      callMilliseconds,
+      callTimeoutMilliseconds,
     );
     if (Option.isNone(reply) || linkOf(core) !== link) return;
     if (reply.value.superseded) return onSuperseded();
-    puts.set(core, Math.max(reply.value.puts, puts.get(core) ?? 0));
+    putCounts.set(core, Math.max(reply.value.puts, putCounts.get(core) ?? 0));
     if (!reply.value.ready) return;
     recordReply(core, sentAt);
     confirmations.record(core, { sentAt, configuration: reply.value.configuration, membership: reply.value.membership });
@@ -72,31 +72,31 @@
 
   function majorityContactAt(): Instant {
     const others = context.cores.filter((core) => core.node !== settings.node);
-    const moments = others.map((core) => repliedAt.get(core.node) ?? Number.NEGATIVE_INFINITY);
-    const newest = quorum.latestReachedByMajority(moments, context.cores.length, Option.isSome(parts.localReplica));
+    const replyTimes = others.map((core) => repliedAt.get(core.node) ?? Number.NEGATIVE_INFINITY);
+    const newest = quorum.latestReachedByMajority(replyTimes, context.cores.length, Option.isSome(parts.localReplica));
     return identifiers.instant(Math.min(newest, runtime.clock.now()));
   }
 
   function onCoreSet(next: CoreSet): void {
     for (const seat of next.seats) {
       // A core with another disk than before counts its puts anew.
-      const isKnown = Option.isSome(context.coreSet) && quorum.findNode(context.coreSet.value, seat.node)?.disk === seat.disk;
-      if (Option.isSome(context.coreSet) && !isKnown) puts.delete(seat.node);
+      const hasSameDisk = Option.isSome(context.coreSet) && quorum.findNode(context.coreSet.value, seat.node)?.disk === seat.disk;
+      if (Option.isSome(context.coreSet) && !hasSameDisk) putCounts.delete(seat.node);
     }
     confirmations.retain(next);
   }
 
   return {
-    onConnected: (core) => void acknowledged.delete(core),
+    onConnected: (core) => void acknowledgedChanges.delete(core),
     onChange: function onChange(core, link, change) {
-      acknowledged.set(core, change.number);
+      acknowledgedChanges.set(core, change.number);
       applied.receive(core, Option.some(link), change);
     },
     watch,
     recordReply,
     majorityContactAt,
     configurationLeaseUntil: confirmations.leaseUntil,
-    knownPuts: (core) => puts.get(core) ?? 0,
+    knownPuts: (core) => putCounts.get(core) ?? 0,
     onCoreSet,
   };
 }
--- a/packages/node/src/heartbeats.ts
+++ b/packages/node/src/heartbeats.ts
@@ -6,14 +6,14 @@
 import type { QuorumLease } from '@stallstall/quorum-lease';
 import type { AppliedState } from './applied-state.js';
 import type { Incarnations } from './incarnations.js';
-import { callMilliseconds, type NodeContext } from './node-context.js';
+import { callTimeoutMilliseconds, type NodeContext } from './node-context.js';
 
 /** What a node reported with its newest heartbeat, and when it arrived. @internal */
 export type HeartbeatReport = Readonly<{
   membership: number;
   epochs: Readonly<Record<string, number>>;
   caps: Readonly<Record<string, number>>;
-  at: Instant;
+  receivedAt: Instant;
 }>;
 
 /** @internal */
@@ -32,7 +32,7 @@
   lease: QuorumLease;
   /** The epochs that this node counts for. */
   epochs: () => Readonly<Record<string, number>>;
-  linkOf: (node: string) => Peer | undefined;
+  linkTo: (node: string) => Peer | undefined;
   recordReply: (node: string, sentAt: Instant) => void;
   observeCoreSet: (set: NonNullable<Reply<'hello'>['set']>) => void;
   onSuperseded: () => void;
@@ -42,7 +42,7 @@
 
 function create(context: NodeContext, parts: HeartbeatParts): Heartbeats {
   const { runtime, settings, registration } = context;
-  const { applied, incarnations, linkOf } = parts;
+  const { applied, incarnations, linkTo: linkOf } = parts;
   const reports = new Map<string, HeartbeatReport>();
 
   /** Where edges hold leases no core holds one of its own: cores tell edges their epochs, and each other only that they run. */
@@ -51,13 +51,13 @@
     return { epochs, caps: { ...context.parts.connectionCaps() }, membership: applied.membership().version };
   }
 
-  function keep(node: string, { membership, epochs, caps }: Report): void {
-    reports.set(node, { membership, epochs, caps, at: runtime.clock.now() });
+  function storeReport(node: string, { membership, epochs, caps }: Report): void {
+    reports.set(node, { membership, epochs, caps, receivedAt: runtime.clock.now() });
   }
 
   async function fetchNewerSet(link: Peer): Promise<void> {
     const request = { seat: context.ownRecord, incarnation: incarnations.own(), fleet: context.fleet };
-    const reply = await link.call('hello', request, callMilliseconds);
+    const reply = await link.call('hello', request, callTimeoutMilliseconds);
     if (Option.isSome(reply) && reply.value.fleet === context.fleet && reply.value.set !== undefined) parts.observeCoreSet(reply.value.set);
   }
 
@@ -67,25 +67,25 @@
     const { value: set } = context.coreSet;
     if (reportedNumber > set.number) void fetchNewerSet(link);
     // One that is behind may have no link to anybody who is further.
-    if (reportedNumber < set.number) void link.call('adopt', { fleet: context.fleet, set }, callMilliseconds);
+    if (reportedNumber < set.number) void link.call('adopt', { fleet: context.fleet, set }, callTimeoutMilliseconds);
   }
 
   async function send(node: string, link: Peer): Promise<void> {
     if (incarnations.own() === 0 || !link.isConnected()) return;
     const sentAt = runtime.clock.now();
     const request = { node: settings.node, incarnation: incarnations.own(), ...ownReport() };
-    const reply = await link.call('beat', request, callMilliseconds);
+    const reply = await link.call('beat', request, callTimeoutMilliseconds);
     if (Option.isNone(reply) || linkOf(node) !== link) return;
     if (reply.value.superseded) return parts.onSuperseded();
     parts.recordReply(node, sentAt);
-    keep(node, reply.value);
+    storeReport(node, reply.value);
     exchangeCoreSet(link, reply.value.membership);
     parts.lease.recordEcho(node, { sentAt, epochs: reply.value.epochs });
   }
 
   function receive(request: Request<'beat'>): Reply<'beat'> {
     const superseded = incarnations.isSuperseded(request.node, request.incarnation);
-    if (!superseded) keep(request.node, request);
+    if (!superseded) storeReport(request.node, request);
     return { ...ownReport(), superseded };
   }
 
--- a/packages/node/src/incarnations.ts
+++ b/packages/node/src/incarnations.ts
@@ -50,9 +50,9 @@
   }
 
   function isSuperseded(node: string, incarnation: number): boolean {
-    const known = latest.get(node) ?? 0;
-    if (incarnation > known) latest.set(node, incarnation);
-    return incarnation < known;
+    const latestKnown = latest.get(node) ?? 0;
+    if (incarnation > latestKnown) latest.set(node, incarnation);
+    return incarnation < latestKnown;
   }
 
   function supersededFault(): Fault {
--- a/packages/node/src/membership-join.ts
+++ b/packages/node/src/membership-join.ts
@@ -6,14 +6,14 @@
 import { heartbeatMilliseconds, type NodeContext } from './node-context.js';
 import type { PeerLinks } from './peer-links.js';
 
-const joinMilliseconds = 2_000;
-const lookMilliseconds = heartbeatMilliseconds / 2;
+const joinTimeoutMilliseconds = 2_000;
+const checkIntervalMilliseconds = heartbeatMilliseconds / 2;
 
 /** Asks one core after the other until one has listed this node; resolves to the last reason why none did. */
-async function askCores(context: NodeContext, links: PeerLinks, lastReason: string): Promise<string> {
+async function requestJoin(context: NodeContext, links: PeerLinks, lastReason: string): Promise<string> {
   let reason = lastReason;
   for (const core of context.cores) {
-    const reply = (await links.of(core.node)?.call('join', { seat: context.ownRecord }, joinMilliseconds)) ?? Option.none;
+    const reply = (await links.linkTo(core.node)?.call('join', { seat: context.ownRecord }, joinTimeoutMilliseconds)) ?? Option.none;
     if (Option.isNone(reply)) continue;
     if (reply.value.joined) return reason;
     if (reply.value.reason === reason) continue;
@@ -28,12 +28,12 @@
   const { runtime, settings, registration } = context;
   let lastReason = '';
   while (!context.isStopped) {
-    await runtime.clock.sleep(lookMilliseconds);
+    await runtime.clock.sleep(checkIntervalMilliseconds);
     // Where the set of cores changes by itself, a core asks to be taken in before it is of the fleet (design 4.8).
     if (Option.isSome(registration) || incarnations.own() === 0) continue;
     const listed = quorum.findNode(applied.membership().value, settings.node);
     const isListed = listed !== undefined && listed.address === settings.address && listed.outward === settings.outward;
-    if (!isListed) lastReason = await askCores(context, links, lastReason);
+    if (!isListed) lastReason = await requestJoin(context, links, lastReason);
   }
 }
 
--- a/packages/node/src/node-context.ts
+++ b/packages/node/src/node-context.ts
@@ -9,7 +9,7 @@
 export const heartbeatMilliseconds = 200;
 
 /** What a call between nodes may take. Unit: milliseconds. @internal */
-export const callMilliseconds = 800;
+export const callTimeoutMilliseconds = 800;
 
 /** @internal */
 export type NodeContext = {
--- a/packages/node/src/node.ts
+++ b/packages/node/src/node.ts
@@ -82,7 +82,7 @@
   wasListed: { current: boolean };
 }>;
 
-const proposeMilliseconds = 2_900;
+const proposalTimeoutMilliseconds = 2_900;
 
 function createContext(runtime: Runtime, settings: NodeSettings, parts: NodeParts): NodeContext {
   return {
@@ -222,8 +222,8 @@
       electedPrimary: applied.electedPrimary,
       platformAddress: settings.platform,
       sendProposal: async function sendProposal(node, request): Promise<Option.Option<Reply<'propose'>>> {
-        const link = links.of(node);
-        return link === undefined ? Option.none : link.call('propose', request, proposeMilliseconds);
+        const link = links.linkTo(node);
+        return link === undefined ? Option.none : link.call('propose', request, proposalTimeoutMilliseconds);
       },
     },
     votes,
@@ -251,7 +251,7 @@
     parts.onApplied(key);
   });
   const incarnations: Incarnations = incarnationTables.create(context, access.register, onSuperseded);
-  const watch: CoreWatch = coreWatch.create(context, { applied, incarnations, linkOf: links.of, onSuperseded });
+  const watch: CoreWatch = coreWatch.create(context, { applied, incarnations, linkTo: links.linkTo, onSuperseded });
   const elections = createElection(context, applied, links, parts.votes(access.register));
   runtime.services.offer(electionService, elections);
   const heartbeats: Heartbeats = heartbeatTables.create(context, {
@@ -259,7 +259,7 @@
     incarnations,
     lease,
     epochs: () => epochs(assembly),
-    linkOf: links.of,
+    linkTo: links.linkTo,
     recordReply: watch.recordReply,
     observeCoreSet: access.coreSets.observe,
     onSuperseded,
@@ -310,7 +310,7 @@
 }
 
 function tick({ applied, elections, members }: Assembly): void {
-  applied.resolve();
+  applied.readUnapplied();
   elections.tick();
   const current = applied.placement();
   if (Option.isNone(current)) return;
@@ -323,7 +323,7 @@
   function isRunning(): boolean {
     return !context.isStopped;
   }
-  void runtimeUtilities.every(clock, heartbeatMilliseconds, discovery.greetSeeds, isRunning);
+  void runtimeUtilities.every(clock, heartbeatMilliseconds, discovery.contactSeeds, isRunning);
   void incarnations.acquire();
   void membershipJoin.keepJoined(context, links, applied, incarnations);
   void runtimeUtilities.every(clock, heartbeatMilliseconds, () => tick(assembly), isRunning);
@@ -345,9 +345,9 @@
     connectionCapsOfOthers: () => connectionCapsOfOthers(assembly),
     epochs: () => epochs(assembly),
     reportedEpochs: () => reportedEpochs(assembly),
-    lastHeartbeatAt: (node) => Option.map((report: HeartbeatReport) => report.at)(heartbeats.reportOf(node)),
+    lastHeartbeatAt: (node) => Option.map((report: HeartbeatReport) => report.receivedAt)(heartbeats.reportOf(node)),
     majorityContactAt: watch.majorityContactAt,
-    peerOf: (node) => Option.fromNullable(links.of(node)),
+    peerOf: (node) => Option.fromNullable(links.linkTo(node)),
     cores: () => context.cores,
     setCores: (cores) => setCores(assembly, cores),
     followCoreSet: (set) => followCoreSet(assembly, set),
--- a/packages/node/src/peer-links.ts
+++ b/packages/node/src/peer-links.ts
@@ -7,7 +7,7 @@
 /** @internal */
 export type PeerLinks = Readonly<{
   /** The link to a node; undefined where there is none. */
-  of: (node: string) => Peer | undefined;
+  linkTo: (node: string) => Peer | undefined;
   /** Dials a node, unless there is a link to that address. */
   ensure: (seat: NodeRecord) => void;
   /** Closes links to all other nodes; returns the nodes that were closed. */
@@ -31,7 +31,7 @@
   const { runtime } = context;
   const links = new Map<string, OpenLink>();
 
-  function of(node: string): Peer | undefined {
+  function linkTo(node: string): Peer | undefined {
     return links.get(node)?.peer;
   }
 
@@ -41,7 +41,7 @@
       runtime.clock,
       heartbeatMilliseconds,
       () => void action(node, link),
-      () => !context.isStopped && of(node) === link,
+      () => !context.isStopped && linkTo(node) === link,
     );
   }
 
@@ -71,7 +71,7 @@
     for (const open of links.values()) open.peer.close();
   }
 
-  return { of, ensure, retain, closeAll };
+  return { linkTo, ensure, retain, closeAll };
 }
 
 /** @internal */
--- a/packages/node/src/register-access.ts
+++ b/packages/node/src/register-access.ts
@@ -26,7 +26,7 @@
   const remote = remoteCores(context).map((core): RegisterReplica => ({
     core,
     send: async function send(kind, body, milliseconds) {
-      const link = links.of(core);
+      const link = links.linkTo(core);
       return link === undefined ? Option.none : link.call(kind, body, milliseconds);
     },
   }));
@@ -37,7 +37,7 @@
   const { localReplica } = context.parts;
   const remote = remoteCores(context).map((core): ReportReplica => {
     return async function send(body, milliseconds) {
-      const link = links.of(core);
+      const link = links.linkTo(core);
       return link === undefined ? Option.none : link.call('note', body, milliseconds);
     };
   });
--- a/packages/node/src/seed-discovery.ts
+++ b/packages/node/src/seed-discovery.ts
@@ -4,12 +4,12 @@
 import type { NodeRecord } from '@stallstall/message';
 import { peer, type Peer } from '@stallstall/peer';
 import type { Incarnations } from './incarnations.js';
-import { callMilliseconds, heartbeatMilliseconds, type NodeContext } from './node-context.js';
+import { callTimeoutMilliseconds, heartbeatMilliseconds, type NodeContext } from './node-context.js';
 
 /** @internal */
 export type SeedDiscovery = Readonly<{
   /** Until this node is part of a fleet, greets every seed that the settings name by now. */
-  greetSeeds: () => void;
+  contactSeeds: () => void;
 }>;
 
 /** @internal */
@@ -22,15 +22,15 @@
 
 function create(context: NodeContext, { incarnations, hasJoined, setCores, onSuperseded }: SeedDiscoveryParts): SeedDiscovery {
   const { runtime, settings, parts } = context;
-  const greeting = new Set<string>();
+  const contacted = new Set<string>();
 
   function hasFoundFleet(): boolean {
     return context.cores.length > 0 && hasJoined();
   }
 
-  async function greet(address: string, link: Peer): Promise<void> {
+  async function sendHello(address: string, link: Peer): Promise<void> {
     const request = { seat: context.ownRecord, incarnation: incarnations.own(), fleet: context.fleet };
-    const reply = await link.call('hello', request, callMilliseconds);
+    const reply = await link.call('hello', request, callTimeoutMilliseconds);
     if (Option.isNone(reply)) return;
     if (reply.value.superseded) onSuperseded();
     parts.onHelloReply(reply.value, address);
@@ -41,28 +41,28 @@
     }
   }
 
-  async function greetUntilFound(address: string): Promise<void> {
-    const link = peer.dial(runtime, identifiers.address(address), { onConnected: () => void greet(address, link) });
+  async function contactUntilFound(address: string): Promise<void> {
+    const link = peer.dial(runtime, identifiers.address(address), { onConnected: () => void sendHello(address, link) });
     await runtimeUtilities.every(
       runtime.clock,
       heartbeatMilliseconds,
-      () => greet(address, link),
+      () => sendHello(address, link),
       () => !context.isStopped && settings.seeds().includes(address) && !hasFoundFleet(),
     );
     link.close();
-    greeting.delete(address);
+    contacted.delete(address);
   }
 
-  function greetSeeds(): void {
+  function contactSeeds(): void {
     if (hasFoundFleet()) return;
     for (const address of settings.seeds()) {
-      if (address === settings.address || greeting.has(address)) continue;
-      greeting.add(address);
-      void greetUntilFound(address);
+      if (address === settings.address || contacted.has(address)) continue;
+      contacted.add(address);
+      void contactUntilFound(address);
     }
   }
 
-  return { greetSeeds };
+  return { contactSeeds };
 }
 
 /** @internal */
--- a/packages/peer/src/dialled-peer.ts
+++ b/packages/peer/src/dialled-peer.ts
@@ -18,38 +18,38 @@
   lastIncompatibility: string;
   isClosed: boolean;
   /** Calls in a row that timed out. */
-  timedOut: number;
+  consecutiveTimeouts: number;
 };
 
 /** How long a dialler waits after a failed or broken link; jittered so that many do not return together. */
-const redialMilliseconds = 150;
+const maxRedialMilliseconds = 150;
 /** The first attempts come sooner: whoever is dialled may just be starting. */
 const firstRedialMilliseconds = 25;
-const redialDoublingsMost = 8;
+const maxRedialDoublings = 8;
 /** So many calls in a row without a reply, and the link is taken for half open and dialled anew. */
-const timedOutMost = 5;
+const maxConsecutiveTimeouts = 5;
 
 /** False where a frame breaks the protocol. */
 function handleReply({ calls }: PeerState, number: number, body: unknown): boolean {
   const kind = calls.kindOf(number);
   // A late reply is dropped once; one to a call that was never made, or was answered before, ends the link.
-  if (kind === undefined) return calls.isLate(number);
+  if (kind === undefined) return calls.acceptLateReply(number);
   if (!message.matches(messages[kind].reply, body)) return false;
-  calls.settle(number, Option.some(body));
+  calls.complete(number, Option.some(body));
   return true;
 }
 
 function handleRejection({ runtime, address, calls }: PeerState, number: number, reason: string): boolean {
-  if (calls.kindOf(number) === undefined) return calls.isLate(number);
+  if (calls.kindOf(number) === undefined) return calls.acceptLateReply(number);
   runtime.log('peer.rejected', { address, reason });
-  calls.settle(number, Option.none);
+  calls.complete(number, Option.none);
   return true;
 }
 
 /** False where a frame breaks the protocol. */
 function handleFrame(state: PeerState, frame: unknown): boolean {
   if (!message.matches(FrameSchema, frame)) return false;
-  state.timedOut = 0;
+  state.consecutiveTimeouts = 0;
   if ('reply' in frame) return handleReply(state, frame.reply, frame.body);
   if ('deny' in frame) return handleRejection(state, frame.deny, frame.reason);
   if ('change' in frame && message.matches(ChangeSchema, frame.change)) {
@@ -87,19 +87,19 @@
   }
   state.version = outcome.version;
   state.link = Option.some(link);
-  state.calls.forgetGivenUp();
-  state.timedOut = 0;
+  state.calls.forgetTimedOut();
+  state.consecutiveTimeouts = 0;
   state.events.onConnected?.();
   await receiveFrames(state, link);
   state.link = Option.none;
   state.version = 0;
   link.close();
-  state.calls.settleAll();
+  state.calls.failAll();
   return true;
 }
 
 function redialDelay({ runtime }: PeerState, failures: number): number {
-  const delay = Math.min(redialMilliseconds, firstRedialMilliseconds * 2 ** Math.min(failures, redialDoublingsMost));
+  const delay = Math.min(maxRedialMilliseconds, firstRedialMilliseconds * 2 ** Math.min(failures, maxRedialDoublings));
   return delay * (0.5 + runtime.randomness.fraction());
 }
 
@@ -122,17 +122,17 @@
   state: PeerState,
   kind: Kind,
   body: Request<Kind>,
-  milliseconds: number,
+  timeoutMilliseconds: number,
 ): Promise<Option.Option<Reply<Kind>>> {
   if (Option.isNone(state.link)) return Promise.resolve(Option.none);
   const link = state.link.value;
   return new Promise(function sendCall(resolve) {
-    const settle = resolve as (reply: Option.Option<unknown>) => void;
-    const number = state.calls.add({ kind, settle, onTimeOut }, milliseconds);
-    function onTimeOut(): void {
-      state.timedOut += 1;
+    const complete = resolve as (reply: Option.Option<unknown>) => void;
+    const number = state.calls.add({ kind, complete, onTimeout }, timeoutMilliseconds);
+    function onTimeout(): void {
+      state.consecutiveTimeouts += 1;
       // By a reset, so that what has not arrived yet is not taken later, when nobody waits for it any more.
-      if (state.timedOut >= timedOutMost) link.reset();
+      if (state.consecutiveTimeouts >= maxConsecutiveTimeouts) link.reset();
     }
     link.send({ call: number, kind, body });
   });
@@ -144,7 +144,7 @@
     if (state.calls.count() > 0) state.link.value.reset();
     else state.link.value.close();
   }
-  state.calls.settleAll();
+  state.calls.failAll();
 }
 
 /** Dials an address and keeps dialling until the peer is closed. */
@@ -158,7 +158,7 @@
     version: 0,
     lastIncompatibility: '',
     isClosed: false,
-    timedOut: 0,
+    consecutiveTimeouts: 0,
   };
   void keepLink(state);
   return {
--- a/packages/peer/src/peer.ts
+++ b/packages/peer/src/peer.ts
@@ -9,7 +9,7 @@
 export type Peer = Readonly<{
   address: Address;
   /** None when there is no link, when no reply arrives in time, or when the call is rejected. */
-  call: <Kind extends MessageKind>(kind: Kind, body: Request<Kind>, milliseconds: number) => Promise<Option.Option<Reply<Kind>>>;
+  call: <Kind extends MessageKind>(kind: Kind, body: Request<Kind>, timeoutMilliseconds: number) => Promise<Option.Option<Reply<Kind>>>;
   isConnected: () => boolean;
   /** The protocol version agreed on with whoever serves the link; 0 while there is none. */
   protocolVersion: () => number;
--- a/packages/peer/src/pending-calls.ts
+++ b/packages/peer/src/pending-calls.ts
@@ -6,52 +6,52 @@
 /** @internal */
 export type PendingCalls = Readonly<{
   /** Registers a call; `settle` is called with none after so long, unless a reply settles it before. */
-  add: (call: PendingCall, milliseconds: number) => number;
+  add: (call: PendingCall, timeoutMilliseconds: number) => number;
   /** The kind of a call that waits; undefined for one that does not. */
   kindOf: (number: number) => MessageKind | undefined;
-  settle: (number: number, reply: Option.Option<unknown>) => void;
-  settleAll: () => void;
+  complete: (number: number, reply: Option.Option<unknown>) => void;
+  failAll: () => void;
   /** Whether a reply is one to a call that was given up; such a reply may come once. */
-  isLate: (number: number) => boolean;
+  acceptLateReply: (number: number) => boolean;
   /** A new link: replies to calls of the one before cannot come any more. */
-  forgetGivenUp: () => void;
+  forgetTimedOut: () => void;
   count: () => number;
 }>;
 
 /** `onTimeOut` is called once the call is given up. @internal */
-export type PendingCall = Readonly<{ kind: MessageKind; settle: (reply: Option.Option<unknown>) => void; onTimeOut: () => void }>;
+export type PendingCall = Readonly<{ kind: MessageKind; complete: (reply: Option.Option<unknown>) => void; onTimeout: () => void }>;
 
 type Entry = PendingCall & Readonly<{ timer: Timer }>;
 
 /** So many calls that were given up are remembered on a link: their replies may still come, those of others are an error. */
-const givenUpKept = 1_000;
+const maxTimedOutCalls = 1_000;
 
 function create(clock: Clock): PendingCalls {
   const entries = new Map<number, Entry>();
-  const givenUp = new Set<number>();
+  const timedOut = new Set<number>();
   let lastNumber = 0;
 
-  function settle(number: number, reply: Option.Option<unknown>): void {
+  function complete(number: number, reply: Option.Option<unknown>): void {
     const entry = entries.get(number);
     if (entry === undefined) return;
     entries.delete(number);
     entry.timer.cancel();
-    entry.settle(reply);
+    entry.complete(reply);
   }
 
-  function rememberGivenUp(number: number): void {
-    givenUp.add(number);
-    const [oldest] = givenUp;
-    if (givenUp.size > givenUpKept && oldest !== undefined) givenUp.delete(oldest);
+  function rememberTimedOut(number: number): void {
+    timedOut.add(number);
+    const [oldest] = timedOut;
+    if (timedOut.size > maxTimedOutCalls && oldest !== undefined) timedOut.delete(oldest);
   }
 
-  function add(call: PendingCall, milliseconds: number): number {
+  function add(call: PendingCall, timeoutMilliseconds: number): number {
     lastNumber += 1;
     const number = lastNumber;
-    const timer = clock.startTimer(milliseconds, function timeOut() {
-      settle(number, Option.none);
-      rememberGivenUp(number);
-      call.onTimeOut();
+    const timer = clock.startTimer(timeoutMilliseconds, function onTimeout() {
+      complete(number, Option.none);
+      rememberTimedOut(number);
+      call.onTimeout();
     });
     entries.set(number, { ...call, timer });
     return number;
@@ -60,14 +60,14 @@
   return {
     add,
     kindOf: (number) => entries.get(number)?.kind,
-    settle,
-    settleAll: function settleAll() {
-      for (const number of [...entries.keys()]) settle(number, Option.none);
+    complete,
+    failAll: function failAll() {
+      for (const number of [...entries.keys()]) complete(number, Option.none);
     },
-    isLate: function isLate(call) {
-      return givenUp.delete(call);
+    acceptLateReply: function acceptLateReply(call) {
+      return timedOut.delete(call);
     },
-    forgetGivenUp: () => givenUp.clear(),
+    forgetTimedOut: () => timedOut.clear(),
     count: () => entries.size,
   };
 }
--- a/packages/peer/src/served-link.ts
+++ b/packages/peer/src/served-link.ts
@@ -7,7 +7,7 @@
 
 type CallFrame = Extract<Frame, { call: number }>;
 
-async function answer(link: Link, caller: Caller, handlers: Handlers, { call, kind, body }: CallFrame): Promise<void> {
+async function answerCall(link: Link, caller: Caller, handlers: Handlers, { call, kind, body }: CallFrame): Promise<void> {
   const handler = message.isKind(kind) ? handlers[kind] : undefined;
   if (handler === undefined || !message.isKind(kind)) {
     link.send({ deny: call, reason: `no handler for ${kind}` });
@@ -32,7 +32,7 @@
   return frame.call <= lastCall ? 'peer.repeated' : undefined;
 }
 
-async function answerCalls(runtime: Runtime, address: Address, link: Link, handlers: Handlers, caller: Caller): Promise<void> {
+async function serveCalls(runtime: Runtime, address: Address, link: Link, handlers: Handlers, caller: Caller): Promise<void> {
   let lastCall = 0;
   for (;;) {
     const frame = await link.receive();
@@ -44,11 +44,11 @@
     }
     const call = frame.value as CallFrame;
     lastCall = call.call;
-    void answer(link, caller, handlers, call);
+    void answerCall(link, caller, handlers, call);
   }
 }
 
-async function serve(runtime: Runtime, address: Address, link: Link, handlers: Handlers): Promise<void> {
+async function serveLink(runtime: Runtime, address: Address, link: Link, handlers: Handlers): Promise<void> {
   const outcome = await handshake.perform(runtime, link);
   if (outcome.kind !== 'agreed') {
     runtime.log('peer.incompatible', { address, reason: outcome.kind === 'incompatible' ? outcome.reason : 'it sent no greeting' });
@@ -60,12 +60,12 @@
     pushChange: (change) => link.send({ change }),
     isOpen: () => isOpen,
   };
-  await answerCalls(runtime, address, link, handlers, caller);
+  await serveCalls(runtime, address, link, handlers, caller);
   isOpen = false;
   link.close();
 }
 
 /** Answers calls on every link that is opened to an address; resolves once it listens. */
 export function listen(runtime: Runtime, address: Address, handlers: Handlers): Promise<Listening> {
-  return runtime.network.listen(address, (link) => void serve(runtime, address, link, handlers));
+  return runtime.network.listen(address, (link) => void serveLink(runtime, address, link, handlers));
 }
--- a/packages/simulator/mutations.mjs
+++ b/packages/simulator/mutations.mjs
@@ -201,8 +201,8 @@
     expect: 'recovery-late',
     only: ['all-stop', 'kill-core'],
     file: 'peer/build/dialled-peer.js',
-    from: 'const redialMilliseconds = 150;',
-    to: 'const redialMilliseconds = 9e9;',
+    from: 'const maxRedialMilliseconds = 150;',
+    to: 'const maxRedialMilliseconds = 9e9;',
   },
   {
     name: 'pool-knows-no-share',
