--- a/packages/node/src/applied-state.ts
+++ b/packages/node/src/applied-state.ts
@@ -1,4 +1,4 @@
-/** The keys that a node acts by, as a majority of cores has pushed them (design 5.2, 5.6). */
+/** The register keys that a node applies, once a majority of cores has pushed them (design 5.2, 5.6). */
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Ballot, Change, ElectedPrimary, Membership } from '@stallstall/message';
 import type { PlacementConfiguration } from '@stallstall/placement';
@@ -11,24 +11,24 @@
 /** @internal */
 export type AppliedState = Readonly<{
   configuration: () => Option.Option<AppliedValue<Configuration>>;
-  /** The version of the applied configuration; 0 while there is none. */
+  /** The version of the applied configuration; 0 if none is applied. */
   configurationVersion: () => number;
-  /** The membership table, or the set of cores where it may change. */
+  /** The membership table, or the core set in fleets whose core set may change. */
   membership: () => AppliedValue<Membership>;
   electedPrimary: (service: string) => Option.Option<ElectedPrimary>;
-  /** The placement as sent; a service whose members register has those of the member registry. */
+  /** The placement of the applied configuration; services with registered members list the members of the member registry. */
   placement: () => Option.Option<PlacementConfiguration>;
-  /** Takes a change that a core pushed; `link` is where its content is fetched from if it came without. */
+  /** Processes a change that a core pushed; if it lacks its content, the content is fetched over `link`. */
   receive: (core: string, link: Option.Option<ContentLink>, change: Change) => void;
-  /** The ballot of the newest configuration whose content is known here. */
+  /** The ballot of the newest configuration whose content this node has. */
   contentBallot: () => Ballot;
-  /** Counts anew what each core pushed, after the set of cores has changed. */
+  /** Counts the pushed changes again after the core set has changed. */
   recount: () => void;
-  /** Reads what is in doubt from the register. */
+  /** Reads keys from the register for which a change was pushed but not yet applied. */
   readUnapplied: () => void;
 }>;
 
-/** @param onApplied - called with the key once a new version of it is applied */
+/** @param onApplied - called with the key after a new version of it is applied */
 function create(context: NodeContext, { register, coreSets }: RegisterAccess, onApplied: (key: string) => void): AppliedState {
   const { runtime, registration } = context;
   const watch = watcher.create(runtime, {
@@ -40,10 +40,10 @@
     },
     cores: {
       number: coreSets.number,
-      includes: (core) => Option.isNone(context.coreSet) || context.cores.some((one) => one.node === core),
+      includes: (core) => Option.isNone(context.coreSet) || context.cores.some((seat) => seat.node === core),
     },
   });
-  // A core accepts nearly every configuration itself: what the others push of it needs no content (design 5.6).
+  // A core accepts nearly every configuration itself, so other cores push it without its content (design 5.6).
   const contents = contentFetcher.create(runtime, {
     coreSetNumber: coreSets.number,
     deliver: watch.receive,
--- a/packages/node/src/configuration.ts
+++ b/packages/node/src/configuration.ts
@@ -1,7 +1,7 @@
-/** The configuration as the register holds it. The field names are those of stored data (design 6.2, 6.5). */
+/** The configuration as stored in the register; its field names are part of the stored format (design 6.2, 6.5). */
 import type { PlacementConfiguration } from '@stallstall/placement';
 
-/** A version of a key that a majority of cores holds and this node acts by. */
+/** A version of a key that a majority of cores holds and this node has applied. */
 export type AppliedValue<Value> = Readonly<{ version: number; value: Value }>;
 
 export type Configuration = Readonly<{
@@ -10,13 +10,13 @@
   sentBy: string;
   /** Wall time in milliseconds since 1970. */
   sentAt: number;
-  /** The ids of the latest sends, so that none is taken twice; not pushed. */
+  /** The ids of the latest sends, so that a repeated send is not stored twice; not pushed to nodes. */
   recent: ReadonlyArray<Readonly<{ version: number; sendId: string }>>;
   /**
-   * The version its sender gave it and the text as sent, where another platform's operators count versions of their own (design 6.5); the
-   * digest of its document, which the claim table holds as well (design 6.6).
+   * For a configuration from a platform whose operators number versions themselves: the version its sender assigned, the text as sent
+   * (design 6.5), and the digest of the document, which is also stored in the claim table (design 6.6).
    */
   external?: Readonly<{ version: number; source: string; digest?: string }>;
-  /** Versions before this one, on disks of format 1 alone; archived at the next send. */
+  /** Earlier versions; only on disks of format 1, where the next send moves them to the archive. */
   history?: ReadonlyArray<Readonly<{ version: number; sheet: PlacementConfiguration; sendId: string; sentBy: string; sentAt: number }>>;
 }>;
--- a/packages/node/src/core-confirmations.ts
+++ b/packages/node/src/core-confirmations.ts
@@ -1,4 +1,4 @@
-/** How long this node may rely on its configuration: while a majority of cores confirms that nothing newer is acknowledged (design 5.2). */
+/** Tracks how long the applied configuration is valid: a majority of cores must confirm that no newer one is acknowledged (design 5.2). */
 import * as Option from 'fp-ts/lib/Option.js';
 import { identifiers, type Instant } from '@stallstall/kernel';
 import type { CoreSet } from '@stallstall/message';
@@ -7,29 +7,29 @@
 import type { AppliedState } from './applied-state.js';
 import type { NodeContext } from './node-context.js';
 
-/** `sentAt`: when the call that the core confirmed was sent; the versions are those on the core's disk. @internal */
+/** `sentAt`: when the confirmed call was sent. The versions are those on the core's disk. @internal */
 export type CoreConfirmation = Readonly<{ sentAt: Instant; configuration: number; membership: number }>;
 
 /** @internal */
 export type CoreConfirmations = Readonly<{
   record: (core: string, confirmation: CoreConfirmation) => void;
-  /** Forgets cores that are not of this set. */
+  /** Removes the confirmations of cores outside this set. */
   retain: (set: CoreSet) => void;
-  /** When a majority last confirmed that nothing newer than what is applied here is acknowledged, plus a term. */
+  /** One lease term after a majority last confirmed that nothing newer than the applied versions is acknowledged. */
   leaseUntil: () => Instant;
 }>;
 
 function create(context: NodeContext, applied: AppliedState): CoreConfirmations {
   const confirmations = new Map<string, CoreConfirmation>();
 
-  /** The version of a key on this core's own disk. */
+  /** The version of a key on this core's own disk; 0 if there is none or this node is an edge. */
   function localVersion(key: string): number {
     const { localReplica } = context.parts;
     const entry = Option.isSome(localReplica) ? localReplica.value.acceptedEntry(key) : Option.none;
     return Option.isSome(entry) ? entry.value.version : 0;
   }
 
-  /** When each core confirmed that it holds nothing newer than these versions. */
+  /** When each core last confirmed, for cores that hold nothing newer than these versions. */
   function confirmedAt(configuration: number, membership: number): readonly Instant[] {
     const remote = context.cores.flatMap(function confirmed(core) {
       const confirmation = confirmations.get(core.node);
--- a/packages/node/src/core-watch.ts
+++ b/packages/node/src/core-watch.ts
@@ -1,4 +1,4 @@
-/** What each core confirms to this node: that nothing newer is acknowledged than what is applied here (design 5.2, 7.14). */
+/** Acknowledges the changes that cores push and records the cores' confirmations that nothing newer exists (design 5.2, 7.14). */
 import * as Option from 'fp-ts/lib/Option.js';
 import { identifiers, type Instant } from '@stallstall/kernel';
 import type { Change, CoreSet } from '@stallstall/message';
@@ -11,20 +11,20 @@
 
 /** @internal */
 export type CoreWatch = Readonly<{
-  /** A new connection begins to count its changes anew. */
+  /** The numbers of pushed changes start again on a new connection. */
   onConnected: (core: string) => void;
   onChange: (core: string, link: Peer, change: Change) => void;
-  /** Acknowledges what a core pushed, and takes its confirmation. */
+  /** Acknowledges a core's pushed changes and records its confirmation. */
   watch: (core: string, link: Peer) => Promise<void>;
-  /** A node replied to a call that was sent then. */
+  /** Records that a node replied to a call sent at this time. */
   recordReply: (node: string, sentAt: Instant) => void;
-  /** The latest moment after which a majority of cores, this node included where it is one, was asked and has replied (design 7.14). */
+  /** The latest time such that a majority of cores, including this node if it is one, replied to calls sent since (design 7.14). */
   majorityContactAt: () => Instant;
-  /** When a majority of cores last confirmed that nothing newer than what is applied here is acknowledged, plus a term. */
+  /** One lease term after a majority of cores last confirmed that nothing newer than the applied versions is acknowledged. */
   configurationLeaseUntil: () => Instant;
-  /** The most puts that a core's disk is known to have taken; 0 when nothing is known. */
+  /** The highest put count that a core's disk has reported; 0 if it has reported none. */
   knownPuts: (core: string) => number;
-  /** Forgets what does not hold of the cores of a new set. */
+  /** Drops the state of cores that are not in the new set or have another disk there. */
   onCoreSet: (next: CoreSet) => void;
 }>;
 
@@ -41,7 +41,7 @@
   const acknowledgedChanges = new Map<string, number>();
   const confirmations = coreConfirmations.create(context, applied);
   const putCounts = new Map<string, number>();
-  /** When the newest call that a node replied to was sent. */
+  /** By node: when the newest call that it replied to was sent. */
   const repliedAt = new Map<string, Instant>();
 
   function recordReply(node: string, sentAt: Instant): void {
@@ -79,7 +79,7 @@
 
   function onCoreSet(next: CoreSet): void {
     for (const seat of next.seats) {
-      // A core with another disk than before counts its puts anew.
+      // A core with a new disk counts its puts from zero.
       const hasSameDisk = Option.isSome(context.coreSet) && quorum.findNode(context.coreSet.value, seat.node)?.disk === seat.disk;
       if (Option.isSome(context.coreSet) && !hasSameDisk) putCounts.delete(seat.node);
     }
--- a/packages/node/src/heartbeats.ts
+++ b/packages/node/src/heartbeats.ts
@@ -1,4 +1,4 @@
-/** Heartbeats between nodes: each reports its epochs, its connection caps and the membership it acts by (design 3.4, 7.3). */
+/** Heartbeats between nodes: each reports its epochs, its connection caps and its applied membership version (design 3.4, 7.3). */
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Instant } from '@stallstall/kernel';
 import type { Reply, Request } from '@stallstall/message';
@@ -8,7 +8,7 @@
 import type { Incarnations } from './incarnations.js';
 import { callTimeoutMilliseconds, type NodeContext } from './node-context.js';
 
-/** What a node reported with its newest heartbeat, and when it arrived. @internal */
+/** What a node's newest heartbeat reported, and when it arrived. @internal */
 export type HeartbeatReport = Readonly<{
   membership: number;
   epochs: Readonly<Record<string, number>>;
@@ -20,7 +20,7 @@
 export type Heartbeats = Readonly<{
   send: (node: string, link: Peer) => Promise<void>;
   receive: (request: Request<'beat'>) => Reply<'beat'>;
-  /** None for a node that has reported nothing yet. */
+  /** None for a node that has sent no heartbeat yet. */
   reportOf: (node: string) => Option.Option<HeartbeatReport>;
   forget: (node: string) => void;
 }>;
@@ -30,7 +30,7 @@
   applied: AppliedState;
   incarnations: Incarnations;
   lease: QuorumLease;
-  /** The epochs that this node counts for. */
+  /** By service: the epoch that this node supports. */
   epochs: () => Readonly<Record<string, number>>;
   linkTo: (node: string) => Peer | undefined;
   recordReply: (node: string, sentAt: Instant) => void;
@@ -45,7 +45,7 @@
   const { applied, incarnations, linkTo: linkOf } = parts;
   const reports = new Map<string, HeartbeatReport>();
 
-  /** Where edges hold leases no core holds one of its own: cores tell edges their epochs, and each other only that they run. */
+  /** In fleets whose edges hold leases, cores hold none: they report epochs to edges only, and to each other only that they are alive. */
   function ownReport(): Report {
     const epochs = Option.isSome(registration) ? {} : { ...parts.epochs() };
     return { epochs, caps: { ...context.parts.connectionCaps() }, membership: applied.membership().version };
@@ -61,12 +61,12 @@
     if (Option.isSome(reply) && reply.value.fleet === context.fleet && reply.value.set !== undefined) parts.observeCoreSet(reply.value.set);
   }
 
-  /** Whichever of the two nodes is behind is told of the newer set of cores (design 4.8). */
+  /** Brings whichever of the two nodes has the older core set up to date (design 4.8). */
   function exchangeCoreSet(link: Peer, reportedNumber: number): void {
     if (Option.isNone(context.coreSet)) return;
     const { value: set } = context.coreSet;
     if (reportedNumber > set.number) void fetchNewerSet(link);
-    // One that is behind may have no link to anybody who is further.
+    // Pushed because the other node may have no link to any node with the newer set.
     if (reportedNumber < set.number) void link.call('adopt', { fleet: context.fleet, set }, callTimeoutMilliseconds);
   }
 
--- a/packages/node/src/incarnations.ts
+++ b/packages/node/src/incarnations.ts
@@ -1,4 +1,4 @@
-/** A restart is the same node with a later incarnation; the register hands the number out (design 4.1). */
+/** Incarnation numbers: a restarted node gets the next number from the register (design 4.1). */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { fault, type Fault } from '@stallstall/kernel';
@@ -7,13 +7,13 @@
 
 /** @internal */
 export type Incarnations = Readonly<{
-  /** This process's own; 0 until the register has handed it out. */
+  /** This process's incarnation; 0 until the register has assigned it. */
   own: () => number;
-  /** Keeps the latest incarnation of a node; true when a later one than this is known. */
+  /** Records the incarnation of a node; true if a later one is already known. */
   isSuperseded: (node: string, incarnation: number) => boolean;
-  /** Resolves once this process has its number, has been superseded or has stopped. */
+  /** Resolves once this process has its number, is superseded or has stopped. */
   acquire: () => Promise<void>;
-  /** Why this process must not go on once another runs as the same node. */
+  /** The reason to end this process when another one runs as the same node. */
   supersededFault: () => Fault;
 }>;
 
@@ -27,8 +27,8 @@
   const latest = new Map<string, number>();
   let own = 0;
 
-  /** Takes the next number under this process's token; none while the register does not reply. */
-  async function takeNumber(token: string): Promise<Option.Option<IncarnationRecord>> {
+  /** Requests the next number under this process's token; none if the register does not reply. */
+  async function requestNumber(token: string): Promise<Option.Option<IncarnationRecord>> {
     const changed = await register.change(`incarnation/${settings.node}`, function next(current) {
       const record = Option.isSome(current) ? (current.value.value as IncarnationRecord) : { number: 0, token: '' };
       return record.token === token ? Option.none : Option.some({ number: record.number + 1, token });
@@ -42,7 +42,7 @@
     while (!context.isStopped && own === 0) {
       await runtime.clock.sleep(retryMilliseconds);
       if (context.cores.length === 0) continue;
-      const record = await takeNumber(token);
+      const record = await requestNumber(token);
       if (Option.isNone(record)) continue;
       if (record.value.token !== token) return onSuperseded();
       own = record.value.number;
--- a/packages/node/src/member-routes.ts
+++ b/packages/node/src/member-routes.ts
@@ -1,4 +1,4 @@
-/** Routes by which members send heartbeats over this product's own HTTP (design 7.1). */
+/** HTTP routes that receive members' heartbeats (design 7.1). */
 import * as Option from 'fp-ts/lib/Option.js';
 import { MemberStateSchema, type Liveness } from '@stallstall/election';
 import { fault, http, type Fault, type HttpReply, type HttpRequest, type HttpRoute } from '@stallstall/kernel';
@@ -8,7 +8,7 @@
 function malformedHeartbeat(): Fault {
   return fault.create({
     kind: 'bad-request',
-    message: 'a beat is {member, role, epoch, received, applied} of the member named in the path',
+    message: 'a heartbeat must be {member, role, epoch, received, applied}, with the member named in the path',
     remedy: 'send these five fields',
   });
 }
@@ -22,7 +22,7 @@
   });
 }
 
-/** @param placement - the placement configuration that is applied now */
+/** @param placement - the applied placement configuration */
 function create(node: string, members: Liveness, placement: () => Option.Option<PlacementConfiguration>): readonly HttpRoute[] {
   async function heartbeat(request: HttpRequest): Promise<HttpReply> {
     const current = placement();
--- a/packages/node/src/membership-join.ts
+++ b/packages/node/src/membership-join.ts
@@ -1,4 +1,4 @@
-/** Has this node listed in the membership table, where an operator runs the fleet (design 4.2). */
+/** Joins this node to the membership table of an operator-run fleet (design 4.2). */
 import * as Option from 'fp-ts/lib/Option.js';
 import { quorum } from '@stallstall/quorum';
 import type { AppliedState } from './applied-state.js';
@@ -9,7 +9,7 @@
 const joinTimeoutMilliseconds = 2_000;
 const checkIntervalMilliseconds = heartbeatMilliseconds / 2;
 
-/** Asks one core after the other until one has listed this node; resolves to the last reason why none did. */
+/** Sends `join` to one core after another until one has added this node; resolves to the last reason why a core declined. */
 async function requestJoin(context: NodeContext, links: PeerLinks, lastReason: string): Promise<string> {
   let reason = lastReason;
   for (const core of context.cores) {
@@ -23,13 +23,13 @@
   return reason;
 }
 
-/** Runs until the node stops; a node that is listed with another address than its own asks again. */
+/** Runs until the node stops. A node whose entry has an outdated address joins again. */
 async function keepJoined(context: NodeContext, links: PeerLinks, applied: AppliedState, incarnations: Incarnations): Promise<void> {
   const { runtime, settings, registration } = context;
   let lastReason = '';
   while (!context.isStopped) {
     await runtime.clock.sleep(checkIntervalMilliseconds);
-    // Where the set of cores changes by itself, a core asks to be taken in before it is of the fleet (design 4.8).
+    // In fleets that replace cores automatically, a core joins before it is part of the fleet, by another path (design 4.8).
     if (Option.isSome(registration) || incarnations.own() === 0) continue;
     const listed = quorum.findNode(applied.membership().value, settings.node);
     const isListed = listed !== undefined && listed.address === settings.address && listed.outward === settings.outward;
--- a/packages/node/src/node-settings.ts
+++ b/packages/node/src/node-settings.ts
@@ -1,14 +1,15 @@
-/** Settings that a core and an agent share. */
+/** Settings common to cores and agents. */
 export type NodeSettings = Readonly<{
   /** This node's id. */
   node: string;
-  /** The failure domain that the machine stands in. */
+  /** The failure domain of the machine. */
   area: string;
-  /** Where other nodes reach this one, and where members and operators do. */
+  /** The address for other nodes. */
   address: string;
+  /** The address for members and operators. */
   outward: string;
-  /** Asked at each greeting, since the settings file may change while the process runs. */
+  /** Read each time seeds are contacted, since the settings file may change while the process runs. */
   seeds: () => readonly string[];
-  /** Asked at each call, since the settings file may change while the process runs. */
+  /** Read at each call, since the settings file may change while the process runs. */
   platform: () => string;
 }>;
--- a/packages/node/src/node.ts
+++ b/packages/node/src/node.ts
@@ -1,4 +1,4 @@
-/** What a core and an agent share: discovery, heartbeats, applied keys, failure detection, leases and election (design 3, 4). */
+/** The functions common to cores and agents: discovery, heartbeats, applied keys, failure detection, leases and elections (design 3, 4). */
 import * as Option from 'fp-ts/lib/Option.js';
 import { election, electionService, liveness, livenessService, type Election, type Liveness } from '@stallstall/election';
 import { fault, identifiers, runtimeUtilities, type Fault, type HttpRoute, type Instant, type Runtime } from '@stallstall/kernel';
@@ -24,7 +24,7 @@
 /** Connection caps by service. */
 export type ConnectionCaps = Readonly<Record<string, number>>;
 
-/** What a node reported of itself: the membership version it acts by, and its epoch for each service. */
+/** What a node reported about itself: its applied membership version, and its epoch for each service. */
 export type ReportedEpochs = Readonly<{ node: string; membership: number; epochs: Readonly<Record<string, number>> }>;
 
 export type Node = Readonly<{
@@ -34,33 +34,33 @@
   configuration: () => Option.Option<AppliedValue<Configuration>>;
   membership: () => AppliedValue<Membership>;
   electedPrimary: (service: string) => Option.Option<ElectedPrimary>;
-  /** When a majority of cores last confirmed that nothing newer than what is applied here is acknowledged, plus a term. */
+  /** One lease term after a majority of cores last confirmed that nothing newer than the applied versions is acknowledged. */
   configurationLeaseUntil: () => Instant;
-  /** When this node's lease for a service ends; in the past while it holds none. */
+  /** When this node's lease for a service ends; in the past if it holds none. */
   serviceLeaseUntil: (service: string) => Instant;
   durableReports: DurableReports;
-  /** What every other edge reported last of its caps; none for one that has reported nothing yet. */
+  /** The caps last reported by each other edge; none for an edge that has reported nothing yet. */
   connectionCapsOfOthers: () => ReadonlyArray<Option.Option<ConnectionCaps>>;
-  /** The epoch that this node counts for, by service (design 7.3). */
+  /** By service: the epoch that this node supports (design 7.3). */
   epochs: () => Readonly<Record<string, number>>;
-  /** This node's epochs, and those of every other node that has reported any. */
+  /** This node's epochs and those of every other node that has reported. */
   reportedEpochs: () => readonly ReportedEpochs[];
   lastHeartbeatAt: (node: string) => Option.Option<Instant>;
-  /** The latest moment after which a majority of cores, this node included where it is one, was asked and has replied (design 7.14). */
+  /** The latest time such that a majority of cores, including this node if it is one, replied to calls sent since (design 7.14). */
   majorityContactAt: () => Instant;
   peerOf: (node: string) => Option.Option<Peer>;
   cores: () => readonly NodeRecord[];
   setCores: (cores: readonly NodeRecord[]) => void;
-  /** Counts majorities of this set of cores from now on, where it may change: it is the membership table as well (design 4.8). */
+  /** Uses this core set from now on, for majorities and as the membership table (design 4.8). */
   followCoreSet: (set: CoreSet) => void;
   incarnation: () => number;
   ownRecord: () => NodeRecord;
   /** The fleet's id; empty until it is found. */
   fleet: () => string;
   setFleet: (fleet: string) => void;
-  /** Takes what a core's own disk accepted, as if it had been pushed. */
+  /** Processes a change that this core's own disk accepted like one that another core pushed. */
   receiveOwnChange: (core: string, change: Change) => void;
-  /** Whether a later incarnation of that node is known here. */
+  /** Records the incarnation of a node; true if a later one is already known. */
   isSuperseded: (node: string, incarnation: number) => boolean;
   start: () => void;
   stop: () => void;
@@ -111,7 +111,7 @@
   members.closeConnectionsExcept(new Set());
 }
 
-/** Ends the process, which must not go on. */
+/** Stops this node and ends the process. */
 function endProcess(assembly: Assembly, reason: Fault): void {
   if (assembly.context.isStopped) return;
   stop(assembly);
@@ -122,7 +122,7 @@
   return fault.create({
     kind: 'departed',
     message: `${node} was taken out of the membership table`,
-    remedy: 'start it again only if it is to join anew',
+    remedy: 'start it again only if it is to join the fleet again',
   });
 }
 
@@ -131,7 +131,7 @@
   const { settings } = context;
   const table = applied.membership().value;
   const isListed = quorum.findNode(table, settings.node) !== undefined;
-  // A core that is of its set no more goes on without a seat, and may be given another (design 4.8).
+  // A core that was removed from the core set keeps running, since it may be added again (design 4.8).
   if (wasListed.current && !isListed && Option.isNone(context.coreSet)) return endProcess(assembly, departedFault(settings.node));
   wasListed.current = isListed;
   for (const seat of table.seats) if (seat.node !== settings.node) links.ensure(seat);
--- a/packages/node/src/peer-links.ts
+++ b/packages/node/src/peer-links.ts
@@ -1,4 +1,4 @@
-/** Links to other nodes: one connection to each, with a task of its own (design 3.2). */
+/** Links to other nodes: one connection to each, with its own periodic tasks (design 3.2). */
 import { identifiers, runtimeUtilities } from '@stallstall/kernel';
 import type { Change, NodeRecord } from '@stallstall/message';
 import { peer, type Peer } from '@stallstall/peer';
@@ -6,11 +6,11 @@
 
 /** @internal */
 export type PeerLinks = Readonly<{
-  /** The link to a node; undefined where there is none. */
+  /** The link to a node; undefined if there is none. */
   linkTo: (node: string) => Peer | undefined;
-  /** Dials a node, unless there is a link to that address. */
+  /** Dials a node unless there is already a link to this address. */
   ensure: (seat: NodeRecord) => void;
-  /** Closes links to all other nodes; returns the nodes that were closed. */
+  /** Closes the links to unwanted nodes; returns those nodes. */
   retain: (isWanted: (node: string) => boolean) => readonly string[];
   closeAll: () => void;
 }>;
@@ -19,9 +19,9 @@
 export type PeerLinkEvents = Readonly<{
   onConnected: (node: string) => void;
   onChange: (node: string, link: Peer, change: Change) => void;
-  /** Called every `heartbeatMilliseconds` for as long as the link is the one to that node. */
+  /** Called every `heartbeatMilliseconds` while this is the current link to the node. */
   onHeartbeat: (node: string, link: Peer) => Promise<void>;
-  /** The same for links to cores. */
+  /** Like `onHeartbeat`, for links to cores only. */
   onWatch: (core: string, link: Peer) => Promise<void>;
 }>;
 
@@ -35,7 +35,7 @@
     return links.get(node)?.peer;
   }
 
-  /** Repeats an action until the link is closed; a slow action does not delay the next one. */
+  /** Runs an action periodically until the link is replaced or closed; a slow run does not delay the next one. */
   function repeat(node: string, link: Peer, action: (node: string, link: Peer) => Promise<void>): void {
     void runtimeUtilities.every(
       runtime.clock,
--- a/packages/node/src/register-access.ts
+++ b/packages/node/src/register-access.ts
@@ -1,4 +1,4 @@
-/** The register and the durable reports as this node reaches them: its own disk, and the other cores over their links (design 5.1, 5.5). */
+/** This node's access to the register and the durable reports: on its own disk, and on other cores over links (design 5.1, 5.5). */
 import * as Option from 'fp-ts/lib/Option.js';
 import {
   durableReports,
@@ -44,7 +44,7 @@
   return Option.isSome(localReplica) ? [localReplica.value.reportReplica, ...remote] : remote;
 }
 
-/** Offers both to the process's other services. */
+/** Creates both and offers them to the other services of the process. */
 function create(context: NodeContext, links: PeerLinks): RegisterAccess {
   const { runtime, settings, parts, registration } = context;
   const coreSets: CoreSetSource = {
--- a/packages/node/src/seed-discovery.ts
+++ b/packages/node/src/seed-discovery.ts
@@ -1,4 +1,4 @@
-/** Finds the fleet through the seeds that the settings name (design 3.3). */
+/** Finds the fleet through the seed nodes in the settings (design 3.3). */
 import * as Option from 'fp-ts/lib/Option.js';
 import { identifiers, runtimeUtilities } from '@stallstall/kernel';
 import type { NodeRecord } from '@stallstall/message';
@@ -8,7 +8,7 @@
 
 /** @internal */
 export type SeedDiscovery = Readonly<{
-  /** Until this node is part of a fleet, greets every seed that the settings name by now. */
+  /** Sends `hello` to every seed currently in the settings, until this node is part of a fleet. */
   contactSeeds: () => void;
 }>;
 
