--- a/packages/agent/src/agent-context.ts
+++ b/packages/agent/src/agent-context.ts
@@ -1,4 +1,4 @@
-/** What the modules of an agent share. */
+/** State shared by the modules of an agent. */
 import type { Instant, Runtime } from '@stallstall/kernel';
 import type { Node, NodeSettings } from '@stallstall/node';
 import type { ConnectionCaps } from './connection-caps.js';
@@ -7,11 +7,11 @@
 
 export type AgentSettings = NodeSettings &
   Readonly<{
-    /** Where the proxy of this machine asks. */
+    /** The address on which this machine's proxy connects to the agent. */
     feed: string;
   }>;
 
-/** A proxy that has asked or reported nothing for so long is taken for gone. Unit: milliseconds. @internal */
+/** A proxy that has sent no request or report for this time is considered down. Unit: milliseconds. @internal */
 export const proxySilenceMilliseconds = 2_500;
 
 /** @internal */
@@ -24,7 +24,7 @@
   readonly reports: ProxyReports;
   proxyReportedAt: Instant | undefined;
   proxyRequestedAt: Instant | undefined;
-  /** What the proxy has counted since it began. */
+  /** The proxy's counters since it started. */
   proxyMetrics: Readonly<Record<string, number>>;
   isStopped: boolean;
 };
--- a/packages/agent/src/agent-routes.ts
+++ b/packages/agent/src/agent-routes.ts
@@ -1,4 +1,4 @@
-/** Routes that tell of an agent's own state, in the form of the cores' own (design 9.5). */
+/** HTTP routes for an agent's metrics and health, in the same format as those of cores (design 9.5). */
 import * as Option from 'fp-ts/lib/Option.js';
 import type { HttpReply, HttpRoute } from '@stallstall/kernel';
 import { quorum } from '@stallstall/quorum';
@@ -6,17 +6,17 @@
 import { proxySilenceMilliseconds, type AgentContext } from './agent-context.js';
 import { clampToLeaseTerm } from './proxy-feed.js';
 
-/** `sound` is false where an operator should act. */
+/** `sound` is false if an operator should act. */
 type HealthCheck = Readonly<{ check: string; sound: boolean; detail: string; remedy: string }>;
 
 /** Services for which this edge holds no lease. */
 function servicesWithoutLease({ runtime, node }: AgentContext): readonly string[] {
   const configuration = node.configuration();
-  const services = Option.isSome(configuration) ? configuration.value.value.sheet.services.map((one) => one.service) : [];
+  const services = Option.isSome(configuration) ? configuration.value.value.sheet.services.map(({ service }) => service) : [];
   return services.filter((service) => node.serviceLeaseUntil(service) <= runtime.clock.now());
 }
 
-/** How many nodes were heard within a term, this one among them. */
+/** How many nodes sent a heartbeat within a lease term, including this one. */
 function countReachableNodes({ runtime, node }: AgentContext): number {
   const reachable = node.membership().value.seats.filter(function isReachable(seat) {
     const at = node.lastHeartbeatAt(seat.node);
@@ -47,19 +47,19 @@
   return {
     check: 'control',
     sound,
-    detail: sound ? 'a majority of cores confirms this edge' : 'no majority of cores has confirmed this edge within its term',
-    remedy: 'see whether this machine reaches the cores',
+    detail: sound ? 'a majority of cores confirms this edge' : 'no majority of cores has confirmed this edge within the lease term',
+    remedy: 'check whether this machine can reach the cores',
   };
 }
 
 function checkNodes(context: AgentContext): HealthCheck {
   const total = context.node.membership().value.seats.length;
-  const heard = countReachableNodes(context);
+  const reachable = countReachableNodes(context);
   return {
     check: 'nodes',
-    sound: heard >= quorum.majority(total),
-    detail: `${heard} of ${total} heard`,
-    remedy: 'see whether this machine reaches the others',
+    sound: reachable >= quorum.majority(total),
+    detail: `${reachable} of ${total} nodes reachable`,
+    remedy: 'check whether this machine can reach the other nodes',
   };
 }
 
@@ -68,7 +68,7 @@
   return {
     check: 'fence',
     sound: missing.length === 0,
-    detail: missing.length === 0 ? 'open for every service' : `shut for ${missing.join(' ')}`,
+    detail: missing.length === 0 ? 'a lease is held for every service' : `no lease for ${missing.join(' ')}`,
     remedy: 'see stallstall elections',
   };
 }
@@ -78,7 +78,7 @@
   return {
     check: 'proxy',
     sound,
-    detail: sound ? 'the proxy asks' : 'the proxy does not ask',
+    detail: sound ? 'the proxy is connected' : 'the proxy sends no requests',
     remedy: 'start the proxy of this edge, with the feed address of this agent',
   };
 }
--- a/packages/agent/src/agent.ts
+++ b/packages/agent/src/agent.ts
@@ -1,4 +1,4 @@
-/** The agent beside each proxy: keeps the link to the control plane and feeds its proxy over loopback (design 3.4). */
+/** The agent that runs beside each proxy: maintains the links to the control plane and serves its proxy over loopback (design 3.4). */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { livenessService } from '@stallstall/election';
@@ -18,9 +18,9 @@
 
 export type Agent = Readonly<{
   node: Node;
-  /** Ends once what is being reported is stored, or after its grace. */
+  /** Stops once all pending reports are stored, or after a timeout. */
   drain: () => Promise<void>;
-  /** Ends at once. */
+  /** Stops immediately. */
   stop: () => Promise<void>;
 }>;
 
@@ -59,7 +59,7 @@
   return context.reports.store(request);
 }
 
-/** A proxy that has reported nothing for a while serves nothing more that could still be reported. */
+/** Reports usage as complete on behalf of a silent proxy, which serves nothing more that could still be reported. */
 function reportSilentProxy({ runtime, settings, node, proxyReportedAt }: AgentContext): void {
   const isSilent = proxyReportedAt === undefined || runtime.clock.now() - proxyReportedAt > proxySilenceMilliseconds;
   if (!isSilent || node.cores().length === 0) return;
@@ -89,10 +89,10 @@
   void runtimeUtilities.every(runtime.clock, proxySilenceMilliseconds, () => reportSilentProxy(context), isRunning);
 }
 
-/** Right once the agent listens. Errors: `bad-settings` without a node id. */
+/** Resolves to the agent once it listens. Errors: `bad-settings` without a node id. */
 async function start(runtime: Runtime, settings: AgentSettings): Promise<Either.Either<Fault, Agent>> {
   if (settings.node === '') {
-    return Either.left(fault.create({ kind: 'bad-settings', message: 'the agent has no node id', remedy: 'name one with --node' }));
+    return Either.left(fault.create({ kind: 'bad-settings', message: 'the agent has no node id', remedy: 'set one with --node' }));
   }
   const context = assemble(runtime, settings);
   const listening = await listen(context);
@@ -101,10 +101,10 @@
   async function stop(): Promise<void> {
     context.isStopped = true;
     context.node.stop();
-    for (const entry of listening) await entry.stop();
+    for (const listener of listening) await listener.stop();
   }
 
-  /** What is being reported is stored before this process ends (design 7.10). */
+  /** Waits until pending reports are stored before the process ends (design 7.10). */
   async function drain(): Promise<void> {
     const deadline = identifiers.after(runtime.clock.now(), drainTimeoutMilliseconds);
     while (runtime.clock.now() < deadline && context.reports.pendingCount() > 0) await runtime.clock.sleep(drainPollMilliseconds);
--- a/packages/agent/src/connection-caps.ts
+++ b/packages/agent/src/connection-caps.ts
@@ -1,4 +1,4 @@
-/** This edge's share of each member's connections: it shrinks at once and grows only into what others have left free (design 8.3). */
+/** This edge's share of each member's connections: it shrinks at once and grows only into connections that other edges leave free (design 8.3). */
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Clock, Instant } from '@stallstall/kernel';
 import type { Node } from '@stallstall/node';
@@ -8,22 +8,22 @@
 
 /** @internal */
 export type ConnectionCaps = Readonly<{
-  /** The proxy holds so many connections to any one member, by service. */
+  /** Records, by service, the most connections that the proxy has open to any one member. */
   recordOpen: (open: Readonly<Record<string, number>>) => void;
-  /** The membership or the configuration has changed: shares grow only once every node knows of it. */
+  /** Called when the membership or the configuration changes: shares grow only after every node has applied the change. */
   onLayoutChanged: () => void;
-  /** What the other nodes are told: the most connections that this edge holds or may hold. */
+  /** Reported to other nodes, by service: the most connections to any one member that this edge has or may open. */
   reported: () => Readonly<Record<string, number>>;
-  /** What the proxy may hold. */
+  /** By service: the connections that the proxy may have to any one member. */
   allowed: () => Readonly<Record<string, number>>;
-  /** Reckons the shares anew. */
+  /** Recalculates the shares. */
   refresh: () => void;
 }>;
 
-/** A layout that has stood so long is known to every node whose leases still run. */
+/** After this time without a change, every node with an unexpired lease has applied the layout. */
 const layoutPropagationMilliseconds = leaseTermMilliseconds + leaseMarginMilliseconds;
 
-/** @param node - looked up at each call: caps are asked for before the node is complete */
+/** @param node - a getter, since caps are requested before the node is fully constructed */
 function create(clock: Clock, node: () => Node): ConnectionCaps {
   const caps = new Map<string, number>();
   let open: Readonly<Record<string, number>> = {};
@@ -34,7 +34,7 @@
     return Object.fromEntries([...services].map((service) => [service, Math.max(caps.get(service) ?? 0, open[service] ?? 0)]));
   }
 
-  /** What the other edges hold or may hold; one that has reported nothing yet counts with a whole share. */
+  /** The connections that the other edges have or may open; an edge that has not reported yet counts with a full share. */
   function claimedByOthers(service: string, share: number): number {
     return node()
       .connectionCapsOfOthers()
@@ -55,7 +55,7 @@
   function refreshService(placement: ServicePlacement): void {
     const { service, connectionLimit } = placement;
     const share = shareOf(placement);
-    // What a proxy holds already, its agent's predecessor had reported to the others: a restarted agent takes it over.
+    // Connections the proxy already has were reported by this agent's previous process, so a restarted agent keeps them in its share.
     const current = Math.max(caps.get(service) ?? 0, Math.min(share, open[service] ?? 0));
     caps.set(service, Math.min(share, current));
     if (share <= current || !mayGrow()) return;
--- a/packages/agent/src/edge-votes.ts
+++ b/packages/agent/src/edge-votes.ts
@@ -1,4 +1,4 @@
-/** An edge has no disk: its votes live in the register, durable on a majority before any ACCEPT leaves (design 7.2). */
+/** Votes of an edge, which has no disk: they are stored in the register, on a majority of cores before ACCEPT is sent (design 7.2). */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { Type } from '@sinclair/typebox';
--- a/packages/agent/src/lease-agent.ts
+++ b/packages/agent/src/lease-agent.ts
@@ -1,4 +1,4 @@
-/** The agent of an edge that holds leases: no vote, no seat in the table; it feeds its proxy with placement (design 7.12, 8.10). */
+/** The agent of an edge that holds leases: it neither votes nor is in the membership table, and sends its proxy placement updates (design 7.12, 8.10). */
 import * as Option from 'fp-ts/lib/Option.js';
 import { identifiers, type Runtime, type Listening } from '@stallstall/kernel';
 import { leaseHolder, type LeaseHolder } from '@stallstall/lease';
@@ -11,40 +11,40 @@
 
 export type LeaseAgentSettings = Readonly<{
   node: string;
-  /** The failure domain that this edge stands in. */
+  /** The failure domain of this edge. */
   area: string;
-  /** Where the proxy of this machine asks for placement. */
+  /** The address on which this machine's proxy requests placement. */
   feed: string;
-  /** Asked at each greeting, since the settings file may change while the process runs. */
+  /** Read each time seeds are contacted, since the settings file may change while the process runs. */
   seeds: () => readonly string[];
 }>;
 
 export type LeaseAgent = Readonly<{
-  /** Ends once the proxy has ended, or after its grace. */
+  /** Stops once the proxy has exited, or after a timeout. */
   drain: () => Promise<void>;
-  /** Ends at once. */
+  /** Stops immediately. */
   stop: () => Promise<void>;
 }>;
 
 type AgentState = {
   readonly runtime: Runtime;
   readonly settings: LeaseAgentSettings;
-  /** Names this process: a proxy that reports another token has seen nothing of it. */
+  /** Identifies this process: a proxy that reports another token has received no update from it. */
   readonly token: string;
   readonly proxy: ProxyState;
   readonly holder: LeaseHolder;
   readonly updates: PlacementUpdates;
   readonly reports: ProxyReports;
-  /** The link over which the proxy asks. */
+  /** The link of the proxy's latest request. */
   proxyLink: Caller | undefined;
   isDraining: boolean;
 };
 
 const drainTimeoutMilliseconds = 5_600;
-/** While the agent drains it holds no request longer, so that it sees the proxy's end soon. */
+/** The longest time a draining agent holds a request, so that it soon notices that the proxy has exited. */
 const maxDrainingHoldMilliseconds = 50;
 const drainPollMilliseconds = 10;
-/** A proxy that has just begun gets so long to ask. */
+/** A proxy that has just started has this long to send its first request. */
 const minimumDrainMilliseconds = 300;
 
 function placementsOf(runtime: Runtime, holder: LeaseHolder): readonly Placement[] {
@@ -69,7 +69,7 @@
   return Object.fromEntries(watermarks);
 }
 
-/** Takes what the proxy reports; what it releases, or is refused by, the cores hear at once. */
+/** Records the proxy's report; released epochs and members that refuse connections are reported to the cores at once. */
 function processReport({ proxy, holder }: AgentState, request: Request<'placement'>): void {
   const { isRestarted, isChanged } = proxy.update(request);
   if (isRestarted) holder.onProxyRestarted();
@@ -84,7 +84,7 @@
   if (isUpToDate && hold > 0) await updates.wait(isDraining ? Math.min(hold, maxDrainingHoldMilliseconds) : hold);
 }
 
-/** Replies at once with an update, or at the latest after the request's `hold`. */
+/** Replies at once if there is an update, otherwise at the next update or after the request's `hold`. */
 async function placement(state: AgentState, request: Request<'placement'>, caller: Caller): Promise<Reply<'placement'>> {
   const { runtime, settings, token, proxy, holder, updates } = state;
   state.proxyLink = caller;
@@ -112,7 +112,7 @@
   };
 }
 
-/** Stays for as long as the proxy does: one that ends needs its leases for what is in flight; the next one's agent is the next (design 7.10). */
+/** Waits for the proxy, which needs its leases for in-flight transactions; the next proxy has an agent of its own (design 7.10). */
 async function waitForProxyExit(state: AgentState): Promise<void> {
   const { clock } = state.runtime;
   state.isDraining = true;
@@ -138,7 +138,7 @@
   return { runtime, settings, token, proxy, holder, updates, reports, proxyLink: undefined, isDraining: false };
 }
 
-/** Resolves once the proxy can connect. */
+/** Resolves once the agent accepts connections from the proxy. */
 async function start(runtime: Runtime, settings: LeaseAgentSettings): Promise<LeaseAgent> {
   const state = assemble(runtime, settings);
   const listening: Listening = await peer.listen(runtime, identifiers.address(settings.feed), {
--- a/packages/agent/src/member-freshness.ts
+++ b/packages/agent/src/member-freshness.ts
@@ -1,4 +1,4 @@
-/** STATE of every member, sampled by this edge: what a replica's freshness is reckoned from (design 8.4). */
+/** Samples the STATE of every member and calculates the freshness of replicas from it (design 8.4). */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Liveness } from '@stallstall/election';
@@ -9,22 +9,22 @@
 
 /** @internal */
 export type MemberFreshness = Readonly<{
-  /** Asks every member of the applied configuration for its STATE. */
+  /** Requests the STATE of every member in the applied configuration. */
   probeAll: () => void;
-  /** What the proxy is told of a member. */
+  /** The state of a member as sent to the proxy. */
   targetOf: (service: string, epoch: number, member: string) => Target;
 }>;
 
-/** The primary's position at a moment. */
+/** The primary's position at one time. */
 type Sample = Readonly<{ at: Instant; position: number }>;
 
 const probeTimeoutMilliseconds = 700;
 const maxSamples = 40;
-/** Reported where freshness is not known. */
+/** Reported as `freshAgo` if the freshness is not known. */
 const unknownFreshness = -1;
 
 function create(clock: Clock, node: Node, members: Liveness): MemberFreshness {
-  /** Of one epoch for each service, the oldest first. */
+  /** By service: samples of one epoch, the oldest first. */
   const samples = new Map<string, Readonly<{ epoch: number; history: readonly Sample[] }>>();
 
   function samplesOf(service: string, epoch: number): readonly Sample[] {
@@ -51,7 +51,7 @@
     }
   }
 
-  /** The latest moment at which the primary was known to be at a position that this member has applied. */
+  /** The latest time at which the primary was at a position that this member has applied. */
   function freshAt(service: string, epoch: number, applied: number): Instant | undefined {
     return samplesOf(service, epoch).findLast((sample) => sample.position <= applied)?.at;
   }
--- a/packages/agent/src/placement-updates.ts
+++ b/packages/agent/src/placement-updates.ts
@@ -1,4 +1,4 @@
-/** Numbers what changes in a proxy's view, so that it is woken by changes and sent only what it has not seen (design 8.10). */
+/** Numbers the changes of the placement that a proxy sees, so that held requests are answered on a change and only with new data (design 8.10). */
 import * as Option from 'fp-ts/lib/Option.js';
 import { waiters, type Clock } from '@stallstall/kernel';
 import type { LeaseHolder } from '@stallstall/lease';
@@ -8,18 +8,18 @@
 export type PlacementUpdates = Readonly<{
   /** The number of the newest update. */
   current: () => number;
-  /** Whether the members have not changed since an update. */
+  /** Whether no member has changed since the update with this number. */
   areMembersUnchangedSince: (seen: number) => boolean;
-  /** Anything may have changed: whoever waits is woken if it has. */
+  /** Compares the current state with the last one; after a change, publishes an update, which wakes all waiters. */
   observe: () => void;
-  /** Resolves at the next update, or after so many milliseconds. */
-  wait: (milliseconds: number) => Promise<void>;
+  /** Resolves at the next update or after the timeout. */
+  wait: (timeoutMilliseconds: number) => Promise<void>;
 }>;
 
-/** Changes within this span go out together. */
+/** Changes within this time are published as one update. */
 const batchMilliseconds = 1;
 
-/** A renewed lease is no change: whoever asks is told it anyway. */
+/** A text that differs after each change. A renewed lease is no change, since every reply contains the lease times. */
 function describeState(holder: LeaseHolder, placements: readonly Placement[]): string {
   const configuration = holder.configuration();
   return [
@@ -30,14 +30,14 @@
   ].join(' ');
 }
 
-/** @param placements - where each service is placed now */
+/** @param placements - the current placement of each service */
 function create(clock: Clock, holder: () => LeaseHolder, placements: () => readonly Placement[]): PlacementUpdates {
   const waiting = waiters.create(clock);
   let number = 1;
   let isBatching = false;
   let lastState = '';
   let membersVersion = -1;
-  /** The update in which the members changed last. */
+  /** The number of the update with the latest change of a member. */
   let membersChangedAt = 0;
 
   function publish(): void {
--- a/packages/agent/src/proxy-feed.ts
+++ b/packages/agent/src/proxy-feed.ts
@@ -1,4 +1,4 @@
-/** What the agent feeds its proxy: the configuration, leases, members and connection shares (design 3.4). */
+/** The agent's replies to its proxy: the configuration, leases, members and connection shares (design 3.4). */
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Reply, Request, ServiceFeed } from '@stallstall/message';
 import type { ServicePlacement } from '@stallstall/placement';
@@ -6,7 +6,7 @@
 import { leaseTermMilliseconds } from '@stallstall/quorum-lease';
 import type { AgentContext } from './agent-context.js';
 
-/** What is left of a term, as JSON can carry it. Unit: milliseconds. @internal */
+/** The remaining time of a lease, limited to the range from 0 to the lease term: JSON cannot represent an infinity. Unit: milliseconds. @internal */
 export function clampToLeaseTerm(left: number): number {
   return Math.max(0, Math.min(left, leaseTermMilliseconds));
 }
@@ -23,7 +23,7 @@
   };
 }
 
-/** Takes what the proxy says of itself, and replies with what it is to act by. */
+/** Records the proxy's report and replies with the configuration and state that it is to apply. */
 function reply(context: AgentContext, request: Request<'feed'>): Reply<'feed'> {
   const { runtime, settings, node, caps } = context;
   caps.recordOpen(request.open);
--- a/packages/agent/src/proxy-reports.ts
+++ b/packages/agent/src/proxy-reports.ts
@@ -1,4 +1,4 @@
-/** What a proxy must have on a majority of core disks before it replies: watermarks and usage (design 7.5, 8.6). */
+/** Stores the watermarks and usage that a proxy must have on a majority of core disks before it replies to clients (design 7.5, 8.6). */
 import * as Either from 'fp-ts/lib/Either.js';
 import type { Reply, Request } from '@stallstall/message';
 import type { DurableReports } from '@stallstall/register';
@@ -7,7 +7,7 @@
 export type ProxyReports = Readonly<{
   /** The reply says whether a majority of disks has synced the report. */
   store: (request: Request<'tell'>) => Promise<Reply<'tell'>>;
-  /** How many reports are under way. */
+  /** The number of reports being stored. */
   pendingCount: () => number;
 }>;
 
--- a/packages/agent/src/proxy-state.ts
+++ b/packages/agent/src/proxy-state.ts
@@ -1,18 +1,18 @@
-/** What the proxy of an edge reported last, and what may be concluded from it (design 8.10, 8.11). */
+/** The latest report of an edge's proxy, and values derived from it (design 8.10, 8.11). */
 import { identifiers, type Clock, type Instant } from '@stallstall/kernel';
 import type { CommitWatermarks, LogPosition, Request } from '@stallstall/message';
 
 /** @internal */
 export type ProxyState = Readonly<{
-  /** Takes the report that a proxy sends with each request; says what it tells that was not known. */
+  /** Records the report in a proxy's request; returns what has changed. */
   update: (request: Request<'placement'>) => ProxyUpdate;
-  /** A reply leaves now: numbers it, so that later reports can be told to be no older. */
+  /** Numbers a reply that is being sent; a report that names this number is no older than the reply. */
   recordReply: () => number;
   releasedEpochs: () => Readonly<Record<string, number>>;
   commitPositions: () => Readonly<Record<string, LogPosition>>;
-  /** Aged by the time since the proxy asked. */
+  /** Their ages include the time since the proxy's latest request. */
   commitWatermarks: () => CommitWatermarks;
-  /** How long ago, at the most, `positions` was all there was to report. Unit: milliseconds. */
+  /** An upper bound on the time since `commitPositions` was complete. Unit: milliseconds. */
   commitPositionsAge: () => number;
   isLeaderMissing: () => boolean;
   refusedMembers: () => readonly string[];
@@ -21,35 +21,35 @@
 
 /** @internal */
 export type ProxyUpdate = Readonly<{
-  /** Another process runs as the proxy than before. */
+  /** The proxy is another process than the one that reported before. */
   isRestarted: boolean;
-  /** What it has released, or the members that refuse it, have changed. */
+  /** The released epochs or the members that refuse connections have changed. */
   isChanged: boolean;
 }>;
 
-/** A proxy that asks this often misses a leader somewhere. Unit: milliseconds. */
+/** A proxy requests a hold of at most this time if a service has no leader. Unit: milliseconds. */
 export const leaderMissingHoldMilliseconds = 100;
 const maxReplies = 100;
-/** Nothing is known of what the proxy has told its clients. */
+/** Reported as the age of the positions until the proxy has reported any with a known reply number. */
 const unknownPositionsAgeMilliseconds = 3_600_000;
 
 type Report = Pick<Request<'placement'>, 'released' | 'positions' | 'marks' | 'demand' | 'notListening' | 'hold'>;
 
 const noReport: Report = { released: {}, positions: {}, marks: {}, demand: 0, notListening: [], hold: 0 };
 
-/** @param token - names this agent's process: a proxy that reports another has not heard from it */
+/** @param token - identifies this agent's process: a proxy that reports another token has received no reply from it */
 function create(clock: Clock, token: string): ProxyState {
   let report = noReport;
   let hasReported = false;
   let reportedAt: Instant = identifiers.instant(Number.NEGATIVE_INFINITY);
-  /** What the proxy reported last was all there was at this moment or later. */
+  /** The proxy's latest report was complete at this time or later. */
   let positionsAt: Instant | undefined;
   let lastCondition = '';
   let lastReply = 0;
   const repliedAt = new Map<number, Instant>();
 
   function update(request: Request<'placement'>): ProxyUpdate {
-    // The process before it may have acknowledged commits that it did not live to report.
+    // The previous process may have acknowledged commits and exited before it reported them.
     const isRestarted = request.token === '' && hasReported;
     hasReported = true;
     reportedAt = clock.now();
@@ -69,7 +69,7 @@
     return lastReply;
   }
 
-  /** What the proxy saw so long before it asked was seen that much longer ago by now. */
+  /** Adds the time since the proxy's latest request to the reported ages. */
   function commitWatermarks(): CommitWatermarks {
     const elapsed = Math.max(0, clock.now() - reportedAt);
     const aged = Object.entries(report.marks).map(([service, mark]) => [service, { ...mark, ago: mark.ago + elapsed }] as const);
--- a/packages/message/src/ballots.ts
+++ b/packages/message/src/ballots.ts
@@ -1,4 +1,4 @@
-/** Ballots, and the entries of the register that are accepted under them (design 5.1). */
+/** Ballots, and the register entries accepted under them (design 5.1). */
 import { Type, type Static } from '@sinclair/typebox';
 import { Count } from './primitives.js';
 
@@ -6,14 +6,14 @@
 
 export type Ballot = Readonly<Static<typeof BallotSchema>>;
 
-/** `after`: the ballot of the entry that this one succeeded, where earlier versions are kept (design 5.4). */
+/** `after`: the ballot of the previous entry, for keys whose earlier versions are kept (design 5.4). */
 export const EntrySchema = Type.Object({ ballot: BallotSchema, version: Count, value: Type.Unknown(), after: Type.Optional(BallotSchema) });
 
 export type Entry = Readonly<Static<typeof EntrySchema>>;
 
 export const ballotZero: Ballot = { counter: 0, node: '' };
 
-/** Orders ballots: the counter first, then the proposer's name. */
+/** Orders ballots by counter, then by the proposer's name. */
 export function compareBallots(left: Ballot, right: Ballot): number {
   if (left.counter !== right.counter) return left.counter - right.counter;
   return left.node === right.node ? 0 : left.node < right.node ? -1 : 1;
--- a/packages/message/src/change-messages.ts
+++ b/packages/message/src/change-messages.ts
@@ -5,7 +5,7 @@
 import { CoreSetNumber } from './membership.js';
 import { Count, Name } from './primitives.js';
 
-/** The ballot of the newest configuration whose content is known here; left out by whoever takes complete contents alone (design 5.6). */
+/** The ballot of the newest configuration whose content the sender has; absent if it accepts only complete contents (design 5.6). */
 export const HeldBallot = Type.Optional(BallotSchema);
 
 export const WatchRequest = Type.Object({
@@ -13,7 +13,7 @@
   incarnation: Count,
   acknowledged: Count,
   obeyed: Count,
-  /** False where contents are known without this core's pushing them: for another core (design 5.6). */
+  /** False if this core need not push contents, since the sender is a core and accepts them itself (design 5.6). */
   content: Type.Optional(Type.Boolean()),
   holds: HeldBallot,
 });
@@ -33,7 +33,7 @@
   key: Name,
   entry: EntrySchema,
   set: CoreSetNumber,
-  /** In place of the content: its differences from the one under another ballot, which the receiver said it holds (design 5.6). */
+  /** Replaces the content: its differences from the content under another ballot, which the receiver has reported to hold (design 5.6). */
   differs: Type.Optional(Type.Object({ from: BallotSchema, all: Type.Array(DifferenceSchema) })),
 });
 
--- a/packages/message/src/differences.ts
+++ b/packages/message/src/differences.ts
@@ -1,9 +1,9 @@
-/** What differs between two JSON values, small enough to be sent in place of the second to whoever holds the first (design 5.6). */
+/** Differences between two JSON values, sent instead of the second to a node that holds the first (design 5.6). */
 import { Type, type Static } from '@sinclair/typebox';
 
 const PathStepSchema = Type.Union([Type.String(), Type.Integer({ minimum: 0 })]);
 
-/** One difference: a value set, a name removed, or a stretch of an array exchanged. */
+/** One difference: a value to set, a property to remove, or a range of an array to replace. */
 export const DifferenceSchema = Type.Object({
   path: Type.Array(PathStepSchema, { maxItems: 100 }),
   set: Type.Optional(Type.Unknown()),
@@ -23,9 +23,9 @@
   return typeof value === 'object' && value !== null && !Array.isArray(value);
 }
 
-/** The value of an object's own property: every object has inherited names. */
-function ownProperty(holder: Readonly<Record<string, unknown>>, name: string): unknown {
-  return Object.hasOwn(holder, name) ? holder[name] : undefined;
+/** The value of an object's own property; inherited properties such as `constructor` are ignored. */
+function ownProperty(object: Readonly<Record<string, unknown>>, name: string): unknown {
+  return Object.hasOwn(object, name) ? object[name] : undefined;
 }
 
 function computeForArrays(path: Path, from: readonly unknown[], to: readonly unknown[]): readonly Difference[] {
@@ -55,7 +55,7 @@
   ];
 }
 
-/** What makes `to` of `from`. */
+/** The differences that turn `from` into `to`. */
 function compute(from: unknown, to: unknown, path: Path = []): readonly Difference[] {
   if (from === to) return [];
   if (Array.isArray(from) && Array.isArray(to)) return computeForArrays(path, from as readonly unknown[], to as readonly unknown[]);
@@ -67,13 +67,13 @@
   return Array.isArray(value) && at + gone <= value.length ? value.toSpliced(at, gone, ...come) : undefined;
 }
 
-/** A copy of an array or object whose entries may be changed; undefined for any other value. */
+/** A shallow, mutable copy of an array or object; undefined for any other value. */
 function copyOf(value: unknown): Record<string | number, unknown> | undefined {
   if (Array.isArray(value)) return [...(value as readonly unknown[])] as unknown as Record<number, unknown>;
   return isObject(value) ? { ...value } : undefined;
 }
 
-/** The value with one difference, copied along its path alone; undefined where it does not fit. */
+/** Applies one difference and copies only the values along its path; undefined if it does not fit. */
 function applyOne(value: unknown, difference: Difference, depth = 0): unknown {
   const step = difference.path[depth];
   if (step === undefined) return difference.splice === undefined ? difference.set : applySplice(value, difference.splice);
@@ -92,7 +92,7 @@
   return copy;
 }
 
-/** `from` with all differences; undefined where they do not fit it. `from` stays as it is. */
+/** Applies all differences without changing `from`; undefined if they do not fit. */
 function apply(from: unknown, all: readonly Difference[]): unknown {
   return all.reduce<unknown>((value, difference) => (value === undefined ? undefined : applyOne(value, difference)), from);
 }
--- a/packages/message/src/election-messages.ts
+++ b/packages/message/src/election-messages.ts
@@ -1,4 +1,4 @@
-/** Elections: proposals, and the primary that was elected (design 7). */
+/** Election proposals and the elected primary (design 7). */
 import { Type, type Static } from '@sinclair/typebox';
 import { Count, WallTimeMilliseconds, Name } from './primitives.js';
 
@@ -21,7 +21,7 @@
   membership: Count,
 });
 
-/** `lessees`: edges that this node granted a lease within a term and its margin. */
+/** `lessees`: edges to which this node granted a lease within the last lease term plus its margin. */
 export const ProposeReply = Type.Object({
   accepted: Type.Boolean(),
   reason: Type.String({ maxLength: 300 }),
--- a/packages/message/src/feed-messages.ts
+++ b/packages/message/src/feed-messages.ts
@@ -4,14 +4,14 @@
 import { Count, WallTimeMilliseconds, Name, ServiceCounts } from './primitives.js';
 import { CommitWatermarks, DurableWatermarks, LogPositions } from './watermarks.js';
 
-/** Where a service is placed, as a proxy is told (design 8.10). */
+/** The placement of a service, as sent to a proxy (design 8.10). */
 export const PlacementSchema = Type.Object({
   service: Name,
   epoch: Count,
   primary: Type.String({ maxLength: 200 }),
-  /** Milliseconds of lease left when the agent replied. */
+  /** The remaining time of the lease when the agent replied. Unit: milliseconds. */
   left: Type.Number(),
-  /** Below this epoch nothing may be in flight any more: above `epoch` while a change of primary is under way. */
+  /** Nothing below this epoch may be in flight; higher than `epoch` during a change of primary. */
   release: Count,
 });
 
@@ -20,7 +20,7 @@
 export const PlacementRequest = Type.Object({
   token: Type.String({ maxLength: 100 }),
   seen: Count,
-  /** Of the latest reply that had arrived before this request was made: what it reports is no older than that reply. */
+  /** The serial of the latest reply received before this request was created: the request's report is no older than that reply. */
   serial: Count,
   hold: Type.Number({ minimum: 0, maximum: 10_000 }),
   configuration: Count,
@@ -36,14 +36,14 @@
   token: Type.String({ maxLength: 100 }),
   number: Count,
   serial: Count,
-  /** For how long the agent held the request. Unit: milliseconds. */
+  /** How long the agent held the request. Unit: milliseconds. */
   held: Type.Number({ minimum: 0 }),
   configuration: Type.Union([Type.Object({ version: Count, sheet: Type.Unknown() }), Type.Null()]),
   configurationVersion: Count,
   services: Type.Array(PlacementSchema, { maxItems: 20_000 }),
-  /** All members, or null where they are as they were at `seen`. */
+  /** All members, or null if none has changed since `seen`. */
   roster: Type.Union([MemberRecords, Type.Null()]),
-  /** How many edges hold leases, by area. */
+  /** By area: the number of edges that hold leases. */
   edges: Type.Record(Type.String({ maxLength: 200 }), Count),
   demand: Type.Record(Type.String({ maxLength: 200 }), Type.Number({ minimum: 0 })),
   marks: CommitWatermarks,
@@ -54,7 +54,7 @@
 export const TargetSchema = Type.Object({
   member: Name,
   alive: Type.Boolean(),
-  /** How long ago, at the least, the state this member has applied was the primary's; -1: not known. */
+  /** A bound on the staleness: how long ago the primary was last known to be in the state this member has applied; -1 if not known. */
   freshAgo: Type.Number(),
   applied: Count,
   follows: Count,
@@ -66,7 +66,7 @@
   service: Name,
   epoch: Count,
   primary: Type.String({ maxLength: 200 }),
-  /** Milliseconds of the service's lease left when the agent replied. */
+  /** The remaining time of the service's lease when the agent replied. Unit: milliseconds. */
   fence: Type.Number(),
   targets: Type.Array(TargetSchema, { maxItems: 1000 }),
 });
@@ -75,31 +75,31 @@
 
 export const FeedRequest = Type.Object({
   configuration: Count,
-  /** The most connections this proxy holds to any one member of a service. */
+  /** By service: the most connections that this proxy has to any one member. */
   open: ServiceCounts,
-  /** What this proxy has counted since it began, for whoever asks its agent. */
+  /** The proxy's counters since it started, which its agent includes in its own metrics. */
   metrics: Type.Record(Type.String({ maxLength: 100 }), Type.Number()),
 });
 
 export const FeedReply = Type.Object({
   configuration: Type.Union([Type.Object({ version: Count, sheet: Type.Unknown() }), Type.Null()]),
   configurationVersion: Count,
-  /** Milliseconds of configuration term left when the agent replied. */
+  /** The remaining time for which the configuration is valid when the agent replied. Unit: milliseconds. */
   term: Type.Number(),
   services: Type.Array(ServiceFeedSchema, { maxItems: 1000 }),
-  /** The most connections this proxy may hold to each member of a service. */
+  /** By service: the most connections that this proxy may have to each member. */
   shares: ServiceCounts,
   draining: Type.Boolean(),
   area: Name,
   node: Name,
 });
 
-/** What a proxy has its agent report to the core disks; the reply's `kept` is true once a majority of them has synced it. */
+/** A report for the agent to store on the core disks; `kept` in the reply is true if a majority of them has synced it. */
 export const TellRequest = Type.Object({
   number: Count,
   floors: DurableWatermarks,
   usage: Type.Array(Type.Object({ window: Count, counts: ServiceCounts }), { maxItems: 20 }),
-  /** The wall time of this machine at which `usage` held all that was counted. */
+  /** The wall time of this machine up to which `usage` is complete. */
   through: WallTimeMilliseconds,
   incarnation: Name,
 });
--- a/packages/message/src/frames.ts
+++ b/packages/message/src/frames.ts
@@ -3,7 +3,7 @@
 import { ChangeSchema } from './change-messages.js';
 import { Count, Name } from './primitives.js';
 
-/** The first frame of each side: the versions it speaks; the highest that both speak is used (design 3.5). */
+/** The first frame of each side: the range of protocol versions it supports. The highest common version is used (design 3.5). */
 export const GreetSchema = Type.Object({ greet: Type.Object({ from: Count, to: Count }) });
 
 export const FrameSchema = Type.Union([
--- a/packages/message/src/index.ts
+++ b/packages/message/src/index.ts
@@ -1,4 +1,4 @@
-/** What this system's own processes say to each other: typebox schemas over JSON, and what is reckoned with them (design 3). */
+/** Messages between this system's processes: TypeBox schemas for JSON, and operations on their values (design 3). */
 import { compareBallots } from './ballots.js';
 import { matches } from './matching.js';
 import { isKind } from './messages.js';
--- a/packages/message/src/lease-messages.ts
+++ b/packages/message/src/lease-messages.ts
@@ -1,4 +1,4 @@
-/** Leases of edges (design 7.12). */
+/** Lease requests of edges and the cores' replies (design 7.12). */
 import { Type } from '@sinclair/typebox';
 import { HeldBallot } from './change-messages.js';
 import { MemberRecords } from './member-records.js';
@@ -6,29 +6,29 @@
 import { Count, Name, ServiceCounts } from './primitives.js';
 import { CommitWatermarks, LogPositions } from './watermarks.js';
 
-/** An edge asks each core for its lease; the core replies at once with an update, or at the latest after `hold` (design 7.12). */
+/** An edge requests its lease from each core; the core replies at once if it has an update, otherwise at the next one or after `hold` (design 7.12). */
 export const LeaseRequest = Type.Object({
   node: Name,
   area: Name,
-  /** Of the updates of this core: the process it ran as, and the number reached. */
+  /** The core process whose update the edge received last; `seen` is the number of that update. */
   token: Type.String({ maxLength: 100 }),
   seen: Count,
   hold: Type.Number({ minimum: 0, maximum: 10_000 }),
   acknowledged: Count,
   obeyed: Count,
-  /** By service: below this epoch the edge has nothing in flight and takes no lease any more. */
+  /** By service: the edge has nothing in flight below this epoch and obtains no lease below it again. */
   released: ServiceCounts,
-  /** How far this edge has seen each leader's log reach, and as of when; `positions` are the commits its clients were told of. */
+  /** How far each leader's log reached when this edge last saw it, with the age; `positions` are the commits acknowledged to its clients. */
   marks: CommitWatermarks,
   positions: LogPositions,
-  /** How long ago, at the most, `positions` was all there was to report. */
+  /** An upper bound on the time since `positions` was complete. Unit: milliseconds. */
   positionsAgo: Type.Number({ minimum: 0 }),
-  /** Members whose machines refused a connection of this edge. */
+  /** Members whose machines refused a connection from this edge. */
   notListening: Type.Array(Name, { maxItems: 1_000 }),
   set: CoreSetNumber,
-  /** Statements a second, smoothed. */
+  /** Smoothed statement rate, per second. */
   demand: Type.Number({ minimum: 0 }),
-  /** Whether this core is to push configurations with their content; the others push that there is one (design 5.6). */
+  /** Whether this core is to push configurations with their content; other cores push them without (design 5.6). */
   content: Type.Boolean(),
   holds: HeldBallot,
 });
@@ -37,24 +37,24 @@
   set: CoreSetNumber,
   newer: NewerCoreSet,
   ready: Type.Boolean(),
-  /** For how long this core held the request: what it says was so at least this much after the request left. Unit: milliseconds. */
+  /** How long this core held the request: its reply describes a time at least this long after the request was sent. Unit: milliseconds. */
   held: Type.Number({ minimum: 0 }),
   token: Type.String({ maxLength: 100 }),
   number: Count,
-  /** The epoch this core counts for, by service, where it has changed since `seen`; all of them when `whole`. */
+  /** By service: the epoch that this core supports, if it has changed since `seen`; all of them if `whole` is set. */
   stances: ServiceCounts,
   configuration: Count,
   membership: Count,
   puts: Count,
-  /** Members whose record has changed since `seen`; all of them when `whole`. */
+  /** Members whose records have changed since `seen`; all members if `whole` is set. */
   roster: MemberRecords,
   whole: Type.Boolean(),
-  /** How many edges hold leases here, by area. */
+  /** By area: the number of edges that hold leases from this core. */
   edges: Type.Record(Type.String({ maxLength: 200 }), Count),
-  /** Statements a second that are asked of all of them, by area. */
+  /** By area: the total statement rate of these edges, per second. */
   demand: Type.Record(Type.String({ maxLength: 200 }), Type.Number({ minimum: 0 })),
-  /** A leader is missing somewhere: edges are to report `marks` and `positions`, which nobody needs otherwise. */
+  /** Set if a service has no leader: edges are to report `marks` and `positions`, which are needed only then. */
   wants: Type.Boolean(),
-  /** How far commits reach, as all edges together have seen it. */
+  /** How far commits reach, combined from the reports of all edges. */
   marks: CommitWatermarks,
 });
--- a/packages/message/src/matching.ts
+++ b/packages/message/src/matching.ts
@@ -1,4 +1,4 @@
-/** Checks values against schemas, which are compiled once. */
+/** Checks values against schemas; compiled schemas are cached. */
 import type { Static, TSchema } from '@sinclair/typebox';
 import { TypeCompiler, type TypeCheck } from '@sinclair/typebox/compiler';
 
--- a/packages/message/src/member-records.ts
+++ b/packages/message/src/member-records.ts
@@ -1,8 +1,8 @@
-/** Members that register by their heartbeats, and how cores tell one another of them (design 4.7). */
+/** Records of members that register by heartbeat, and their replication between cores (design 4.7). */
 import { Type, type Static } from '@sinclair/typebox';
 import { Count, Name } from './primitives.js';
 
-/** What is known of a member that registers by its beats (design 4.7). */
+/** The state of a member that registers by heartbeat (design 4.7). */
 export const MemberRecordSchema = Type.Object({
   member: Name,
   service: Name,
@@ -10,13 +10,13 @@
   area: Name,
   draining: Type.Boolean(),
   role: Type.Union([Type.Literal('primary'), Type.Literal('replica')]),
-  /** How many statements it runs at once. */
+  /** How many statements it can run concurrently. */
   slots: Count,
-  /** Rises with each beat of this member, so that a late one is known. */
+  /** Increases with each heartbeat of this member, so that a late one is detected. */
   sequence: Count,
-  /** It has left; the id never comes back. */
+  /** It has left; its id is never used again. */
   gone: Type.Boolean(),
-  /** Unheard for so long as to be DOWN (design 7.1). */
+  /** Silent for long enough to be DOWN (design 7.1). */
   down: Type.Boolean(),
 });
 
@@ -24,7 +24,7 @@
 
 export const MemberRecords = Type.Array(MemberRecordSchema, { maxItems: 20_000 });
 
-/** Between cores: beats that the sender took itself, and how long ago (design 4.7). */
+/** Between cores: heartbeats that the sender received directly, and how long ago (design 4.7). */
 export const SpreadRequest = Type.Object({
   beats: Type.Array(Type.Object({ entry: MemberRecordSchema, ago: Type.Number() }), { maxItems: 20_000 }),
 });
--- a/packages/message/src/membership.ts
+++ b/packages/message/src/membership.ts
@@ -1,4 +1,4 @@
-/** The nodes of a fleet: the membership table, and the set of cores (design 4.2, 4.8). */
+/** The nodes of a fleet: the membership table and the core set (design 4.2, 4.8). */
 import { Type, type Static } from '@sinclair/typebox';
 import { Count, Name, ServiceCounts } from './primitives.js';
 
@@ -11,27 +11,30 @@
   role: NodeRoleSchema,
   area: Name,
   address: Name,
+  /** The address for members and operators; `address` is the one for nodes. */
   outward: Name,
   draining: Type.Boolean(),
-  /** Which disk the core has, where the set of cores changes by itself; a core of the first set that never lost its disk has none (design 4.8). */
+  /** The id of a core's disk, in fleets that replace cores automatically; a core of the first set that never lost its disk has none (design 4.8). */
   disk: Type.Optional(Type.String({ maxLength: 100 })),
 });
 
 export type NodeRecord = Readonly<Static<typeof NodeRecordSchema>>;
 
-/** `epochs` is the barrier of design 4.2: the highest epochs voted before this version of the table was made. */
+/** `epochs` is the barrier of design 4.2: the highest epochs voted for before this version of the table was created. */
 export const MembershipSchema = Type.Object({ seats: Type.Array(NodeRecordSchema, { maxItems: 1000 }), epochs: ServiceCounts });
 
 export type Membership = Readonly<{ seats: readonly NodeRecord[]; epochs: Readonly<Record<string, number>> }>;
 
 /**
- * The set of cores, in its order of steps: the first has number 1, each step changes the occupant of one seat (design 4.8). `epochs` is the
- * barrier of design 4.2. Number 0 stands for a set that never changes.
+ * A core set. The first set has number 1; each later one has the next number and replaces one core (design 4.8). `epochs` is the barrier of
+ * design 4.2. Number 0 denotes a fixed set.
  */
 export const CoreSetSchema = Type.Object({ number: Count, seats: Type.Array(NodeRecordSchema, { maxItems: 100 }), epochs: ServiceCounts });
 
 export type CoreSet = Readonly<Static<typeof CoreSetSchema>>;
 
+/** The number of the sender's core set; absent in fleets with a fixed set. */
 export const CoreSetNumber = Type.Optional(Count);
 
+/** The sender's core set, if it is to inform the receiver of it. */
 export const NewerCoreSet = Type.Optional(CoreSetSchema);
--- a/packages/message/src/messages.ts
+++ b/packages/message/src/messages.ts
@@ -1,4 +1,4 @@
-/** Every call between this system's own processes, with its request and its reply (design 3). */
+/** All kinds of calls between this system's processes, with the schemas of their requests and replies (design 3). */
 import type { Static } from '@sinclair/typebox';
 import { WatchRequest, WatchReply } from './change-messages.js';
 import { AdoptRequest, AdoptReply, CopyRequest, CopyReply, EarlierRequest, EarlierReply } from './core-messages.js';
--- a/packages/message/src/node-messages.ts
+++ b/packages/message/src/node-messages.ts
@@ -1,4 +1,4 @@
-/** Messages between nodes: greeting, founding, joining, heartbeats (design 3.3, 4). */
+/** Messages between nodes: discovery, bootstrap, joining, heartbeats (design 3.3, 4). */
 import { Type } from '@sinclair/typebox';
 import { NewerCoreSet, NodeRoleSchema, NodeRecordSchema } from './membership.js';
 import { Count, Name, ServiceCounts } from './primitives.js';
@@ -12,10 +12,10 @@
   fleet: Type.String({ maxLength: 200 }),
   founding: Type.String({ maxLength: 200 }),
   cores: Type.Array(NodeRecordSchema, { maxItems: 100 }),
-  /** The most puts this node has heard that the requesting core's disk had taken. */
+  /** The highest put count that this node knows of the requesting core's disk. */
   knownPuts: Count,
   superseded: Type.Boolean(),
-  /** The set of cores that the sender is in, where it may change (design 4.8). */
+  /** The sender's core set, in fleets that replace cores automatically (design 4.8). */
   set: NewerCoreSet,
 });
 
@@ -27,7 +27,7 @@
 
 export const FormReply = Type.Object({ agreed: Type.Boolean() });
 
-/** Where the set of cores changes by itself, the reply tells the set that the requested core is in (design 4.8). */
+/** In fleets that replace cores automatically, the reply contains the core set of the core that was asked (design 4.8). */
 export const JoinRequest = Type.Object({ seat: NodeRecordSchema });
 
 export const JoinReply = Type.Object({ joined: Type.Boolean(), reason: Type.String({ maxLength: 300 }), set: NewerCoreSet });
--- a/packages/message/src/usage-reports.ts
+++ b/packages/message/src/usage-reports.ts
@@ -1,4 +1,4 @@
-/** Usage as edges report it, and durable reports (design 5.5, 8.6). */
+/** Usage reports of edges, and the durable reports that contain them (design 5.5, 8.6). */
 import { Type, type Static } from '@sinclair/typebox';
 import { NewerCoreSet, CoreSetNumber } from './membership.js';
 import { Count, WallTimeMilliseconds, Name, ServiceCounts } from './primitives.js';
@@ -6,9 +6,9 @@
 
 export const UsageReportSchema = Type.Object({
   node: Name,
-  /** The proxy process that counted: a restart counts from nothing, under another name. */
+  /** Identifies the proxy process that counted; a restarted proxy counts from zero under another name. */
   incarnation: Name,
-  /** Of two reports of one process the later counts. */
+  /** Orders the reports of one process: the highest number is valid. */
   number: Count,
   window: Count,
   counts: ServiceCounts,
@@ -17,8 +17,8 @@
 export type UsageReport = Readonly<Static<typeof UsageReportSchema>>;
 
 /**
- * What an edge has a core's disk store before it replies (design 7.5, 8.6). `floors` are durable watermarks by service; `through`: up to
- * which wall time, in milliseconds since 1970, each edge has reported all it counted.
+ * What an edge stores on the cores' disks before it replies to clients (design 7.5, 8.6). `floors` are durable watermarks by service;
+ * `through` is, by edge, the wall time up to which it has reported all its usage.
  */
 export const NoteRequest = Type.Object({
   floors: DurableWatermarks,
--- a/packages/message/src/watermarks.ts
+++ b/packages/message/src/watermarks.ts
@@ -2,7 +2,7 @@
 import { Type, type Static } from '@sinclair/typebox';
 import { Count } from './primitives.js';
 
-/** How far a service's acknowledged commits reach: the highest epoch goes first, then the highest position (design 7.5). */
+/** The latest acknowledged commit of a service, ordered by epoch and then by position (design 7.5). */
 export const DurableWatermarkSchema = Type.Object({ epoch: Count, position: Count });
 
 export type DurableWatermark = Readonly<Static<typeof DurableWatermarkSchema>>;
@@ -11,12 +11,12 @@
 
 export type DurableWatermarks = Readonly<Record<string, DurableWatermark>>;
 
-/** The epoch first, then the position. */
+/** Orders watermarks by epoch, then by position. */
 export function compareWatermarks(left: DurableWatermark, right: DurableWatermark): number {
   return left.epoch === right.epoch ? left.position - right.position : left.epoch - right.epoch;
 }
 
-/** Whether the known watermarks reach every one of these others. */
+/** Whether `known` is at or above each of the other watermarks. */
 export function covers(known: DurableWatermarks, others: DurableWatermarks): boolean {
   return Object.entries(others).every(function isReached([service, watermark]) {
     const own = known[service];
@@ -24,7 +24,7 @@
   });
 }
 
-/** The higher watermark of each service. */
+/** By service: the higher of the two watermarks. */
 export function maxWatermarks(left: DurableWatermarks, right: DurableWatermarks): DurableWatermarks {
   const merged: Record<string, DurableWatermark> = { ...left };
   for (const [service, watermark] of Object.entries(right)) {
@@ -34,14 +34,14 @@
   return merged;
 }
 
-/** A position in a member's log: the log's term and the number in it. */
+/** A position in a member's log: the term of the log and the number of the entry. */
 export const LogPositionSchema = Type.Object({ term: Count, number: Count });
 
 export type LogPosition = Readonly<Static<typeof LogPositionSchema>>;
 
 export const LogPositions = Type.Record(Type.String({ maxLength: 200 }), LogPositionSchema);
 
-/** A position that covers whatever was acknowledged up to so many milliseconds ago (design 8.11). */
+/** By service: a position at or after every commit acknowledged more than `ago` milliseconds ago (design 8.11). */
 export const CommitWatermarks = Type.Record(
   Type.String({ maxLength: 200 }),
   Type.Object({ term: Count, number: Count, ago: Type.Number({ minimum: 0 }) }),
--- a/packages/peer/src/dialled-peer.ts
+++ b/packages/peer/src/dialled-peer.ts
@@ -1,4 +1,4 @@
-/** The calling side of a link: dials, redials, and matches replies to calls (design 3.2). */
+/** The calling side of a link: dials, redials after a failure, and matches replies to calls (design 3.2). */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Address, Runtime, Link } from '@stallstall/kernel';
@@ -14,25 +14,24 @@
   readonly calls: PendingCalls;
   link: Option.Option<Link>;
   version: number;
-  /** Logged last, so that the same reason is logged once. */
+  /** The reason logged last, so that the same reason is logged only once in a row. */
   lastIncompatibility: string;
   isClosed: boolean;
-  /** Calls in a row that timed out. */
   consecutiveTimeouts: number;
 };
 
-/** How long a dialler waits after a failed or broken link; jittered so that many do not return together. */
+/** The maximum delay before dialling again after a link failed; jittered so that many processes do not dial at the same time. */
 const maxRedialMilliseconds = 150;
-/** The first attempts come sooner: whoever is dialled may just be starting. */
+/** The first attempts follow sooner, since the other process may just be starting. */
 const firstRedialMilliseconds = 25;
 const maxRedialDoublings = 8;
-/** So many calls in a row without a reply, and the link is taken for half open and dialled anew. */
+/** After this many consecutive timeouts the connection is considered half-open: it is reset and dialled again. */
 const maxConsecutiveTimeouts = 5;
 
 /** False where a frame breaks the protocol. */
 function handleReply({ calls }: PeerState, number: number, body: unknown): boolean {
   const kind = calls.kindOf(number);
-  // A late reply is dropped once; one to a call that was never made, or was answered before, ends the link.
+  // The reply to a call that timed out is dropped. A second reply, or one to a call that was never made, is a protocol violation.
   if (kind === undefined) return calls.acceptLateReply(number);
   if (!message.matches(messages[kind].reply, body)) return false;
   calls.complete(number, Option.some(body));
@@ -77,7 +76,7 @@
   state.lastIncompatibility = reason;
 }
 
-/** Uses a link until it ends; resolves to whether it was ever usable. */
+/** Performs the handshake and uses the link until it ends; resolves to whether the handshake succeeded. */
 async function useLink(state: PeerState, link: Link): Promise<boolean> {
   const outcome = await handshake.perform(state.runtime, link);
   if (outcome.kind !== 'agreed' || state.isClosed) {
@@ -131,7 +130,7 @@
     const number = state.calls.add({ kind, complete, onTimeout }, timeoutMilliseconds);
     function onTimeout(): void {
       state.consecutiveTimeouts += 1;
-      // By a reset, so that what has not arrived yet is not taken later, when nobody waits for it any more.
+      // Reset rather than closed, so that calls not yet delivered are not executed after their callers have given up.
       if (state.consecutiveTimeouts >= maxConsecutiveTimeouts) link.reset();
     }
     link.send({ call: number, kind, body });
@@ -147,7 +146,7 @@
   state.calls.failAll();
 }
 
-/** Dials an address and keeps dialling until the peer is closed. */
+/** Dials an address, again after each failure, until the peer is closed. */
 export function dial(runtime: Runtime, address: Address, events: PeerEvents = {}): Peer {
   const state: PeerState = {
     runtime,
--- a/packages/peer/src/pending-calls.ts
+++ b/packages/peer/src/pending-calls.ts
@@ -1,29 +1,29 @@
-/** Calls of a link that wait for their replies, and those that were given up (design 3.2). */
+/** Calls of a link that await replies, and those that timed out (design 3.2). */
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Clock, Timer } from '@stallstall/kernel';
 import type { MessageKind } from '@stallstall/message';
 
 /** @internal */
 export type PendingCalls = Readonly<{
-  /** Registers a call; `settle` is called with none after so long, unless a reply settles it before. */
+  /** Registers a call and returns its number; `complete` is called with the reply, or with none after the timeout. */
   add: (call: PendingCall, timeoutMilliseconds: number) => number;
-  /** The kind of a call that waits; undefined for one that does not. */
+  /** The kind of a pending call; undefined if the call is not pending. */
   kindOf: (number: number) => MessageKind | undefined;
   complete: (number: number, reply: Option.Option<unknown>) => void;
   failAll: () => void;
-  /** Whether a reply is one to a call that was given up; such a reply may come once. */
+  /** Whether this number is of a call that timed out; true at most once for each call, since it has only one reply. */
   acceptLateReply: (number: number) => boolean;
-  /** A new link: replies to calls of the one before cannot come any more. */
+  /** Called for a new link, on which no reply to a call of the previous link can arrive. */
   forgetTimedOut: () => void;
   count: () => number;
 }>;
 
-/** `onTimeOut` is called once the call is given up. @internal */
+/** `onTimeout` is called after `complete` if the call times out. @internal */
 export type PendingCall = Readonly<{ kind: MessageKind; complete: (reply: Option.Option<unknown>) => void; onTimeout: () => void }>;
 
 type Entry = PendingCall & Readonly<{ timer: Timer }>;
 
-/** So many calls that were given up are remembered on a link: their replies may still come, those of others are an error. */
+/** How many timed-out calls are remembered on a link: their replies may still arrive; a reply to any other call is a protocol violation. */
 const maxTimedOutCalls = 1_000;
 
 function create(clock: Clock): PendingCalls {
--- a/packages/peer/src/repeatable.ts
+++ b/packages/peer/src/repeatable.ts
@@ -1,6 +1,6 @@
 /**
- * Which calls between own processes may be made again once their fate is not known (design 8.14). No link ever sends one twice by itself:
- * a call made again is another call, with another number.
+ * Which calls between this system's processes may be repeated when their outcome is unknown (design 8.14). A link never resends a call by
+ * itself: a repeated call is a new call with a new number.
  */
 import type { Repeatable } from '@stallstall/kernel';
 import type { MessageKind } from '@stallstall/message';
--- a/packages/peer/src/served-link.ts
+++ b/packages/peer/src/served-link.ts
@@ -25,10 +25,10 @@
   }
 }
 
-/** The event to log for a frame that ends the link; undefined for a call to be answered. */
+/** The log event for a frame that violates the protocol and ends the link; undefined for a valid call. */
 function violationOf(frame: unknown, lastCall: number): 'peer.malformed' | 'peer.repeated' | undefined {
   if (!message.matches(FrameSchema, frame) || !('call' in frame)) return 'peer.malformed';
-  // Numbers rise on a link: a call that comes a second time is not carried out again.
+  // Call numbers increase on a link, so a duplicated call frame is detected and not executed again.
   return frame.call <= lastCall ? 'peer.repeated' : undefined;
 }
 
--- a/packages/simulator/pooled-mutations.mjs
+++ b/packages/simulator/pooled-mutations.mjs
@@ -201,7 +201,7 @@
     name: 'replies-of-nobody-taken',
     story: 'A reply on a link that nobody waits for',
     file: 'peer/build/pending-calls.js',
-    from: 'return givenUp.delete(call);',
+    from: 'return timedOut.delete(call);',
     to: 'return true;',
   },
   {
@@ -655,7 +655,7 @@
     name: 'differences-forced',
     story: 'waits for it, and asks',
     file: 'message/build/differences.js',
-    from: 'if (inner === undefined)',
+    from: 'if (changed === undefined)',
     to: 'if (false)',
   },
   {
@@ -690,7 +690,7 @@
     name: 'proxy-that-began-anew-not-told',
     story: 'An agent whose proxy restarted',
     file: 'agent/build/proxy-state.js',
-    from: "request.token === '' && wasAsked",
+    from: "request.token === '' && hasReported",
     to: 'false',
   },
   {
