--- a/packages/proxy/src/client-api.ts
+++ b/packages/proxy/src/client-api.ts
@@ -6,12 +6,12 @@
 import { message } from '@stallstall/message';
 import { placements, statementKinds } from '@stallstall/placement';
 import { requestFaults } from './request-faults.js';
-import type { Requests } from './requests.js';
+import type { RequestQueue } from './request-queue.js';
 import type { Session, Sessions } from './sessions.js';
 import { defaultTimeLimitMilliseconds } from './settings.js';
-import type { Known, TransactionStep } from './statement-request.js';
+import type { PlacementSnapshot, TransactionStep } from './statement-request.js';
 
-export type ClientApiParts = Readonly<{ clock: Clock; known: () => Known; sessions: Sessions; requests: Requests }>;
+export type ClientApiParts = Readonly<{ clock: Clock; placement: () => PlacementSnapshot; sessions: Sessions; requests: RequestQueue }>;
 
 const statementSchema = Type.Object({
   kind: Type.Union(statementKinds.map((kind) => Type.Literal(kind))),
@@ -42,9 +42,9 @@
 }
 
 /** Whether a key may send anything at all to a service. */
-function mayUse(known: Known, key: string, service: string): boolean {
-  if (Option.isNone(known.sheet)) return false;
-  const sheet = known.sheet.value;
+function mayUse(known: PlacementSnapshot, key: string, service: string): boolean {
+  if (Option.isNone(known.configuration)) return false;
+  const sheet = known.configuration.value;
   return statementKinds.some((kind) => placements.isAllowed(sheet, key, service, kind));
 }
 
@@ -100,7 +100,7 @@
 
 /** A statement that the sheet names: the client gives its parameters alone (design 8.7). */
 async function runMapping(parts: ClientApiParts, request: HttpRequest): Promise<HttpReply> {
-  const { sheet } = parts.known();
+  const { configuration: sheet } = parts.placement();
   const name = request.query['mapping'] ?? '';
   const mapping = Option.isSome(sheet) ? placements.findNamedStatement(sheet.value, name) : undefined;
   if (mapping === undefined) return http.rejected(requestFaults.notFound(`a mapping ${name}`));
@@ -113,9 +113,9 @@
   });
 }
 
-async function openSession({ clock, known, sessions }: ClientApiParts, request: HttpRequest): Promise<HttpReply> {
+async function openSession({ clock, placement: known, sessions }: ClientApiParts, request: HttpRequest): Promise<HttpReply> {
   const service = request.query['service'] ?? '';
-  if (known().controlUntil <= clock.now()) return http.rejected(requestFaults.staleConfiguration('try another edge'));
+  if (known().controlTermEnd <= clock.now()) return http.rejected(requestFaults.staleConfiguration('try another edge'));
   if (known().draining) return http.rejected(requestFaults.draining());
   if (!mayUse(known(), keyOf(request), service)) return http.rejected(requestFaults.keyRejected(`open a session on ${service}`));
   return { status: 201, body: { session: sessions.open(keyOf(request), service).id } };
--- a/packages/proxy/src/confirmations.ts
+++ b/packages/proxy/src/confirmations.ts
@@ -5,7 +5,7 @@
 import { fenceChecks } from './fence-check.js';
 import type { MemberResult } from './member-reply.js';
 import { requestFaults } from './request-faults.js';
-import { requestParts, type RequestParts } from './request-parts.js';
+import { requestContext, type RequestContext } from './request-context.js';
 import type { Session } from './sessions.js';
 import type { Outcome, RequestRecord, Target } from './statement-request.js';
 import { usageWindows, type UsageWindow } from './usage-windows.js';
@@ -24,13 +24,13 @@
 export type Confirmations = Readonly<{
   add: (record: RequestRecord, target: Target, session: Option.Option<Session>, result: MemberResult) => void;
   /** Passes on what is durable by now, and rejects what cannot be any more. */
-  settle: () => void;
+  resolveReady: () => void;
   counts: (window: number) => readonly UsageWindow[];
 }>;
 
 /** The outcome of a reply that is not passed on; `fenced` is why, else time has run out. */
 function unconfirmed(record: RequestRecord, fenced: Option.Option<Fault>): Fault {
-  if (requestParts.commits(record))
+  if (requestContext.isCommittingWrite(record))
     return requestFaults.outcomeUnknown(
       Option.isSome(fenced)
         ? 'this edge was fenced before the reply could be passed on'
@@ -39,8 +39,8 @@
   return Option.isSome(fenced) ? fenced.value : requestFaults.givenUp('the cores did not note in time what was read', 'try again shortly');
 }
 
-function create(parts: RequestParts): Confirmations {
-  const { runtime, known, notes, table } = parts;
+function create(parts: RequestContext): Confirmations {
+  const { runtime, placement: known, reports, table } = parts;
   const pending = new Map<number, Pending>();
   const usage = usageWindows.create();
 
@@ -49,33 +49,33 @@
     const confirming: RequestRecord = { ...record, stage: 'confirming' };
     const outcome = Either.right({ results, position, member: choice.member, verdict: choice.isLocal ? 'run' : 'relay' });
     // Counted first, so that the report which confirms it holds it.
-    pending.set(record.id, { record: confirming, target, session, since: runtime.clock.now(), report: notes.next(), outcome });
+    pending.set(record.id, { record: confirming, target, session, since: runtime.clock.now(), report: reports.nextNumber(), outcome });
     table.update(confirming);
-    notes.note(record.request.service, choice.isLeader ? Option.some({ epoch, position }) : Option.none);
+    reports.requestReport(record.request.service, choice.isLeader ? Option.some({ epoch, position }) : Option.none);
   }
 
   /** The fence is checked once more: what a fenced edge was told by an older primary is not passed on (design 7.3). */
-  function settleOne(one: Pending): void {
+  function resolveIfReady(one: Pending): void {
     const { record, target, session, report, since, outcome } = one;
     const now = runtime.clock.now();
     const fenced = fenceChecks.fault(known(), now, record.request.service, target.epoch, target.choice.isLeader);
-    if (Option.isNone(fenced) && now < record.deadline && !notes.noted(report)) return;
+    if (Option.isNone(fenced) && now < record.deadline && !reports.isDurable(report)) return;
     pending.delete(record.id);
-    if (Option.isNone(fenced) && notes.noted(report)) {
-      usage.count(record.request.service, notes.window());
+    if (Option.isNone(fenced) && reports.isDurable(report)) {
+      usage.count(record.request.service, reports.durableWindow());
       table.count('notingMilliseconds', now - since);
       table.resolve(record, outcome);
       return;
     }
     const { transaction } = record.request;
-    if (transaction === 'begin' || transaction === 'within') requestParts.endTransaction(parts, session);
+    if (transaction === 'begin' || transaction === 'within') requestContext.endTransaction(parts, session);
     table.reject(record, unconfirmed(record, fenced));
   }
 
   return {
     add,
-    settle: function settle() {
-      for (const one of [...pending.values()]) settleOne(one);
+    resolveReady: function resolveReady() {
+      for (const one of [...pending.values()]) resolveIfReady(one);
     },
     counts: (window) =>
       usage.counts(
--- a/packages/proxy/src/durable-reports.ts
+++ b/packages/proxy/src/durable-reports.ts
@@ -5,29 +5,29 @@
 import type { Peer } from '@stallstall/peer';
 import type { UsageWindow } from './usage-windows.js';
 
-export type Notes = Readonly<{
-  /** The number of the report that will hold what is counted before the next call of `note`. */
-  next: () => number;
+export type DurableReports = Readonly<{
+  /** The number of the report that will hold what is counted before the next call of `requestReport`. */
+  nextNumber: () => number;
   /** Has a position reported, with all that is counted by now. */
-  note: (service: string, watermark: Option.Option<DurableWatermark>) => void;
+  requestReport: (service: string, watermark: Option.Option<DurableWatermark>) => void;
   /** Whether that report, or a later one, is durable. */
-  noted: (number: number) => boolean;
+  isDurable: (number: number) => boolean;
   /** The usage window of the latest durable report: what it confirms was served then. */
-  window: () => number;
+  durableWindow: () => number;
   /** Reports what was counted since, and that this proxy still counts. */
   tick: () => void;
   flush: () => Promise<void>;
   /** The agent can be reached, so that what is sent now can be made durable. */
-  sound: () => boolean;
+  isAgentConnected: () => boolean;
   /** How many reports there were, and how long they took in all. */
   totals: () => Readonly<{ notes: number; noteMilliseconds: number }>;
 }>;
 
-export type NoteSources = Readonly<{
+export type ReportSources = Readonly<{
   /** What was served, by window of the wall clock. */
   counts: (window: number) => readonly UsageWindow[];
   /** A report has become durable. */
-  onNoted: () => void;
+  onDurable: () => void;
 }>;
 
 type State = {
@@ -35,13 +35,13 @@
   readonly agent: Peer;
   /** Names this run of the process: its counts replace none of an earlier run. */
   readonly incarnation: string;
-  readonly sources: NoteSources;
+  readonly sources: ReportSources;
   /** The highest position of each service that was reported. */
   watermarks: DurableWatermarks;
   /** Numbers of reports: the latest begun, the latest durable, the latest that somebody waits for. */
-  started: number;
-  durable: number;
-  wanted: number;
+  lastStarted: number;
+  lastDurable: number;
+  lastRequested: number;
   /** Of the latest durable report. */
   durableWindow: number;
   durableAt: Instant;
@@ -64,8 +64,8 @@
 /** Sends one report; false when it is not known to be durable. */
 async function attempt(state: State): Promise<boolean> {
   const { runtime, agent, sources, incarnation, reported } = state;
-  state.started += 1;
-  const number = state.started;
+  state.lastStarted += 1;
+  const number = state.lastStarted;
   const startedAt = runtime.clock.now();
   const wall = runtime.clock.wall();
   const window = windowOf(wall);
@@ -85,7 +85,7 @@
   for (const old of reported.keys()) if (old < window - windowsKept) reported.delete(old);
   // A report that took longer than its window confirms nothing: what waits is reported again, in the window it is served in.
   if (windowOf(runtime.clock.wall()) !== window) return true;
-  state.durable = number;
+  state.lastDurable = number;
   state.durableWindow = window;
   state.durableAt = startedAt;
   return true;
@@ -97,21 +97,21 @@
   state.reporting = true;
   do {
     if (!(await attempt(state))) break;
-    state.sources.onNoted();
-  } while (state.durable < state.wanted);
+    state.sources.onDurable();
+  } while (state.lastDurable < state.lastRequested);
   state.reporting = false;
 }
 
-function create(runtime: Runtime, agent: Peer, incarnation: string, sources: NoteSources): Notes {
+function create(runtime: Runtime, agent: Peer, incarnation: string, sources: ReportSources): DurableReports {
   const state: State = {
     runtime,
     agent,
     incarnation,
     sources,
     watermarks: {},
-    started: 0,
-    durable: 0,
-    wanted: 0,
+    lastStarted: 0,
+    lastDurable: 0,
+    lastRequested: 0,
     durableWindow: 0,
     durableAt: identifiers.instant(Number.NEGATIVE_INFINITY),
     reporting: false,
@@ -121,21 +121,21 @@
   };
 
   return {
-    note: function note(service, watermark) {
+    requestReport: function requestReport(service, watermark) {
       if (Option.isSome(watermark)) state.watermarks = message.maxWatermarks(state.watermarks, { [service]: watermark.value });
-      state.wanted = state.started + 1;
+      state.lastRequested = state.lastStarted + 1;
       void report(state);
     },
-    next: () => state.started + 1,
-    noted: (number) => state.durable >= number,
-    window: () => state.durableWindow,
+    nextNumber: () => state.lastStarted + 1,
+    isDurable: (number) => state.lastDurable >= number,
+    durableWindow: () => state.durableWindow,
     tick: function tick() {
-      if (state.durable < state.wanted || runtime.clock.now() - state.durableAt >= tickMilliseconds) void report(state);
+      if (state.lastDurable < state.lastRequested || runtime.clock.now() - state.durableAt >= tickMilliseconds) void report(state);
     },
     flush: () => report(state),
-    sound: agent.connected,
+    isAgentConnected: agent.connected,
     totals: () => ({ notes: state.attempts, noteMilliseconds: Math.round(state.attemptMilliseconds) }),
   };
 }
 
-export const notes = { create } as const;
+export const durableReports = { create } as const;
--- a/packages/proxy/src/fence-check.ts
+++ b/packages/proxy/src/fence-check.ts
@@ -2,15 +2,15 @@
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Fault, Instant } from '@stallstall/kernel';
 import { requestFaults } from './request-faults.js';
-import type { Known } from './statement-request.js';
+import type { PlacementSnapshot } from './statement-request.js';
 
 /** Whether this edge may act on its configuration now. */
-function controlFault(known: Known, now: Instant): Option.Option<Fault> {
-  return known.controlUntil <= now ? Option.some(requestFaults.staleConfiguration()) : Option.none;
+function controlFault(known: PlacementSnapshot, now: Instant): Option.Option<Fault> {
+  return known.controlTermEnd <= now ? Option.some(requestFaults.staleConfiguration()) : Option.none;
 }
 
 /** As `controlFault`, and for a leader whether the epoch's fence holds now. */
-function fault(known: Known, now: Instant, service: string, epoch: number, leader: boolean): Option.Option<Fault> {
+function fault(known: PlacementSnapshot, now: Instant, service: string, epoch: number, leader: boolean): Option.Option<Fault> {
   const stale = controlFault(known, now);
   if (Option.isSome(stale) || !leader) return stale;
   const fence = known.fences.get(service);
--- a/packages/proxy/src/proxy.ts
+++ b/packages/proxy/src/proxy.ts
@@ -4,12 +4,12 @@
 import { peer, type Peer } from '@stallstall/peer';
 import { pools, type Pool } from '@stallstall/pool';
 import { clientApi } from './client-api.js';
-import { notes as noteTables, type Notes } from './durable-reports.js';
+import { durableReports, type DurableReports } from './durable-reports.js';
 import { placementFeeds, type PlacementFeed } from './placement-feed.js';
-import { requests as requestTables, type Requests } from './requests.js';
+import { requestQueues, type RequestQueue } from './request-queue.js';
 import { sessions as sessionTables, type Sessions } from './sessions.js';
 import { graceMilliseconds, lameDuckMilliseconds, type ProxySettings } from './settings.js';
-import type { Known } from './statement-request.js';
+import type { PlacementSnapshot } from './statement-request.js';
 
 export type Proxy = Readonly<{
   /** Fails readiness at once, takes work for a moment more, lets what is in flight end, then stops. */
@@ -17,7 +17,7 @@
   /** Ends at once. */
   stop: () => Promise<void>;
   inFlight: () => number;
-  known: () => Known;
+  placement: () => PlacementSnapshot;
   connections: () => ReturnType<Pool['describe']>;
 }>;
 
@@ -28,8 +28,8 @@
   feed: PlacementFeed;
   pool: Pool;
   sessions: Sessions;
-  notes: Notes;
-  requests: Requests;
+  reports: DurableReports;
+  requests: RequestQueue;
   /** Client connections that have sent a request and are still open. */
   connected: Set<string>;
 }>;
@@ -41,24 +41,24 @@
 function assemble(runtime: Runtime, settings: ProxySettings): Assembly {
   const incarnation = runtime.randomness.token();
   const feed = placementFeeds.create(runtime.clock);
-  const pool = pools.create(runtime, () => requests.sweep());
+  const pool = pools.create(runtime, () => requests.processWaiting());
   const sessions = sessionTables.create(runtime, pool);
   const agent = peer.dial(runtime, identifiers.address(settings.feed));
-  const notes = noteTables.create(runtime, agent, incarnation, {
+  const reports = durableReports.create(runtime, agent, incarnation, {
     counts: (window) => requests.counts(window),
-    onNoted: () => requests.sweep(),
+    onDurable: () => requests.processWaiting(),
   });
-  const requests: Requests = requestTables.create({ runtime, known: feed.known, pool, sessions, notes });
-  return { runtime, agent, feed, pool, sessions, notes, requests, connected: new Set() };
+  const requests: RequestQueue = requestQueues.create({ runtime, placement: feed.placement, pool, sessions, reports });
+  return { runtime, agent, feed, pool, sessions, reports, requests, connected: new Set() };
 }
 
-function counters({ requests, notes, sessions }: Assembly): Readonly<Record<string, number>> {
-  return { ...requests.totals(), ...notes.totals(), inFlight: requests.inFlight(), sessions: sessions.all().length };
+function counters({ requests, reports, sessions }: Assembly): Readonly<Record<string, number>> {
+  return { ...requests.totals(), ...reports.totals(), inFlight: requests.inFlight(), sessions: sessions.all().length };
 }
 
 /** A withdrawn key ends its sessions, and with them any transaction under it (design 6.4). */
 function closeWithdrawn({ feed, sessions }: Assembly): void {
-  for (const session of sessions.all()) if (!clientApi.mayUse(feed.known(), session.key, session.service)) sessions.close(session);
+  for (const session of sessions.all()) if (!clientApi.mayUse(feed.placement(), session.key, session.service)) sessions.close(session);
 }
 
 async function follow(assembly: Assembly): Promise<void> {
@@ -66,21 +66,21 @@
   const sentAt = runtime.clock.now();
   const reply = await agent.call(
     'feed',
-    { configuration: feed.known().version, open: { ...pool.open() }, metrics: { ...counters(assembly) } },
+    { configuration: feed.placement().version, open: { ...pool.openConnections() }, metrics: { ...counters(assembly) } },
     feedCallMilliseconds,
   );
   if (Option.isNone(reply)) return;
   const accepted = feed.accept(reply.value, sentAt);
   if (accepted === 'ignored') return;
   if (accepted === 'new-configuration') closeWithdrawn(assembly);
-  pool.wish(feed.wishes());
-  requests.sweep();
+  pool.configure(feed.poolTargets());
+  requests.processWaiting();
 }
 
 function endOverdueTransactions({ feed, sessions }: Assembly): void {
   for (const session of sessions.all()) {
     const pinned = session.pinned();
-    if (Option.isSome(pinned) && feed.isGone(pinned.value.choice.member)) sessions.endTransaction(session);
+    if (Option.isSome(pinned) && feed.isDrainOverdue(pinned.value.choice.member)) sessions.endTransaction(session);
   }
 }
 
@@ -88,12 +88,12 @@
   assembly.feed.refreshDraining();
   endOverdueTransactions(assembly);
   assembly.sessions.expire();
-  assembly.notes.tick();
-  assembly.requests.sweep();
+  assembly.reports.tick();
+  assembly.requests.processWaiting();
 }
 
 function isReady({ runtime, feed }: Assembly): boolean {
-  const { controlUntil, sheet } = feed.known();
+  const { controlTermEnd: controlUntil, configuration: sheet } = feed.placement();
   return Option.isNone(feed.drainingSince()) && controlUntil > runtime.clock.now() && Option.isSome(sheet);
 }
 
@@ -107,7 +107,7 @@
       path: '/ready',
       handle: async function handle() {
         const ready = isReady(assembly);
-        return { status: ready ? 200 : 503, body: { ready, configuration: feed.known().version } };
+        return { status: ready ? 200 : 503, body: { ready, configuration: feed.placement().version } };
       },
     },
     {
@@ -116,7 +116,7 @@
       handle: async () => ({
         status: 200,
         body: {
-          configuration: feed.known().version,
+          configuration: feed.placement().version,
           inFlight: requests.inFlight(),
           connections: pool.describe(),
           totals: counters(assembly),
@@ -126,14 +126,14 @@
   ];
 }
 
-/** Notes who is connected: a planned end waits until each has been told to close its connection (design 7.10). */
+/** DurableReports who is connected: a planned end waits until each has been told to close its connection (design 7.10). */
 function noteConnection({ connected, feed }: Assembly, route: HttpRoute): HttpRoute {
   return {
     ...route,
     handle: async function handle(request) {
       connected.add(request.connection);
       const reply = await route.handle(request);
-      return feed.known().draining ? { ...reply, headers: { ...reply.headers, connection: 'close' } } : reply;
+      return feed.placement().draining ? { ...reply, headers: { ...reply.headers, connection: 'close' } } : reply;
     },
   };
 }
@@ -144,19 +144,19 @@
 
 /** Resolves once nothing is under way any more, or the grace is over. */
 async function awaitEnd(assembly: Assembly): Promise<void> {
-  const { runtime, feed, notes } = assembly;
+  const { runtime, feed, reports } = assembly;
   feed.stop();
   const deadline = identifiers.after(runtime.clock.now(), graceMilliseconds);
   await runtime.clock.sleep(lameDuckMilliseconds);
   while (runtime.clock.now() < deadline && isBusy(assembly)) await runtime.clock.sleep(sweepMilliseconds);
-  await notes.flush();
+  await reports.flush();
 }
 
 /** Starts listening and following the agent; resolves once clients can connect. */
 async function start(runtime: Runtime, settings: ProxySettings): Promise<Proxy> {
   const assembly = assemble(runtime, settings);
   const { agent, feed, pool, sessions, requests, connected } = assembly;
-  const routes = [...clientApi.routes({ clock: runtime.clock, known: feed.known, sessions, requests }), ...statusRoutes(assembly)];
+  const routes = [...clientApi.routes({ clock: runtime.clock, placement: feed.placement, sessions, requests }), ...statusRoutes(assembly)];
   let stopped = false;
 
   const listening: Listening = await runtime.network.serve(identifiers.address(settings.address), {
@@ -188,7 +188,7 @@
     await stop();
   }
 
-  return { drain, stop, inFlight: requests.inFlight, known: feed.known, connections: pool.describe };
+  return { drain, stop, inFlight: requests.inFlight, placement: feed.placement, connections: pool.describe };
 }
 
 export const proxy = { start } as const;
--- a/packages/proxy/src/request-parts.ts
+++ b/packages/proxy/src/request-context.ts
@@ -2,23 +2,23 @@
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Runtime } from '@stallstall/kernel';
 import type { Pool } from '@stallstall/pool';
-import type { Notes } from './durable-reports.js';
+import type { DurableReports } from './durable-reports.js';
 import type { RequestTable } from './request-table.js';
 import type { Session, Sessions } from './sessions.js';
-import type { Known, RequestRecord } from './statement-request.js';
+import type { PlacementSnapshot, RequestRecord } from './statement-request.js';
 
-export type RequestParts = Readonly<{
+export type RequestContext = Readonly<{
   runtime: Runtime;
   /** The placement as it is known now. */
-  known: () => Known;
+  placement: () => PlacementSnapshot;
   pool: Pool;
   sessions: Sessions;
-  notes: Notes;
+  reports: DurableReports;
   table: RequestTable;
 }>;
 
 /** The session of a request, if it names one that is still open. */
-function sessionOf({ sessions }: RequestParts, { request }: RequestRecord): Option.Option<Session> {
+function sessionOf({ sessions }: RequestContext, { request }: RequestRecord): Option.Option<Session> {
   return Option.isSome(request.session) ? sessions.find(request.session.value) : Option.none;
 }
 
@@ -28,17 +28,17 @@
 }
 
 /** Whether the request makes writes last: afterwards it is either known to be kept, or its outcome is unknown. */
-function commits({ request }: RequestRecord): boolean {
+function isCommittingWrite({ request }: RequestRecord): boolean {
   return request.kind === 'write' && (request.transaction === 'none' || request.transaction === 'commit');
 }
 
 /** Breaks off the connection that a session's transaction is open on. */
-function endTransaction({ pool }: RequestParts, session: Option.Option<Session>): void {
+function endTransaction({ pool }: RequestContext, session: Option.Option<Session>): void {
   if (Option.isNone(session)) return;
   const pinned = session.value.pinned();
   if (Option.isNone(pinned)) return;
   session.value.unpin();
-  pool.giveBack(pinned.value.connection, false);
+  pool.release(pinned.value.connection, false);
 }
 
-export const requestParts = { sessionOf, isPinned, commits, endTransaction } as const;
+export const requestContext = { sessionOf, isPinned, isCommittingWrite, endTransaction } as const;
--- a/packages/proxy/src/exchange.ts
+++ b/packages/proxy/src/request-execution.ts
@@ -6,16 +6,16 @@
 import type { Confirmations } from './confirmations.js';
 import { memberReplies, type MemberResult } from './member-reply.js';
 import { requestFaults } from './request-faults.js';
-import { requestParts, type RequestParts } from './request-parts.js';
+import { requestContext, type RequestContext } from './request-context.js';
 import type { Session } from './sessions.js';
 import type { RequestRecord, Target } from './statement-request.js';
 
-export type ExchangeParts = Readonly<{
-  parts: RequestParts;
+export type ExecutionContext = Readonly<{
+  parts: RequestContext;
   confirmations: Confirmations;
   /** Runs the passes over the record once more. */
   retry: (record: RequestRecord) => void;
-  sweep: () => void;
+  processWaiting: () => void;
 }>;
 
 /** A request in stage `sent`, and where it was sent. */
@@ -38,7 +38,7 @@
       readOnly: request.kind !== 'write',
       transaction: request.transaction,
       // The member forgets what an earlier session left on this connection before anything runs (design 8.2).
-      reset: !requestParts.isPinned(record),
+      reset: !requestContext.isPinned(record),
       values: Option.isSome(session) ? session.value.values() : {},
       shapes: Option.isSome(session) ? session.value.prepared() : {},
       statements: request.statements,
@@ -47,7 +47,7 @@
 }
 
 /** Sends the request and settles it. */
-async function run(exchange: ExchangeParts, sent: SentRequest): Promise<void> {
+async function run(exchange: ExecutionContext, sent: SentRequest): Promise<void> {
   const { runtime, table } = exchange.parts;
   const { record, connection, session } = sent;
   const sentAt = runtime.clock.now();
@@ -59,11 +59,11 @@
   if (Option.isSome(session)) session.value.setBusy(false);
   settle(exchange, sent, result);
   // Its key may have been withdrawn while the statement was under way (design 6.4).
-  if (Option.isSome(session) && session.value.ended()) requestParts.endTransaction(exchange.parts, session);
-  exchange.sweep();
+  if (Option.isSome(session) && session.value.ended()) requestContext.endTransaction(exchange.parts, session);
+  exchange.processWaiting();
 }
 
-function settle(exchange: ExchangeParts, sent: SentRequest, reply: Either.Either<Fault, HttpReply>): void {
+function settle(exchange: ExecutionContext, sent: SentRequest, reply: Either.Either<Fault, HttpReply>): void {
   if (Either.isLeft(reply)) {
     settleLost(exchange, sent, fault.kind(reply.left) === 'unreachable');
     return;
@@ -74,16 +74,16 @@
   else settleLost(exchange, sent, false);
 }
 
-/** No reply came, or one that cannot be read. `nothingLeft`: the request surely never left this process. */
-function settleLost(exchange: ExchangeParts, sent: SentRequest, nothingLeft: boolean): void {
+/** No reply came, or one that cannot be read. `wasNeverSent`: the request surely never left this process. */
+function settleLost(exchange: ExecutionContext, sent: SentRequest, wasNeverSent: boolean): void {
   const { parts, retry } = exchange;
   const { runtime, pool, table } = parts;
   const { record, connection, session } = sent;
   const { choice } = sent.target;
-  const pinned = requestParts.isPinned(record);
-  if (pinned) requestParts.endTransaction(parts, session);
-  else pool.giveBack(connection, false);
-  if (requestParts.commits(record) && !nothingLeft) {
+  const pinned = requestContext.isPinned(record);
+  if (pinned) requestContext.endTransaction(parts, session);
+  else pool.release(connection, false);
+  if (requestContext.isCommittingWrite(record) && !wasNeverSent) {
     table.reject(record, requestFaults.outcomeUnknown(`the reply of ${choice.member} was lost`));
     return;
   }
@@ -102,31 +102,31 @@
 }
 
 /** The member itself rejected it: nothing was kept, and an open transaction is over. */
-function settleRejected({ parts }: ExchangeParts, { record, connection, session }: SentRequest, reply: HttpReply): void {
-  if (requestParts.isPinned(record)) requestParts.endTransaction(parts, session);
-  else parts.pool.giveBack(connection, reply.status === 409);
+function settleRejected({ parts }: ExecutionContext, { record, connection, session }: SentRequest, reply: HttpReply): void {
+  if (requestContext.isPinned(record)) requestContext.endTransaction(parts, session);
+  else parts.pool.release(connection, reply.status === 409);
   parts.table.reject(record, requestFaults.rejectedByMember(reply.status, memberReplies.text(reply)));
 }
 
 /** The request ran: its connection is kept for an open transaction or given back, and the reply is confirmed before it leaves. */
-function settleResult({ parts, confirmations }: ExchangeParts, sent: SentRequest, result: MemberResult): void {
+function settleResult({ parts, confirmations }: ExecutionContext, sent: SentRequest, result: MemberResult): void {
   const { pool, table } = parts;
   const { record, connection, target, session } = sent;
   const { transaction, service } = record.request;
   if (transaction === 'begin' && Option.isSome(session)) {
     if (session.value.ended()) {
-      pool.giveBack(connection, false);
+      pool.release(connection, false);
       table.reject(record, requestFaults.sessionLost('the session was closed meanwhile; nothing was kept'));
       return;
     }
     session.value.pin({ connection, choice: target.choice });
-  } else if (!requestParts.isPinned(record)) pool.giveBack(connection, true);
+  } else if (!requestContext.isPinned(record)) pool.release(connection, true);
   else if (transaction !== 'within' && Option.isSome(session)) {
     session.value.unpin();
-    pool.giveBack(connection, true);
+    pool.release(connection, true);
   }
-  if (requestParts.commits(record) && Option.isSome(session)) session.value.committed(service, result.position);
+  if (requestContext.isCommittingWrite(record) && Option.isSome(session)) session.value.committed(service, result.position);
   confirmations.add(record, target, session, result);
 }
 
-export const exchanges = { run } as const;
+export const requestExecution = { run } as const;
--- a/packages/proxy/src/requests.ts
+++ b/packages/proxy/src/request-queue.ts
@@ -1,20 +1,20 @@
-/** Requests wait in a table until the passes find a member and a connection for them; then they are sent (design 8.5). */
+/** RequestQueue wait in a table until the passes find a member and a connection for them; then they are sent (design 8.5). */
 import * as Option from 'fp-ts/lib/Option.js';
 import { identifiers, type Runtime } from '@stallstall/kernel';
 import { confirmations } from './confirmations.js';
-import { exchanges, type ExchangeParts } from './exchange.js';
+import { requestExecution, type ExecutionContext } from './request-execution.js';
 import { fenceChecks } from './fence-check.js';
-import { passes } from './passes.js';
-import { requestParts, type RequestParts } from './request-parts.js';
+import { requestPipeline } from './request-pipeline.js';
+import { requestContext, type RequestContext } from './request-context.js';
 import { requestTables } from './request-table.js';
 import type { Outcome, RequestRecord, StatementRequest } from './statement-request.js';
 import type { UsageWindow } from './usage-windows.js';
 
-export type Requests = Readonly<{
+export type RequestQueue = Readonly<{
   /** Resolves once the reply is durable, or the request was rejected. */
   submit: (request: StatementRequest) => Promise<Outcome>;
   /** Runs the passes over every record that waits: a connection was freed, the feed has changed, or time has passed. */
-  sweep: () => void;
+  processWaiting: () => void;
   inFlight: () => number;
   /** What was served, by window; what is not durable yet is reckoned to the window named. */
   counts: (window: number) => readonly UsageWindow[];
@@ -38,8 +38,8 @@
 
 type Exclusive = Readonly<{ run: (action: () => void) => void }>;
 
-/** Runs one action at a time: one that is asked for within another is replaced by a sweep after it. */
-function createExclusive(sweepOnce: () => void): Exclusive {
+/** Runs one action at a time: one that is asked for within another is replaced by a processWaiting after it. */
+function createExclusive(processAllOnce: () => void): Exclusive {
   let working = false;
   let again = false;
 
@@ -52,7 +52,7 @@
     action();
     while (again) {
       again = false;
-      sweepOnce();
+      processAllOnce();
     }
     working = false;
   }
@@ -64,34 +64,39 @@
  * The last look before a request is sent: the fence, and whether the connection is still of the target's epoch. Returns the record in stage
  * `sent`, rejected, or waiting on.
  */
-function dispatch(exchange: ExchangeParts, record: RequestRecord): RequestRecord {
+function dispatch(exchange: ExecutionContext, record: RequestRecord): RequestRecord {
   const { parts } = exchange;
-  const { runtime, known, pool, table } = parts;
-  const session = requestParts.sessionOf(parts, record);
+  const { runtime, placement: known, pool, table } = parts;
+  const session = requestContext.sessionOf(parts, record);
   if (Option.isNone(record.connection) || Option.isNone(record.target)) return record;
   if (Option.isSome(session) && session.value.busy()) return { ...record, connection: Option.none };
   const connection = record.connection.value;
   const target = record.target.value;
   const fenced = fenceChecks.fault(known(), runtime.clock.now(), record.request.service, target.epoch, target.choice.isLeader);
   if (Option.isSome(fenced) || connection.epoch !== target.epoch) {
-    if (requestParts.isPinned(record)) requestParts.endTransaction(parts, session);
-    else pool.giveBack(connection, true);
+    if (requestContext.isPinned(record)) requestContext.endTransaction(parts, session);
+    else pool.release(connection, true);
     return Option.isSome(fenced) ? table.reject(record, fenced.value) : { ...record, connection: Option.none };
   }
   if (Option.isSome(session)) session.value.setBusy(true);
   const sent: RequestRecord = { ...record, stage: 'sent', attempts: record.attempts + 1 };
   table.update(sent);
-  void exchanges.run(exchange, { record: sent, connection, target, session });
+  void requestExecution.run(exchange, { record: sent, connection, target, session });
   return sent;
 }
 
-function create(outer: Omit<RequestParts, 'table'>): Requests {
+function create(outer: Omit<RequestContext, 'table'>): RequestQueue {
   const table = requestTables.create();
-  const parts: RequestParts = { ...outer, table };
+  const parts: RequestContext = { ...outer, table };
   const confirming = confirmations.create(parts);
-  const exclusive = createExclusive(sweepOnce);
-  const exchange: ExchangeParts = { parts, confirmations: confirming, retry: (record) => exclusive.run(() => process(record)), sweep };
-  const pipeline = [...passes.create(parts), (record: RequestRecord) => dispatch(exchange, record)];
+  const exclusive = createExclusive(processAllOnce);
+  const exchange: ExecutionContext = {
+    parts,
+    confirmations: confirming,
+    retry: (record) => exclusive.run(() => process(record)),
+    processWaiting,
+  };
+  const pipeline = [...requestPipeline.create(parts), (record: RequestRecord) => dispatch(exchange, record)];
 
   function process(record: RequestRecord): void {
     let current = record;
@@ -99,17 +104,17 @@
       if (current.stage !== 'arrived' && current.stage !== 'waiting') return;
       current = pass(current);
     }
-    // What was not sent keeps no connection and no target: both are looked up afresh at the next sweep.
+    // What was not sent keeps no connection and no target: both are looked up afresh at the next processWaiting.
     if (current.stage === 'waiting') table.update({ ...current, target: Option.none, connection: Option.none });
   }
 
-  function sweepOnce(): void {
-    confirming.settle();
+  function processAllOnce(): void {
+    confirming.resolveReady();
     for (const record of table.waiting()) if (table.has(record.id)) process(record);
   }
 
-  function sweep(): void {
-    exclusive.run(sweepOnce);
+  function processWaiting(): void {
+    exclusive.run(processAllOnce);
   }
 
   function submit(request: StatementRequest): Promise<Outcome> {
@@ -120,7 +125,7 @@
     });
   }
 
-  return { submit, sweep, inFlight: table.inFlight, counts: confirming.counts, totals: table.totals };
+  return { submit, processWaiting, inFlight: table.inFlight, counts: confirming.counts, totals: table.totals };
 }
 
-export const requests = { create } as const;
+export const requestQueues = { create } as const;
--- a/packages/proxy/src/sessions.ts
+++ b/packages/proxy/src/sessions.ts
@@ -35,7 +35,7 @@
     const pinned = session.pinned();
     if (Option.isNone(pinned) || session.busy()) return;
     session.unpin();
-    pool.giveBack(pinned.value.connection, false);
+    pool.release(pinned.value.connection, false);
   }
 
   function close(session: Session): void {
--- a/packages/proxy/src/statement-request.ts
+++ b/packages/proxy/src/statement-request.ts
@@ -49,16 +49,16 @@
 export type Outcome = Either.Either<Fault, HttpReply['body']>;
 
 /** What the agent's feed says, in this process's own clock (design 8.1). */
-export type Known = Readonly<{
-  sheet: Option.Option<PlacementConfiguration>;
+export type PlacementSnapshot = Readonly<{
+  configuration: Option.Option<PlacementConfiguration>;
   version: number;
   area: string;
-  table: RoutingTable;
+  routingTable: RoutingTable;
   /** Until then this edge may act on its configuration. */
-  controlUntil: Instant;
+  controlTermEnd: Instant;
   /** By service: the epoch that this edge is fenced to, and until when. */
   fences: ReadonlyMap<string, Readonly<{ epoch: number; until: Instant }>>;
   draining: boolean;
   /** Whether nothing more may be sent to the member, because it or this whole edge was to go so long ago. */
-  overdue: (member: string) => boolean;
+  isDrainOverdue: (member: string) => boolean;
 }>;
--- a/packages/runtime/src/commits.ts
+++ b/packages/runtime/src/commit-queue.ts
@@ -14,7 +14,7 @@
   close: () => Promise<void>;
 }>;
 
-export type Commits = Readonly<{
+export type CommitQueue = Readonly<{
   put: (key: string, value: unknown) => Promise<Either.Either<Fault, null>>;
   /** How many puts have been synced in the life of this store. */
   synced: () => number;
@@ -47,7 +47,7 @@
 }
 
 /** `reopen` closes the store and opens it anew. */
-function create(clock: Clock, probe: DiskSpaceProbe, store: () => Store, reopen: () => Promise<Either.Either<Fault, null>>): Commits {
+function create(clock: Clock, probe: DiskSpaceProbe, store: () => Store, reopen: () => Promise<Either.Either<Fault, null>>): CommitQueue {
   const first = store().get(putsKey);
   let count = typeof first === 'number' ? first : 0;
   let waiting: Waiting[] = [];
@@ -110,4 +110,4 @@
   return { put, synced: () => count, health };
 }
 
-export const commits = { create } as const;
+export const commitQueues = { create } as const;
--- a/packages/runtime/src/disk.ts
+++ b/packages/runtime/src/disk.ts
@@ -9,7 +9,7 @@
 import { storedDisk } from './stored-disk.js';
 import { storeFile } from './store-file.js';
 
-export type { Store } from './commits.js';
+export type { Store } from './commit-queue.js';
 export type { OpenStore } from './lmdb-store.js';
 
 const retryMilliseconds = 250;
--- a/packages/runtime/src/base.ts
+++ b/packages/runtime/src/host-runtime.ts
@@ -26,7 +26,7 @@
 }
 
 /** What writes an event, given the library that makes records of events. */
-function logThrough(
+function createLog(
   program: string,
   library: Readonly<{ Roarr: (context: never, message: string) => void; ROARR: { write?: (record: string) => void } }>,
 ): Log {
@@ -55,4 +55,4 @@
   };
 }
 
-export const base = { create, logThrough } as const;
+export const hostRuntime = { create, createLog } as const;
--- a/packages/runtime/src/index.ts
+++ b/packages/runtime/src/index.ts
@@ -1,12 +1,12 @@
 /** A real machine's runtime, with the libraries of the command line (design 2.2). */
 import type * as Option from 'fp-ts/lib/Option.js';
 import type { Disk, Runtime } from '@stallstall/kernel';
-import { base } from './base.js';
+import { hostRuntime } from './host-runtime.js';
 import { network } from './network.js';
 
 async function create(program: string, disk: Option.Option<Disk>): Promise<Runtime> {
   process.env['ROARR_LOG'] = 'true';
-  return base.create(base.logThrough(program, await import('roarr')), network, disk);
+  return hostRuntime.create(hostRuntime.createLog(program, await import('roarr')), network, disk);
 }
 
 export const nodeRuntime = { create } as const;
--- a/packages/runtime/src/lmdb-store.ts
+++ b/packages/runtime/src/lmdb-store.ts
@@ -3,7 +3,7 @@
 import * as Option from 'fp-ts/lib/Option.js';
 import { fault, type Fault } from '@stallstall/kernel';
 import { open as openDatabase } from 'lmdb';
-import { putsKey, type Store } from './commits.js';
+import { putsKey, type Store } from './commit-queue.js';
 import { storeFile } from './store-file.js';
 
 /** Opens a store of lmdb; another one takes its place where a failing disk is to be seen. */
--- a/packages/runtime/src/minimal-runtime.ts
+++ b/packages/runtime/src/minimal-runtime.ts
@@ -1,9 +1,9 @@
 /** A real machine's runtime for programs whose every start is paid for: HTTP from Node.js alone (design 2.7). */
-import './log-on.js';
+import './enable-logging.js';
 import { ROARR, Roarr } from 'roarr';
 import type * as Option from 'fp-ts/lib/Option.js';
 import type { Disk, Runtime, Network } from '@stallstall/kernel';
-import { base } from './base.js';
+import { hostRuntime } from './host-runtime.js';
 import { links } from './links.js';
 import { connect } from './minimal-http-connection.js';
 import { serve } from './minimal-http-server.js';
@@ -20,7 +20,7 @@
 
 /** @param program - the program's name, for its log */
 function create(program: string, disk: Option.Option<Disk>): Runtime {
-  return base.create(base.logThrough(program, { Roarr, ROARR }), minimalNetwork, disk);
+  return hostRuntime.create(hostRuntime.createLog(program, { Roarr, ROARR }), minimalNetwork, disk);
 }
 
 export const minimalRuntime = { create } as const;
--- a/packages/runtime/src/stored-disk.ts
+++ b/packages/runtime/src/stored-disk.ts
@@ -4,7 +4,7 @@
 import * as Option from 'fp-ts/lib/Option.js';
 import { fault, type Disk, type Fault } from '@stallstall/kernel';
 import { clock } from './clock.js';
-import { commits, type Commits, type Store } from './commits.js';
+import { commitQueues, type CommitQueue, type Store } from './commit-queue.js';
 import type { DiskSpaceProbe } from './disk-space-probe.js';
 import { lmdbStore, lostKey, ownPrefix, type OpenStore } from './lmdb-store.js';
 import { storeFile } from './store-file.js';
@@ -14,7 +14,7 @@
   readonly openStore: OpenStore;
   readonly probe: DiskSpaceProbe;
   store: Store;
-  writing: Commits;
+  writing: CommitQueue;
 };
 
 type KeyRange = Readonly<{ start?: string; end?: string }>;
@@ -39,8 +39,8 @@
   }
 }
 
-function commitsOf(disk: DiskState): Commits {
-  return commits.create(
+function commitsOf(disk: DiskState): CommitQueue {
+  return commitQueues.create(
     clock,
     disk.probe,
     () => disk.store,
--- a/packages/simulator/mutations.mjs
+++ b/packages/simulator/mutations.mjs
@@ -31,8 +31,8 @@
     name: 'write-leaves-twice',
     expect: 'write-',
     only: replies,
-    file: 'proxy/build/exchange.js',
-    from: 'if (requestParts.commits(record) && !nothingLeft) {',
+    file: 'proxy/build/request-execution.js',
+    from: 'if (requestContext.isCommittingWrite(record) && !wasNeverSent) {',
     to: 'if (false) {',
   },
   {
@@ -56,7 +56,7 @@
     expect: 'write-vanished|stale-leader-read|leader-read-unseen',
     only: losses,
     file: 'proxy/build/confirmations.js',
-    from: 'notes.noted(report)',
+    from: 'reports.isDurable(report)',
     to: 'true',
   },
   {
@@ -79,7 +79,7 @@
     name: 'own-commit-forgotten',
     expect: 'stale-own-read',
     only: lag,
-    file: 'proxy/build/passes.js',
+    file: 'proxy/build/request-pipeline.js',
     from: "request.kind === 'own-read' ?",
     to: 'false ?',
   },
@@ -161,8 +161,8 @@
     expect: 'session-crossed',
     only: ['kill-proxy', 'key-withdrawn'],
     file: 'proxy/build/sessions.js',
-    from: 'pool.giveBack(pinned.value.connection, false)',
-    to: 'pool.giveBack(pinned.value.connection, true)',
+    from: 'pool.release(pinned.value.connection, false)',
+    to: 'pool.release(pinned.value.connection, true)',
   },
   {
     name: 'shapes-in-common',
@@ -209,7 +209,7 @@
     expect: 'connection-limit',
     only: ['spare-edge', 'all-stop', 'freeze-member'],
     file: 'pool/build/index.js',
-    from: 'pool.wish.cap',
+    from: 'pool.target.maxConnections',
     to: '9e9',
   },
 ];
--- a/packages/simulator/pooled-mutations.mjs
+++ b/packages/simulator/pooled-mutations.mjs
@@ -552,7 +552,7 @@
   {
     name: 'commit-error-left-alone',
     story: 'opened anew',
-    file: 'runtime/build/commits.js',
+    file: 'runtime/build/commit-queue.js',
     from: 'if (commitError === undefined)',
     to: 'if (true)',
   },
--- a/packages/simulator/src/fleet-checks/placement-checks.ts
+++ b/packages/simulator/src/fleet-checks/placement-checks.ts
@@ -27,14 +27,14 @@
       const { running, process } = edge.proxy;
       if (running === undefined || process?.alive() !== true || fleet.world.frozen(process)) continue;
       const moment = process.runtime.clock.now();
-      const known = running.known();
+      const placement = running.placement();
       const before = last.get(running) ?? 0;
-      if (known.version < before) add('configuration-back', `${edge.name} went from ${before} to ${known.version}`);
-      last.set(running, known.version);
-      if (known.version < due && known.controlUntil > moment)
-        add('configuration-unobeyed', `${edge.name} lets in under ${known.version} when ${due} was acknowledged`);
-      for (const [service, fence] of known.fences) {
-        if (fence.until <= moment || known.controlUntil <= moment) continue;
+      if (placement.version < before) add('configuration-back', `${edge.name} went from ${before} to ${placement.version}`);
+      last.set(running, placement.version);
+      if (placement.version < due && placement.controlTermEnd > moment)
+        add('configuration-unobeyed', `${edge.name} lets in under ${placement.version} when ${due} was acknowledged`);
+      for (const [service, fence] of placement.fences) {
+        if (fence.until <= moment || placement.controlTermEnd <= moment) continue;
         const epochs = open.get(service) ?? new Map<number, string>();
         epochs.set(fence.epoch, edge.name);
         open.set(service, epochs);
