--- a/packages/proxy/src/durable-reports.ts
+++ b/packages/proxy/src/durable-reports.ts
@@ -133,7 +133,7 @@
       if (state.lastDurable < state.lastRequested || runtime.clock.now() - state.durableAt >= tickMilliseconds) void report(state);
     },
     flush: () => report(state),
-    isAgentConnected: agent.connected,
+    isAgentConnected: agent.isConnected,
     totals: () => ({ notes: state.attempts, noteMilliseconds: Math.round(state.attemptMilliseconds) }),
   };
 }
