--- a/packages/pool/src/index.ts
+++ b/packages/pool/src/index.ts
@@ -1,4 +1,4 @@
-/** Connections of the HTTP wire to members: few, costly, reused, never more than this edge's share (design 8.2, 8.3). */
+/** Connections over the HTTP protocol to members. They are costly to open, so they are reused, within this edge's share (design 8.2, 8.3). */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import {
@@ -15,25 +15,25 @@
 export type MemberConnection = Readonly<{
   member: string;
   epoch: number;
-  exchange: (ask: OutgoingHttpRequest, milliseconds: number) => Promise<Either.Either<Fault, HttpReply>>;
+  exchange: (request: OutgoingHttpRequest, milliseconds: number) => Promise<Either.Either<Fault, HttpReply>>;
   closed: () => boolean;
 }>;
 
-/** What should stand to a member: at most `cap` connections of the epoch. */
+/** The desired pool of a member: at most `maxConnections` connections, all opened in `epoch`. */
 export type MemberPoolTarget = Readonly<{ service: string; member: string; address: string; epoch: number; maxConnections: number }>;
 
 export type MemberCounts = Readonly<{ member: string; idle: number; busy: number; opening: number; cap: number }>;
 
 export type Pool = Readonly<{
-  /** What the pool should hold from now on; connections beyond it, or of an older epoch, are closed. */
-  configure: (wishes: readonly MemberPoolTarget[]) => void;
-  /** A connection nobody uses; none says that one is being opened, or that the share is used up. */
+  /** Sets the desired pools. Connections over a limit or of an older epoch are closed once they are idle. */
+  configure: (targets: readonly MemberPoolTarget[]) => void;
+  /** Returns an idle connection. None: one is being opened, an open is being delayed, or the limit is reached. */
   acquire: (member: string) => Option.Option<MemberConnection>;
-  /** Hands a connection back; a broken or half-known one is discarded instead. */
-  release: (connection: MemberConnection, sound: boolean) => void;
-  /** True while nothing is open to a member and the last opening failed: who waits for it would wait for nothing. */
+  /** Returns a connection to the pool, or closes it if it is not reusable: broken, or in an unknown state. */
+  release: (connection: MemberConnection, isReusable: boolean) => void;
+  /** Whether the member has no open connection and the last attempt to open one failed, so that waiting for one is pointless. */
   isUnreachable: (member: string) => boolean;
-  /** By service: the most connections that stand to one of its members. */
+  /** By service: the largest number of connections to any one of its members. */
   openConnections: () => Readonly<Record<string, number>>;
   describe: () => readonly MemberCounts[];
   closeAll: () => void;
@@ -46,27 +46,26 @@
   readonly idle: PooledConnection[];
   readonly busy: Map<MemberConnection, PooledConnection>;
   opening: number;
-  /** Somebody waits for one. */
+  /** Whether a request found no idle connection. */
   hasWaitingRequest: boolean;
-  /** No opening is tried before. */
+  /** No connection is opened before this time. */
   nextOpenAt: Instant;
-  /** The last opening failed. */
   lastOpenFailed: boolean;
 };
 
-/** All member pools, by member. */
-type Pools = Readonly<{ runtime: Runtime; onFreed: () => void; byMember: Map<string, MemberPool> }>;
+/** The pools of all members, by member. */
+type Pools = Readonly<{ runtime: Runtime; onAvailable: () => void; byMember: Map<string, MemberPool> }>;
 
-const openMilliseconds = 1_500;
-/** New connections are costly for members: this many are opened at once, and a pause follows one that failed. */
-const openAtOnce = 2;
-const pauseMilliseconds = 300;
-/** This many stand ahead of need. */
-const warm = 2;
+const openTimeoutMilliseconds = 1_500;
+/** Opening a connection is costly for a member: this many are opened at the same time, and a failed open is followed by a delay. */
+const maxConcurrentOpens = 2;
+const openRetryMilliseconds = 300;
+/** This many connections are opened before any request needs them. */
+const minConnections = 2;
 
-function createMemberPool(runtime: Runtime, wish: MemberPoolTarget): MemberPool {
+function createMemberPool(runtime: Runtime, target: MemberPoolTarget): MemberPool {
   return {
-    target: wish,
+    target,
     idle: [],
     busy: new Map(),
     opening: 0,
@@ -76,128 +75,134 @@
   };
 }
 
-function total(pool: MemberPool): number {
+function connectionCount(pool: MemberPool): number {
   return pool.idle.length + pool.busy.size + pool.opening;
 }
 
-/** Opens one more if it is needed and may be opened now. */
-function fill(pools: Pools, pool: MemberPool): void {
-  const wanted = pool.hasWaitingRequest || total(pool) < Math.min(warm, pool.target.maxConnections);
-  if (!wanted || total(pool) >= pool.target.maxConnections || pool.opening >= openAtOnce || pools.runtime.clock.now() < pool.nextOpenAt)
+/** Opens one more connection if one is needed and may be opened now. */
+function openIfNeeded(pools: Pools, pool: MemberPool): void {
+  const isNeeded = pool.hasWaitingRequest || connectionCount(pool) < Math.min(minConnections, pool.target.maxConnections);
+  if (
+    !isNeeded ||
+    connectionCount(pool) >= pool.target.maxConnections ||
+    pool.opening >= maxConcurrentOpens ||
+    pools.runtime.clock.now() < pool.nextOpenAt
+  )
     return;
   void open(pools, pool);
 }
 
 async function open(pools: Pools, pool: MemberPool): Promise<void> {
-  const { runtime, byMember, onFreed } = pools;
+  const { runtime, byMember, onAvailable } = pools;
   pool.opening += 1;
   const { member, address, epoch } = pool.target;
   const http = runtime.network.connect(identifiers.address(address));
-  const reply = await http.exchange({ method: 'POST', path: '/open', body: {} }, openMilliseconds);
+  const reply = await http.exchange({ method: 'POST', path: '/open', body: {} }, openTimeoutMilliseconds);
   pool.opening -= 1;
-  const opened = Either.isRight(reply) && reply.right.status === 200;
-  const stillWanted = byMember.get(member) === pool && pool.target.epoch === epoch && total(pool) < pool.target.maxConnections;
-  if (opened && stillWanted) {
+  const isOpen = Either.isRight(reply) && reply.right.status === 200;
+  const isStillNeeded = byMember.get(member) === pool && pool.target.epoch === epoch && connectionCount(pool) < pool.target.maxConnections;
+  if (isOpen && isStillNeeded) {
     pool.lastOpenFailed = false;
     pool.idle.push({ connection: { member, epoch, exchange: http.exchange, closed: http.closed }, http });
   } else {
     http.close();
-    if (!opened) noteFailure(runtime, pool);
+    if (!isOpen) delayNextOpen(runtime, pool);
   }
-  onFreed();
+  onAvailable();
 }
 
-function noteFailure(runtime: Runtime, pool: MemberPool): void {
+function delayNextOpen(runtime: Runtime, pool: MemberPool): void {
   pool.lastOpenFailed = true;
-  pool.nextOpenAt = identifiers.after(runtime.clock.now(), pauseMilliseconds * (0.5 + runtime.randomness.fraction()));
+  pool.nextOpenAt = identifiers.after(runtime.clock.now(), openRetryMilliseconds * (0.5 + runtime.randomness.fraction()));
 }
 
-/** Closes idle connections that are broken, of an older epoch, or too many. */
-function prune(pool: MemberPool): void {
+/** Closes idle connections that are broken, of an older epoch, or over the limit. */
+function closeUnusable(pool: MemberPool): void {
   for (let index = pool.idle.length - 1; index >= 0; index -= 1) {
-    const held = pool.idle[index] as PooledConnection;
-    if (held.http.closed() || held.connection.epoch !== pool.target.epoch || total(pool) > pool.target.maxConnections) {
+    const pooled = pool.idle[index] as PooledConnection;
+    if (pooled.http.closed() || pooled.connection.epoch !== pool.target.epoch || connectionCount(pool) > pool.target.maxConnections) {
       pool.idle.splice(index, 1);
-      held.http.close();
+      pooled.http.close();
     }
   }
 }
 
-function closeUnnamed({ byMember }: Pools, named: ReadonlySet<string>): void {
+/** Closes the pools of members that are no longer configured; busy connections stay until they are released. */
+function closeRemovedMembers({ byMember }: Pools, configured: ReadonlySet<string>): void {
   for (const [member, pool] of byMember) {
-    if (named.has(member)) continue;
-    for (const held of pool.idle.splice(0)) held.http.close();
+    if (configured.has(member)) continue;
+    for (const pooled of pool.idle.splice(0)) pooled.http.close();
     pool.target = { ...pool.target, maxConnections: 0 };
     if (pool.busy.size === 0) byMember.delete(member);
   }
 }
 
-function follow(pools: Pools, wishes: readonly MemberPoolTarget[]): void {
+function configure(pools: Pools, targets: readonly MemberPoolTarget[]): void {
   const { runtime, byMember } = pools;
-  closeUnnamed(pools, new Set(wishes.map((one) => one.member)));
-  for (const wish of wishes) {
-    const pool = byMember.get(wish.member);
-    if (pool === undefined) byMember.set(wish.member, createMemberPool(runtime, wish));
-    else pool.target = wish;
+  closeRemovedMembers(pools, new Set(targets.map((target) => target.member)));
+  for (const target of targets) {
+    const pool = byMember.get(target.member);
+    if (pool === undefined) byMember.set(target.member, createMemberPool(runtime, target));
+    else pool.target = target;
   }
   for (const pool of byMember.values()) {
-    prune(pool);
-    fill(pools, pool);
+    closeUnusable(pool);
+    openIfNeeded(pools, pool);
     pool.hasWaitingRequest = false;
   }
 }
 
-function take(pools: Pools, member: string): Option.Option<MemberConnection> {
+function acquire(pools: Pools, member: string): Option.Option<MemberConnection> {
   const pool = pools.byMember.get(member);
   if (pool === undefined) return Option.none;
-  prune(pool);
-  const held = pool.idle.pop();
-  if (held === undefined) {
+  closeUnusable(pool);
+  const pooled = pool.idle.pop();
+  if (pooled === undefined) {
     pool.hasWaitingRequest = true;
-    fill(pools, pool);
+    openIfNeeded(pools, pool);
     return Option.none;
   }
-  pool.busy.set(held.connection, held);
-  return Option.some(held.connection);
+  pool.busy.set(pooled.connection, pooled);
+  return Option.some(pooled.connection);
 }
 
-function giveBack({ byMember, onFreed }: Pools, connection: MemberConnection, sound: boolean): void {
+function release({ byMember, onAvailable }: Pools, connection: MemberConnection, isReusable: boolean): void {
   const pool = byMember.get(connection.member);
-  const held = pool?.busy.get(connection);
-  if (pool === undefined || held === undefined) return;
+  const pooled = pool?.busy.get(connection);
+  if (pool === undefined || pooled === undefined) return;
   pool.busy.delete(connection);
-  if (sound && !held.http.closed() && connection.epoch === pool.target.epoch && total(pool) < pool.target.maxConnections)
-    pool.idle.push(held);
-  else held.http.close();
-  onFreed();
+  if (isReusable && !pooled.http.closed() && connection.epoch === pool.target.epoch && connectionCount(pool) < pool.target.maxConnections)
+    pool.idle.push(pooled);
+  else pooled.http.close();
+  onAvailable();
 }
 
-function openByService({ byMember }: Pools): Readonly<Record<string, number>> {
-  const most: Record<string, number> = {};
-  for (const pool of byMember.values()) most[pool.target.service] = Math.max(most[pool.target.service] ?? 0, total(pool));
-  return most;
+function openConnections({ byMember }: Pools): Readonly<Record<string, number>> {
+  const largest: Record<string, number> = {};
+  for (const pool of byMember.values()) largest[pool.target.service] = Math.max(largest[pool.target.service] ?? 0, connectionCount(pool));
+  return largest;
 }
 
-function countsOf({ target: wish, idle, busy, opening }: MemberPool): MemberCounts {
-  return { member: wish.member, idle: idle.length, busy: busy.size, opening, cap: wish.maxConnections };
+function countsOf({ target, idle, busy, opening }: MemberPool): MemberCounts {
+  return { member: target.member, idle: idle.length, busy: busy.size, opening, cap: target.maxConnections };
 }
 
-/** `onFreed`: a connection is idle now, or an opening has failed. */
-function create(runtime: Runtime, onFreed: () => void): Pool {
-  const pools: Pools = { runtime, onFreed, byMember: new Map() };
+/** @param onAvailable - called when a connection was released or an attempt to open one has ended */
+function create(runtime: Runtime, onAvailable: () => void): Pool {
+  const pools: Pools = { runtime, onAvailable, byMember: new Map() };
 
   return {
-    configure: (wishes) => follow(pools, wishes),
-    acquire: (member) => take(pools, member),
-    release: (connection, sound) => giveBack(pools, connection, sound),
-    isUnreachable: function unreachable(member) {
+    configure: (targets) => configure(pools, targets),
+    acquire: (member) => acquire(pools, member),
+    release: (connection, isReusable) => release(pools, connection, isReusable),
+    isUnreachable: function isUnreachable(member) {
       const pool = pools.byMember.get(member);
       return pool !== undefined && pool.lastOpenFailed && pool.idle.length + pool.busy.size === 0;
     },
-    openConnections: () => openByService(pools),
+    openConnections: () => openConnections(pools),
     describe: () => [...pools.byMember.values()].map(countsOf),
     closeAll: function closeAll() {
-      for (const pool of pools.byMember.values()) for (const held of [...pool.idle, ...pool.busy.values()]) held.http.close();
+      for (const pool of pools.byMember.values()) for (const pooled of [...pool.idle, ...pool.busy.values()]) pooled.http.close();
       pools.byMember.clear();
     },
   };
