--- a/packages/proxy/src/durable-reports.ts
+++ b/packages/proxy/src/durable-reports.ts
@@ -1,4 +1,4 @@
-/** Reports what must be durable on a majority of core disks before a reply leaves: commit positions and usage (design 7.5, 8.6). */
+/** Reports commit positions and usage to the cores, where they must be durable on a majority of disks before a reply is returned (design 7.5, 8.6). */
 import * as Option from 'fp-ts/lib/Option.js';
 import { identifiers, type Instant, type Runtime } from '@stallstall/kernel';
 import { message, type DurableWatermark, type DurableWatermarks } from '@stallstall/message';
@@ -6,63 +6,63 @@
 import type { UsageWindow } from './usage-windows.js';
 
 export type DurableReports = Readonly<{
-  /** The number of the report that will hold what is counted before the next call of `requestReport`. */
+  /** Number of the report that will include what is counted before the next call of `requestReport`. */
   nextNumber: () => number;
-  /** Has a position reported, with all that is counted by now. */
+  /** Requests a report of a position and of everything counted so far. */
   requestReport: (service: string, watermark: Option.Option<DurableWatermark>) => void;
-  /** Whether that report, or a later one, is durable. */
+  /** Whether the report with this number, or a later one, is durable. */
   isDurable: (number: number) => boolean;
-  /** The usage window of the latest durable report: what it confirms was served then. */
+  /** The usage window of the latest durable report; the requests that it confirms are counted in this window. */
   durableWindow: () => number;
-  /** Reports what was counted since, and that this proxy still counts. */
+  /** Starts a report if one was requested, or if the latest is too old to show that this proxy still counts. */
   tick: () => void;
   flush: () => Promise<void>;
-  /** The agent can be reached, so that what is sent now can be made durable. */
+  /** Whether the agent is connected; without it, no reply can become durable. */
   isAgentConnected: () => boolean;
-  /** How many reports there were, and how long they took in all. */
+  /** The number of reports and their total duration. */
   totals: () => Readonly<{ notes: number; noteMilliseconds: number }>;
 }>;
 
 export type ReportSources = Readonly<{
-  /** What was served, by window of the wall clock. */
+  /** Requests served, by window of the wall clock. */
   counts: (window: number) => readonly UsageWindow[];
-  /** A report has become durable. */
+  /** Called when a report has become durable. */
   onDurable: () => void;
 }>;
 
 type State = {
   readonly runtime: Runtime;
   readonly agent: Peer;
-  /** Names this run of the process: its counts replace none of an earlier run. */
+  /** Identifies this run of the process, so that its counts do not replace those of an earlier run. */
   readonly incarnation: string;
   readonly sources: ReportSources;
-  /** The highest position of each service that was reported. */
+  /** The highest reported commit position of each service. */
   watermarks: DurableWatermarks;
-  /** Numbers of reports: the latest begun, the latest durable, the latest that somebody waits for. */
+  /** Numbers of the latest report that was started, that is durable, and that was requested. */
   lastStarted: number;
   lastDurable: number;
   lastRequested: number;
-  /** Of the latest durable report. */
+  /** Window and start time of the latest durable report. */
   durableWindow: number;
   durableAt: Instant;
-  reporting: boolean;
-  /** By window: the counts that the latest durable report holds, as text. Empty once a report may be durable in part. */
+  isReporting: boolean;
+  /** By window: the counts in the latest durable report, as JSON. Cleared when a report failed and may be durable on some cores. */
   readonly reported: Map<number, string>;
   attempts: number;
   attemptMilliseconds: number;
 };
 
-const tickMilliseconds = 200;
+const maxReportAgeMilliseconds = 200;
 const windowMilliseconds = 5_000;
-const windowsKept = 6;
-const callMilliseconds = 1_000;
+const retainedWindows = 6;
+const callTimeoutMilliseconds = 1_000;
 
 function windowOf(wall: number): number {
   return Math.floor(wall / windowMilliseconds);
 }
 
-/** Sends one report; false when it is not known to be durable. */
-async function attempt(state: State): Promise<boolean> {
+/** Sends one report. Returns false if it may not be durable. */
+async function sendReport(state: State): Promise<boolean> {
   const { runtime, agent, sources, incarnation, reported } = state;
   state.lastStarted += 1;
   const number = state.lastStarted;
@@ -71,19 +71,19 @@
   const window = windowOf(wall);
   const usage = sources
     .counts(window)
-    .map((one) => ({ window: one.window, counts: { ...one.counts } }))
-    .filter((one) => reported.get(one.window) !== JSON.stringify(one.counts));
+    .map((windowUsage) => ({ window: windowUsage.window, counts: { ...windowUsage.counts } }))
+    .filter((windowUsage) => reported.get(windowUsage.window) !== JSON.stringify(windowUsage.counts));
   const body = { number, floors: { ...state.watermarks }, usage, through: wall, incarnation };
-  const reply = await agent.call('tell', body, callMilliseconds);
+  const reply = await agent.call('tell', body, callTimeoutMilliseconds);
   state.attempts += 1;
   state.attemptMilliseconds += runtime.clock.now() - startedAt;
   if (Option.isNone(reply) || !reply.value.kept) {
     reported.clear();
     return false;
   }
-  for (const one of usage) reported.set(one.window, JSON.stringify(one.counts));
-  for (const old of reported.keys()) if (old < window - windowsKept) reported.delete(old);
-  // A report that took longer than its window confirms nothing: what waits is reported again, in the window it is served in.
+  for (const windowUsage of usage) reported.set(windowUsage.window, JSON.stringify(windowUsage.counts));
+  for (const earlier of reported.keys()) if (earlier < window - retainedWindows) reported.delete(earlier);
+  // A report that ended in a later window confirms nothing: the waiting replies are reported again, in the window in which they are returned.
   if (windowOf(runtime.clock.wall()) !== window) return true;
   state.lastDurable = number;
   state.durableWindow = window;
@@ -91,15 +91,15 @@
   return true;
 }
 
-/** One report at a time; whoever comes meanwhile is in the next. */
-async function report(state: State): Promise<void> {
-  if (state.reporting) return;
-  state.reporting = true;
+/** Sends one report at a time; what is requested during a report is included in the next one. */
+async function sendRequestedReports(state: State): Promise<void> {
+  if (state.isReporting) return;
+  state.isReporting = true;
   do {
-    if (!(await attempt(state))) break;
+    if (!(await sendReport(state))) break;
     state.sources.onDurable();
   } while (state.lastDurable < state.lastRequested);
-  state.reporting = false;
+  state.isReporting = false;
 }
 
 function create(runtime: Runtime, agent: Peer, incarnation: string, sources: ReportSources): DurableReports {
@@ -114,7 +114,7 @@
     lastRequested: 0,
     durableWindow: 0,
     durableAt: identifiers.instant(Number.NEGATIVE_INFINITY),
-    reporting: false,
+    isReporting: false,
     reported: new Map(),
     attempts: 0,
     attemptMilliseconds: 0,
@@ -124,15 +124,16 @@
     requestReport: function requestReport(service, watermark) {
       if (Option.isSome(watermark)) state.watermarks = message.maxWatermarks(state.watermarks, { [service]: watermark.value });
       state.lastRequested = state.lastStarted + 1;
-      void report(state);
+      void sendRequestedReports(state);
     },
     nextNumber: () => state.lastStarted + 1,
     isDurable: (number) => state.lastDurable >= number,
     durableWindow: () => state.durableWindow,
     tick: function tick() {
-      if (state.lastDurable < state.lastRequested || runtime.clock.now() - state.durableAt >= tickMilliseconds) void report(state);
+      if (state.lastDurable < state.lastRequested || runtime.clock.now() - state.durableAt >= maxReportAgeMilliseconds)
+        void sendRequestedReports(state);
     },
-    flush: () => report(state),
+    flush: () => sendRequestedReports(state),
     isAgentConnected: agent.isConnected,
     totals: () => ({ notes: state.attempts, noteMilliseconds: Math.round(state.attemptMilliseconds) }),
   };
--- a/packages/proxy/src/index.ts
+++ b/packages/proxy/src/index.ts
@@ -1,3 +1,3 @@
 export { proxy, type Proxy } from './proxy.js';
 export { graceMilliseconds, type ProxySettings } from './settings.js';
-export type { PlacementSnapshot as Known } from './statement-request.js';
+export type { PlacementSnapshot } from './statement-request.js';
--- a/packages/proxy/src/placement-feed.ts
+++ b/packages/proxy/src/placement-feed.ts
@@ -1,4 +1,4 @@
-/** What this process knows of the placement, fed by its agent; terms count from this process's own send time (design 7.3, 8.1). */
+/** The placement that this process receives from its agent. Terms are counted from the time at which the request was sent (design 7.3, 8.1). */
 import * as Option from 'fp-ts/lib/Option.js';
 import { identifiers, type Clock, type Instant } from '@stallstall/kernel';
 import type { Reply, ServiceFeed } from '@stallstall/message';
@@ -8,22 +8,22 @@
 import { handoverMilliseconds, lameDuckMilliseconds, openTransactionMilliseconds } from './settings.js';
 import type { PlacementSnapshot } from './statement-request.js';
 
-/** What became of a reply of the agent. `ignored`: the agent knows less than this process. */
+/** How a reply of the agent was handled. `ignored`: it is older than the state of this process. */
 export type FeedOutcome = 'ignored' | 'same-configuration' | 'new-configuration';
 
 export type PlacementFeed = Readonly<{
   placement: () => PlacementSnapshot;
-  /** Takes in the agent's reply to a request that was sent at `sentAt`. */
+  /** Applies the agent's reply to a request that was sent at `sentAt`. */
   accept: (reply: Reply<'feed'>, sentAt: Instant) => FeedOutcome;
-  /** The process is to end. */
+  /** Starts draining because this process is shutting down. */
   stop: () => void;
-  /** Since when this edge is to drain, `never` when it was told so before this process began. */
+  /** When this edge started draining; `never` if that was before this process started. */
   drainingSince: () => Option.Option<Instant>;
-  /** `known().draining` follows the passing of time: to be called often. */
+  /** Updates `placement().draining`, which changes a fixed time after draining was requested. To be called periodically. */
   refreshDraining: () => void;
-  /** The connections that should stand. */
+  /** The desired connection pools. */
   poolTargets: () => readonly MemberPoolTarget[];
-  /** Whether not even an open transaction goes on at the member, because it, or this edge, is overdue. */
+  /** Whether the member, or this edge, has been draining for so long that not even open transactions may continue. */
   isDrainOverdue: (member: string) => boolean;
 }>;
 
@@ -32,10 +32,10 @@
   placement: PlacementSnapshot;
   latestReply: Option.Option<Reply<'feed'>>;
   services: readonly ServiceStatus[];
-  /** Members that are to go, draining or in no sheet any more, and since when this process has known. */
+  /** Members that are draining or no longer in the configuration, and when this process learnt of it. */
   readonly drainingMembersSince: Map<string, Instant>;
   drainingSince: Option.Option<Instant>;
-  /** A term was told: the agent has caught up once. */
+  /** Whether the agent has reported a control term, which it does once it has caught up. */
   hasReceivedTerm: boolean;
   stopping: boolean;
 };
@@ -46,35 +46,40 @@
   return left > right ? left : right;
 }
 
-function isOverdue(state: State, member: string): boolean {
+function isMemberOverdue(state: State, member: string): boolean {
   const since = state.drainingMembersSince.get(member);
   return since !== undefined && state.clock.now() >= identifiers.after(since, handoverMilliseconds);
 }
 
 function isDrainOverdue(state: State, member: string): boolean {
-  if (isOverdue(state, member)) return true;
+  if (isMemberOverdue(state, member)) return true;
   const { drainingSince } = state;
   return Option.isSome(drainingSince) && state.clock.now() >= identifiers.after(drainingSince.value, openTransactionMilliseconds);
 }
 
-/** A term that was told stays valid to its end, also when a restarted agent knows of none yet (design 3.4). */
-function fenceOf(state: State, service: ServiceStatus, reply: Reply<'feed'>, sentAt: Instant): Readonly<{ epoch: number; until: Instant }> {
+/** A reported fence stays valid to its end, even if a restarted agent does not know of it yet (design 3.4). */
+function mergedFence(
+  state: State,
+  service: ServiceStatus,
+  reply: Reply<'feed'>,
+  sentAt: Instant,
+): Readonly<{ epoch: number; until: Instant }> {
   const before = state.placement.fences.get(service.service);
-  const reported = reply.services.find((one) => one.service === service.service && one.epoch === service.epoch);
-  const knownUntil = before?.epoch === service.epoch ? before.until : never;
+  const reported = reply.services.find((candidate) => candidate.service === service.service && candidate.epoch === service.epoch);
+  const previousUntil = before?.epoch === service.epoch ? before.until : never;
   const reportedUntil = reported === undefined ? never : identifiers.after(sentAt, reported.fence);
-  return { epoch: service.epoch, until: later(knownUntil, reportedUntil) };
+  return { epoch: service.epoch, until: later(previousUntil, reportedUntil) };
 }
 
-/** An epoch is never taken back. */
-function serviceOf(state: State, reported: ServiceFeed, sentAt: Instant): ServiceStatus {
-  const before = state.services.find((one) => one.service === reported.service);
+/** The status of a service as reported, or the previous one if the report has an earlier epoch. */
+function mergedStatus(state: State, reported: ServiceFeed, sentAt: Instant): ServiceStatus {
+  const before = state.services.find((candidate) => candidate.service === reported.service);
   if (before !== undefined && before.epoch > reported.epoch) return before;
   return {
     service: reported.service,
     epoch: reported.epoch,
     primary: reported.primary,
-    isHandoverOverdue: isOverdue(state, reported.primary),
+    isHandoverOverdue: isMemberOverdue(state, reported.primary),
     targets: reported.targets.map((target) => ({
       member: target.member,
       isAlive: target.alive,
@@ -85,65 +90,72 @@
   };
 }
 
-/** What the first sheet of this process says is no news to its edge: those members have had their time. */
-function noteGoing(state: State, sheet: PlacementConfiguration): void {
+/**
+ * Records which members are draining. Those in the first configuration of this process were draining before it started, so their time to
+ * drain has already passed.
+ */
+function recordDrainingMembers(state: State, configuration: PlacementConfiguration): void {
   const before = state.placement.configuration;
-  const services = [...(Option.isSome(before) ? before.value.services : []), ...sheet.services];
+  const services = [...(Option.isSome(before) ? before.value.services : []), ...configuration.services];
   for (const { member } of services.flatMap((service) => service.members)) {
-    if (placements.findMember(sheet, member)?.state === 'serving') state.drainingMembersSince.delete(member);
+    if (placements.findMember(configuration, member)?.state === 'serving') state.drainingMembersSince.delete(member);
     else if (!state.drainingMembersSince.has(member))
       state.drainingMembersSince.set(member, Option.isNone(before) ? never : state.clock.now());
   }
 }
 
-/** `known.draining` rejects new work; it follows the request to drain after a moment, unless that was no news to the edge. */
-function refreshDraining(state: State, first: boolean): void {
-  const isAsked = state.stopping || (Option.isSome(state.latestReply) && state.latestReply.value.draining);
-  if (!isAsked) state.drainingSince = Option.none;
-  else if (Option.isNone(state.drainingSince)) state.drainingSince = Option.some(first ? never : state.clock.now());
+/**
+ * Sets `placement.draining`, which rejects new work, a fixed time after draining was requested.
+ *
+ * @param isFirstReport - whether draining was requested before this process started, so that there is no delay
+ */
+function refreshDraining(state: State, isFirstReport: boolean): void {
+  const isDrainRequested = state.stopping || (Option.isSome(state.latestReply) && state.latestReply.value.draining);
+  if (!isDrainRequested) state.drainingSince = Option.none;
+  else if (Option.isNone(state.drainingSince)) state.drainingSince = Option.some(isFirstReport ? never : state.clock.now());
   const since = state.drainingSince;
   const draining = Option.isSome(since) && state.clock.now() >= identifiers.after(since.value, lameDuckMilliseconds);
   state.placement = { ...state.placement, draining };
 }
 
 function accept(state: State, reply: Reply<'feed'>, sentAt: Instant): FeedOutcome {
-  const { placement: known } = state;
-  const sheet: Option.Option<PlacementConfiguration> =
-    reply.configuration === null ? known.configuration : Option.some(reply.configuration.sheet as PlacementConfiguration);
-  const changed = reply.configurationVersion !== known.version;
-  // A restarted agent has not caught up yet: what it does not know takes nothing back, the terms told before run on.
-  if (reply.configurationVersion < known.version || (changed && reply.configuration === null)) return 'ignored';
-  if (changed && Option.isSome(sheet)) noteGoing(state, sheet.value);
-  state.services = reply.services.map((reported) => serviceOf(state, reported, sentAt));
+  const { placement: previous } = state;
+  const configuration: Option.Option<PlacementConfiguration> =
+    reply.configuration === null ? previous.configuration : Option.some(reply.configuration.sheet as PlacementConfiguration);
+  const isNewVersion = reply.configurationVersion !== previous.version;
+  // A restarted agent that has not caught up yet does not replace newer state; the terms reported before remain valid.
+  if (reply.configurationVersion < previous.version || (isNewVersion && reply.configuration === null)) return 'ignored';
+  if (isNewVersion && Option.isSome(configuration)) recordDrainingMembers(state, configuration.value);
+  state.services = reply.services.map((reported) => mergedStatus(state, reported, sentAt));
   state.placement = {
-    ...known,
-    configuration: sheet,
+    ...previous,
+    configuration,
     version: reply.configurationVersion,
     area: reply.area,
-    routingTable: Option.isSome(sheet) ? routing.compile(sheet.value, state.services, reply.area) : new Map(),
-    controlTermEnd: later(known.controlTermEnd, identifiers.after(sentAt, reply.term)),
-    fences: new Map(state.services.map((service) => [service.service, fenceOf(state, service, reply, sentAt)])),
+    routingTable: Option.isSome(configuration) ? routing.compile(configuration.value, state.services, reply.area) : new Map(),
+    controlTermEnd: later(previous.controlTermEnd, identifiers.after(sentAt, reply.term)),
+    fences: new Map(state.services.map((service) => [service.service, mergedFence(state, service, reply, sentAt)])),
   };
-  // Without a term the agent has not caught up with the membership table: what it says of this edge is not yet so.
-  const caughtUp = reply.term > 0;
-  const first = !state.hasReceivedTerm && caughtUp;
-  state.hasReceivedTerm ||= caughtUp;
+  // An agent without a term has not caught up with the membership table, so its draining flag for this edge may be wrong.
+  const hasCaughtUp = reply.term > 0;
+  const isFirstReport = !state.hasReceivedTerm && hasCaughtUp;
+  state.hasReceivedTerm ||= hasCaughtUp;
   state.latestReply = Option.some(
-    caughtUp || Option.isNone(state.latestReply) ? reply : { ...reply, draining: state.latestReply.value.draining },
+    hasCaughtUp || Option.isNone(state.latestReply) ? reply : { ...reply, draining: state.latestReply.value.draining },
   );
-  refreshDraining(state, first);
-  return changed ? 'new-configuration' : 'same-configuration';
+  refreshDraining(state, isFirstReport);
+  return isNewVersion ? 'new-configuration' : 'same-configuration';
 }
 
-function poolTargets({ placement: known, latestReply: feed }: State): readonly MemberPoolTarget[] {
-  if (Option.isNone(known.configuration) || Option.isNone(feed)) return [];
-  const { shares } = feed.value;
-  return known.configuration.value.services.flatMap((service) =>
+function poolTargets({ placement, latestReply }: State): readonly MemberPoolTarget[] {
+  if (Option.isNone(placement.configuration) || Option.isNone(latestReply)) return [];
+  const { shares } = latestReply.value;
+  return placement.configuration.value.services.flatMap((service) =>
     service.members.map((member) => ({
       service: service.service,
       member: member.member,
       address: member.address,
-      epoch: known.fences.get(service.service)?.epoch ?? 0,
+      epoch: placement.fences.get(service.service)?.epoch ?? 0,
       maxConnections: shares[service.service] ?? 0,
     })),
   );
--- a/packages/proxy/src/proxy.ts
+++ b/packages/proxy/src/proxy.ts
@@ -1,4 +1,4 @@
-/** The HTTP proxy of an edge: clients' statements in, verdicts looked up, members' replies out; fed by its agent (design 8). */
+/** The HTTP proxy of an edge: routes clients' statements to members by the placement that its agent reports (design 8). */
 import * as Option from 'fp-ts/lib/Option.js';
 import { identifiers, runtimeUtilities, type HttpRoute, type Runtime, type Listening } from '@stallstall/kernel';
 import { peer, type Peer } from '@stallstall/peer';
@@ -12,16 +12,16 @@
 import type { PlacementSnapshot } from './statement-request.js';
 
 export type Proxy = Readonly<{
-  /** Fails readiness at once, takes work for a moment more, lets what is in flight end, then stops. */
+  /** Shuts down gracefully: fails readiness at once, accepts work for a short time, waits for requests in flight, then stops. */
   drain: () => Promise<void>;
-  /** Ends at once. */
+  /** Stops at once. */
   stop: () => Promise<void>;
   inFlight: () => number;
   placement: () => PlacementSnapshot;
   connections: () => ReturnType<Pool['describe']>;
 }>;
 
-/** The parts of a running proxy. */
+/** The components of a running proxy. */
 type Assembly = Readonly<{
   runtime: Runtime;
   agent: Peer;
@@ -30,13 +30,13 @@
   sessions: Sessions;
   reports: DurableReports;
   requests: RequestQueue;
-  /** Client connections that have sent a request and are still open. */
-  connected: Set<string>;
+  /** Open client connections that have sent a request. */
+  clientConnections: Set<string>;
 }>;
 
-const feedMilliseconds = 100;
-const feedCallMilliseconds = 800;
-const sweepMilliseconds = 25;
+const feedIntervalMilliseconds = 100;
+const feedTimeoutMilliseconds = 800;
+const tickIntervalMilliseconds = 25;
 
 function assemble(runtime: Runtime, settings: ProxySettings): Assembly {
   const incarnation = runtime.randomness.token();
@@ -49,35 +49,37 @@
     onDurable: () => requests.processWaiting(),
   });
   const requests: RequestQueue = requestQueues.create({ runtime, placement: feed.placement, pool, sessions, reports });
-  return { runtime, agent, feed, pool, sessions, reports, requests, connected: new Set() };
+  return { runtime, agent, feed, pool, sessions, reports, requests, clientConnections: new Set() };
 }
 
 function counters({ requests, reports, sessions }: Assembly): Readonly<Record<string, number>> {
   return { ...requests.totals(), ...reports.totals(), inFlight: requests.inFlight(), sessions: sessions.all().length };
 }
 
-/** A withdrawn key ends its sessions, and with them any transaction under it (design 6.4). */
-function closeWithdrawn({ feed, sessions }: Assembly): void {
-  for (const session of sessions.all()) if (!clientApi.mayUse(feed.placement(), session.key, session.service)) sessions.close(session);
+/** Closes the sessions of withdrawn keys, which aborts their transactions (design 6.4). */
+function closeSessionsOfWithdrawnKeys({ feed, sessions }: Assembly): void {
+  for (const session of sessions.all())
+    if (!clientApi.mayUseService(feed.placement(), session.key, session.service)) sessions.close(session);
 }
 
-async function follow(assembly: Assembly): Promise<void> {
+/** Requests the placement from the agent and applies it. */
+async function refreshPlacement(assembly: Assembly): Promise<void> {
   const { runtime, agent, feed, pool, requests } = assembly;
   const sentAt = runtime.clock.now();
   const reply = await agent.call(
     'feed',
     { configuration: feed.placement().version, open: { ...pool.openConnections() }, metrics: { ...counters(assembly) } },
-    feedCallMilliseconds,
+    feedTimeoutMilliseconds,
   );
   if (Option.isNone(reply)) return;
-  const accepted = feed.accept(reply.value, sentAt);
-  if (accepted === 'ignored') return;
-  if (accepted === 'new-configuration') closeWithdrawn(assembly);
+  const outcome = feed.accept(reply.value, sentAt);
+  if (outcome === 'ignored') return;
+  if (outcome === 'new-configuration') closeSessionsOfWithdrawnKeys(assembly);
   pool.configure(feed.poolTargets());
   requests.processWaiting();
 }
 
-function endOverdueTransactions({ feed, sessions }: Assembly): void {
+function abortOverdueTransactions({ feed, sessions }: Assembly): void {
   for (const session of sessions.all()) {
     const pinned = session.pinned();
     if (Option.isSome(pinned) && feed.isDrainOverdue(pinned.value.choice.member)) sessions.endTransaction(session);
@@ -86,18 +88,18 @@
 
 function tick(assembly: Assembly): void {
   assembly.feed.refreshDraining();
-  endOverdueTransactions(assembly);
+  abortOverdueTransactions(assembly);
   assembly.sessions.expire();
   assembly.reports.tick();
   assembly.requests.processWaiting();
 }
 
 function isReady({ runtime, feed }: Assembly): boolean {
-  const { controlTermEnd: controlUntil, configuration: sheet } = feed.placement();
-  return Option.isNone(feed.drainingSince()) && controlUntil > runtime.clock.now() && Option.isSome(sheet);
+  const { controlTermEnd, configuration } = feed.placement();
+  return Option.isNone(feed.drainingSince()) && controlTermEnd > runtime.clock.now() && Option.isSome(configuration);
 }
 
-/** What the platform and the operators ask of this process itself. */
+/** The routes that the platform and the operators use to check this process. */
 function statusRoutes(assembly: Assembly): readonly HttpRoute[] {
   const { feed, requests, pool } = assembly;
   return [
@@ -126,65 +128,65 @@
   ];
 }
 
-/** DurableReports who is connected: a planned end waits until each has been told to close its connection (design 7.10). */
-function noteConnection({ connected, feed }: Assembly, route: HttpRoute): HttpRoute {
+/** Tracks client connections: a graceful shutdown waits until each client was told to close its connection (design 7.10). */
+function trackConnection({ clientConnections, feed }: Assembly, route: HttpRoute): HttpRoute {
   return {
     ...route,
     handle: async function handle(request) {
-      connected.add(request.connection);
+      clientConnections.add(request.connection);
       const reply = await route.handle(request);
       return feed.placement().draining ? { ...reply, headers: { ...reply.headers, connection: 'close' } } : reply;
     },
   };
 }
 
-function isBusy({ connected, requests, sessions }: Assembly): boolean {
-  return connected.size > 0 || requests.inFlight() > 0 || sessions.all().some((session) => Option.isSome(session.pinned()));
+function isBusy({ clientConnections, requests, sessions }: Assembly): boolean {
+  return clientConnections.size > 0 || requests.inFlight() > 0 || sessions.all().some((session) => Option.isSome(session.pinned()));
 }
 
-/** Resolves once nothing is under way any more, or the grace is over. */
-async function awaitEnd(assembly: Assembly): Promise<void> {
+/** Drains this process. Resolves when no work is left or the grace period is over. */
+async function waitUntilDrained(assembly: Assembly): Promise<void> {
   const { runtime, feed, reports } = assembly;
   feed.stop();
   const deadline = identifiers.after(runtime.clock.now(), graceMilliseconds);
   await runtime.clock.sleep(lameDuckMilliseconds);
-  while (runtime.clock.now() < deadline && isBusy(assembly)) await runtime.clock.sleep(sweepMilliseconds);
+  while (runtime.clock.now() < deadline && isBusy(assembly)) await runtime.clock.sleep(tickIntervalMilliseconds);
   await reports.flush();
 }
 
-/** Starts listening and following the agent; resolves once clients can connect. */
+/** Starts listening and refreshing the placement; resolves once clients can connect. */
 async function start(runtime: Runtime, settings: ProxySettings): Promise<Proxy> {
   const assembly = assemble(runtime, settings);
-  const { agent, feed, pool, sessions, requests, connected } = assembly;
+  const { agent, feed, pool, sessions, requests, clientConnections } = assembly;
   const routes = [...clientApi.routes({ clock: runtime.clock, placement: feed.placement, sessions, requests }), ...statusRoutes(assembly)];
-  let stopped = false;
+  let isStopped = false;
 
   const listening: Listening = await runtime.network.serve(identifiers.address(settings.address), {
-    routes: routes.map((route) => noteConnection(assembly, route)),
-    connectionClosed: (connection) => void connected.delete(connection),
+    routes: routes.map((route) => trackConnection(assembly, route)),
+    connectionClosed: (connection) => void clientConnections.delete(connection),
   });
   void runtimeUtilities.every(
     runtime.clock,
-    feedMilliseconds,
-    () => follow(assembly),
-    () => !stopped,
+    feedIntervalMilliseconds,
+    () => refreshPlacement(assembly),
+    () => !isStopped,
   );
   void runtimeUtilities.every(
     runtime.clock,
-    sweepMilliseconds,
+    tickIntervalMilliseconds,
     () => tick(assembly),
-    () => !stopped,
+    () => !isStopped,
   );
 
   async function stop(): Promise<void> {
-    stopped = true;
+    isStopped = true;
     agent.close();
     await listening.stop();
     pool.closeAll();
   }
 
   async function drain(): Promise<void> {
-    await awaitEnd(assembly);
+    await waitUntilDrained(assembly);
     await stop();
   }
 
--- a/packages/proxy/src/request-context.ts
+++ b/packages/proxy/src/request-context.ts
@@ -1,4 +1,4 @@
-/** What the modules that handle a request share. */
+/** What the modules that handle a request have in common. */
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Runtime } from '@stallstall/kernel';
 import type { Pool } from '@stallstall/pool';
@@ -9,7 +9,7 @@
 
 export type RequestContext = Readonly<{
   runtime: Runtime;
-  /** The placement as it is known now. */
+  /** The latest placement received from the agent. */
   placement: () => PlacementSnapshot;
   pool: Pool;
   sessions: Sessions;
@@ -17,22 +17,22 @@
   table: RequestTable;
 }>;
 
-/** The session of a request, if it names one that is still open. */
+/** The session of a request; none if it has no session or the session was closed. */
 function sessionOf({ sessions }: RequestContext, { request }: RequestRecord): Option.Option<Session> {
   return Option.isSome(request.session) ? sessions.find(request.session.value) : Option.none;
 }
 
-/** A statement of an open transaction goes where the transaction is, or nowhere. */
+/** Whether the request belongs to an open transaction and must run on that transaction's connection. */
 function isPinned({ request }: RequestRecord): boolean {
   return request.transaction === 'within' || request.transaction === 'commit' || request.transaction === 'rollback';
 }
 
-/** Whether the request makes writes last: afterwards it is either known to be kept, or its outcome is unknown. */
+/** Whether the request commits a write. If its reply is lost, its outcome is unknown and it must not be retried. */
 function isCommittingWrite({ request }: RequestRecord): boolean {
   return request.kind === 'write' && (request.transaction === 'none' || request.transaction === 'commit');
 }
 
-/** Breaks off the connection that a session's transaction is open on. */
+/** Aborts the open transaction of a session by closing its connection. */
 function endTransaction({ pool }: RequestContext, session: Option.Option<Session>): void {
   if (Option.isNone(session)) return;
   const pinned = session.value.pinned();
--- a/packages/proxy/src/request-execution.ts
+++ b/packages/proxy/src/request-execution.ts
@@ -1,4 +1,4 @@
-/** Sends one request to its member and settles it by what came back, or by what did not (design 8.2, 8.5). */
+/** Sends a request to its member and handles the reply, or the lack of one (design 8.2, 8.5). */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { fault, type Fault, type OutgoingHttpRequest, type HttpReply } from '@stallstall/kernel';
@@ -11,14 +11,14 @@
 import type { RequestRecord, Target } from './statement-request.js';
 
 export type ExecutionContext = Readonly<{
-  parts: RequestContext;
+  context: RequestContext;
   confirmations: Confirmations;
-  /** Runs the passes over the record once more. */
+  /** Runs the request pipeline over the record again. */
   retry: (record: RequestRecord) => void;
   processWaiting: () => void;
 }>;
 
-/** A request in stage `sent`, and where it was sent. */
+/** A request in stage `sent`, with the connection it was sent on. */
 export type SentRequest = Readonly<{
   record: RequestRecord;
   connection: MemberConnection;
@@ -26,10 +26,10 @@
   session: Option.Option<Session>;
 }>;
 
-const mostAttempts = 3;
-const leastExchangeMilliseconds = 1;
+const maxAttempts = 3;
+const minTimeoutMilliseconds = 1;
 
-function runCall({ record, session }: SentRequest): OutgoingHttpRequest {
+function memberRequest({ record, session }: SentRequest): OutgoingHttpRequest {
   const { request } = record;
   return {
     method: 'POST',
@@ -37,7 +37,7 @@
     body: {
       readOnly: request.kind !== 'write',
       transaction: request.transaction,
-      // The member forgets what an earlier session left on this connection before anything runs (design 8.2).
+      // Makes the member discard the state that an earlier session left on this connection (design 8.2).
       reset: !requestContext.isPinned(record),
       values: Option.isSome(session) ? session.value.values() : {},
       shapes: Option.isSome(session) ? session.value.prepared() : {},
@@ -46,54 +46,58 @@
   };
 }
 
-/** Sends the request and settles it. */
-async function run(exchange: ExecutionContext, sent: SentRequest): Promise<void> {
-  const { runtime, table } = exchange.parts;
+/** Sends the request and handles its result. */
+async function run(execution: ExecutionContext, sent: SentRequest): Promise<void> {
+  const { runtime, table } = execution.context;
   const { record, connection, session } = sent;
   const sentAt = runtime.clock.now();
   table.count('exchanges');
   table.count('waitMilliseconds', sentAt - record.arrivedAt);
-  const left = Math.max(leastExchangeMilliseconds, record.deadline - sentAt);
-  const result = await connection.exchange(runCall(sent), left);
+  const timeoutMilliseconds = Math.max(minTimeoutMilliseconds, record.deadline - sentAt);
+  const result = await connection.exchange(memberRequest(sent), timeoutMilliseconds);
   table.count('exchangeMilliseconds', runtime.clock.now() - sentAt);
   if (Option.isSome(session)) session.value.setBusy(false);
-  settle(exchange, sent, result);
-  // Its key may have been withdrawn while the statement was under way (design 6.4).
-  if (Option.isSome(session) && session.value.ended()) requestContext.endTransaction(exchange.parts, session);
-  exchange.processWaiting();
+  handleReply(execution, sent, result);
+  // The session is closed if its key was withdrawn while the statement was running (design 6.4).
+  if (Option.isSome(session) && session.value.ended()) requestContext.endTransaction(execution.context, session);
+  execution.processWaiting();
 }
 
-function settle(exchange: ExecutionContext, sent: SentRequest, reply: Either.Either<Fault, HttpReply>): void {
+function handleReply(execution: ExecutionContext, sent: SentRequest, reply: Either.Either<Fault, HttpReply>): void {
   if (Either.isLeft(reply)) {
-    settleLost(exchange, sent, fault.kind(reply.left) === 'unreachable');
+    handleLostReply(execution, sent, fault.kind(reply.left) === 'unreachable');
     return;
   }
   const result = memberReplies.result(reply.right);
-  if (Option.isSome(result)) settleResult(exchange, sent, result.value);
-  else if (memberReplies.isRejection(reply.right)) settleRejected(exchange, sent, reply.right);
-  else settleLost(exchange, sent, false);
+  if (Option.isSome(result)) handleResult(execution, sent, result.value);
+  else if (memberReplies.isRejection(reply.right)) handleRejection(execution, sent, reply.right);
+  else handleLostReply(execution, sent, false);
 }
 
-/** No reply came, or one that cannot be read. `wasNeverSent`: the request surely never left this process. */
-function settleLost(exchange: ExecutionContext, sent: SentRequest, wasNeverSent: boolean): void {
-  const { parts, retry } = exchange;
-  const { runtime, pool, table } = parts;
+/**
+ * Handles a reply that is missing or unreadable.
+ *
+ * @param wasNeverSent - whether it is certain that the request did not leave this process
+ */
+function handleLostReply(execution: ExecutionContext, sent: SentRequest, wasNeverSent: boolean): void {
+  const { context, retry } = execution;
+  const { runtime, pool, table } = context;
   const { record, connection, session } = sent;
   const { choice } = sent.target;
   const pinned = requestContext.isPinned(record);
-  if (pinned) requestContext.endTransaction(parts, session);
+  if (pinned) requestContext.endTransaction(context, session);
   else pool.release(connection, false);
   if (requestContext.isCommittingWrite(record) && !wasNeverSent) {
     table.reject(record, requestFaults.outcomeUnknown(`the reply of ${choice.member} was lost`));
     return;
   }
   if (pinned || record.request.transaction === 'begin') {
-    const message = `the connection to ${choice.member} broke; nothing of the transaction was kept`;
+    const message = `the connection to ${choice.member} was lost; the transaction was rolled back`;
     table.reject(record, requestFaults.transactionEnded(message));
     return;
   }
-  if (record.attempts >= mostAttempts || runtime.clock.now() >= record.deadline) {
-    const message = `${record.attempts} attempts at ${record.request.kind} failed; nothing was kept`;
+  if (record.attempts >= maxAttempts || runtime.clock.now() >= record.deadline) {
+    const message = `${record.attempts} attempts to run the ${record.request.kind} failed; nothing was applied`;
     table.reject(record, requestFaults.givenUp(message));
     return;
   }
@@ -101,22 +105,22 @@
   retry({ ...record, stage: 'waiting', excludedMembers, target: Option.none, connection: Option.none });
 }
 
-/** The member itself rejected it: nothing was kept, and an open transaction is over. */
-function settleRejected({ parts }: ExecutionContext, { record, connection, session }: SentRequest, reply: HttpReply): void {
-  if (requestContext.isPinned(record)) requestContext.endTransaction(parts, session);
-  else parts.pool.release(connection, reply.status === 409);
-  parts.table.reject(record, requestFaults.rejectedByMember(reply.status, memberReplies.text(reply)));
+/** The member rejected the request: nothing was applied, and an open transaction is aborted. */
+function handleRejection({ context }: ExecutionContext, { record, connection, session }: SentRequest, reply: HttpReply): void {
+  if (requestContext.isPinned(record)) requestContext.endTransaction(context, session);
+  else context.pool.release(connection, reply.status === 409);
+  context.table.reject(record, requestFaults.rejectedByMember(reply.status, memberReplies.text(reply)));
 }
 
-/** The request ran: its connection is kept for an open transaction or given back, and the reply is confirmed before it leaves. */
-function settleResult({ parts, confirmations }: ExecutionContext, sent: SentRequest, result: MemberResult): void {
-  const { pool, table } = parts;
+/** The request ran: pins its connection for an open transaction or releases it, and passes the reply on for confirmation. */
+function handleResult({ context, confirmations }: ExecutionContext, sent: SentRequest, result: MemberResult): void {
+  const { pool, table } = context;
   const { record, connection, target, session } = sent;
   const { transaction, service } = record.request;
   if (transaction === 'begin' && Option.isSome(session)) {
     if (session.value.ended()) {
       pool.release(connection, false);
-      table.reject(record, requestFaults.sessionLost('the session was closed meanwhile; nothing was kept'));
+      table.reject(record, requestFaults.sessionLost('the session was closed while the statement was running; nothing was applied'));
       return;
     }
     session.value.pin({ connection, choice: target.choice });
@@ -125,7 +129,7 @@
     session.value.unpin();
     pool.release(connection, true);
   }
-  if (requestContext.isCommittingWrite(record) && Option.isSome(session)) session.value.committed(service, result.position);
+  if (requestContext.isCommittingWrite(record) && Option.isSome(session)) session.value.recordCommit(service, result.position);
   confirmations.add(record, target, session, result);
 }
 
--- a/packages/proxy/src/request-faults.ts
+++ b/packages/proxy/src/request-faults.ts
@@ -1,38 +1,38 @@
-/** The faults that clients are told, each with what they can do about it. */
+/** The faults returned to clients, each with a remedy. */
 import { fault, type Fault } from '@stallstall/kernel';
 
 const retryAfterSeconds = 1;
 
-/** A write was sent and may have taken effect. */
+/** A write was sent and may have been applied. */
 function outcomeUnknown(message: string): Fault {
   return fault.create({
     kind: 'outcome-unknown',
     message,
-    remedy: 'read back whether it took effect before asking again',
+    remedy: 'read the data to check whether the write was applied before retrying',
     retryAfterSeconds,
   });
 }
 
-/** Nothing was kept; the same request may be sent again. */
-function givenUp(message: string, remedy = 'try again later'): Fault {
+/** Nothing was applied; the client may retry the request. */
+function givenUp(message: string, remedy = 'retry later'): Fault {
   return fault.create({ kind: 'given-up', message, remedy, retryAfterSeconds });
 }
 
-/** Nothing of the transaction was kept. */
+/** The transaction was rolled back. */
 function transactionEnded(message: string): Fault {
   return fault.create({
     kind: 'transaction-ended',
     message,
-    remedy: 'begin it again from its first statement',
+    remedy: 'retry the transaction from its first statement',
     retryAfterSeconds,
   });
 }
 
-/** The edge may be cut off: it does not act on a configuration that may have been replaced. */
-function staleConfiguration(remedy = 'try another edge, or again shortly'): Fault {
+/** The edge may be partitioned from the cores, so its configuration may have been replaced and must not be used. */
+function staleConfiguration(remedy = 'retry at another edge, or retry shortly'): Fault {
   return fault.create({
     kind: 'stale-configuration',
-    message: 'this edge has not heard from a majority of cores within its term',
+    message: 'this edge has had no contact with a majority of cores within its control term',
     remedy,
     retryAfterSeconds,
   });
@@ -42,32 +42,41 @@
   return fault.create({
     kind: 'read-only',
     message: `READONLY: this edge is fenced for ${service}`,
-    remedy: 'try another edge, or again when it sees a majority',
+    remedy: 'retry at another edge, or once this edge reaches a majority of cores again',
     retryAfterSeconds,
   });
 }
 
 function draining(): Fault {
-  return fault.create({ kind: 'draining', message: 'this edge is draining', remedy: 'send it to another edge', retryAfterSeconds });
+  return fault.create({
+    kind: 'draining',
+    message: 'this edge is draining',
+    remedy: 'send the request to another edge',
+    retryAfterSeconds,
+  });
 }
 
 function overloaded(service: string, waiting: number): Fault {
   return fault.create({
     kind: 'overloaded',
-    message: `${waiting} requests for ${service} wait here already`,
-    remedy: 'try again later',
+    message: `${waiting} requests for ${service} are already waiting at this edge`,
+    remedy: 'retry later',
     retryAfterSeconds,
   });
 }
 
-/** `what` the key may not do, as in `send write to bookings`. */
-function keyRejected(what: string): Fault {
-  return fault.create({ kind: 'key-denied', message: `this key may not ${what}`, remedy: 'ask the operators for a key that may' });
+/** @param action - what the key may not do, such as `send write to bookings` */
+function keyRejected(action: string): Fault {
+  return fault.create({
+    kind: 'key-denied',
+    message: `this key may not ${action}`,
+    remedy: 'ask the operators for a key with this permission',
+  });
 }
 
-/** `what` no sheet names, as in `a service bookings`. */
-function notFound(what: string): Fault {
-  return fault.create({ kind: 'not-found', message: `no sheet names ${what}`, remedy: 'check the name' });
+/** @param name - what the placement configuration does not contain, such as `service bookings` */
+function notFound(name: string): Fault {
+  return fault.create({ kind: 'not-found', message: `the placement configuration has no ${name}`, remedy: 'check the name' });
 }
 
 function badRequest(message: string, remedy: string): Fault {
@@ -75,15 +84,15 @@
 }
 
 function sessionLost(message: string): Fault {
-  return fault.create({ kind: 'session-lost', message, remedy: 'open another session' });
+  return fault.create({ kind: 'session-lost', message, remedy: 'open a new session' });
 }
 
-/** The member rejected the statement; `status` is that of its response, `text` its own words. */
-function rejectedByMember(status: number, text: string): Fault {
+/** The member rejected the statement with this HTTP status and message. */
+function rejectedByMember(status: number, memberMessage: string): Fault {
   return fault.create({
     kind: status === 503 ? 'read-only' : 'statement-denied',
-    message: `the member denied it: ${text}`,
-    remedy: status === 503 ? 'try again shortly' : 'mend the statement',
+    message: `the member rejected the statement: ${memberMessage}`,
+    remedy: status === 503 ? 'retry shortly' : 'correct the statement',
     ...(status === 503 ? { retryAfterSeconds } : {}),
   });
 }
--- a/packages/proxy/src/request-pipeline.ts
+++ b/packages/proxy/src/request-pipeline.ts
@@ -1,6 +1,6 @@
 /**
- * The passes that a request goes through before it is sent: expire, admit, choose a member, take a connection. Each returns the record to go
- * on with; a stage other than `arrived` and `waiting` ends the run (design 8.5).
+ * The steps that a request goes through before it is sent: expire, admit, choose a member, acquire a connection. Each step returns the record
+ * for the next one; a stage other than `arrived` or `waiting` ends the run (design 8.5).
  */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
@@ -15,89 +15,89 @@
 
 function expire({ runtime, table }: RequestContext, record: RequestRecord): RequestRecord {
   if (runtime.clock.now() < record.deadline) return record;
-  return table.reject(record, requestFaults.givenUp('no connection to a fitting member came free in time; nothing was sent'));
+  return table.reject(record, requestFaults.givenUp('no connection to a suitable member became available in time; nothing was sent'));
 }
 
-/** What the configuration says of the service and the key; looked at again while a request waits, since both may be withdrawn. */
-function admit(parts: RequestContext, record: RequestRecord): RequestRecord {
-  const { table, runtime } = parts;
+/** Checks the service and the key against the configuration; repeated while a request waits, since both may be withdrawn. */
+function admit(context: RequestContext, record: RequestRecord): RequestRecord {
+  const { table, runtime } = context;
   const { service, kind, key } = record.request;
-  const known = parts.placement();
-  const stale = fenceChecks.controlFault(known, runtime.clock.now());
+  const placement = context.placement();
+  const stale = fenceChecks.controlFault(placement, runtime.clock.now());
   if (Option.isSome(stale)) return table.reject(record, stale.value);
-  if (Option.isNone(known.configuration) || placements.findService(known.configuration.value, service) === undefined)
-    return table.reject(record, requestFaults.notFound(`a service ${service}`));
-  if (!placements.isAllowed(known.configuration.value, key, service, kind))
+  if (Option.isNone(placement.configuration) || placements.findService(placement.configuration.value, service) === undefined)
+    return table.reject(record, requestFaults.notFound(`service ${service}`));
+  if (!placements.isAllowed(placement.configuration.value, key, service, kind))
     return table.reject(record, requestFaults.keyRejected(`send ${kind} to ${service}`));
-  return record.stage === 'arrived' ? admitNew(parts, record) : record;
+  return record.stage === 'arrived' ? admitNew(context, record) : record;
 }
 
-/** New work is rejected while the edge drains, and when too much of the service waits already. */
-function admitNew({ table, placement: known }: RequestContext, record: RequestRecord): RequestRecord {
+/** Rejects new work while the edge is draining, or when too many requests for the service are waiting. */
+function admitNew({ table, placement }: RequestContext, record: RequestRecord): RequestRecord {
   const { service, transaction } = record.request;
-  const { draining, configuration: sheet, area } = known();
+  const { draining, configuration, area } = placement();
   if (draining && (transaction === 'none' || transaction === 'begin')) return table.reject(record, requestFaults.draining());
-  const row = Option.isSome(sheet) ? placements.findRow(sheet.value, service, area) : undefined;
-  const waiting = table.waitingFor(service);
+  const row = Option.isSome(configuration) ? placements.findRow(configuration.value, service, area) : undefined;
+  const waiting = table.countWaiting(service);
   if (row !== undefined && waiting >= row.mostWaiting) return table.reject(record, requestFaults.overloaded(service, waiting));
   return { ...record, stage: 'waiting' };
 }
 
-function chooseMember(parts: RequestContext, record: RequestRecord): RequestRecord {
-  if (requestContext.isPinned(record)) return choosePinned(parts, record);
-  const { runtime, placement: known, pool, table } = parts;
+function chooseMember(context: RequestContext, record: RequestRecord): RequestRecord {
+  if (requestContext.isPinned(record)) return choosePinned(context, record);
+  const { runtime, placement, pool, table } = context;
   const { request } = record;
-  const session = requestContext.sessionOf(parts, record);
+  const session = requestContext.sessionOf(context, record);
   const lastCommit = Option.isSome(session) ? session.value.lastCommit(request.service) : 0;
-  const atLeast = request.kind === 'own-read' ? Math.max(request.atLeast, lastCommit) : 0;
-  let without = record.excludedMembers;
+  const minimumPosition = request.kind === 'own-read' ? Math.max(request.atLeast, lastCommit) : 0;
+  let excluded = record.excludedMembers;
   for (;;) {
-    const judged = routing.chooseTarget(known().routingTable, request.service, request.kind, {
+    const routed = routing.chooseTarget(placement().routingTable, request.service, request.kind, {
       now: runtime.clock.now(),
       random: runtime.randomness.fraction(),
-      minimumPosition: atLeast,
-      excluded: without,
+      minimumPosition,
+      excluded,
     });
-    if (Either.isLeft(judged)) return table.reject(record, judged.left);
-    if (!pool.isUnreachable(judged.right.choice.member)) return { ...record, target: Option.some(judged.right) };
-    without = new Set([...without, judged.right.choice.member]);
+    if (Either.isLeft(routed)) return table.reject(record, routed.left);
+    if (!pool.isUnreachable(routed.right.choice.member)) return { ...record, target: Option.some(routed.right) };
+    excluded = new Set([...excluded, routed.right.choice.member]);
   }
 }
 
-function choosePinned(parts: RequestContext, record: RequestRecord): RequestRecord {
-  const { placement: known, table } = parts;
-  const session = requestContext.sessionOf(parts, record);
+function choosePinned(context: RequestContext, record: RequestRecord): RequestRecord {
+  const { placement, table } = context;
+  const session = requestContext.sessionOf(context, record);
   const pinned = Option.isSome(session) ? session.value.pinned() : Option.none;
   if (Option.isNone(pinned))
-    return table.reject(record, requestFaults.transactionEnded('no transaction is open in this session; nothing of it was kept'));
+    return table.reject(record, requestFaults.transactionEnded('this session has no open transaction; nothing was applied'));
   const { connection, choice } = pinned.value;
-  if (known().isDrainOverdue(choice.member)) {
-    requestContext.endTransaction(parts, session);
+  if (placement().isDrainOverdue(choice.member)) {
+    requestContext.endTransaction(context, session);
     return table.reject(
       record,
-      requestFaults.transactionEnded(`${choice.member} or this edge is to go and waits no longer; nothing of the transaction was kept`),
+      requestFaults.transactionEnded(`${choice.member} or this edge is shutting down and waits no longer; the transaction was rolled back`),
     );
   }
   return { ...record, target: Option.some({ choice, epoch: connection.epoch }), connection: Option.some(connection) };
 }
 
-function takeConnection(parts: RequestContext, record: RequestRecord): RequestRecord {
-  const session = requestContext.sessionOf(parts, record);
+function acquireConnection(context: RequestContext, record: RequestRecord): RequestRecord {
+  const session = requestContext.sessionOf(context, record);
   if (Option.isSome(session) && session.value.busy()) return record;
   if (Option.isNone(record.target)) return record;
-  // While the agent is away nothing could be made durable, so nothing is sent: it waits, or the term runs out.
-  if (!parts.reports.isAgentConnected()) return { ...record, connection: Option.none };
+  // Without the agent no reply can become durable, so the request is not sent: it waits until the agent is back or the control term ends.
+  if (!context.reports.isAgentConnected()) return { ...record, connection: Option.none };
   if (Option.isSome(record.connection)) return record;
-  return { ...record, connection: parts.pool.acquire(record.target.value.choice.member) };
+  return { ...record, connection: context.pool.acquire(record.target.value.choice.member) };
 }
 
-/** The passes in their order. */
-function create(parts: RequestContext): readonly PipelineStep[] {
+/** The steps in the order in which they run. */
+function create(context: RequestContext): readonly PipelineStep[] {
   return [
-    (record) => expire(parts, record),
-    (record) => admit(parts, record),
-    (record) => chooseMember(parts, record),
-    (record) => takeConnection(parts, record),
+    (record) => expire(context, record),
+    (record) => admit(context, record),
+    (record) => chooseMember(context, record),
+    (record) => acquireConnection(context, record),
   ];
 }
 
--- a/packages/proxy/src/request-queue.ts
+++ b/packages/proxy/src/request-queue.ts
@@ -11,12 +11,12 @@
 import type { UsageWindow } from './usage-windows.js';
 
 export type RequestQueue = Readonly<{
-  /** Resolves once the reply is durable, or the request was rejected. */
+  /** Resolves when the reply is durable or the request was rejected. */
   submit: (request: StatementRequest) => Promise<Outcome>;
-  /** Runs the passes over every record that waits: a connection was freed, the feed has changed, or time has passed. */
+  /** Runs the pipeline over all waiting records: after a connection became available, the feed changed, or time passed. */
   processWaiting: () => void;
   inFlight: () => number;
-  /** What was served, by window; what is not durable yet is reckoned to the window named. */
+  /** Requests served, by window; replies that are not durable yet are counted in the given window. */
   counts: (window: number) => readonly UsageWindow[];
   totals: () => Readonly<Record<string, number>>;
 }>;
@@ -36,96 +36,96 @@
   };
 }
 
-type Exclusive = Readonly<{ run: (action: () => void) => void }>;
+type Serializer = Readonly<{ run: (action: () => void) => void }>;
 
-/** Runs one action at a time: one that is asked for within another is replaced by a processWaiting after it. */
-function createExclusive(processAllOnce: () => void): Exclusive {
-  let working = false;
-  let again = false;
+/** Runs one action at a time: an action requested during another one is replaced by processing all waiting records afterwards. */
+function createSerializer(processAll: () => void): Serializer {
+  let isRunning = false;
+  let isRerunRequested = false;
 
   function run(action: () => void): void {
-    if (working) {
-      again = true;
+    if (isRunning) {
+      isRerunRequested = true;
       return;
     }
-    working = true;
+    isRunning = true;
     action();
-    while (again) {
-      again = false;
-      processAllOnce();
+    while (isRerunRequested) {
+      isRerunRequested = false;
+      processAll();
     }
-    working = false;
+    isRunning = false;
   }
 
   return { run };
 }
 
 /**
- * The last look before a request is sent: the fence, and whether the connection is still of the target's epoch. Returns the record in stage
- * `sent`, rejected, or waiting on.
+ * Sends a request that has a connection, after a last check that the fence is valid and that the connection belongs to the epoch of the
+ * target. Returns the record in stage `sent`, rejected, or still waiting.
  */
-function dispatch(exchange: ExecutionContext, record: RequestRecord): RequestRecord {
-  const { parts } = exchange;
-  const { runtime, placement: known, pool, table } = parts;
-  const session = requestContext.sessionOf(parts, record);
+function dispatch(execution: ExecutionContext, record: RequestRecord): RequestRecord {
+  const { context } = execution;
+  const { runtime, placement, pool, table } = context;
+  const session = requestContext.sessionOf(context, record);
   if (Option.isNone(record.connection) || Option.isNone(record.target)) return record;
   if (Option.isSome(session) && session.value.busy()) return { ...record, connection: Option.none };
   const connection = record.connection.value;
   const target = record.target.value;
-  const fenced = fenceChecks.fault(known(), runtime.clock.now(), record.request.service, target.epoch, target.choice.isLeader);
+  const fenced = fenceChecks.fault(placement(), runtime.clock.now(), record.request.service, target.epoch, target.choice.isLeader);
   if (Option.isSome(fenced) || connection.epoch !== target.epoch) {
-    if (requestContext.isPinned(record)) requestContext.endTransaction(parts, session);
+    if (requestContext.isPinned(record)) requestContext.endTransaction(context, session);
     else pool.release(connection, true);
     return Option.isSome(fenced) ? table.reject(record, fenced.value) : { ...record, connection: Option.none };
   }
   if (Option.isSome(session)) session.value.setBusy(true);
   const sent: RequestRecord = { ...record, stage: 'sent', attempts: record.attempts + 1 };
   table.update(sent);
-  void requestExecution.run(exchange, { record: sent, connection, target, session });
+  void requestExecution.run(execution, { record: sent, connection, target, session });
   return sent;
 }
 
-function create(outer: Omit<RequestContext, 'table'>): RequestQueue {
+function create(outerContext: Omit<RequestContext, 'table'>): RequestQueue {
   const table = requestTables.create();
-  const parts: RequestContext = { ...outer, table };
-  const confirming = confirmations.create(parts);
-  const exclusive = createExclusive(processAllOnce);
-  const exchange: ExecutionContext = {
-    parts,
-    confirmations: confirming,
-    retry: (record) => exclusive.run(() => process(record)),
+  const context: RequestContext = { ...outerContext, table };
+  const pendingReplies = confirmations.create(context);
+  const serializer = createSerializer(processAll);
+  const execution: ExecutionContext = {
+    context,
+    confirmations: pendingReplies,
+    retry: (record) => serializer.run(() => process(record)),
     processWaiting,
   };
-  const pipeline = [...requestPipeline.create(parts), (record: RequestRecord) => dispatch(exchange, record)];
+  const pipeline = [...requestPipeline.create(context), (record: RequestRecord) => dispatch(execution, record)];
 
   function process(record: RequestRecord): void {
     let current = record;
-    for (const pass of pipeline) {
+    for (const step of pipeline) {
       if (current.stage !== 'arrived' && current.stage !== 'waiting') return;
-      current = pass(current);
+      current = step(current);
     }
-    // What was not sent keeps no connection and no target: both are looked up afresh at the next processWaiting.
+    // A record that was not sent keeps no connection and no target: both are chosen again in the next run.
     if (current.stage === 'waiting') table.update({ ...current, target: Option.none, connection: Option.none });
   }
 
-  function processAllOnce(): void {
-    confirming.resolveReady();
+  function processAll(): void {
+    pendingReplies.resolveReady();
     for (const record of table.waiting()) if (table.has(record.id)) process(record);
   }
 
   function processWaiting(): void {
-    exclusive.run(processAllOnce);
+    serializer.run(processAll);
   }
 
   function submit(request: StatementRequest): Promise<Outcome> {
     return new Promise(function wait(resolve) {
-      const record = recordOf(parts.runtime, table.nextId(), request);
+      const record = recordOf(context.runtime, table.nextId(), request);
       table.register(record.id, resolve);
-      exclusive.run(() => process(record));
+      serializer.run(() => process(record));
     });
   }
 
-  return { submit, processWaiting, inFlight: table.inFlight, counts: confirming.counts, totals: table.totals };
+  return { submit, processWaiting, inFlight: table.inFlight, counts: pendingReplies.counts, totals: table.totals };
 }
 
 export const requestQueues = { create } as const;
--- a/packages/proxy/src/request-table.ts
+++ b/packages/proxy/src/request-table.ts
@@ -1,22 +1,22 @@
-/** The requests that have no response yet, who waits for them, and counters of what became of them. */
+/** The requests in progress, the callbacks that receive their outcomes, and counters of outcomes. */
 import * as Either from 'fp-ts/lib/Either.js';
 import { fault, type Fault } from '@stallstall/kernel';
 import type { Outcome, RequestRecord } from './statement-request.js';
 
 export type RequestTable = Readonly<{
   nextId: () => number;
-  /** Registers who waits; the record itself is stored by `update`, once it waits or was sent. */
+  /** Registers the callback for a request's outcome. The record itself is stored by `update`, once it is waiting or sent. */
   register: (id: number, resolve: (outcome: Outcome) => void) => void;
   update: (record: RequestRecord) => void;
-  /** Removes the record and passes the outcome on. */
+  /** Removes the record and passes the outcome to its callback. */
   resolve: (record: RequestRecord, outcome: Outcome) => RequestRecord;
   reject: (record: RequestRecord, error: Fault) => RequestRecord;
-  /** In the order in which they arrived. */
+  /** Records in stage `waiting`, in order of arrival. */
   waiting: () => readonly RequestRecord[];
   has: (id: number) => boolean;
-  waitingFor: (service: string) => number;
+  countWaiting: (service: string) => number;
   inFlight: () => number;
-  count: (name: string, by?: number) => void;
+  count: (name: string, amount?: number) => void;
   totals: () => Readonly<Record<string, number>>;
 }>;
 
@@ -26,8 +26,8 @@
   const totals = new Map<string, number>();
   let lastId = 0;
 
-  function count(name: string, by = 1): void {
-    totals.set(name, (totals.get(name) ?? 0) + by);
+  function count(name: string, amount = 1): void {
+    totals.set(name, (totals.get(name) ?? 0) + amount);
   }
 
   function resolve(record: RequestRecord, outcome: Outcome): RequestRecord {
@@ -39,10 +39,10 @@
     return { ...record, stage: 'done' };
   }
 
-  function waitingFor(service: string): number {
-    let sum = 0;
-    for (const record of records.values()) if (record.stage === 'waiting' && record.request.service === service) sum += 1;
-    return sum;
+  function countWaiting(service: string): number {
+    let waiting = 0;
+    for (const record of records.values()) if (record.stage === 'waiting' && record.request.service === service) waiting += 1;
+    return waiting;
   }
 
   return {
@@ -56,7 +56,7 @@
     reject: (record, error) => resolve(record, Either.left(error)),
     waiting: () => [...records.values()].filter((record) => record.stage === 'waiting'),
     has: (id) => records.has(id),
-    waitingFor,
+    countWaiting,
     inFlight: () => resolvers.size,
     count,
     totals: () => Object.fromEntries([...totals].map(([name, total]) => [name, Math.round(total)])),
--- a/packages/proxy/src/session.ts
+++ b/packages/proxy/src/session.ts
@@ -1,33 +1,33 @@
-/** A session of the HTTP wire: values, prepared statements, the last commit and an open transaction belong to one client alone (design 8.2). */
+/** A client's session over HTTP: its values, prepared statements, last commit and open transaction (design 8.2). */
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Clock, Instant } from '@stallstall/kernel';
 import type { MemberConnection } from '@stallstall/pool';
 import type { RouteCandidate } from '@stallstall/routing';
 
-/** Where the open transaction runs. */
-export type Pinned = Readonly<{ connection: MemberConnection; choice: RouteCandidate }>;
+/** The connection and member that an open transaction runs on. */
+export type PinnedConnection = Readonly<{ connection: MemberConnection; choice: RouteCandidate }>;
 
 export type Session = Readonly<{
   id: string;
   key: string;
   service: string;
   values: () => Readonly<Record<string, unknown>>;
-  /** Prepared statements, by the client's names. */
+  /** Prepared statements, by the names that the client chose. */
   prepared: () => Readonly<Record<string, string>>;
   setValue: (name: string, value: unknown) => void;
   prepare: (name: string, text: string) => void;
-  /** The highest position that a commit of this session on the service is known to have; 0 when there is none. */
+  /** The highest log position of this session's commits on the service; 0 if there was none. */
   lastCommit: (service: string) => number;
-  committed: (service: string, position: number) => void;
-  pinned: () => Option.Option<Pinned>;
-  pin: (pinned: Pinned) => void;
+  recordCommit: (service: string, position: number) => void;
+  pinned: () => Option.Option<PinnedConnection>;
+  pin: (connection: PinnedConnection) => void;
   unpin: () => void;
-  /** Whether a statement of it is under way. */
+  /** Whether a statement of the session is being executed. */
   busy: () => boolean;
-  setBusy: (busy: boolean) => void;
-  touchedAt: () => Instant;
-  touch: () => void;
-  /** It was closed: nothing more is begun in it. */
+  setBusy: (isBusy: boolean) => void;
+  lastUsedAt: () => Instant;
+  markUsed: () => void;
+  /** Whether the session was closed; no statement is started in it any more. */
   ended: () => boolean;
   end: () => void;
 }>;
@@ -36,10 +36,10 @@
   const values: Record<string, unknown> = {};
   const prepared: Record<string, string> = {};
   const commits = new Map<string, number>();
-  let pinned: Option.Option<Pinned> = Option.none;
+  let pinned: Option.Option<PinnedConnection> = Option.none;
   let busy = false;
   let ended = false;
-  let touchedAt = clock.now();
+  let lastUsedAt = clock.now();
   return {
     id,
     key,
@@ -52,26 +52,26 @@
     prepare: function prepare(name, text) {
       prepared[name] = text;
     },
-    lastCommit: (named) => commits.get(named) ?? 0,
-    committed: function committed(named, position) {
-      commits.set(named, Math.max(position, commits.get(named) ?? 0));
+    lastCommit: (committedService) => commits.get(committedService) ?? 0,
+    recordCommit: function recordCommit(committedService, position) {
+      commits.set(committedService, Math.max(position, commits.get(committedService) ?? 0));
     },
     pinned: () => pinned,
-    pin: function pin(to) {
-      pinned = Option.some(to);
-      touchedAt = clock.now();
+    pin: function pin(connection) {
+      pinned = Option.some(connection);
+      lastUsedAt = clock.now();
     },
     unpin: function unpin() {
       pinned = Option.none;
     },
     busy: () => busy,
-    setBusy: function setBusy(now) {
-      busy = now;
-      touchedAt = clock.now();
+    setBusy: function setBusy(isBusy) {
+      busy = isBusy;
+      lastUsedAt = clock.now();
     },
-    touchedAt: () => touchedAt,
-    touch: function touch() {
-      touchedAt = clock.now();
+    lastUsedAt: () => lastUsedAt,
+    markUsed: function markUsed() {
+      lastUsedAt = clock.now();
     },
     ended: () => ended,
     end: function end() {
--- a/packages/proxy/src/sessions.ts
+++ b/packages/proxy/src/sessions.ts
@@ -1,8 +1,8 @@
-/** The open sessions of this edge, and when they end. */
+/** The open sessions of this edge and their expiry. */
 import * as Option from 'fp-ts/lib/Option.js';
 import { identifiers, type Runtime } from '@stallstall/kernel';
 import type { Pool } from '@stallstall/pool';
-import { session as sessionParts, type Session } from './session.js';
+import { session as sessionObjects, type Session } from './session.js';
 
 export type { Session } from './session.js';
 
@@ -10,23 +10,23 @@
   open: (key: string, service: string) => Session;
   find: (id: string) => Option.Option<Session>;
   close: (session: Session) => void;
-  /** Breaks off an open transaction, unless a statement of it is under way. */
+  /** Aborts the open transaction by closing its connection, unless one of its statements is being executed. */
   endTransaction: (session: Session) => void;
   all: () => readonly Session[];
-  /** Ends idle sessions, and transactions whose client has been silent. */
+  /** Closes idle sessions and aborts idle transactions. */
   expire: () => void;
 }>;
 
-/** A session without statements ends after so long. */
-const idleMilliseconds = 600_000;
-/** A transaction without statements ends after so long. */
-const quietTransactionMilliseconds = 5_000;
+/** A session without statements is closed after this time. */
+const sessionIdleMilliseconds = 600_000;
+/** An open transaction without statements is aborted after this time. */
+const transactionIdleMilliseconds = 5_000;
 
 function create(runtime: Runtime, pool: Pool): Sessions {
   const table = new Map<string, Session>();
 
   function open(key: string, service: string): Session {
-    const opened = sessionParts.create(runtime.clock, runtime.randomness.token(), key, service);
+    const opened = sessionObjects.create(runtime.clock, runtime.randomness.token(), key, service);
     table.set(opened.id, opened);
     return opened;
   }
@@ -48,8 +48,8 @@
     const now = runtime.clock.now();
     for (const session of [...table.values()]) {
       if (session.busy()) continue;
-      if (now >= identifiers.after(session.touchedAt(), idleMilliseconds)) close(session);
-      else if (now >= identifiers.after(session.touchedAt(), quietTransactionMilliseconds)) endTransaction(session);
+      if (now >= identifiers.after(session.lastUsedAt(), sessionIdleMilliseconds)) close(session);
+      else if (now >= identifiers.after(session.lastUsedAt(), transactionIdleMilliseconds)) endTransaction(session);
     }
   }
 
--- a/packages/proxy/src/settings.ts
+++ b/packages/proxy/src/settings.ts
@@ -1,19 +1,19 @@
-/** Settings and durations of the proxy's process. */
+/** Settings and durations of the proxy process. */
 
 export type ProxySettings = Readonly<{
-  /** Where clients connect over HTTP. */
+  /** Address that clients connect to over HTTP. */
   address: string;
-  /** Where the agent of this machine listens. */
+  /** Address of the agent on the same machine. */
   feed: string;
 }>;
 
-/** A draining primary serves until another is elected, but no longer than this after the news (design 7.9). */
+/** A draining primary serves until another one is elected, but no longer than this after the proxy has learnt of it (design 7.9). */
 export const handoverMilliseconds = 5_000;
-/** How long an open transaction may go on through an edge that drains. */
+/** How long an open transaction may continue on a draining edge. */
 export const openTransactionMilliseconds = 5_500;
-/** The platform goes on sending requests for so long after readiness fails. */
+/** The platform may go on routing requests to this process for this long after its readiness check fails. */
 export const lameDuckMilliseconds = 1_500;
-/** How long a planned end of the process may take. */
+/** The longest time that a graceful shutdown may take. */
 export const graceMilliseconds = 6_000;
-/** A response is given up for after so long, unless the client names another limit. */
+/** Time limit of a request whose client sets none. */
 export const defaultTimeLimitMilliseconds = 4_000;
--- a/packages/proxy/src/statement-request.ts
+++ b/packages/proxy/src/statement-request.ts
@@ -1,4 +1,4 @@
-/** The types of a client's statement on its way through the proxy. The modules that handle statements import these (design 8.5). */
+/** Types that the modules handling a client's statement share (design 8.5). */
 import type * as Either from 'fp-ts/lib/Either.js';
 import type * as Option from 'fp-ts/lib/Option.js';
 import type { Fault, HttpReply, Instant } from '@stallstall/kernel';
@@ -8,7 +8,7 @@
 
 export type Statement = Readonly<{ text: string; parameters: readonly unknown[] }>;
 
-/** What a request does with its session's transaction; `within`, `commit` and `rollback` need an open one. */
+/** What a request does with its session's transaction; `within`, `commit` and `rollback` require an open one. */
 export type TransactionStep = 'none' | 'begin' | 'within' | 'commit' | 'rollback';
 
 export type StatementRequest = Readonly<{
@@ -17,48 +17,51 @@
   key: string;
   statements: readonly Statement[];
   transaction: TransactionStep;
-  /** The id of a session that is known to be this key's. */
+  /** Id of a session that was opened with this key. */
   session: Option.Option<string>;
-  /** An own-read sees at least this position. */
+  /** Lowest log position that an `own-read` may be served at. */
   atLeast: number;
   timeLimitMilliseconds: number;
 }>;
 
-/** Where a request is to run, and under which epoch of its service. */
+/** The member that a request is to run on, and the epoch of its service. */
 export type Target = Readonly<{ choice: RouteCandidate; epoch: number }>;
 
-/** `arrived`, `waiting`: to be placed; `sent`: on a connection; `confirming`: replied, and to be made durable; `done`: the client has a response. */
+/**
+ * `arrived`: not admitted yet; `waiting`: waits for a member and a connection; `sent`: sent to a member; `confirming`: the reply waits to be
+ * durable; `done`: the client has a response.
+ */
 export type RequestStage = 'arrived' | 'waiting' | 'sent' | 'confirming' | 'done';
 
-/** A statement request with the state of its handling. Records are replaced, never changed. */
+/** A statement request and its state. Records are immutable and replaced as a whole. */
 export type RequestRecord = Readonly<{
   id: number;
   request: StatementRequest;
   stage: RequestStage;
   arrivedAt: Instant;
   deadline: Instant;
-  /** How many times it was sent. */
+  /** How often the request was sent. */
   attempts: number;
-  /** Replicas that failed it: it is not sent there again. */
+  /** Replicas that failed to serve the request; it is not sent to them again. */
   excludedMembers: ReadonlySet<string>;
   target: Option.Option<Target>;
   connection: Option.Option<MemberConnection>;
 }>;
 
-/** The body of the response, or why there is none. */
+/** The body of the response, or the fault that is returned instead. */
 export type Outcome = Either.Either<Fault, HttpReply['body']>;
 
-/** What the agent's feed says, in this process's own clock (design 8.1). */
+/** The placement as the agent last reported it, with times on this process's clock (design 8.1). */
 export type PlacementSnapshot = Readonly<{
   configuration: Option.Option<PlacementConfiguration>;
   version: number;
   area: string;
   routingTable: RoutingTable;
-  /** Until then this edge may act on its configuration. */
+  /** This edge may act on its configuration until this time. */
   controlTermEnd: Instant;
-  /** By service: the epoch that this edge is fenced to, and until when. */
+  /** By service: the epoch that this edge may send to the leader in, and until when. */
   fences: ReadonlyMap<string, Readonly<{ epoch: number; until: Instant }>>;
   draining: boolean;
-  /** Whether nothing more may be sent to the member, because it or this whole edge was to go so long ago. */
+  /** Whether the member, or this edge, has been draining for so long that not even open transactions may continue. */
   isDrainOverdue: (member: string) => boolean;
 }>;
