--- a/packages/acceptance/src/cores.ts
+++ b/packages/acceptance/src/cores.ts
@@ -299,7 +299,7 @@
   machine.disk = story.cores.world.disk();
   for (const [key, value] of old) machine.disk.entries.set(key, value);
   await story.cores.world.run(500);
-  machine.disk.trouble.failing = failing;
+  machine.disk.faults.failing = failing;
   await story.cores.start(machine, false);
   await story.cores.world.run(2_000);
 }
@@ -313,7 +313,7 @@
   async function when(this: CoreStory, index: number, seconds: number, failingSeconds: number) {
     await startWithOldCopy(this, index, seconds, true);
     await this.cores.world.run(failingSeconds * 1_000);
-    this.cores.machine(`core-${index}`).disk.trouble.failing = false;
+    this.cores.machine(`core-${index}`).disk.faults.failing = false;
     await this.cores.world.run(2_000);
   },
 );
--- a/packages/acceptance/src/disks.ts
+++ b/packages/acceptance/src/disks.ts
@@ -10,15 +10,15 @@
 const timeoutMilliseconds = 10_000;
 
 When('the disk of {word} is full', function when(this: Story, core: string) {
-  coreOf(this, core).disk.trouble.failing = true;
+  coreOf(this, core).disk.faults.failing = true;
 });
 
 When('the disk of {word} hangs', function when(this: Story, core: string) {
-  coreOf(this, core).disk.trouble.hanging = true;
+  coreOf(this, core).disk.faults.hanging = true;
 });
 
 When('the disk of {word} is repaired, and {int} s pass', async function when(this: Story, core: string, seconds: number) {
-  Object.assign(coreOf(this, core).disk.trouble, { failing: false, hanging: false });
+  Object.assign(coreOf(this, core).disk.faults, { failing: false, hanging: false });
   await this.fleet.world.run(seconds * 1_000);
 });
 
@@ -68,7 +68,7 @@
 Then('{word} replies with its accepted entry while its disk hangs', async function then(this: Story, core: string) {
   const link = await dialCore(this, core);
   const lookReply = await replyTo(this, link.call('look', { key: 'configuration' }, timeoutMilliseconds));
-  assert.ok(lookReply.ready && coreOf(this, core).disk.trouble.hanging);
+  assert.ok(lookReply.ready && coreOf(this, core).disk.faults.hanging);
   link.close();
 });
 
@@ -137,7 +137,7 @@
   const from = story.fleet.world.logs.length;
   await story.fleet.startCore(slot);
   await story.fleet.until(() => slot.running?.isOpen() === true || slot.process?.alive() === false, timeoutMilliseconds);
-  const stoppedBy = slot.process?.stoppedBy() ?? Option.none;
+  const stoppedBy = slot.process?.stopReason() ?? Option.none;
   if (Option.isSome(stoppedBy)) return fault.kind(stoppedBy.value) === 'foreign-disk' ? 'refused' : fault.kind(stoppedBy.value);
   assert.equal(slot.running?.isOpen(), true, 'the core did not open');
   const logged = loggedSince(story, core, from);
--- a/packages/acceptance/src/guarantees.ts
+++ b/packages/acceptance/src/guarantees.ts
@@ -193,7 +193,7 @@
   'an operator sends a sheet through {word}, which is ended as planned before it has answered',
   async function when(this: Story, core: string) {
     const slot = coreOf(this, core);
-    for (const one of this.fleet.cores) one.disk.trouble.slowMilliseconds = 150;
+    for (const one of this.fleet.cores) one.disk.faults.slowMilliseconds = 150;
     const sent = this.fleet.send(this.fleet.sheet(), this.fleet.cores.indexOf(slot));
     await this.fleet.world.run(100);
     let ended = false;
--- a/packages/acceptance/src/malformed-input-steps.ts
+++ b/packages/acceptance/src/malformed-input-steps.ts
@@ -76,7 +76,7 @@
     );
     await this.fleet.startCore(slot);
     const opened = await this.fleet.until(() => slot.running?.isOpen() === true || slot.process?.alive() === false, 10_000);
-    const reason = slot.process?.stoppedBy() ?? Option.none;
+    const reason = slot.process?.stopReason() ?? Option.none;
     const spoiltFleet = sound[index]?.[0] === 'fleet';
     this.stops.push(Option.isSome(reason) ? `${fault.kind(reason.value)} ${spoiltFleet}` : opened ? 'opened' : 'not open');
   }
--- a/packages/acceptance/src/planned-change-steps.ts
+++ b/packages/acceptance/src/planned-change-steps.ts
@@ -75,7 +75,7 @@
 
 Then('the agent of {word} has stopped with the fault {string}', function then(this: Story, _edge: string, kind: string) {
   assert.equal(this.process?.alive(), false);
-  const reason = this.process?.stoppedBy() ?? Option.none;
+  const reason = this.process?.stopReason() ?? Option.none;
   assert.ok(Option.isSome(reason) && fault.kind(reason.value) === kind);
 });
 
--- a/packages/acceptance/src/product.ts
+++ b/packages/acceptance/src/product.ts
@@ -171,7 +171,7 @@
 });
 
 Then('{word} has stopped as {string} and names the remedy', function then(this: Story, core: string, kind: string) {
-  const reason = coreOf(this, core).process?.stoppedBy() ?? Option.none;
+  const reason = coreOf(this, core).process?.stopReason() ?? Option.none;
   assert.ok(Option.isSome(reason) && fault.kind(reason.value) === kind);
   assert.match(reason.value.message, /run the version that wrote it/);
 });
--- a/packages/acceptance/src/simulator.ts
+++ b/packages/acceptance/src/simulator.ts
@@ -158,9 +158,9 @@
 
 When('its disk hangs for {int} s, with a put under way', function when(this: SimulatorStory, seconds: number) {
   const { world, disk } = this;
-  disk.trouble.hanging = true;
+  disk.faults.hanging = true;
   world.at(seconds * 1_000, function over() {
-    disk.trouble.hanging = false;
+    disk.faults.hanging = false;
   });
   this.put = diskOf(this.process).put('key', 'value');
   void this.put.then(() => {
@@ -177,9 +177,9 @@
 
 When('its disk is full for {int} s', function when(this: SimulatorStory, seconds: number) {
   const { world, disk } = this;
-  disk.trouble.full = true;
+  disk.faults.full = true;
   world.at(seconds * 1_000, function over() {
-    disk.trouble.full = false;
+    disk.faults.full = false;
   });
 });
 
--- a/packages/simulator/src/core-fleet.ts
+++ b/packages/simulator/src/core-fleet.ts
@@ -82,7 +82,7 @@
 
   function newDisk(): SimulatedDisk {
     const disk = world.disk();
-    disk.trouble.slowMilliseconds = slow;
+    disk.faults.slowMilliseconds = slow;
     return disk;
   }
 
@@ -140,7 +140,7 @@
   /** What ended by itself is started again, as the platform does. */
   function restartEnded(): void {
     for (const machine of machines) {
-      if (machine.process !== undefined && !machine.process.alive() && Option.isSome(machine.process.stoppedBy()))
+      if (machine.process !== undefined && !machine.process.alive() && Option.isSome(machine.process.stopReason()))
         void start(machine, false);
     }
     world.at(restartMilliseconds, restartEnded);
@@ -306,7 +306,7 @@
     kill,
     slowDisks: function slowDisks(milliseconds) {
       slow = milliseconds;
-      for (const machine of machines) machine.disk.trouble.slowMilliseconds = milliseconds;
+      for (const machine of machines) machine.disk.faults.slowMilliseconds = milliseconds;
     },
     cutOff,
     until,
--- a/packages/simulator/src/event-queue.ts
+++ b/packages/simulator/src/event-queue.ts
@@ -1,10 +1,10 @@
 /** The events of a simulated world in the order of their time, and the generator that a seed stands for. */
 
 /** An event that nobody waits for any more (an timer that was cancelled, a horizon that was met) is passed over. */
-export type Event = Readonly<{ at: number; order: number; action: () => void; wanted: (() => boolean) | undefined }>;
+export type Event = Readonly<{ time: number; lastOrder: number; action: () => void; isNeeded: (() => boolean) | undefined }>;
 
 /** A small generator with a good spread; the seed is the whole of its state. */
-export function generator(seed: number): () => number {
+export function randomGenerator(seed: number): () => number {
   let state = (seed * 2_654_435_761 + 1) >>> 0;
   return function next() {
     state = (state + 0x6d2b79f5) >>> 0;
@@ -15,18 +15,18 @@
   };
 }
 
-function earlier(left: Event, right: Event): boolean {
-  return left.at !== right.at ? left.at < right.at : left.order < right.order;
+function isEarlier(left: Event, right: Event): boolean {
+  return left.time !== right.time ? left.time < right.time : left.lastOrder < right.lastOrder;
 }
 
 /** A binary heap: the earliest event first, and of two at one time the one pushed first. */
-export function queue(): Readonly<{ push: (event: Event) => void; pop: () => Event | undefined; peek: () => Event | undefined }> {
+export function eventQueue(): Readonly<{ push: (event: Event) => void; pop: () => Event | undefined; peek: () => Event | undefined }> {
   const heap: Event[] = [];
 
   function swap(left: number, right: number): void {
-    const kept = heap[left] as Event;
+    const event = heap[left] as Event;
     heap[left] = heap[right] as Event;
-    heap[right] = kept;
+    heap[right] = event;
   }
 
   function push(event: Event): void {
@@ -34,7 +34,7 @@
     let index = heap.length - 1;
     while (index > 0) {
       const parent = (index - 1) >> 1;
-      if (!earlier(heap[index] as Event, heap[parent] as Event)) break;
+      if (!isEarlier(heap[index] as Event, heap[parent] as Event)) break;
       swap(index, parent);
       index = parent;
     }
@@ -47,13 +47,13 @@
     heap[0] = last;
     let index = 0;
     for (;;) {
-      let least = index;
+      let earliest = index;
       for (const child of [2 * index + 1, 2 * index + 2]) {
-        if (child < heap.length && earlier(heap[child] as Event, heap[least] as Event)) least = child;
+        if (child < heap.length && isEarlier(heap[child] as Event, heap[earliest] as Event)) earliest = child;
       }
-      if (least === index) return first;
-      swap(index, least);
-      index = least;
+      if (earliest === index) return first;
+      swap(index, earliest);
+      index = earliest;
     }
   }
 
--- a/packages/simulator/src/explore.ts
+++ b/packages/simulator/src/explore.ts
@@ -6,7 +6,7 @@
 import * as Option from 'fp-ts/lib/Option.js';
 import type { CoreSet, Entry, MessageKind } from '@stallstall/message';
 import { quorum } from '@stallstall/quorum';
-import { generator } from './event-queue.js';
+import { randomGenerator } from './event-queue.js';
 import { exploredMachines, type Machine, type Machines } from './explored-machines.js';
 
 type Result = Readonly<{ key: string; what: string; begun: number; ended: number; list: readonly string[] }>;
@@ -48,7 +48,7 @@
 
 /** One exploration: machines, what is under way between them, and what clients were told. */
 function tableOf(seed: number, size: number, keyCount: number, shares: Shares) {
-  const random = generator(seed);
+  const random = randomGenerator(seed);
   const pending: Happening[] = [];
   const results: Result[] = [];
   const cut = new Set<string>();
@@ -262,7 +262,7 @@
 const gone = new WeakSet<Machine>();
 
 async function run(seed: number): Promise<Explored> {
-  const draw = generator(seed ^ 0x5bd1e995);
+  const draw = randomGenerator(seed ^ 0x5bd1e995);
   const size = draw() < 0.7 ? 3 : draw() < 0.6 ? 5 : 4;
   const sparse = draw() < 0.6;
   const shares: Shares = {
--- a/packages/simulator/src/explored-machines.ts
+++ b/packages/simulator/src/explored-machines.ts
@@ -2,7 +2,7 @@
  * Cores that hold a register while their seats change hands, for explorations: acceptors, proposers, steps, learners and copying are
  * the product's own; messages, syncs and losses happen when and as the exploration says (design 4.8, 10.4).
  */
-import { soundDisk } from './sound-disk.js';
+import { memoryDisk } from './memory-disk.js';
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import {
@@ -131,7 +131,7 @@
   }
 
   function diskOf(state: State, alive: () => boolean): Disk {
-    return soundDisk.create(
+    return memoryDisk.create(
       () => state.entries,
       (key, value) =>
         new Promise((resolve) =>
--- a/packages/simulator/src/faults.ts
+++ b/packages/simulator/src/faults.ts
@@ -115,9 +115,9 @@
     name: 'slow-disk',
     run: (fleet) => {
       const slot = pick(fleet, fleet.cores);
-      slot.disk.trouble.slowMilliseconds = between(fleet, 20, 700);
+      slot.disk.faults.slowMilliseconds = between(fleet, 20, 700);
       fleet.world.at(between(fleet, 1_000, 5_000), () => {
-        slot.disk.trouble.slowMilliseconds = 0;
+        slot.disk.faults.slowMilliseconds = 0;
       });
     },
   },
@@ -125,9 +125,9 @@
     name: 'failing-disk',
     run: (fleet) => {
       const slot = pick(fleet, fleet.cores);
-      slot.disk.trouble.failing = true;
+      slot.disk.faults.failing = true;
       fleet.world.at(between(fleet, 1_000, 5_000), () => {
-        slot.disk.trouble.failing = false;
+        slot.disk.faults.failing = false;
       });
     },
   },
--- a/packages/simulator/src/faults/disks.ts
+++ b/packages/simulator/src/faults/disks.ts
@@ -13,9 +13,9 @@
     const { disk } = pick(fleet, fleet.cores);
     const milliseconds = between(fleet, leastMilliseconds, mostMilliseconds);
     trouble(fleet, storm, 'core', milliseconds);
-    Object.assign(disk.trouble, change);
+    Object.assign(disk.faults, change);
     fleet.world.at(milliseconds, function mended() {
-      Object.assign(disk.trouble, over);
+      Object.assign(disk.faults, over);
       back();
     });
   };
--- a/packages/simulator/src/fleet.ts
+++ b/packages/simulator/src/fleet.ts
@@ -380,8 +380,8 @@
         slot.process?.alive() === true &&
         !world.frozen(slot.process) &&
         slot.running?.isOpen() === true &&
-        !slot.disk.trouble.failing &&
-        slot.disk.trouble.slowMilliseconds < 300,
+        !slot.disk.faults.failing &&
+        slot.disk.faults.slowMilliseconds < 300,
     );
     const takes = platformSlot !== undefined && !platformSlot.knobs.down && !platformSlot.knobs.denies;
     return (
@@ -407,7 +407,7 @@
     const running = platformSlot;
     return (
       processes.every((one) => one?.alive() === true && !world.frozen(one)) &&
-      cores.every((slot) => slot.running !== undefined && !slot.disk.trouble.failing && slot.disk.trouble.slowMilliseconds === 0) &&
+      cores.every((slot) => slot.running !== undefined && !slot.disk.faults.failing && slot.disk.faults.slowMilliseconds === 0) &&
       running !== undefined &&
       !running.knobs.down &&
       !running.knobs.denies &&
--- a/packages/simulator/src/frames.ts
+++ b/packages/simulator/src/frames.ts
@@ -3,17 +3,17 @@
 import type { Link, Stream } from '@stallstall/kernel';
 
 /** What JSON would make of a value, without the text between; nobody shares what was sent. */
-export function copied(value: unknown): unknown {
+export function jsonCopy(value: unknown): unknown {
   if (typeof value === 'number') return Number.isFinite(value) ? value : null;
   if (typeof value !== 'object' || value === null) return value;
-  if (Array.isArray(value)) return value.map((item) => copied(item) ?? null);
+  if (Array.isArray(value)) return value.map((item) => jsonCopy(item) ?? null);
   const result: Record<string, unknown> = {};
-  for (const [name, inner] of Object.entries(value)) if (inner !== undefined && typeof inner !== 'function') result[name] = copied(inner);
+  for (const [name, inner] of Object.entries(value)) if (inner !== undefined && typeof inner !== 'function') result[name] = jsonCopy(inner);
   return result;
 }
 
 /** A stream carries text over a link, so that order, cuts and darkness hold for it as well. */
-export function streamOver(link: Link): Stream {
+export function streamFromLink(link: Link): Stream {
   let closed = false;
   return {
     write: link.send,
--- a/packages/simulator/src/link-end.ts
+++ b/packages/simulator/src/link-end.ts
@@ -3,60 +3,60 @@
 import type { Link } from '@stallstall/kernel';
 
 /** One end of a link: its public side, and what the other end does to it. */
-export type LinkEnd = { readonly link: Link; readonly take: (message: unknown) => void; readonly broken: () => void };
+export type LinkEnd = { readonly link: Link; readonly deliver: (message: unknown) => void; readonly disconnect: () => void };
 
 /**
  * Creates one end of a link.
  * @param send - hands a message to the other end
- * @param close - called once, when this end closes
- * @param drop - called on a reset: what was sent and has not arrived never does
+ * @param onClose - called once, when this end closes
+ * @param onReset - called on a reset: what was sent and has not arrived never does
  */
-export function linkEnd(send: (message: unknown) => void, close: () => void, drop: () => void): LinkEnd {
-  const arrived: unknown[] = [];
-  let waiting: ((message: Option.Option<unknown>) => void) | undefined;
+export function linkEnd(send: (message: unknown) => void, onClose: () => void, onReset: () => void): LinkEnd {
+  const receivedMessages: unknown[] = [];
+  let pendingReceive: ((message: Option.Option<unknown>) => void) | undefined;
   let open = true;
 
-  function take(message: unknown): void {
+  function deliver(message: unknown): void {
     if (!open) return;
-    if (waiting === undefined) arrived.push(message);
+    if (pendingReceive === undefined) receivedMessages.push(message);
     else {
-      const resolve = waiting;
-      waiting = undefined;
+      const resolve = pendingReceive;
+      pendingReceive = undefined;
       resolve(Option.some(message));
     }
   }
 
-  function broken(): void {
+  function disconnect(): void {
     if (!open) return;
     open = false;
-    waiting?.(Option.none);
-    waiting = undefined;
+    pendingReceive?.(Option.none);
+    pendingReceive = undefined;
   }
 
   return {
-    take,
-    broken,
+    deliver: deliver,
+    disconnect: disconnect,
     link: {
       send: function sendOn(message) {
         if (open) send(message);
       },
       receive: function receive() {
-        if (arrived.length > 0) return Promise.resolve(Option.some(arrived.shift()));
+        if (receivedMessages.length > 0) return Promise.resolve(Option.some(receivedMessages.shift()));
         if (!open) return Promise.resolve(Option.none);
         return new Promise((resolve) => {
-          waiting = resolve;
+          pendingReceive = resolve;
         });
       },
       close: function closeOn() {
         if (!open) return;
-        broken();
-        close();
+        disconnect();
+        onClose();
       },
       reset: function resetOn() {
         if (!open) return;
-        drop();
-        broken();
-        close();
+        onReset();
+        disconnect();
+        onClose();
       },
     },
   };
--- a/packages/simulator/src/sound-disk.ts
+++ b/packages/simulator/src/memory-disk.ts
@@ -24,4 +24,4 @@
   };
 }
 
-export const soundDisk = { create } as const;
+export const memoryDisk = { create } as const;
--- a/packages/simulator/src/pooled-faults.ts
+++ b/packages/simulator/src/pooled-faults.ts
@@ -71,7 +71,7 @@
   fleet.operatorTrouble.lostShare = 0;
   Object.assign(fleet.platform().knobs, calmPlatform);
   for (const slot of fleet.cores) {
-    Object.assign(slot.disk.trouble, { failing: false, full: false, hanging: false, slowMilliseconds: 0 });
+    Object.assign(slot.disk.faults, { failing: false, full: false, hanging: false, slowMilliseconds: 0 });
     fleet.world.light(slot.machine);
     if (slot.process?.alive() !== true) await fleet.startCore(slot);
   }
--- a/packages/simulator/src/schedules.ts
+++ b/packages/simulator/src/schedules.ts
@@ -1,6 +1,6 @@
 /** Orders of events too rare to be drawn, written down: each shows a guard of design 4.8 at work (design 10.4). */
 import { seatOf } from './explored-machines.js';
-import { soundDisk } from './sound-disk.js';
+import { memoryDisk } from './memory-disk.js';
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { identifiers, type Disk, type Runtime } from '@stallstall/kernel';
@@ -18,7 +18,7 @@
 
 function diskOf(): Disk {
   const entries = new Map<string, unknown>();
-  return soundDisk.create(
+  return memoryDisk.create(
     () => entries,
     function put(key, value) {
       entries.set(key, value);
--- a/packages/simulator/src/simulated-disk.ts
+++ b/packages/simulator/src/simulated-disk.ts
@@ -4,17 +4,17 @@
 import { diskHealth, fault, type Clock, type Disk, type Fault } from '@stallstall/kernel';
 
 /** `failing`: takes no bytes. `full`: has no room for them. `hanging`: answers nothing until it no longer hangs. */
-export type DiskTrouble = { failing: boolean; full: boolean; hanging: boolean; slowMilliseconds: number };
-export type SimulatedDisk = { readonly entries: Map<string, string>; readonly trouble: DiskTrouble };
+export type DiskFaults = { failing: boolean; full: boolean; hanging: boolean; slowMilliseconds: number };
+export type SimulatedDisk = { readonly entries: Map<string, string>; readonly faults: DiskFaults };
 
 /** Has a write reach the disk when its trouble allows. */
-export type PutOn = (key: string, write: () => void) => Promise<Either.Either<Fault, null>>;
+export type ScheduleWrite = (key: string, write: () => void) => Promise<Either.Either<Fault, null>>;
 
-const putsKey = '#puts';
-const lostKey = '#lost';
+const putCountKey = '#puts';
+const discardReasonKey = '#lost';
 
-function over(kept: SimulatedDisk, clock: Clock, putOn: PutOn): Disk {
-  const health = diskHealth.create(clock, () => putOn('a probe', () => undefined));
+function create(disk: SimulatedDisk, clock: Clock, scheduleWrite: ScheduleWrite): Disk {
+  const health = diskHealth.create(clock, () => scheduleWrite('a probe', () => undefined));
 
   function read<Value>(value: () => Value): Promise<Either.Either<Fault, Value>> {
     try {
@@ -24,55 +24,55 @@
     }
   }
 
-  function parsed(text: string): unknown {
+  function parseValue(text: string): unknown {
     return JSON.parse(text);
   }
 
   function page(prefix: string, after: string, bytes: number): ReadonlyArray<readonly [string, unknown]> {
     const found: Array<readonly [string, unknown]> = [];
-    let left = bytes;
-    for (const key of [...kept.entries.keys()].filter((one) => one.startsWith(prefix) && one > after).sort()) {
-      if (left <= 0) break;
-      const text = kept.entries.get(key) as string;
-      found.push([key, parsed(text)]);
-      left -= text.length;
+    let remainingBytes = bytes;
+    for (const key of [...disk.entries.keys()].filter((one) => one.startsWith(prefix) && one > after).sort()) {
+      if (remainingBytes <= 0) break;
+      const text = disk.entries.get(key) as string;
+      found.push([key, parseValue(text)]);
+      remainingBytes -= text.length;
     }
     return found;
   }
 
   return {
-    puts: () => Number(kept.entries.get(putsKey) ?? 0),
+    puts: () => Number(disk.entries.get(putCountKey) ?? 0),
     load: (without) =>
       read(
         () =>
           new Map(
-            [...kept.entries]
+            [...disk.entries]
               .filter(([key]) => !key.startsWith('#') && !key.startsWith(without))
-              .map(([key, value]) => [key, parsed(value)] as const),
+              .map(([key, value]) => [key, parseValue(value)] as const),
           ),
       ),
-    read: (key) => read(() => Option.map(parsed)(Option.fromNullable(kept.entries.get(key)))),
+    read: (key) => read(() => Option.map(parseValue)(Option.fromNullable(disk.entries.get(key)))),
     page: (prefix, after, bytes) => read(() => page(prefix, after, bytes)),
-    size: () => [...kept.entries].reduce((sum, [key, value]) => sum + key.length + value.length, 0),
+    size: () => [...disk.entries].reduce((sum, [key, value]) => sum + key.length + value.length, 0),
     put: function put(key, value) {
       const trouble = health.trouble();
       if (Option.isSome(trouble)) return Promise.resolve(Either.left(trouble.value));
       const text = JSON.stringify(value);
       function write(): void {
-        kept.entries.set(key, text);
-        kept.entries.set(putsKey, String(Number(kept.entries.get(putsKey) ?? 0) + 1));
+        disk.entries.set(key, text);
+        disk.entries.set(putCountKey, String(Number(disk.entries.get(putCountKey) ?? 0) + 1));
       }
-      return health.follow(() => putOn(key, write));
+      return health.follow(() => scheduleWrite(key, write));
     },
     trouble: health.trouble,
     onTrouble: health.onTrouble,
-    lost: () => Option.fromNullable(kept.entries.get(lostKey)),
+    lost: () => Option.fromNullable(disk.entries.get(discardReasonKey)),
     discard: function discard(reason) {
-      kept.entries.clear();
-      kept.entries.set(lostKey, reason);
+      disk.entries.clear();
+      disk.entries.set(discardReasonKey, reason);
       return Promise.resolve(Either.right(null));
     },
   };
 }
 
-export const simulatedDisk = { over } as const;
+export const simulatedDisk = { create } as const;
--- a/packages/simulator/src/simulated-http.ts
+++ b/packages/simulator/src/simulated-http.ts
@@ -9,7 +9,7 @@
   type HttpServer,
   type OutgoingHttpRequest,
 } from '@stallstall/kernel';
-import { copied } from './frames.js';
+import { jsonCopy } from './frames.js';
 import { connectMilliseconds } from './simulated-links.js';
 import type { SimulatedNetwork } from './simulated-network.js';
 import type { SimulatedProcess } from './simulated-process.js';
@@ -17,13 +17,13 @@
 /** An HTTP connection from a process to an address; it is opened by its first exchange. */
 export function connect(network: SimulatedNetwork, process: SimulatedProcess, address: string): HttpConnection {
   const id = `connection-${network.nextToken()}`;
-  network.origins.set(id, process.machine);
-  let peerBody: SimulatedProcess | undefined;
+  network.connectionMachines.set(id, process.machine);
+  let peerProcess: SimulatedProcess | undefined;
   let peerServer: HttpServer | undefined;
   let closed = false;
-  let pending: ((result: Either.Either<Fault, HttpReply>) => void) | undefined;
+  let completePending: ((result: Either.Either<Fault, HttpReply>) => void) | undefined;
 
-  function lostFault(kind: 'unreachable' | 'reply-lost'): Fault {
+  function exchangeFault(kind: 'unreachable' | 'reply-lost'): Fault {
     return fault.create({
       kind,
       message: kind === 'unreachable' ? `${address} could not be reached` : `the reply of ${address} was lost`,
@@ -31,134 +31,135 @@
     });
   }
 
-  function farGone(): void {
-    if (peerBody === undefined) return;
-    network.carry(peerBody, process, network.latency(), () => {
+  function onPeerExit(): void {
+    if (peerProcess === undefined) return;
+    network.deliver(peerProcess, process, network.latency(), () => {
       closed = true;
-      pending?.(Either.left(lostFault('reply-lost')));
+      completePending?.(Either.left(exchangeFault('reply-lost')));
     });
   }
 
-  function tellClosed(): void {
+  function notifyPeerOfClose(): void {
     const server = peerServer;
-    if (peerBody === undefined || server === undefined) return;
-    peerBody.closers.delete(farGone);
-    forgetReset();
-    network.carry(process, peerBody, network.latency(), () => server.connectionClosed?.(id));
+    if (peerProcess === undefined || server === undefined) return;
+    peerProcess.closeHandlers.delete(onPeerExit);
+    removeResetHandlers();
+    network.deliver(process, peerProcess, network.latency(), () => server.connectionClosed?.(id));
   }
 
-  function forgetReset(): void {
-    process.resets.delete(reset);
-    peerBody?.resets.delete(reset);
+  function removeResetHandlers(): void {
+    process.resetHandlers.delete(reset);
+    peerProcess?.resetHandlers.delete(reset);
   }
 
   function reset(): void {
-    if (closed || peerBody === undefined) return;
+    if (closed || peerProcess === undefined) return;
     closed = true;
-    forgetReset();
-    peerBody.closers.delete(farGone);
-    process.closers.delete(tellClosed);
+    removeResetHandlers();
+    peerProcess.closeHandlers.delete(onPeerExit);
+    process.closeHandlers.delete(notifyPeerOfClose);
     const server = peerServer;
-    network.inside(peerBody, () => server?.connectionClosed?.(id));
-    network.inside(process, () => pending?.(Either.left(lostFault('reply-lost'))));
+    network.runInProcess(peerProcess, () => server?.connectionClosed?.(id));
+    network.runInProcess(process, () => completePending?.(Either.left(exchangeFault('reply-lost'))));
   }
 
   function close(): void {
     if (closed) return;
     closed = true;
-    process.closers.delete(tellClosed);
-    tellClosed();
-    pending?.(Either.left(lostFault('reply-lost')));
+    process.closeHandlers.delete(notifyPeerOfClose);
+    notifyPeerOfClose();
+    completePending?.(Either.left(exchangeFault('reply-lost')));
   }
 
-  function reach(): Promise<boolean> {
-    if (peerBody !== undefined) return Promise.resolve(true);
+  function connectToPeer(): Promise<boolean> {
+    if (peerProcess !== undefined) return Promise.resolve(true);
     return new Promise((resolve) => {
-      const found = network.servers.get(address);
-      const silent = found !== undefined && (network.dark.has(found.process.machine) || network.isCut(process, found.process));
-      if (!silent && (found === undefined || !found.process.alive)) {
-        network.time.at(network.latency(), () => network.inside(process, () => resolve(false)));
+      const listener = network.servers.get(address);
+      const isUnresponsive =
+        listener !== undefined && (network.unresponsiveMachines.has(listener.process.machine) || network.isCut(process, listener.process));
+      if (!isUnresponsive && (listener === undefined || !listener.process.alive)) {
+        network.time.schedule(network.latency(), () => network.runInProcess(process, () => resolve(false)));
         return;
       }
-      network.time.at(
+      network.time.schedule(
         connectMilliseconds,
-        () => network.inside(process, () => resolve(false)),
-        () => peerBody === undefined && !closed,
+        () => network.runInProcess(process, () => resolve(false)),
+        () => peerProcess === undefined && !closed,
       );
-      if (silent || found === undefined) return;
-      network.carry(process, found.process, network.latency(), () => {
+      if (isUnresponsive || listener === undefined) return;
+      network.deliver(process, listener.process, network.latency(), () => {
         if (closed) return;
-        peerBody = found.process;
-        peerServer = found.server;
-        found.process.closers.add(farGone);
-        process.closers.add(tellClosed);
-        found.process.resets.add(reset);
-        process.resets.add(reset);
-        network.carry(found.process, process, network.latency(), () => resolve(true));
+        peerProcess = listener.process;
+        peerServer = listener.server;
+        listener.process.closeHandlers.add(onPeerExit);
+        process.closeHandlers.add(notifyPeerOfClose);
+        listener.process.resetHandlers.add(reset);
+        process.resetHandlers.add(reset);
+        network.deliver(listener.process, process, network.latency(), () => resolve(true));
       });
     });
   }
 
-  function exchange(ask: OutgoingHttpRequest, milliseconds: number): Promise<Either.Either<Fault, HttpReply>> {
+  function exchange(request: OutgoingHttpRequest, milliseconds: number): Promise<Either.Either<Fault, HttpReply>> {
     return new Promise((resolve) => {
-      let settled = false;
-      let left = false;
-      function settle(result: Either.Either<Fault, HttpReply>): void {
-        if (settled) return;
-        settled = true;
-        pending = undefined;
+      let completed = false;
+      let requestSent = false;
+      function complete(result: Either.Either<Fault, HttpReply>): void {
+        if (completed) return;
+        completed = true;
+        completePending = undefined;
         resolve(result);
       }
       if (closed) {
-        settle(Either.left(lostFault('unreachable')));
+        complete(Either.left(exchangeFault('unreachable')));
         return;
       }
-      pending = settle;
-      network.time.at(
+      completePending = complete;
+      network.time.schedule(
         milliseconds,
         () =>
-          network.inside(process, () => {
-            if (settled) return;
-            settle(Either.left(lostFault(left ? 'reply-lost' : 'unreachable')));
+          network.runInProcess(process, () => {
+            if (completed) return;
+            complete(Either.left(exchangeFault(requestSent ? 'reply-lost' : 'unreachable')));
             close();
           }),
-        () => !settled,
+        () => !completed,
       );
-      void reach().then((reached) => {
-        if (settled || !process.alive) return;
-        const far = peerBody;
+      void connectToPeer().then((reached) => {
+        if (completed || !process.alive) return;
+        const targetProcess = peerProcess;
         const server = peerServer;
-        if (!reached || far === undefined || server === undefined || closed) {
-          settle(Either.left(lostFault('unreachable')));
+        if (!reached || targetProcess === undefined || server === undefined || closed) {
+          complete(Either.left(exchangeFault('unreachable')));
           return;
         }
-        if (ask.leaveBefore !== undefined && process.clockOffset + network.time.now() * process.clockRate >= ask.leaveBefore) {
-          settle(Either.left(lostFault('unreachable')));
+        if (request.leaveBefore !== undefined && process.clockOffset + network.time.now() * process.clockRate >= request.leaveBefore) {
+          complete(Either.left(exchangeFault('unreachable')));
           close();
           return;
         }
-        left = true;
-        const [path, query] = ask.path.split('?');
-        const copy = copied(ask.body);
-        network.carry(
+        requestSent = true;
+        const [path, query] = request.path.split('?');
+        const requestBody = jsonCopy(request.body);
+        network.deliver(
           process,
-          far,
+          targetProcess,
           network.latency(),
           () => {
             void http
               .dispatch(server.routes, {
-                method: ask.method,
+                method: request.method,
                 path: path ?? '',
                 query: Object.fromEntries(new URLSearchParams(query ?? '')),
-                headers: ask.headers ?? {},
-                body: copy,
+                headers: request.headers ?? {},
+                body: requestBody,
                 connection: id,
               })
               .then((reply) => {
-                if (!far.alive) return;
-                const reported = { ...reply, body: copied(reply.body) };
-                network.carry(far, process, network.latency(), () => {
-                  settle(Either.right(reported));
+                if (!targetProcess.alive) return;
+                const replyCopy = { ...reply, body: jsonCopy(reply.body) };
+                network.deliver(targetProcess, process, network.latency(), () => {
+                  complete(Either.right(replyCopy));
                   if (reply.headers?.['connection'] === 'close') close();
                 });
               });
--- a/packages/simulator/src/simulated-links.ts
+++ b/packages/simulator/src/simulated-links.ts
@@ -9,97 +9,97 @@
 export const connectMilliseconds = 3_000;
 
 /** Keeps each direction in order whatever the latencies are. */
-function lane(network: SimulatedNetwork, from: SimulatedProcess, to: SimulatedProcess): (action: () => void) => void {
-  let last = 0;
+function createOrderedLane(network: SimulatedNetwork, from: SimulatedProcess, to: SimulatedProcess): (action: () => void) => void {
+  let lastArrival = 0;
   return function put(action) {
-    const due = Math.max(network.time.now() + network.latency(), last + 0.001);
-    last = due;
-    network.carry(from, to, due - network.time.now(), action);
+    const arrival = Math.max(network.time.now() + network.latency(), lastArrival + 0.001);
+    lastArrival = arrival;
+    network.deliver(from, to, arrival - network.time.now(), action);
   };
 }
 
 /** Opens a link from a process to whoever listens at an address. */
 export function openLink(network: SimulatedNetwork, process: SimulatedProcess, address: string): Promise<Either.Either<Fault, Link>> {
   return new Promise((resolve) => {
-    let settled = false;
-    function settle(result: Either.Either<Fault, Link>): void {
-      if (settled) return;
-      settled = true;
+    let completed = false;
+    function complete(result: Either.Either<Fault, Link>): void {
+      if (completed) return;
+      completed = true;
       resolve(result);
     }
     const listener = network.listeners.get(address);
     function unreachable(): void {
-      settle(
+      complete(
         Either.left(
           fault.create({ kind: 'unreachable', message: `nothing listens on ${address}`, remedy: 'start it, or mend the address' }),
         ),
       );
     }
-    network.time.at(
+    network.time.schedule(
       connectMilliseconds,
-      () => network.inside(process, unreachable),
-      () => !settled,
+      () => network.runInProcess(process, unreachable),
+      () => !completed,
     );
-    if (listener !== undefined && network.dark.has(listener.process.machine)) return;
+    if (listener !== undefined && network.unresponsiveMachines.has(listener.process.machine)) return;
     if (listener === undefined || !listener.process.alive) {
-      network.time.at(network.latency(), () => network.inside(process, unreachable));
+      network.time.schedule(network.latency(), () => network.runInProcess(process, unreachable));
       return;
     }
-    const there = lane(network, process, listener.process);
-    const back = lane(network, listener.process, process);
-    let nearDropped = false;
-    let farDropped = false;
-    const near: LinkEnd = linkEnd(
+    const toListener = createOrderedLane(network, process, listener.process);
+    const toOpener = createOrderedLane(network, listener.process, process);
+    let openerReset = false;
+    let listenerReset = false;
+    const openerEnd: LinkEnd = linkEnd(
       (message) => {
         if (!process.alive) return;
-        const copy = network.frame(process, message);
-        there(() => (nearDropped ? undefined : far.take(copy)));
+        const copy = network.encodeFrame(process, message);
+        toListener(() => (openerReset ? undefined : listenerEnd.deliver(copy)));
       },
-      () => hangUp(there, far),
+      () => disconnectOther(toListener, listenerEnd),
       () => {
-        nearDropped = true;
+        openerReset = true;
       },
     );
-    const far: LinkEnd = linkEnd(
+    const listenerEnd: LinkEnd = linkEnd(
       (message) => {
         if (!listener.process.alive) return;
-        const copy = network.frame(listener.process, message);
-        back(() => (farDropped ? undefined : near.take(copy)));
+        const copy = network.encodeFrame(listener.process, message);
+        toOpener(() => (listenerReset ? undefined : openerEnd.deliver(copy)));
       },
-      () => hangUp(back, near),
+      () => disconnectOther(toOpener, openerEnd),
       () => {
-        farDropped = true;
+        listenerReset = true;
       },
     );
-    function forget(): void {
-      process.closers.delete(nearGone);
-      listener?.process.closers.delete(farGone);
-      process.resets.delete(reset);
-      listener?.process.resets.delete(reset);
+    function removeHandlers(): void {
+      process.closeHandlers.delete(onOpenerExit);
+      listener?.process.closeHandlers.delete(onListenerExit);
+      process.resetHandlers.delete(reset);
+      listener?.process.resetHandlers.delete(reset);
     }
-    function hangUp(put: (action: () => void) => void, other: LinkEnd): void {
-      forget();
-      put(other.broken);
+    function disconnectOther(lane: (action: () => void) => void, other: LinkEnd): void {
+      removeHandlers();
+      lane(other.disconnect);
     }
     function reset(): void {
-      forget();
-      network.inside(process, near.broken);
-      if (listener !== undefined) network.inside(listener.process, far.broken);
+      removeHandlers();
+      network.runInProcess(process, openerEnd.disconnect);
+      if (listener !== undefined) network.runInProcess(listener.process, listenerEnd.disconnect);
     }
-    function nearGone(): void {
-      there(far.broken);
+    function onOpenerExit(): void {
+      toListener(listenerEnd.disconnect);
     }
-    function farGone(): void {
-      back(near.broken);
+    function onListenerExit(): void {
+      toOpener(openerEnd.disconnect);
     }
-    there(() => {
-      listener.process.closers.add(farGone);
-      process.closers.add(nearGone);
-      listener.process.resets.add(reset);
-      process.resets.add(reset);
-      listener.greet(far.link);
+    toListener(() => {
+      listener.process.closeHandlers.add(onListenerExit);
+      process.closeHandlers.add(onOpenerExit);
+      listener.process.resetHandlers.add(reset);
+      process.resetHandlers.add(reset);
+      listener.onLink(listenerEnd.link);
       // Whoever has given up meanwhile says so: nothing stays half open.
-      back(() => (settled ? near.link.close() : settle(Either.right(near.link))));
+      toOpener(() => (completed ? openerEnd.link.close() : complete(Either.right(openerEnd.link))));
     });
   });
 }
--- a/packages/simulator/src/simulated-network.ts
+++ b/packages/simulator/src/simulated-network.ts
@@ -1,11 +1,11 @@
 /** What joins the machines of a simulation: latencies, cuts, machines that went dark, and who listens where. */
 import type { HttpServer, Link } from '@stallstall/kernel';
-import { copied } from './frames.js';
+import { jsonCopy } from './frames.js';
 import type { SimulatedProcess } from './simulated-process.js';
 import type { VirtualTime } from './virtual-time.js';
 
 /** Who accepts links or streams at an address. */
-export type SimulatedListener = Readonly<{ process: SimulatedProcess; greet: (link: Link) => void }>;
+export type SimulatedListener = Readonly<{ process: SimulatedProcess; onLink: (link: Link) => void }>;
 /** Who accepts HTTP requests at an address. */
 export type SimulatedServer = Readonly<{ process: SimulatedProcess; server: HttpServer }>;
 /** Frames and bytes that a process has sent over links. */
@@ -17,107 +17,107 @@
   listeners: Map<string, SimulatedListener>;
   servers: Map<string, SimulatedServer>;
   /** The machine of each HTTP connection, by the connection's identifier. */
-  origins: Map<string, string>;
+  connectionMachines: Map<string, string>;
   /** Machines that went dark, and the processes lost with each. */
-  dark: Map<string, SimulatedProcess[]>;
+  unresponsiveMachines: Map<string, SimulatedProcess[]>;
   sent: ReadonlyMap<string, Traffic>;
   nextToken: () => number;
-  inside: (process: SimulatedProcess, action: () => void) => void;
+  runInProcess: (process: SimulatedProcess, action: () => void) => void;
   latency: () => number;
-  carry: (from: SimulatedProcess, to: SimulatedProcess, milliseconds: number, action: () => void, takenBack?: () => boolean) => void;
+  deliver: (from: SimulatedProcess, to: SimulatedProcess, milliseconds: number, action: () => void, isWithdrawn?: () => boolean) => void;
   isCut: (from: SimulatedProcess, to: SimulatedProcess) => boolean;
-  frame: (from: SimulatedProcess, message: unknown) => unknown;
+  encodeFrame: (from: SimulatedProcess, message: unknown) => unknown;
   cut: (from: string, to: string) => void;
   heal: (from: string, to: string) => void;
-  joined: (left: string, right: string) => boolean;
+  isConnected: (left: string, right: string) => boolean;
   healAll: () => void;
 }>;
 
-const leastLatency = 0.2;
-const latencySpread = 0.8;
+const minLatencyMilliseconds = 0.2;
+const latencySpreadMilliseconds = 0.8;
 
 /**
  * Creates the network of one simulation.
  * @param time - the clock and the events
- * @param weighing - whether frames and bytes sent over links are counted
+ * @param countTraffic - whether frames and bytes sent over links are counted
  */
-function create(time: VirtualTime, weighing: boolean): SimulatedNetwork {
-  const cuts = new Map<string, Array<() => void>>();
+function create(time: VirtualTime, countTraffic: boolean): SimulatedNetwork {
+  const heldByCut = new Map<string, Array<() => void>>();
   const sent = new Map<string, Traffic>();
-  let tokens = 0;
+  let lastToken = 0;
 
-  function inside(process: SimulatedProcess, action: () => void): void {
+  function runInProcess(process: SimulatedProcess, action: () => void): void {
     if (!process.alive) return;
-    if (process.frozenUntil > time.now()) time.at(process.frozenUntil - time.now(), () => inside(process, action));
+    if (process.frozenUntil > time.now()) time.schedule(process.frozenUntil - time.now(), () => runInProcess(process, action));
     else action();
   }
 
   function latency(): number {
-    return leastLatency + time.random() * latencySpread;
+    return minLatencyMilliseconds + time.random() * latencySpreadMilliseconds;
   }
 
   /** Hands an action from one machine to another; while the way is cut it waits, in order, unless its sender has taken it back. */
-  function carry(
+  function deliver(
     from: SimulatedProcess,
     to: SimulatedProcess,
     milliseconds: number,
     action: () => void,
-    takenBack: () => boolean = () => false,
+    isWithdrawn: () => boolean = () => false,
   ): void {
-    const way = `${from.machine}>${to.machine}`;
-    let held = false;
+    const direction = `${from.machine}>${to.machine}`;
+    let wasHeld = false;
     function arrive(): void {
-      const cut = cuts.get(way);
+      const cut = heldByCut.get(direction);
       if (cut !== undefined) {
-        held = true;
+        wasHeld = true;
         cut.push(arrive);
-      } else if (!held || !takenBack()) inside(to, action);
+      } else if (!wasHeld || !isWithdrawn()) runInProcess(to, action);
     }
-    time.at(milliseconds, arrive);
+    time.schedule(milliseconds, arrive);
   }
 
   function isCut(from: SimulatedProcess, to: SimulatedProcess): boolean {
-    return cuts.has(`${from.machine}>${to.machine}`) || cuts.has(`${to.machine}>${from.machine}`);
+    return heldByCut.has(`${from.machine}>${to.machine}`) || heldByCut.has(`${to.machine}>${from.machine}`);
   }
 
   /** A frame as it goes over a link: counted, and copied so that nobody shares what was sent. */
-  function frame(from: SimulatedProcess, message: unknown): unknown {
-    if (weighing) {
+  function encodeFrame(from: SimulatedProcess, message: unknown): unknown {
+    if (countTraffic) {
       const before = sent.get(from.name) ?? { frames: 0, bytes: 0 };
       sent.set(from.name, { frames: before.frames + 1, bytes: before.bytes + JSON.stringify(message).length });
     }
-    return copied(message);
+    return jsonCopy(message);
   }
-  function healWay(way: string): void {
-    const held = cuts.get(way);
-    cuts.delete(way);
-    for (const arrive of held ?? []) arrive();
+  function healDirection(direction: string): void {
+    const heldDeliveries = heldByCut.get(direction);
+    heldByCut.delete(direction);
+    for (const arrive of heldDeliveries ?? []) arrive();
   }
 
   return {
     time,
     listeners: new Map(),
     servers: new Map(),
-    origins: new Map(),
-    dark: new Map(),
+    connectionMachines: new Map(),
+    unresponsiveMachines: new Map(),
     sent,
     nextToken: function nextToken() {
-      tokens += 1;
-      return tokens;
+      lastToken += 1;
+      return lastToken;
     },
-    inside,
+    runInProcess: runInProcess,
     latency,
-    carry,
+    deliver: deliver,
     isCut,
-    frame,
+    encodeFrame: encodeFrame,
     cut: function cut(from, to) {
-      const way = `${from}>${to}`;
-      if (!cuts.has(way)) cuts.set(way, []);
+      const direction = `${from}>${to}`;
+      if (!heldByCut.has(direction)) heldByCut.set(direction, []);
     },
-    heal: (from, to) => healWay(`${from}>${to}`),
-    joined: (left, right) => !cuts.has(`${left}>${right}`) && !cuts.has(`${right}>${left}`),
+    heal: (from, to) => healDirection(`${from}>${to}`),
+    isConnected: (left, right) => !heldByCut.has(`${left}>${right}`) && !heldByCut.has(`${right}>${left}`),
     healAll: function healAll() {
-      for (const way of [...cuts.keys()]) healWay(way);
+      for (const direction of [...heldByCut.keys()]) healDirection(direction);
     },
   };
 }
--- a/packages/simulator/src/simulated-process.ts
+++ b/packages/simulator/src/simulated-process.ts
@@ -8,7 +8,7 @@
   machine: string;
   runtime: Runtime;
   alive: () => boolean;
-  stoppedBy: () => Option.Option<Fault>;
+  stopReason: () => Option.Option<Fault>;
 }>;
 
 /** What the simulation keeps of a process; nobody but the simulation sees it. @internal */
@@ -22,10 +22,10 @@
   /** How far its wall clock was stepped. */
   wallOffset: number;
   readonly clockRate: number;
-  stoppedBy: Option.Option<Fault>;
-  readonly closers: Set<() => void>;
+  stopReason: Option.Option<Fault>;
+  readonly closeHandlers: Set<() => void>;
   /** Puts under way: whether one stands when its process is killed, only the disk knows. */
-  readonly puts: Set<() => void>;
+  readonly pendingWrites: Set<() => void>;
   /** One for each connection that stands: breaks it at both ends. */
-  readonly resets: Set<() => void>;
+  readonly resetHandlers: Set<() => void>;
 };
--- a/packages/simulator/src/simulated-runtime.ts
+++ b/packages/simulator/src/simulated-runtime.ts
@@ -13,7 +13,7 @@
   type LogFields,
   type Protocols,
 } from '@stallstall/kernel';
-import { streamOver } from './frames.js';
+import { streamFromLink } from './frames.js';
 import { simulatedDisk, type SimulatedDisk } from './simulated-disk.js';
 import { connect } from './simulated-http.js';
 import { openLink } from './simulated-links.js';
@@ -25,40 +25,43 @@
 export type LogLine = Readonly<{ at: number; process: string; event: string; fields: LogFields }>;
 
 /** Where the log and the end of a process go. @internal */
-export type ProcessRecord = Readonly<{ log: (line: LogLine) => void; stop: (reason: Fault) => void }>;
+export type ProcessCallbacks = Readonly<{ log: (line: LogLine) => void; stop: (reason: Fault) => void }>;
 
 /** What the wall clocks show as a run begins. */
-export const wallStart = 1_800_000_000_000;
+export const initialWallTime = 1_800_000_000_000;
 /** How often a hanging disk is looked at. */
-const hangLookMilliseconds = 5;
+const hangingDiskPollMilliseconds = 5;
 
 /** When a disk that hangs goes on, and at once if it does not. */
-function whileHanging(network: SimulatedNetwork, process: SimulatedProcess, kept: SimulatedDisk, action: () => void): void {
-  if (kept.trouble.hanging && process.alive) network.time.at(hangLookMilliseconds, () => whileHanging(network, process, kept, action));
+function runOnceDiskResponds(network: SimulatedNetwork, process: SimulatedProcess, disk: SimulatedDisk, action: () => void): void {
+  if (disk.faults.hanging && process.alive)
+    network.time.schedule(hangingDiskPollMilliseconds, () => runOnceDiskResponds(network, process, disk, action));
   else action();
 }
 
-function putOn(
+function scheduleWrite(
   network: SimulatedNetwork,
   process: SimulatedProcess,
-  kept: SimulatedDisk,
+  disk: SimulatedDisk,
   key: string,
   write: () => void,
 ): Promise<Either.Either<Fault, null>> {
   return new Promise((resolve) => {
-    process.puts.add(write);
-    function end(): void {
+    process.pendingWrites.add(write);
+    function complete(): void {
       if (!process.alive) return;
-      process.puts.delete(write);
-      if (kept.trouble.failing || kept.trouble.full) {
-        const reason = kept.trouble.full ? 'no space left on device' : 'the disk is set to fail';
-        network.inside(process, () => resolve(Either.left(fault.diskFailed(key, new Error(reason)))));
+      process.pendingWrites.delete(write);
+      if (disk.faults.failing || disk.faults.full) {
+        const reason = disk.faults.full ? 'no space left on device' : 'the disk is set to fail';
+        network.runInProcess(process, () => resolve(Either.left(fault.diskFailed(key, new Error(reason)))));
         return;
       }
       write();
-      network.inside(process, () => resolve(Either.right(null)));
+      network.runInProcess(process, () => resolve(Either.right(null)));
     }
-    network.time.at(0.5 + network.time.random() * 2 + kept.trouble.slowMilliseconds, () => whileHanging(network, process, kept, end));
+    network.time.schedule(0.5 + network.time.random() * 2 + disk.faults.slowMilliseconds, () =>
+      runOnceDiskResponds(network, process, disk, complete),
+    );
   });
 }
 
@@ -68,57 +71,57 @@
   process: SimulatedProcess,
   disk: SimulatedDisk | undefined,
   protocols: Protocols,
-  record: ProcessRecord,
+  callbacks: ProcessCallbacks,
 ): Runtime {
-  function steady(): Instant {
+  function monotonicNow(): Instant {
     return (process.clockOffset + network.time.now() * process.clockRate) as Instant;
   }
   const clock = {
-    now: steady,
-    wall: wallClock.create(steady, () => identifiers.wallTime(wallStart + network.time.now() + process.wallOffset)),
+    now: monotonicNow,
+    wall: wallClock.create(monotonicNow, () => identifiers.wallTime(initialWallTime + network.time.now() + process.wallOffset)),
     startTimer: function startTimer(milliseconds: number, action: () => void) {
-      let live = true;
-      network.time.at(
+      let active = true;
+      network.time.schedule(
         milliseconds / process.clockRate,
         () =>
-          network.inside(process, () => {
-            if (live) action();
+          network.runInProcess(process, () => {
+            if (active) action();
           }),
-        () => live,
+        () => active,
       );
       return {
         cancel: function cancel() {
-          live = false;
+          active = false;
         },
       };
     },
     sleep: (milliseconds: number) =>
       new Promise<void>((resolve) => {
-        network.time.at(milliseconds / process.clockRate, () => network.inside(process, resolve));
+        network.time.schedule(milliseconds / process.clockRate, () => network.runInProcess(process, resolve));
       }),
   };
 
-  function listening(table: Map<string, { readonly process: SimulatedProcess }>, address: string): Listening {
-    function deafen(): void {
-      if (table.get(address)?.process === process) table.delete(address);
+  function listeningAt(listeners: Map<string, { readonly process: SimulatedProcess }>, address: string): Listening {
+    function stopAccepting(): void {
+      if (listeners.get(address)?.process === process) listeners.delete(address);
     }
     return {
-      stopAccepting: deafen,
+      stopAccepting: stopAccepting,
       stop: function stop() {
-        deafen();
+        stopAccepting();
         return Promise.resolve();
       },
     };
   }
 
-  const stored = Option.map((kept: SimulatedDisk) =>
-    simulatedDisk.over(kept, clock, (key, write) => putOn(network, process, kept, key, write)),
+  const processDisk = Option.map((simulated: SimulatedDisk) =>
+    simulatedDisk.create(simulated, clock, (key, write) => scheduleWrite(network, process, simulated, key, write)),
   )(Option.fromNullable(disk));
 
   return {
     clock,
     protocols,
-    disk: stored,
+    disk: processDisk,
     randomness: {
       fraction: network.time.random,
       token: function token() {
@@ -126,27 +129,27 @@
       },
     },
     network: {
-      listen: function listen(address, greet) {
-        network.listeners.set(address, { process, greet });
-        return Promise.resolve(listening(network.listeners, address));
+      listen: function listen(address, onLink) {
+        network.listeners.set(address, { process, onLink: onLink });
+        return Promise.resolve(listeningAt(network.listeners, address));
       },
       open: (address) => openLink(network, process, address),
-      listenStream: function listenStream(address, greet) {
-        network.listeners.set(streamKey(address), { process, greet: (link) => greet(streamOver(link)) });
-        return Promise.resolve(listening(network.listeners, streamKey(address)));
+      listenStream: function listenStream(address, onStream) {
+        network.listeners.set(streamKey(address), { process, onLink: (link) => onStream(streamFromLink(link)) });
+        return Promise.resolve(listeningAt(network.listeners, streamKey(address)));
       },
       openStream: (address, milliseconds) => openStream(network, process, address, milliseconds),
       serve: function serve(address, server) {
         network.servers.set(address, { process, server });
-        return Promise.resolve(listening(network.servers, address));
+        return Promise.resolve(listeningAt(network.servers, address));
       },
       connect: (address) => connect(network, process, address),
     },
     log: function log(event, fields = {}) {
-      if (process.alive) record.log({ at: network.time.now(), process: process.name, event, fields });
+      if (process.alive) callbacks.log({ at: network.time.now(), process: process.name, event, fields });
     },
     services: runtimeUtilities.directory(),
-    stop: record.stop,
+    stop: callbacks.stop,
   };
 }
 
--- a/packages/simulator/src/simulated-streams.ts
+++ b/packages/simulator/src/simulated-streams.ts
@@ -1,7 +1,7 @@
 /** Streams: links that carry text, so that order, cuts and darkness hold for them as well. */
 import * as Either from 'fp-ts/lib/Either.js';
 import { fault, type Fault, type Link, type Stream } from '@stallstall/kernel';
-import { streamOver } from './frames.js';
+import { streamFromLink } from './frames.js';
 import { openLink } from './simulated-links.js';
 import type { SimulatedNetwork } from './simulated-network.js';
 import type { SimulatedProcess } from './simulated-process.js';
@@ -19,9 +19,9 @@
   milliseconds: number,
 ): Promise<Either.Either<Fault, Stream>> {
   const listener = network.listeners.get(streamKey(address));
-  const late = new Promise<Either.Either<Fault, Link>>((resolve) => {
-    network.time.at(milliseconds, () =>
-      network.inside(process, () =>
+  const timeout = new Promise<Either.Either<Fault, Link>>((resolve) => {
+    network.time.schedule(milliseconds, () =>
+      network.runInProcess(process, () =>
         resolve(
           Either.left(
             fault.create({
@@ -35,12 +35,12 @@
     );
   });
   const opening = openLink(network, process, streamKey(address));
-  const opened = await Promise.race([opening, late]);
-  if (Either.isRight(opened)) return Either.right(streamOver(opened.right));
+  const opened = await Promise.race([opening, timeout]);
+  if (Either.isRight(opened)) return Either.right(streamFromLink(opened.right));
   void opening.then((link) => {
     if (Either.isRight(link)) link.right.close();
   });
-  const notListening = listener === undefined || (!listener.process.alive && !network.dark.has(listener.process.machine));
+  const notListening = listener === undefined || (!listener.process.alive && !network.unresponsiveMachines.has(listener.process.machine));
   return notListening
     ? Either.left(
         fault.create({ kind: 'not-listening', message: `nothing listens on ${address}`, remedy: 'start it, or mend the address' }),
--- a/packages/simulator/src/world.ts
+++ b/packages/simulator/src/world.ts
@@ -7,8 +7,8 @@
 import type { Process, SimulatedProcess } from './simulated-process.js';
 import { virtualTime } from './virtual-time.js';
 
-export type { DiskTrouble, SimulatedDisk } from './simulated-disk.js';
-export { wallStart, type LogLine } from './simulated-runtime.js';
+export type { DiskFaults as DiskTrouble, SimulatedDisk } from './simulated-disk.js';
+export { initialWallTime as wallStart, type LogLine } from './simulated-runtime.js';
 export type { Process } from './simulated-process.js';
 
 /** A process that ended by itself. */
@@ -67,22 +67,22 @@
   function die(simulated: SimulatedProcess): void {
     if (!simulated.alive) return;
     simulated.alive = false;
-    for (const close of simulated.closers) close();
-    simulated.closers.clear();
-    simulated.resets.clear();
+    for (const close of simulated.closeHandlers) close();
+    simulated.closeHandlers.clear();
+    simulated.resetHandlers.clear();
     endPuts(simulated);
   }
 
   /** A process that ends by itself. */
   function stop(simulated: SimulatedProcess, reason: Fault): void {
-    simulated.stoppedBy = Option.some(reason);
+    simulated.stopReason = Option.some(reason);
     if (simulated.alive) ended.push({ process: simulated.name, at: time.now(), reason });
     die(simulated);
   }
 
   function endPuts(simulated: SimulatedProcess): void {
-    for (const write of simulated.puts) if (time.random() < 0.5) write();
-    simulated.puts.clear();
+    for (const write of simulated.pendingWrites) if (time.random() < 0.5) write();
+    simulated.pendingWrites.clear();
   }
 
   function darken(machine: string): void {
@@ -91,16 +91,16 @@
       simulated.alive = false;
       endPuts(simulated);
     }
-    network.dark.set(machine, lost);
+    network.unresponsiveMachines.set(machine, lost);
   }
 
   /** The machine runs again: it knows nothing of the connections of before, and says so. */
   function light(machine: string): void {
-    const lost = network.dark.get(machine) ?? [];
-    network.dark.delete(machine);
+    const lost = network.unresponsiveMachines.get(machine) ?? [];
+    network.unresponsiveMachines.delete(machine);
     for (const simulated of lost) {
-      for (const close of simulated.closers) close();
-      simulated.closers.clear();
+      for (const close of simulated.closeHandlers) close();
+      simulated.closeHandlers.clear();
     }
   }
 
@@ -115,10 +115,10 @@
       wallOffset: 0,
       clockOffset: product ? time.random() * 1e7 : 0,
       clockRate: product ? 0.985 + time.random() * 0.03 : 1,
-      stoppedBy: Option.none,
-      closers: new Set(),
-      puts: new Set(),
-      resets: new Set(),
+      stopReason: Option.none,
+      closeHandlers: new Set(),
+      pendingWrites: new Set(),
+      resetHandlers: new Set(),
     };
     const process: Process = {
       name,
@@ -128,7 +128,7 @@
         stop: (reason) => stop(simulated, reason),
       }),
       alive: () => simulated.alive,
-      stoppedBy: () => simulated.stoppedBy,
+      stopReason: () => simulated.stopReason,
     };
     processes.set(process, simulated);
     return process;
@@ -143,7 +143,7 @@
       simulated.frozenUntil = Math.max(simulated.frozenUntil, time.now() + milliseconds);
     },
     resetConnections: function resetConnections(process, share) {
-      const chosen = [...kept(process).resets].filter(() => time.random() < share);
+      const chosen = [...kept(process).resetHandlers].filter(() => time.random() < share);
       for (const reset of chosen) reset();
       return chosen.length;
     },
@@ -152,19 +152,19 @@
     },
     darken,
     light,
-    machineOf: (connection) => network.origins.get(connection) ?? '',
+    machineOf: (connection) => network.connectionMachines.get(connection) ?? '',
     frozen: (process) => kept(process).frozenUntil > time.now(),
     cut: network.cut,
     heal: network.heal,
-    joined: network.joined,
+    joined: network.isConnected,
     healAll: network.healAll,
-    disk: () => ({ entries: new Map(), trouble: { failing: false, full: false, hanging: false, slowMilliseconds: 0 } }),
+    disk: () => ({ entries: new Map(), faults: { failing: false, full: false, hanging: false, slowMilliseconds: 0 } }),
     run: time.run,
-    at: time.at,
+    at: time.schedule,
     logs,
     ended,
     sent: network.sent,
-    events: time.events,
+    events: time.eventCount,
   };
 }
 
