--- a/packages/acceptance/features/wire.feature
+++ b/packages/acceptance/features/wire.feature
@@ -17,8 +17,8 @@
       | QUERY ab12 SET mood␠                    | {"kind":"query","identifier":"ab12","text":"SET mood ","command":{"kind":"set","name":"mood","value":""}} |
       | QUERY ab12 DEFINE s1 WRITE shape and more | {"kind":"query","identifier":"ab12","text":"DEFINE s1 WRITE shape and more","command":{"kind":"prepare","name":"s1","writes":true,"statement":"shape and more"}} |
       | QUERY ab12 DEFINE s1 READ shape           | {"kind":"query","identifier":"ab12","text":"DEFINE s1 READ shape","command":{"kind":"prepare","name":"s1","writes":false,"statement":"shape"}} |
-      | QUERY ab12 INVOKE s1 k77                | {"kind":"query","identifier":"ab12","text":"INVOKE s1 k77","command":{"kind":"execute","name":"s1","rest":"k77"}} |
-      | QUERY ab12 INVOKE s1 k77 xk qp          | {"kind":"query","identifier":"ab12","text":"INVOKE s1 k77 xk qp","command":{"kind":"execute","name":"s1","rest":"k77 xk qp"}} |
+      | QUERY ab12 INVOKE s1 k77                | {"kind":"query","identifier":"ab12","text":"INVOKE s1 k77","command":{"kind":"execute","name":"s1","parameters":"k77"}} |
+      | QUERY ab12 INVOKE s1 k77 xk qp          | {"kind":"query","identifier":"ab12","text":"INVOKE s1 k77 xk qp","command":{"kind":"execute","name":"s1","parameters":"k77 xk qp"}} |
       | QUERY ab12 UNDEFINE s1                  | {"kind":"query","identifier":"ab12","text":"UNDEFINE s1","command":{"kind":"forget","name":"s1"}}     |
 
   Scenario: What senders may not say is malformed, whichever way it is said
@@ -79,9 +79,9 @@
       | FAULT READONLY member-7          | {"kind":"completion","completion":{"kind":"fault","condition":"read-only","text":"member-7"}}      |
       | FAULT LAGGING                      | {"kind":"completion","completion":{"kind":"fault","condition":"lagging","text":""}}                  |
       | FAULT NEVERHEARD two words         | {"kind":"completion","completion":{"kind":"fault","condition":"failed","text":"two words"}}          |
-      | IDLE I 3.41                      | {"kind":"rest","transactionStatus":"idle","position":{"term":3,"number":41}}                          |
-      | IDLE T 3.41                      | {"kind":"rest","transactionStatus":"open","position":{"term":3,"number":41}}                          |
-      | IDLE E -                           | {"kind":"rest","transactionStatus":"failed","position":null}                                            |
+      | IDLE I 3.41                      | {"kind":"ready","transactionStatus":"idle","position":{"term":3,"number":41}}                          |
+      | IDLE T 3.41                      | {"kind":"ready","transactionStatus":"open","position":{"term":3,"number":41}}                          |
+      | IDLE E -                           | {"kind":"ready","transactionStatus":"failed","position":null}                                            |
       | IDLE X -                           | {"kind":"unreadable"}                                                                        |
       | IDLE I                             | {"kind":"unreadable"}                                                                        |
       | IDLE I 3.x                         | {"kind":"unreadable"}                                                                        |
--- a/packages/acceptance/src/connections.ts
+++ b/packages/acceptance/src/connections.ts
@@ -4,7 +4,7 @@
 import * as Option from 'fp-ts/lib/Option.js';
 import { identifiers, type Stream } from '@stallstall/kernel';
 import { wire } from '@stallstall/platform';
-import { connections, type PooledLine } from '@stallstall/pooler/connections';
+import { connections, type PooledConnection } from '@stallstall/pooler/connections';
 import { freshness } from '@stallstall/pooler/freshness';
 import { world as worlds } from '@stallstall/simulator';
 import { positions, type MemberAddress, type Position } from '@stallstall/session-protocol';
@@ -26,30 +26,30 @@
     }));
     asked.sort((left, right) => left.repliedAt - right.repliedAt);
     for (const one of asked) {
-      table.learnt('ferries', identifiers.instant(one.at), {
+      table.recordLeaderPosition('ferries', identifiers.instant(one.at), {
         term: 3,
         number: log[Math.min(one.repliedAt, one.at + Math.floor(random() * 5))] as number,
       });
       for (let moment = 0; moment <= one.repliedAt; moment += 7) {
-        const covering = table.covering('ferries', identifiers.instant(moment));
+        const covering = table.positionCovering('ferries', identifiers.instant(moment));
         if (Option.isSome(covering)) assert.ok(covering.value.number >= (log[moment] as number), `round ${round}, moment ${moment}`);
       }
     }
     const newest = Math.max(...asked.map((one) => one.at));
-    assert.ok(Option.isSome(table.covering('ferries', identifiers.instant(newest))));
+    assert.ok(Option.isSome(table.positionCovering('ferries', identifiers.instant(newest))));
   }
 });
 
 Then('a moment after the newest question is covered by nothing', function then() {
   const table = freshness.create(() => identifiers.instant(0));
-  table.learnt('ferries', identifiers.instant(100), { term: 3, number: 9 });
-  table.learnt('ferries', identifiers.instant(60), { term: 3, number: 12 });
-  assert.deepEqual(table.covering('ferries', identifiers.instant(100)), Option.some({ term: 3, number: 9 }));
-  assert.ok(Option.isNone(table.covering('ferries', identifiers.instant(101))));
-  assert.ok(Option.isNone(table.covering('trams', identifiers.instant(50))));
-  table.learnt('ferries', identifiers.instant(200), { term: 3, number: 4 });
+  table.recordLeaderPosition('ferries', identifiers.instant(100), { term: 3, number: 9 });
+  table.recordLeaderPosition('ferries', identifiers.instant(60), { term: 3, number: 12 });
+  assert.deepEqual(table.positionCovering('ferries', identifiers.instant(100)), Option.some({ term: 3, number: 9 }));
+  assert.ok(Option.isNone(table.positionCovering('ferries', identifiers.instant(101))));
+  assert.ok(Option.isNone(table.positionCovering('trams', identifiers.instant(50))));
+  table.recordLeaderPosition('ferries', identifiers.instant(200), { term: 3, number: 4 });
   assert.deepEqual(
-    table.covering('ferries', identifiers.instant(150)),
+    table.positionCovering('ferries', identifiers.instant(150)),
     Option.some({ term: 3, number: 9 }),
     'what was covered once stays covered',
   );
@@ -63,8 +63,8 @@
     { term: 3, number: 11 },
     { term: 3, number: 10 },
   ];
-  for (const position of reported) table.committed('ferries', position);
-  assert.deepEqual(table.commits(), { ferries: { term: 3, number: 11 } });
+  for (const position of reported) table.recordCommit('ferries', position);
+  assert.deepEqual(table.commitPositions(), { ferries: { term: 3, number: 11 } });
   assert.ok(positions.compare({ term: 2, number: 40 }, { term: 3, number: 1 }) < 0);
 });
 
@@ -100,18 +100,18 @@
   this.connections = connections.create(
     this.runtime,
     wire,
-    () => ({ most: share, kept: share }),
+    () => ({ maximum: share, retained: share }),
     () => undefined,
   );
 });
 
 When('tenant {string} wants {int}', async function when(this: UnitStory, tenant: string, count: number) {
-  this.wanted = Array.from({ length: count }, () => this.connections.want(place, tenant));
+  this.wanted = Array.from({ length: count }, () => this.connections.requestConnection(place, tenant));
   await this.world.run(50);
 });
 
-function take(story: UnitStory, tenant: string, session: string): PooledLine {
-  const taken = story.connections.take(place, tenant, session);
+function take(story: UnitStory, tenant: string, session: string): PooledConnection {
+  const taken = story.connections.acquire(place, tenant, session);
   assert.ok(Option.isSome(taken), `none can be taken for ${tenant}`);
   return taken.value;
 }
@@ -126,9 +126,9 @@
 
 Then('{int} can be taken, and no third', function then(this: UnitStory, count: number) {
   for (let index = 0; index < count; index += 1) take(this, 'a', `s${index}`);
-  assert.equal(this.connections.busy('member-1'), count);
-  assert.ok(Option.isNone(this.connections.take(place, 'a', 's9')));
-  assert.equal(this.connections.want(place, 'a'), false);
+  assert.equal(this.connections.busyCount('member-1'), count);
+  assert.ok(Option.isNone(this.connections.acquire(place, 'a', 's9')));
+  assert.equal(this.connections.requestConnection(place, 'a'), false);
 });
 
 When('it is taken for session {string}', function when(this: UnitStory, session: string) {
@@ -136,11 +136,11 @@
 });
 
 When('it is given back', function when(this: UnitStory) {
-  this.connections.giveBack(this.pooled, true);
+  this.connections.release(this.pooled, true);
 });
 
 Then('tenant {string} finds no room', function then(this: UnitStory, tenant: string) {
-  assert.equal(this.connections.want(place, tenant), false);
+  assert.equal(this.connections.requestConnection(place, tenant), false);
 });
 
 Then(
@@ -148,23 +148,27 @@
   function then(this: UnitStory, taker: string, other: string) {
     assert.deepEqual(this.wanted, [true]);
     assert.deepEqual([...this.heard].sort(), ['CLOSE', 'OPEN ferries a member-1', 'OPEN ferries b member-1']);
-    assert.ok(Option.isNone(this.connections.take(place, other, 's1')));
+    assert.ok(Option.isNone(this.connections.acquire(place, other, 's1')));
     assert.equal(take(this, taker, 's2').tenant, taker);
   },
 );
 
 Then('a session that gave one back is handed the same one again', function then(this: UnitStory) {
-  const [first, second, third] = ['s1', 's2', 's3'].map((session) => take(this, 'a', session)) as [PooledLine, PooledLine, PooledLine];
-  second.image.values.set('mood', 'calm');
-  third.image.values.set('mood', 'calm');
-  for (const pooled of [second, first, third]) this.connections.giveBack(pooled, true);
+  const [first, second, third] = ['s1', 's2', 's3'].map((session) => take(this, 'a', session)) as [
+    PooledConnection,
+    PooledConnection,
+    PooledConnection,
+  ];
+  second.serverState.values.set('mood', 'calm');
+  third.serverState.values.set('mood', 'calm');
+  for (const pooled of [second, first, third]) this.connections.release(pooled, true);
   for (const [session, pooled] of [
     ['s1', first],
     ['s2', second],
     ['s3', third],
   ] as const) {
     assert.equal(take(this, 'a', session), pooled);
-    this.connections.giveBack(pooled, true);
+    this.connections.release(pooled, true);
   }
   this.pooled = first;
 });
@@ -174,10 +178,10 @@
 });
 
 Then('one that is given back as not sound is not handed out again', async function then(this: UnitStory) {
-  this.connections.giveBack(this.pooled, false);
-  assert.ok(this.pooled.line.closed());
+  this.connections.release(this.pooled, false);
+  assert.ok(this.pooled.connection.isClosed());
   for (const session of ['s1', 's9']) assert.notEqual(take(this, 'a', session), this.pooled);
-  assert.ok(Option.isNone(this.connections.take(place, 'a', 's1')));
+  assert.ok(Option.isNone(this.connections.acquire(place, 'a', 's1')));
   await this.world.run(20);
 });
 
@@ -189,7 +193,7 @@
 async function alone(story: UnitStory): Promise<number> {
   const began = story.world.now();
   const opened = story.connections.describe().opened;
-  while (!story.connections.want(place, 'a') && story.world.now() - began < 5_000) await story.world.run(1);
+  while (!story.connections.requestConnection(place, 'a') && story.world.now() - began < 5_000) await story.world.run(1);
   assert.equal(story.connections.describe().opened, opened + 1);
   return story.world.now() - began;
 }
@@ -202,7 +206,7 @@
 Then(
   'it is failing, told as not listening, and left alone for {int} to {int} ms',
   async function then(this: UnitStory, least: number, most: number) {
-    assert.deepEqual([this.connections.failing('member-1'), this.connections.notListening()], [true, ['member-1']]);
+    assert.deepEqual([this.connections.isFailing('member-1'), this.connections.notListening()], [true, ['member-1']]);
     // The opening failed within the 50 ms that have passed since it was wanted.
     const spent = await alone(this);
     assert.ok(spent >= least - 50 && spent <= most, `${spent} ms`);
@@ -231,24 +235,24 @@
 When('it listens again and tenant {string} wants 1', async function when(this: UnitStory, tenant: string) {
   await listenAsMember(this);
   await this.world.run(2_000);
-  assert.equal(this.connections.want(place, tenant), true);
+  assert.equal(this.connections.requestConnection(place, tenant), true);
   await this.world.run(50);
 });
 
 Then('it is neither failing nor told as not listening', function then(this: UnitStory) {
-  assert.deepEqual([this.connections.failing('member-1'), this.connections.notListening()], [false, []]);
+  assert.deepEqual([this.connections.isFailing('member-1'), this.connections.notListening()], [false, []]);
   // Its failures are forgotten, also once this connection is lost.
-  this.connections.giveBack(take(this, 'a', 's1'), false);
-  assert.equal(this.connections.failing('member-1'), false);
+  this.connections.release(take(this, 'a', 's1'), false);
+  assert.equal(this.connections.isFailing('member-1'), false);
 });
 
 Then('it is failing, and not told as not listening', function then(this: UnitStory) {
-  assert.deepEqual([this.connections.failing('member-1'), this.connections.notListening()], [true, []]);
+  assert.deepEqual([this.connections.isFailing('member-1'), this.connections.notListening()], [true, []]);
 });
 
 When('its machine goes dark, and tenant {string} wants 1', async function when(this: UnitStory, tenant: string) {
   this.world.darken('member-machine');
-  assert.equal(this.connections.want(place, tenant), true);
+  assert.equal(this.connections.requestConnection(place, tenant), true);
   await this.world.run(1_100);
 });
 
@@ -258,7 +262,7 @@
     this.world.light('member-machine');
     this.opening = `${opening}\r\n`;
     await this.world.run(1_000);
-    assert.equal(this.connections.want(place, tenant), true);
+    assert.equal(this.connections.requestConnection(place, tenant), true);
     await this.world.run(1_100);
   },
 );
@@ -274,9 +278,9 @@
   members: ReadonlyMap<string, Readonly<{ address: string }>>,
 ): Promise<boolean> {
   await story.world.run(milliseconds);
-  story.connections.tend(members);
-  const taken = story.connections.take(place, 'a', 's1');
-  if (Option.isSome(taken)) story.connections.giveBack(taken.value, true);
+  story.connections.closeStale(members);
+  const taken = story.connections.acquire(place, 'a', 's1');
+  if (Option.isSome(taken)) story.connections.release(taken.value, true);
   return Option.isSome(taken);
 }
 
@@ -291,7 +295,7 @@
 
 Then('once its member moved or left it cannot be had', async function then(this: UnitStory) {
   for (const members of [new Map([[place.member, { address: '10.3.0.2:5000' }]]), new Map<string, Readonly<{ address: string }>>()]) {
-    assert.equal(this.connections.want(place, 'a'), true);
+    assert.equal(this.connections.requestConnection(place, 'a'), true);
     await this.world.run(50);
     assert.equal(await rested(this, 0, atItsPlace), true);
     assert.equal(await rested(this, 0, members), false);
--- a/packages/acceptance/src/dialect-steps.ts
+++ b/packages/acceptance/src/dialect-steps.ts
@@ -20,10 +20,10 @@
   "the plain dialect's pieces of it are the row, its ending and rest at {int}.{int}",
   function then(this: DialectStory, term: number, number: number) {
     const { messages } = plainDialect.framer(1_024).push(plainDialect.reply(this.reply));
-    assert.deepEqual(messages.map(plainDialect.piece), [
+    assert.deepEqual(messages.map(plainDialect.parseReply), [
       { kind: 'row', raw: 'row value' },
       { kind: 'completion', completion: { kind: 'done', stamp: '-' } },
-      { kind: 'rest', transactionStatus: 'idle', position: Option.some({ term, number }) },
+      { kind: 'ready', transactionStatus: 'idle', position: Option.some({ term, number }) },
     ]);
   },
 );
--- a/packages/acceptance/src/outages.ts
+++ b/packages/acceptance/src/outages.ts
@@ -23,10 +23,10 @@
 const windowMilliseconds = 90_000;
 const graceMilliseconds = 30_000;
 
-function copied(story: OutageStory, name: string): Readonly<{ remembered: number; held: number; bytes: number }> {
+function copied(story: OutageStory, name: string): Readonly<{ recorded: number; cached: number; bytes: number }> {
   const proxy = edge(story, name).proxy;
   assert.ok(proxy !== undefined);
-  return proxy.copied();
+  return proxy.cachedReplies();
 }
 
 function outcome(reply: Option.Option<StatementReply>): string {
@@ -196,7 +196,7 @@
       ),
       /^row nothing/,
     );
-    assert.ok(copied(this, name).remembered > 1, 'nothing was remembered');
+    assert.ok(copied(this, name).recorded > 1, 'nothing was remembered');
   },
 );
 
@@ -252,7 +252,7 @@
 });
 
 When('{word} loses its uplink while the copy is being made', async function when(this: OutageStory, name: string) {
-  assert.ok(await this.pooled.until(() => copied(this, name).held > 10, aheadMilliseconds), 'the copy was never begun');
+  assert.ok(await this.pooled.until(() => copied(this, name).cached > 10, aheadMilliseconds), 'the copy was never begun');
   loseUplink(this, name);
 });
 
@@ -338,8 +338,8 @@
 Then(
   'every one of the {int} gets in {string} through {word} is denied, though some were copied',
   async function then(this: OutageStory, many: number, database: string, name: string) {
-    const { held } = copied(this, name);
-    assert.ok(held > 10 && held < many, `${held} were copied`);
+    const { cached } = copied(this, name);
+    assert.ok(cached > 10 && cached < many, `${cached} were copied`);
     const line = await open(this, database, name);
     for (let index = 1; index <= many; index += 1) assert.equal(outcome(await this.pooled.ask(line, `get thing-${index}`)), 'read-only');
     line.close();
@@ -347,7 +347,7 @@
 );
 
 Then('{word} holds no copy', function then(this: OutageStory, name: string) {
-  assert.deepEqual(copied(this, name), { remembered: 0, held: 0, bytes: 0 });
+  assert.deepEqual(copied(this, name), { recorded: 0, cached: 0, bytes: 0 });
 });
 
 Then('a get of {string} in that session is denied as {string}', async function then(this: OutageStory, thing: string, condition: string) {
@@ -358,8 +358,8 @@
   '{word} holds at most {int} bytes in fewer than {int} copies',
   function then(this: OutageStory, name: string, bytes: number, many: number) {
     const holds = copied(this, name);
-    assert.ok(holds.bytes > 0 && holds.bytes <= bytes && holds.held > 0 && holds.held < many, JSON.stringify(holds));
-    assert.ok(holds.remembered < many, 'what is remembered keeps within it too');
+    assert.ok(holds.bytes > 0 && holds.bytes <= bytes && holds.cached > 0 && holds.cached < many, JSON.stringify(holds));
+    assert.ok(holds.recorded < many, 'what is remembered keeps within it too');
   },
 );
 
--- a/packages/acceptance/src/replies.ts
+++ b/packages/acceptance/src/replies.ts
@@ -7,7 +7,7 @@
 import { peer, repeatableCalls } from '@stallstall/peer';
 import { world as worlds, type World } from '@stallstall/simulator';
 import { plainDialect } from '@stallstall/fakes';
-import { prober, repeatableCommands } from '@stallstall/session-protocol';
+import { memberProber, repeatableCommands } from '@stallstall/session-protocol';
 
 type ReplyStory = { world: World; links: number; openLines: number };
 
@@ -85,7 +85,7 @@
       const piece = await stream.read();
       if (Option.isNone(piece)) return;
       for (const message of framer.push(piece.value).messages) {
-        if (message.startsWith('hello')) stream.write(plainDialect.idle('idle', Option.none));
+        if (message.startsWith('hello')) stream.write(plainDialect.ready('idle', Option.none));
         else stream.write('row replica 3 3/7 0\nyes -\nat idle 3/7\n');
       }
     }
@@ -101,7 +101,7 @@
 });
 
 When('its line is held and it is asked for its STATE at once, and again later', async function when(this: ReplyStory) {
-  const probes = prober.create(this.world.spawn('near', 'near-machine').runtime, plainDialect, 'tenant');
+  const probes = memberProber.create(this.world.spawn('near', 'near-machine').runtime, plainDialect, 'tenant');
   void probes.ensureConnection('ferries', 'member-1', address, callMilliseconds);
   void probes.readStatus('ferries', 'member-1', address, callMilliseconds);
   await this.world.run(callMilliseconds);
--- a/packages/acceptance/src/unit-story.ts
+++ b/packages/acceptance/src/unit-story.ts
@@ -4,7 +4,7 @@
 import type { MemberRegistry } from '@stallstall/member-registry';
 import type { Request, Reply } from '@stallstall/message';
 import type { Caller } from '@stallstall/peer';
-import type { Connections, PooledLine } from '@stallstall/pooler/connections';
+import type { Connections, PooledConnection } from '@stallstall/pooler/connections';
 import type { World, Process } from '@stallstall/simulator';
 
 export type StubCore = {
@@ -41,5 +41,5 @@
   heard: string[];
   opening: string;
   wanted: boolean[];
-  pooled: PooledLine;
+  pooled: PooledConnection;
 };
--- a/packages/acceptance/src/wire.ts
+++ b/packages/acceptance/src/wire.ts
@@ -10,7 +10,7 @@
 import { pooler } from '@stallstall/pooler';
 import { placements } from '@stallstall/placement';
 import { world as worlds, type World } from '@stallstall/simulator';
-import type { Condition, Incoming, Piece } from '@stallstall/session-protocol';
+import type { Condition, ClientMessage, ReplyMessage } from '@stallstall/session-protocol';
 
 type WireStory = { world: World; client: Runtime; heard: string[]; said: Array<readonly string[]> };
 
@@ -24,7 +24,7 @@
   return table.hashes().map((row) => unshown(row['message'] ?? ''));
 }
 
-function plain(read: Incoming | Piece): unknown {
+function plain(read: ClientMessage | ReplyMessage): unknown {
   return JSON.parse(
     JSON.stringify(read, (_key, value: unknown) => {
       if (typeof value !== 'object' || value === null || !('_tag' in value)) return value;
@@ -35,11 +35,11 @@
 
 Then('these messages of senders are read so:', function then(table: DataTable) {
   for (const row of table.hashes())
-    assert.deepEqual(plain(wire.incoming(unshown(row['message'] ?? ''))), JSON.parse(row['read as'] ?? ''), row['message']);
+    assert.deepEqual(plain(wire.parseRequest(unshown(row['message'] ?? ''))), JSON.parse(row['read as'] ?? ''), row['message']);
 });
 
 function isLetIn(message: string): boolean {
-  const read = wire.incoming(message);
+  const read = wire.parseRequest(message);
   return read.kind === 'query' ? Option.isSome(read.command) : read.kind !== 'unreadable';
 }
 
@@ -49,28 +49,28 @@
 
 Then('these messages of members are read so:', function then(table: DataTable) {
   for (const row of table.hashes())
-    assert.deepEqual(plain(wire.piece(unshown(row['message'] ?? ''))), JSON.parse(row['read as'] ?? ''), row['message']);
+    assert.deepEqual(plain(wire.parseReply(unshown(row['message'] ?? ''))), JSON.parse(row['read as'] ?? ''), row['message']);
 });
 
 Then('the wire says what the pages show', function then() {
   const position = { term: 3, number: 43 };
   const shown: ReadonlyArray<readonly [string, string]> = [
     [wire.opening('ferries', 'tenant', 'member-7'), 'OPEN ferries tenant member-7\r\n'],
-    [wire.query('ab12', wire.texts.since({ term: 3, number: 41 }, 'READ k77')), 'QUERY ab12 SINCE 3.41 READ k77\r\n'],
-    [wire.query(wire.ownIdentifier, wire.texts.state), 'QUERY - STATE\r\n'],
-    [wire.query(wire.ownIdentifier, wire.texts.clear), 'QUERY - CLEAR\r\n'],
-    [wire.query('-', wire.texts.begin(false)), 'QUERY - BEGIN\r\n'],
-    [wire.query('-', wire.texts.begin(true)), 'QUERY - BEGIN READ\r\n'],
-    [wire.query('-', wire.texts.commit), 'QUERY - COMMIT\r\n'],
-    [wire.query('-', wire.texts.rollback), 'QUERY - REVERT\r\n'],
-    [wire.query('-', wire.texts.set('mood', 'two words ')), 'QUERY - SET mood two words \r\n'],
-    [wire.query('-', wire.texts.prepare('s1', true, 'shape')), 'QUERY - DEFINE s1 WRITE shape\r\n'],
-    [wire.query('-', wire.texts.prepare('s1', false, 'shape')), 'QUERY - DEFINE s1 READ shape\r\n'],
-    [wire.query('ab12', wire.texts.execute('s1', 'k77 datadata')), 'QUERY ab12 INVOKE s1 k77 datadata\r\n'],
+    [wire.query('ab12', wire.statements.atPosition({ term: 3, number: 41 }, 'READ k77')), 'QUERY ab12 SINCE 3.41 READ k77\r\n'],
+    [wire.query(wire.internalIdentifier, wire.statements.state), 'QUERY - STATE\r\n'],
+    [wire.query(wire.internalIdentifier, wire.statements.clear), 'QUERY - CLEAR\r\n'],
+    [wire.query('-', wire.statements.begin(false)), 'QUERY - BEGIN\r\n'],
+    [wire.query('-', wire.statements.begin(true)), 'QUERY - BEGIN READ\r\n'],
+    [wire.query('-', wire.statements.commit), 'QUERY - COMMIT\r\n'],
+    [wire.query('-', wire.statements.rollback), 'QUERY - REVERT\r\n'],
+    [wire.query('-', wire.statements.set('mood', 'two words ')), 'QUERY - SET mood two words \r\n'],
+    [wire.query('-', wire.statements.prepare('s1', true, 'shape')), 'QUERY - DEFINE s1 WRITE shape\r\n'],
+    [wire.query('-', wire.statements.prepare('s1', false, 'shape')), 'QUERY - DEFINE s1 READ shape\r\n'],
+    [wire.query('ab12', wire.statements.execute('s1', 'k77 datadata')), 'QUERY ab12 INVOKE s1 k77 datadata\r\n'],
     [wire.closing(), 'CLOSE\r\n'],
-    [wire.idle('idle', Option.none), 'IDLE I -\r\n'],
-    [wire.idle('open', Option.some(position)), 'IDLE T 3.43\r\n'],
-    [wire.idle('failed', Option.some(position)), 'IDLE E 3.43\r\n'],
+    [wire.ready('idle', Option.none), 'IDLE I -\r\n'],
+    [wire.ready('open', Option.some(position)), 'IDLE T 3.43\r\n'],
+    [wire.ready('failed', Option.some(position)), 'IDLE E 3.43\r\n'],
     [wire.fault('denied', 'not let in'), 'FAULT DENIED not let in\r\n'],
     [
       wire.reply({
@@ -113,7 +113,7 @@
   };
   for (const [condition, code] of Object.entries(codes)) {
     assert.equal(wire.fault(condition as Condition, 'why'), `FAULT ${code} why\r\n`);
-    assert.deepEqual(wire.piece(`FAULT ${code} why`), { kind: 'completion', completion: { kind: 'fault', condition, text: 'why' } });
+    assert.deepEqual(wire.parseReply(`FAULT ${code} why`), { kind: 'completion', completion: { kind: 'fault', condition, text: 'why' } });
   }
 });
 
@@ -300,7 +300,7 @@
     const named = /^(ROW( .*)?|DONE .+|FAULT [A-Z]{1,20}( .*)?|IDLE [ITE] (-|\d{1,15}\.\d{1,15}))$/s;
     for (let round = 0; round < count; round += 1) {
       const message = mutated(random, ofMembers);
-      const read = wire.piece(message);
+      const read = wire.parseReply(message);
       assert.equal(read.kind !== 'unreadable', named.test(message), JSON.stringify(message));
       if (read.kind === 'row') assert.equal(read.raw, message);
       wire.memberStatus([message]);
@@ -387,8 +387,8 @@
   const { runtime: proxyRuntime } = this.world.spawn('proxy', 'edge-machine');
   const started = await pooler.start(
     proxyRuntime,
-    { address: clientAddress, outward: '10.2.0.1:8001', feed: feedAddress, graceMilliseconds: 6_000 },
-    { dialect: wire, pages: () => [] },
+    { clientAddress: clientAddress, readinessAddress: '10.2.0.1:8001', agentAddress: feedAddress, graceMilliseconds: 6_000 },
+    { dialect: wire, readinessRoutes: () => [] },
   );
   await this.world.run(1_500);
   assert.ok(started.ready());
--- a/packages/bench/soak-mutations.mjs
+++ b/packages/bench/soak-mutations.mjs
@@ -41,8 +41,8 @@
   {
     name: 'end-of-a-lease-not-looked-at',
     expect: /stale|configuration|refused/,
-    file: 'pooler/build/placement.js',
-    from: '|| runtime.clock.now() >= leader.until',
+    file: 'pooler/build/member-selection.js',
+    from: '|| runtime.clock.now() >= leader.leaseEnd',
     to: '',
   },
 ];
--- a/packages/bench/src/soak/soak-roles.ts
+++ b/packages/bench/src/soak/soak-roles.ts
@@ -84,8 +84,8 @@
   let version = 0;
   setInterval(function look() {
     const view = started.view();
-    if (view.version === version) return;
-    version = view.version;
+    if (view.configurationVersion === version) return;
+    version = view.configurationVersion;
     const orders = [...view.databases.keys()]
       .filter((name) => name.startsWith('order-'))
       .map((name) => Number(name.slice('order-'.length)));
@@ -98,10 +98,10 @@
   process.on('SIGHUP', () => runtime.log('settings.kept', {}));
   const started = await pooler.start(
     runtime,
-    { address, outward, feed, graceMilliseconds },
+    { clientAddress: address, readinessAddress: outward, agentAddress: feed, graceMilliseconds },
     {
       dialect: plainDialect,
-      pages: (ready) => [{ method: 'GET', path: '/ready', handle: async () => ({ status: ready() ? 200 : 503, body: {} }) }],
+      readinessRoutes: (ready) => [{ method: 'GET', path: '/ready', handle: async () => ({ status: ready() ? 200 : 503, body: {} }) }],
     },
   );
   reportOrders(started);
--- a/packages/fakes/src/session-connections.ts
+++ b/packages/fakes/src/session-connections.ts
@@ -60,7 +60,7 @@
     stream.write(plainDialect.fault('saturated', settings.member));
     return false;
   }
-  stream.write(plainDialect.idle('idle', Option.some(log.applied())));
+  stream.write(plainDialect.ready('idle', Option.some(log.applied())));
   return true;
 }
 
--- a/packages/fakes/src/session-dialect.ts
+++ b/packages/fakes/src/session-dialect.ts
@@ -5,9 +5,9 @@
   Condition,
   Dialect,
   Framer,
-  Incoming,
+  ClientMessage,
   MemberStatus,
-  Piece,
+  ReplyMessage,
   Position,
   TransactionStatus,
   StatementReply,
@@ -68,7 +68,7 @@
   if (word === 'put') return Option.some({ kind: 'write' });
   if (word === 'set') return Option.some({ kind: 'set', name, value: given });
   if (word === 'forget') return Option.some({ kind: 'forget', name });
-  if (word === 'execute') return given === '' ? Option.none : Option.some({ kind: 'execute', name, rest: given });
+  if (word === 'execute') return given === '' ? Option.none : Option.some({ kind: 'execute', name, parameters: given });
   if (word !== 'prepare') return Option.none;
   const [verb, shape] = cut(given);
   return (verb === 'get' || verb === 'put') && shape !== ''
@@ -76,7 +76,7 @@
     : Option.none;
 }
 
-function incoming(message: string): Incoming {
+function incoming(message: string): ClientMessage {
   const [word, rest] = cut(message);
   const [first, second] = cut(rest);
   if (message === 'bye') return { kind: 'close' };
@@ -97,12 +97,12 @@
 function reply(of: StatementReply): string {
   const ending =
     of.completion.kind === 'done'
-      ? `yes ${of.completion.stamp}${of.copiedAt === undefined ? '' : ` copied ${of.copiedAt}`}\n`
+      ? `yes ${of.completion.stamp}${of.cachedAt === undefined ? '' : ` copied ${of.cachedAt}`}\n`
       : faultLine(of.completion.condition, of.completion.text);
   return `${of.rows.map((row) => `${row}\n`).join('')}${ending}${rest(of.transactionStatus, of.position)}`;
 }
 
-function piece(message: string): Piece {
+function piece(message: string): ReplyMessage {
   const [word, fields] = cut(message);
   const [first, second] = cut(fields);
   if (word === 'row') return { kind: 'row', raw: message };
@@ -110,7 +110,7 @@
   if (word === 'no' && conditions.has(first))
     return { kind: 'completion', completion: { kind: 'fault', condition: first as Condition, text: second } };
   if (word === 'at' && statuss.has(first))
-    return { kind: 'rest', transactionStatus: first as TransactionStatus, position: position(second) };
+    return { kind: 'ready', transactionStatus: first as TransactionStatus, position: position(second) };
   return { kind: 'unreadable' };
 }
 
@@ -126,23 +126,23 @@
 
 export const plainDialect: Dialect = {
   framer,
-  incoming,
+  parseRequest: incoming,
   reply,
-  idle: rest,
+  ready: rest,
   fault: faultLine,
-  piece,
-  ownIdentifier,
+  parseReply: piece,
+  internalIdentifier: ownIdentifier,
   memberStatus: standing,
   opening: (service, tenant, member) => `hello ${service} ${tenant} ${member}\n`,
   query: (identifier, text) => `ask ${identifier} ${text}\n`,
   closing: () => 'bye\n',
-  texts: {
+  statements: {
     begin: (readOnly) => (readOnly ? 'begin reading' : 'begin'),
     commit: 'commit',
     rollback: 'rollback',
     clear: 'clear',
     state: 'state',
-    since: (at, text) => `since ${shown(at)} ${text}`,
+    atPosition: (at, text) => `since ${shown(at)} ${text}`,
     set: (name, value) => `set ${name} ${value}`,
     prepare: (name, writes, shape) => `prepare ${name} ${writes ? 'put' : 'get'} ${shape}`,
     execute: (name, given) => `execute ${name} ${given}`,
--- a/packages/fakes/src/session-line.ts
+++ b/packages/fakes/src/session-line.ts
@@ -38,10 +38,10 @@
 
   return {
     accept: function accept(message) {
-      const piece = plainDialect.piece(message);
+      const piece = plainDialect.parseReply(message);
       if (piece.kind === 'row') rows.push(piece.raw);
       else if (piece.kind === 'completion') ending = piece.completion;
-      else if (piece.kind === 'rest') {
+      else if (piece.kind === 'ready') {
         replies.push({
           rows,
           completion: ending ?? { kind: 'done', stamp: '' },
--- a/packages/pooler/src/admission.ts
+++ b/packages/pooler/src/admission.ts
@@ -12,7 +12,7 @@
 function admit(view: View, databaseName: string, key: string): Admission {
   const database = view.databases.get(databaseName);
   if (database === undefined) return { admitted: false, condition: 'no-database' };
-  const tenant = view.tenants.get(key);
+  const tenant = view.tenantsByKey.get(key);
   if (database.open) return { admitted: true, database, tenant: tenant?.tenant ?? openTenant };
   return tenant === undefined ? { admitted: false, condition: 'denied' } : { admitted: true, database, tenant: tenant.tenant };
 }
--- /dev/null
+++ b/packages/pooler/src/cached-replies.ts
@@ -0,0 +1,216 @@
+/** Copies of reads that an edge holds through an announced outage of its site's uplink (design 8.13). */
+import * as Option from 'fp-ts/lib/Option.js';
+import { identifiers, type Runtime } from '@stallstall/kernel';
+import { placements, type AnnouncedOutage } from '@stallstall/placement';
+import type { StatementReply } from '@stallstall/session-protocol';
+import { outageCaches, outageGraceMilliseconds, type OutageCache, type RecordedRead } from './outage-cache.js';
+import { sessions } from './sessions.js';
+import type { StatementRequest } from './statement-request.js';
+import type { View } from './view.js';
+
+export type CachedReplies = Readonly<{
+  /** The configuration may have changed. */
+  applyConfiguration: () => void;
+  /** A session was replied to: its read is remembered while an outage is ahead. */
+  recordRead: (request: StatementRequest, replied: StatementReply) => void;
+  /** Whether the window of an outage that covers the request is open. */
+  isOutageOpen: (request: StatementRequest) => boolean;
+  /** The copy for a request, if one is cache and the window is open. */
+  reply: (request: StatementRequest) => Option.Option<StatementReply>;
+  describe: () => Readonly<{ recorded: number; cached: number; bytes: number }>;
+  stop: () => void;
+}>;
+
+type State = {
+  readonly runtime: Runtime;
+  readonly view: () => View;
+  /** Reads from a member like any statement: placed, paced and within the bounds of its tenant. */
+  readonly readFromMember: (request: StatementRequest) => Promise<StatementReply>;
+  /** One for each window that is ahead or open. */
+  caches: readonly OutageCache[];
+  /** Those of the configuration that name this edge. */
+  outages: readonly AnnouncedOutage[];
+  /** The configuration that `outages` is of. */
+  configurationVersion: number;
+  running: boolean;
+  stopped: boolean;
+};
+
+/** Reads are remembered from so long before a window. */
+const recordAheadMilliseconds = 86_400_000;
+const refreshMilliseconds = 500;
+/** One read at a time, and a pause after each: members hardly feel it. */
+const fillPauseMilliseconds = 20;
+/** Conditions that would be the same if the read was tried again. */
+const permanentConditions: ReadonlySet<string> = new Set(['undefined', 'malformed', 'denied', 'no-database', 'oversize']);
+
+function logNotCached({ runtime }: State, cache: OutageCache, database: string, tenant: string, reason: string): void {
+  runtime.log('copy.not-held', { site: cache.outage.site, database, tenant, reason });
+}
+
+/** Remembers the reads that the operators named themselves. */
+function recordConfiguredReads(state: State, cache: OutageCache): void {
+  const view = state.view();
+  for (const { database: databaseName, tenant, text } of cache.outage.things) {
+    const database = view.databases.get(databaseName);
+    const key = [...view.tenantsByKey].find(([, entry]) => entry.tenant === tenant)?.[0];
+    if (database === undefined || key === undefined || database.reads === 'leader')
+      logNotCached(state, cache, databaseName, tenant, 'the tenant has no key, or its reads need the leader');
+    else {
+      const session = sessions.create('copy', databaseName, key);
+      outageCaches.recordRead(cache, outageCaches.cacheFillRequest(session, { text, prepared: Option.none, database, tenant }));
+    }
+  }
+}
+
+function shouldFill(state: State, cache: OutageCache): boolean {
+  return !state.stopped && state.caches.includes(cache) && outageCaches.isFillTime(cache, state.runtime.clock.wall());
+}
+
+type FillResult = 'attempted' | 'failed' | 'too-late';
+
+/** Reads once more what a session was served, and holds a copy of the reply. */
+async function fillOne(state: State, cache: OutageCache, key: string, recorded: RecordedRead): Promise<FillResult> {
+  const { read } = recorded;
+  const database = state.view().databases.get(read.database.database);
+  const cachedAt = identifiers.wallTime(Math.floor(state.runtime.clock.wall()));
+  const replied = database === undefined ? undefined : await state.readFromMember({ ...read, database });
+  if (!shouldFill(state, cache)) return 'too-late';
+  if (database === undefined || replied === undefined) {
+    logNotCached(state, cache, read.database.database, read.tenant, 'no-database');
+    return 'attempted';
+  }
+  const { rows, completion, position } = replied;
+  if (completion.kind === 'done') {
+    cache.replies.set(key, { rows, completion, position, service: database.service, cachedAt });
+    if (!cache.replies.has(key)) logNotCached(state, cache, read.database.database, read.tenant, 'it is larger than the bound');
+    return 'attempted';
+  }
+  if (!permanentConditions.has(completion.condition)) return 'failed';
+  logNotCached(state, cache, read.database.database, read.tenant, completion.condition);
+  return 'attempted';
+}
+
+/** Fills the copies of one window, one read after another. What failed is tried again at the next tick. */
+async function fill(state: State, cache: OutageCache): Promise<void> {
+  cache.isFilling = true;
+  let failures = 0;
+  // Those used last come last, so that the least used are the first to give way.
+  for (const key of [...cache.reads.rkeys()]) {
+    const recorded = cache.reads.peek(key);
+    if (recorded === undefined || recorded.isAttempted) continue;
+    if (!shouldFill(state, cache)) break;
+    const result = await fillOne(state, cache, key, recorded);
+    if (result === 'too-late') break;
+    if (result === 'attempted') recorded.isAttempted = true;
+    else failures += 1;
+    await state.runtime.clock.sleep(fillPauseMilliseconds);
+  }
+  if (shouldFill(state, cache) && failures === 0 && !cache.isComplete && [...cache.reads.values()].every((read) => read.isAttempted))
+    markComplete(state, cache);
+  cache.isFilling = false;
+}
+
+function markComplete({ runtime }: State, cache: OutageCache): void {
+  cache.isComplete = true;
+  runtime.log('copy.complete', {
+    site: cache.outage.site,
+    reads: cache.replies.size,
+    bytes: cache.replies.calculatedSize,
+    gaveWay: cache.reads.size - cache.replies.size,
+  });
+}
+
+function logOutageBegin({ runtime }: State, cache: OutageCache): void {
+  runtime.log('outage.begin', {
+    site: cache.outage.site,
+    complete: cache.isComplete,
+    reads: cache.isComplete ? cache.replies.size : 0,
+    missing: cache.reads.size - cache.replies.size,
+  });
+}
+
+/** The windows of an outage that are ahead or open; those known already keep what they hold. */
+function cachesOf(state: State, outage: AnnouncedOutage, previous: readonly OutageCache[]): readonly OutageCache[] {
+  const wall = state.runtime.clock.wall();
+  const configuredText = JSON.stringify(outage);
+  return placements
+    .outageWindows(outage, wall - outageGraceMilliseconds, wall + recordAheadMilliseconds)
+    .map(function cacheOf(window): OutageCache {
+      const cache = previous.find((other) => other.configuredText === configuredText && other.window.from === window.from);
+      if (cache !== undefined) return cache;
+      const added = outageCaches.create(outage, configuredText, window);
+      recordConfiguredReads(state, added);
+      return added;
+    });
+}
+
+function refresh(state: State): void {
+  const { runtime } = state;
+  const previous = state.caches;
+  state.caches = state.outages.flatMap((outage) => cachesOf(state, outage, previous));
+  for (const expired of previous)
+    if (!state.caches.includes(expired) && expired.hasBegun)
+      runtime.log('outage.end', { site: expired.outage.site, dropped: expired.replies.size });
+  for (const cache of state.caches) {
+    if (!cache.hasBegun && runtime.clock.wall() >= cache.window.from) {
+      cache.hasBegun = true;
+      logOutageBegin(state, cache);
+    }
+    if (!cache.isFilling && shouldFill(state, cache)) void fill(state, cache);
+  }
+}
+
+async function run(state: State): Promise<void> {
+  state.running = true;
+  while (!state.stopped && state.outages.length > 0) {
+    refresh(state);
+    await state.runtime.clock.sleep(refreshMilliseconds);
+  }
+  refresh(state);
+  state.running = false;
+}
+
+function applyConfiguration(state: State): void {
+  const view = state.view();
+  if (view.configurationVersion === state.configurationVersion) return;
+  state.configurationVersion = view.configurationVersion;
+  const outages = Option.isSome(view.configuration) ? (view.configuration.value.outages ?? []) : [];
+  state.outages = outages.filter((outage) => outage.nodes.includes(view.node));
+  if (state.outages.length + state.caches.length > 0) refresh(state);
+  if (!state.running && state.outages.length > 0) void run(state);
+}
+
+function recordRead({ runtime, caches }: State, request: StatementRequest, replied: StatementReply): void {
+  if (replied.completion.kind !== 'done' || replied.cachedAt !== undefined) return;
+  for (const cache of caches)
+    if (outageCaches.covers(cache, request) && runtime.clock.wall() < cache.window.from) outageCaches.recordRead(cache, request);
+}
+
+function create(runtime: Runtime, view: () => View, readFromMember: (request: StatementRequest) => Promise<StatementReply>): CachedReplies {
+  const state: State = { runtime, view, readFromMember, caches: [], outages: [], configurationVersion: 0, running: false, stopped: false };
+
+  return {
+    applyConfiguration: () => applyConfiguration(state),
+    recordRead: (request, replied) => recordRead(state, request, replied),
+    isOutageOpen: (request) =>
+      state.caches.some((cache) => outageCaches.covers(cache, request) && outageCaches.isOpen(cache, runtime.clock.wall())),
+    reply: function reply(request) {
+      for (const cache of state.caches) {
+        const cached = outageCaches.reply(cache, request, runtime.clock.wall());
+        if (Option.isSome(cached)) return cached;
+      }
+      return Option.none;
+    },
+    describe: () => ({
+      recorded: state.caches.reduce((sum, cache) => sum + cache.reads.size, 0),
+      cached: state.caches.reduce((sum, cache) => sum + cache.replies.size, 0),
+      bytes: state.caches.reduce((sum, cache) => sum + cache.replies.calculatedSize, 0),
+    }),
+    stop: function stop() {
+      state.stopped = true;
+    },
+  };
+}
+
+export const cachedReplies = { create } as const;
--- a/packages/pooler/src/client-connection.ts
+++ b/packages/pooler/src/client-connection.ts
@@ -1,9 +1,9 @@
 /** One task for each client's connection: opens its session, then replies to its queries one after another. */
 import * as Option from 'fp-ts/lib/Option.js';
 import { identifiers, type Stream } from '@stallstall/kernel';
-import type { Incoming } from '@stallstall/session-protocol';
+import type { ClientMessage } from '@stallstall/session-protocol';
 import { admissions } from './admission.js';
-import type { Client, Clients } from './clients.js';
+import type { Client, Clients } from './client-table.js';
 import { sessionCommands, type CommandParts } from './session-commands.js';
 import { sessions } from './sessions.js';
 import { transactions } from './transactions.js';
@@ -14,22 +14,22 @@
 export type ClientConnections = Readonly<{ serve: (stream: Stream) => Promise<void> }>;
 
 /** A client that connects before the placement is known is held for so long: it gives up after two seconds. */
-const openingMilliseconds = 1_800;
-const openingLookMilliseconds = 25;
+const placementWaitMilliseconds = 1_800;
+const placementPollMilliseconds = 25;
 /** The longest message while no configuration states one. */
-const mostOpeningBytes = 1_048_576;
+const defaultMessageBytes = 1_048_576;
 
 async function awaitPlacement({ commands, stopped }: ClientParts): Promise<void> {
   const { clock, view } = commands;
-  const deadline = identifiers.after(clock.now(), openingMilliseconds);
-  while (!stopped() && Option.isNone(view().sheet) && clock.now() < deadline) await clock.sleep(openingLookMilliseconds);
+  const deadline = identifiers.after(clock.now(), placementWaitMilliseconds);
+  while (!stopped() && Option.isNone(view().configuration) && clock.now() < deadline) await clock.sleep(placementPollMilliseconds);
 }
 
 /** A client's connection; its session is opened by the first message. */
 type Connection = { readonly stream: Stream; client: Client | undefined };
 
 /** The first message of a connection; false when the connection is to be closed. */
-async function open(parts: ClientParts, connection: Connection, incoming: Incoming, nextId: () => string): Promise<boolean> {
+async function open(parts: ClientParts, connection: Connection, incoming: ClientMessage, nextId: () => string): Promise<boolean> {
   const { dialect, view, connections } = parts.commands;
   const { stream } = connection;
   if (incoming.kind !== 'open') {
@@ -37,7 +37,7 @@
     return false;
   }
   await awaitPlacement(parts);
-  if (Option.isNone(view().sheet)) {
+  if (Option.isNone(view().configuration)) {
     stream.write(dialect.fault('saturated', 'nothing is known yet; come back in 500 ms'));
     return false;
   }
@@ -46,23 +46,23 @@
     stream.write(dialect.fault(admission.condition, 'not let in'));
     return false;
   }
-  connection.client = parts.clients.opened(stream, sessions.create(nextId(), incoming.database, incoming.key));
+  connection.client = parts.clients.addSession(stream, sessions.create(nextId(), incoming.database, incoming.key));
   warmUps.warmUp(connections, view(), admission.database, admission.tenant);
-  stream.write(dialect.idle('idle', Option.none));
+  stream.write(dialect.ready('idle', Option.none));
   return true;
 }
 
 /** A message within a session; false when the connection is to be closed. */
-async function reply(parts: ClientParts, client: Client, incoming: Incoming): Promise<boolean> {
+async function reply(parts: ClientParts, client: Client, incoming: ClientMessage): Promise<boolean> {
   const { dialect, clock } = parts.commands;
   if (incoming.kind === 'close') return false;
   if (incoming.kind !== 'query') {
     client.stream.write(dialect.fault('malformed', 'it cannot be read'));
     return false;
   }
-  client.waits = true;
+  client.awaitsReply = true;
   const replied = await sessionCommands.handle(parts.commands, client.session, incoming);
-  client.waits = false;
+  client.awaitsReply = false;
   client.idleSince = clock.now();
   client.stream.write(dialect.reply({ ...replied, transactionStatus: sessions.transactionStatus(client.session) }));
   return true;
@@ -72,14 +72,14 @@
 async function read(parts: ClientParts, connection: Connection, nextId: () => string): Promise<void> {
   const { dialect, view } = parts.commands;
   const { stream } = connection;
-  const { sheet } = view();
-  const framer = dialect.framer(Option.isSome(sheet) ? sheet.value.bounds.messageBytes : mostOpeningBytes);
+  const { configuration } = view();
+  const framer = dialect.framer(Option.isSome(configuration) ? configuration.value.bounds.messageBytes : defaultMessageBytes);
   for (;;) {
     const piece = await stream.read();
     if (Option.isNone(piece)) return;
     const { messages, oversize } = framer.push(piece.value);
     for (const message of messages) {
-      const incoming = dialect.incoming(message);
+      const incoming = dialect.parseRequest(message);
       const { client } = connection;
       const goesOn = client === undefined ? open(parts, connection, incoming, nextId) : reply(parts, client, incoming);
       if (!(await goesOn)) return;
@@ -102,11 +102,11 @@
 
   async function serve(stream: Stream): Promise<void> {
     const connection: Connection = { stream, client: undefined };
-    clients.connected(stream);
+    clients.addConnection(stream);
     await read(parts, connection, nextId);
     const { client } = connection;
     stream.close();
-    clients.ended(stream, client);
+    clients.remove(stream, client);
     if (client !== undefined && Option.isSome(client.session.transaction))
       void transactions.rollback(commands.connections, commands.dialect, client.session.transaction.value);
   }
--- a/packages/pooler/src/clients.ts
+++ b/packages/pooler/src/client-table.ts
@@ -7,17 +7,17 @@
   readonly session: Session;
   readonly stream: Stream;
   /** Waits for a reply. */
-  waits: boolean;
+  awaitsReply: boolean;
   /** When the session was opened or last replied to. */
   idleSince: Instant;
 };
 
 export type Clients = Readonly<{
   /** A connection that has not opened its session yet. */
-  connected: (stream: Stream) => void;
-  opened: (stream: Stream, session: Session) => Client;
+  addConnection: (stream: Stream) => void;
+  addSession: (stream: Stream, session: Session) => Client;
   /** The connection, and its session if there was one, have ended. */
-  ended: (stream: Stream, client: Client | undefined) => void;
+  remove: (stream: Stream, client: Client | undefined) => void;
   sessions: () => IterableIterator<Session>;
   sessionCount: () => number;
   isEmpty: () => boolean;
@@ -29,11 +29,11 @@
 }>;
 
 /** A connection that opens no session within this time is not waited for when the process ends. */
-const silentMilliseconds = 400;
+const openingGraceMilliseconds = 400;
 
-function isHeldBelow(transaction: Transaction, service: string, epoch: number): boolean {
-  if (Option.isNone(transaction.held) || transaction.database.service !== service) return false;
-  return transaction.held.value.leader && transaction.held.value.epoch < epoch;
+function isPinnedBelow(transaction: Transaction, service: string, epoch: number): boolean {
+  if (Option.isNone(transaction.pinned) || transaction.database.service !== service) return false;
+  return transaction.pinned.value.leader && transaction.pinned.value.epoch < epoch;
 }
 
 function create(clock: Clock): Clients {
@@ -41,8 +41,8 @@
   /** Connections without a session, and since when. */
   const unopened = new Map<Stream, Instant>();
 
-  function opened(stream: Stream, session: Session): Client {
-    const client: Client = { session, stream, waits: false, idleSince: clock.now() };
+  function addSession(stream: Stream, session: Session): Client {
+    const client: Client = { session, stream, awaitsReply: false, idleSince: clock.now() };
     clients.set(session, client);
     unopened.delete(stream);
     return client;
@@ -50,15 +50,15 @@
 
   function closeIdle(idleMilliseconds: number): void {
     const now = clock.now();
-    for (const { session, stream, waits, idleSince } of clients.values())
-      if (Option.isNone(session.transaction) && !waits && now - idleSince >= idleMilliseconds) stream.close();
-    for (const [stream, since] of unopened) if (now - since > silentMilliseconds) stream.close();
+    for (const { session, stream, awaitsReply, idleSince } of clients.values())
+      if (Option.isNone(session.transaction) && !awaitsReply && now - idleSince >= idleMilliseconds) stream.close();
+    for (const [stream, since] of unopened) if (now - since > openingGraceMilliseconds) stream.close();
   }
 
   return {
-    connected: (stream) => void unopened.set(stream, clock.now()),
-    opened,
-    ended: function ended(stream, client) {
+    addConnection: (stream) => void unopened.set(stream, clock.now()),
+    addSession,
+    remove: function remove(stream, client) {
       unopened.delete(stream);
       if (client !== undefined) clients.delete(client.session);
     },
@@ -67,7 +67,7 @@
     isEmpty: () => clients.size + unopened.size === 0,
     transactionsBelow: (service, epoch) =>
       [...clients.keys()].flatMap(({ transaction }) =>
-        Option.isSome(transaction) && isHeldBelow(transaction.value, service, epoch) ? [transaction.value] : [],
+        Option.isSome(transaction) && isPinnedBelow(transaction.value, service, epoch) ? [transaction.value] : [],
       ),
     closeIdle,
     closeAll: function closeAll() {
--- /dev/null
+++ b/packages/pooler/src/connection-limits.ts
@@ -0,0 +1,79 @@
+/** This edge's part of the connections that a member admits, of all edges that hold leases (design 8.3). */
+import * as Option from 'fp-ts/lib/Option.js';
+import type { Clock, Instant } from '@stallstall/kernel';
+import type { MemberAddress } from '@stallstall/session-protocol';
+import type { ConnectionLimits } from './connections.js';
+import type { View } from './view.js';
+
+export type ConnectionLimiter = Readonly<{
+  limitsFor: (memberAddress: MemberAddress) => ConnectionLimits;
+  /** Statements a second that are asked of this edge, smoothed over some seconds. */
+  demand: () => number;
+  /** To be called at even intervals with the number of statements sent since the start. */
+  recordSent: (sent: number) => void;
+}>;
+
+/** Connections of each member kept free for the cores' own queries. */
+const reservedConnections = 6;
+/** Connections that an edge of another area may hold to a replica. */
+const otherAreaConnections = 2;
+/** Only this part of a member's limit is used, so that machines that come back find room beside the connections they had. */
+const usedShare = 0.75;
+/** This part of a member's connections is shared equally, the rest by demand. */
+const equalShare = 0.25;
+/** Weight of the newest sample in the smoothed demand. */
+const demandWeight = 0.05;
+/** Part of its share that an edge keeps without demand: members count the connections of an unreachable machine for some seconds more. */
+const retainedShare = 0.7;
+
+function sum(counts: Readonly<Record<string, number>>): number {
+  return Object.values(counts).reduce((total, count) => total + count, 0);
+}
+
+/** A part of a share for each edge equally, the rest by this edge's part of the demand. */
+function byDemand(limit: number, edges: number, ownDemand: number, totalDemand: number): number {
+  const ownShare = totalDemand > 0 ? Math.min(1, ownDemand / totalDemand) : 1 / edges;
+  return limit * (equalShare / edges + (1 - equalShare) * ownShare);
+}
+
+/** All edges need the leader; a replica is read in its own area, and from elsewhere only now and then. */
+function shareOfMember(view: View, memberAddress: MemberAddress, limit: number, demand: number): number {
+  const edges = Math.max(1, sum(view.edgesByArea));
+  if (view.leaders.get(memberAddress.service)?.primary === memberAddress.member)
+    return byDemand(limit, edges, demand, sum(view.demandByArea));
+  const area = view.members.get(memberAddress.member)?.area ?? '';
+  const areaEdges = view.edgesByArea[area] ?? 0;
+  if (areaEdges === 0) return limit / edges;
+  const otherAreaLimit = Math.min(otherAreaConnections, limit / edges);
+  return area === view.area
+    ? byDemand(limit - otherAreaLimit * (edges - areaEdges), areaEdges, demand, view.demandByArea[area] ?? 0)
+    : otherAreaLimit;
+}
+
+function create(clock: Clock, view: () => View): ConnectionLimiter {
+  let demand = 0;
+  let lastSent = 0;
+  let recordedAt: Instant = clock.now();
+
+  function limitsFor(memberAddress: MemberAddress): ConnectionLimits {
+    const current = view();
+    const service = Option.isSome(current.configuration)
+      ? current.configuration.value.services.find((entry) => entry.service === memberAddress.service)
+      : undefined;
+    const limit = Math.max(0, (service?.connectionLimit ?? 0) - reservedConnections) * usedShare;
+    const share = shareOfMember(current, memberAddress, limit, demand);
+    return { maximum: Math.max(1, Math.floor(share)), retained: Math.max(1, Math.ceil(share * retainedShare)) };
+  }
+
+  function recordSent(sent: number): void {
+    const now = clock.now();
+    const rate = ((sent - lastSent) * 1_000) / Math.max(1, now - recordedAt);
+    demand += (rate - demand) * demandWeight;
+    lastSent = sent;
+    recordedAt = now;
+  }
+
+  return { limitsFor, demand: () => demand, recordSent };
+}
+
+export const connectionLimiters = { create } as const;
--- a/packages/pooler/src/draining.ts
+++ b/packages/pooler/src/draining.ts
@@ -1,12 +1,12 @@
 /** The planned end of the process: readiness fails first; whoever waits is served, whoever is idle is closed (design 7.10). */
 import { identifiers, type Clock, type Instant, type Listening } from '@stallstall/kernel';
-import type { Clients } from './clients.js';
+import type { Clients } from './client-table.js';
 import { never } from './view.js';
 
 export type Draining = Readonly<{
-  began: () => boolean;
+  hasBegun: () => boolean;
   /** Whether open transactions have had their part of the grace. */
-  endsTransactions: () => boolean;
+  mustEndTransactions: () => boolean;
   /** Resolves once no client is left, or the grace is over but for the time that stopping takes. */
   run: (listener: Listening) => Promise<void>;
 }>;
@@ -15,7 +15,7 @@
 const acceptingMilliseconds = 2_300;
 /** Who was replied to a moment ago is about to go on; who has been idle for this long is not. */
 const idleMilliseconds = 150;
-const lookMilliseconds = 20;
+const pollMilliseconds = 20;
 /** Kept of the grace for stopping, and of its half for rolling transactions back. */
 const stoppingMilliseconds = 500;
 const rollbackMilliseconds = 200;
@@ -35,13 +35,13 @@
       // While new sessions are accepted nobody is closed: who is closed would only come back.
       if (!accepting) clients.closeIdle(idleMilliseconds);
       if (!accepting && clients.isEmpty()) return;
-      await clock.sleep(lookMilliseconds);
+      await clock.sleep(pollMilliseconds);
     }
   }
 
   return {
-    began: () => beganAt !== never,
-    endsTransactions: () => beganAt !== never && clock.now() - beganAt >= graceMilliseconds / 2 - rollbackMilliseconds,
+    hasBegun: () => beganAt !== never,
+    mustEndTransactions: () => beganAt !== never && clock.now() - beganAt >= graceMilliseconds / 2 - rollbackMilliseconds,
     run,
   };
 }
--- a/packages/pooler/src/epoch-release.ts
+++ b/packages/pooler/src/epoch-release.ts
@@ -1,6 +1,6 @@
 /** Releases a leader's epoch when the cores ask for it: nothing new is sent under it, what is open ends, then they are told (design 7.12). */
 import type { Instant, Runtime } from '@stallstall/kernel';
-import type { Clients } from './clients.js';
+import type { Clients } from './client-table.js';
 import type { Connections } from './connections.js';
 import type { Requests } from './requests.js';
 import { transactions } from './transactions.js';
@@ -11,7 +11,7 @@
   view: () => View;
   clients: Clients;
   connections: Connections;
-  sentBelow: Requests['sentBelow'];
+  countSentBelow: Requests['countSentBelow'];
   /** An epoch was released: to be reported at once. */
   onReleased: () => void;
 }>;
@@ -20,12 +20,12 @@
   /** By service: epochs below this are released. */
   released: () => Readonly<Record<string, number>>;
   /** The placement has changed. */
-  follow: () => void;
+  applyPlacement: () => void;
 }>;
 
 /** Open transactions go on for so long on a leader that is to release its epoch. */
 const handoverMilliseconds = 300;
-const lookMilliseconds = 5;
+const pollMilliseconds = 5;
 
 function create(parts: ReleaseParts): EpochRelease {
   const { runtime, view, clients, connections } = parts;
@@ -35,32 +35,32 @@
 
   /** True once nothing runs under the epochs below the service's release. */
   function release(service: string, since: Instant): boolean {
-    const below = view().leaders.get(service)?.release ?? 0;
+    const below = view().leaders.get(service)?.releaseBelow ?? 0;
     if (runtime.clock.now() - since >= handoverMilliseconds)
       for (const transaction of clients.transactionsBelow(service, below)) transactions.abandonIdle(connections, transaction);
-    if (parts.sentBelow(service, below) > 0 || clients.transactionsBelow(service, below).length > 0) return false;
+    if (parts.countSentBelow(service, below) > 0 || clients.transactionsBelow(service, below).length > 0) return false;
     releasing.delete(service);
     released[service] = below;
     runtime.log('lease.released', { service, below });
     return true;
   }
 
-  function look(): void {
+  function releaseFinished(): void {
     let anyReleased = false;
     for (const [service, since] of [...releasing]) if (release(service, since)) anyReleased = true;
     if (anyReleased) parts.onReleased();
-    if (releasing.size > 0) runtime.clock.startTimer(lookMilliseconds, look);
+    if (releasing.size > 0) runtime.clock.startTimer(pollMilliseconds, releaseFinished);
   }
 
   function follow(): void {
     for (const [service, leader] of view().leaders) {
-      if (leader.release > leader.epoch && leader.release > (released[service] ?? 0) && !releasing.has(service))
+      if (leader.releaseBelow > leader.epoch && leader.releaseBelow > (released[service] ?? 0) && !releasing.has(service))
         releasing.set(service, runtime.clock.now());
     }
-    look();
+    releaseFinished();
   }
 
-  return { released: () => released, follow };
+  return { released: () => released, applyPlacement: follow };
 }
 
 export const epochReleases = { create } as const;
--- a/packages/pooler/src/placement.ts
+++ b/packages/pooler/src/member-selection.ts
@@ -7,117 +7,124 @@
 import type { RequestRecord, StatementRequest, Target } from './statement-request.js';
 import type { View } from './view.js';
 
-export type Placement = Readonly<{
+export type MemberSelection = Readonly<{
   /** None while no member may run it. */
-  target: (record: RequestRecord) => Option.Option<Target>;
+  selectTarget: (record: RequestRecord) => Option.Option<Target>;
   /** A running leader was asked a moment ago to release its epoch: another follows soon. */
-  isHandedOver: (service: string) => boolean;
+  isHandoverInProgress: (service: string) => boolean;
 }>;
 
-type PlacementParts = Pick<RequestParts, 'runtime' | 'view' | 'connections' | 'freshness'>;
+type SelectionParts = Pick<RequestParts, 'runtime' | 'view' | 'connections' | 'freshness'>;
 
 /** Part of the allowed staleness that is left for the statement to reach its member and be read there. */
 const stalenessMarginMilliseconds = 150;
 /** A planned change of leader is expected to end within this time. */
-const changeMilliseconds = 2_000;
+const handoverMilliseconds = 2_000;
 /** A process that has just started will know its leaders within this time. */
 const startupMilliseconds = 1_500;
 /** A draining member takes nothing new later than this after the news (design 7.9). */
-const drainMilliseconds = 4_500;
+const drainingUseMilliseconds = 4_500;
 /** What a member of another area, and the leader, cost more than a replica of this area; in statements under way. */
-const farWeight = 3;
-const leaderWeight = 1;
+const otherAreaCost = 3;
+const leaderCost = 1;
 
 function needsLeader(request: StatementRequest): boolean {
   if (request.database.reads === 'leader') return true;
   return Option.isSome(request.transaction) ? !request.transaction.value.readOnly : request.writes;
 }
 
-function placeOf(entry: MemberRecord): MemberAddress {
+function addressOf(entry: MemberRecord): MemberAddress {
   return { service: entry.service, member: entry.member, address: entry.address };
 }
 
-function isDrained(parts: PlacementParts, known: View, entry: MemberRecord): boolean {
-  const since = known.drainingSince.get(entry.member);
-  return since !== undefined && parts.runtime.clock.now() - since > drainMilliseconds;
+function isPastDraining(parts: SelectionParts, view: View, entry: MemberRecord): boolean {
+  const since = view.drainingSince.get(entry.member);
+  return since !== undefined && parts.runtime.clock.now() - since > drainingUseMilliseconds;
 }
 
-function leaderTarget(parts: PlacementParts, service: string): Option.Option<Target> {
+function leaderTarget(parts: SelectionParts, service: string): Option.Option<Target> {
   const { runtime } = parts;
-  const known = parts.view();
-  const leader = known.leaders.get(service);
-  if (leader === undefined || leader.epoch === 0 || leader.release > leader.epoch || runtime.clock.now() >= leader.until)
+  const view = parts.view();
+  const leader = view.leaders.get(service);
+  if (leader === undefined || leader.epoch === 0 || leader.releaseBelow > leader.epoch || runtime.clock.now() >= leader.leaseEnd)
     return Option.none;
-  const entry = known.members.get(leader.primary);
-  if (entry === undefined || isDrained(parts, known, entry)) return Option.none;
-  return Option.some({ place: placeOf(entry), epoch: leader.epoch, leader: true, minimumPosition: Option.none });
+  const entry = view.members.get(leader.primary);
+  if (entry === undefined || isPastDraining(parts, view, entry)) return Option.none;
+  return Option.some({ memberAddress: addressOf(entry), epoch: leader.epoch, leader: true, minimumPosition: Option.none });
 }
 
 /** The lowest log position that satisfies the database's staleness bound and, where asked for, the session's own commits. */
-function requiredPosition(parts: PlacementParts, record: RequestRecord): Option.Option<Position> {
+function requiredPosition(parts: SelectionParts, record: RequestRecord): Option.Option<Position> {
   const { freshness } = parts;
   const { database, session } = record.request;
   if (database.staleMilliseconds <= stalenessMarginMilliseconds) return Option.none;
   const bound = identifiers.after(record.startedAt, stalenessMarginMilliseconds - database.staleMilliseconds);
-  const covering = freshness.covering(database.service, bound);
+  const covering = freshness.positionCovering(database.service, bound);
   if (Option.isNone(covering)) return Option.none;
   const own = database.reads === 'own' ? session.commits.get(database.service) : undefined;
   return own === undefined ? covering : Option.some(positions.later(covering.value, own));
 }
 
-function cost(parts: PlacementParts, entry: MemberRecord, primary: string, area: string): number {
+function cost(parts: SelectionParts, entry: MemberRecord, primary: string, area: string): number {
   return (
-    parts.connections.busy(entry.member) +
-    (entry.area === area ? 0 : farWeight) +
-    (entry.member === primary ? leaderWeight : 0) +
+    parts.connections.busyCount(entry.member) +
+    (entry.area === area ? 0 : otherAreaCost) +
+    (entry.member === primary ? leaderCost : 0) +
     parts.runtime.randomness.fraction() / 2
   );
 }
 
-function cheapestMember(parts: PlacementParts, record: RequestRecord): MemberRecord | undefined {
+function cheapestMember(parts: SelectionParts, record: RequestRecord): MemberRecord | undefined {
   const { connections } = parts;
-  const known = parts.view();
+  const view = parts.view();
   const { service } = record.request.database;
-  const primary = known.leaders.get(service)?.primary ?? '';
-  const able = (known.byService.get(service) ?? []).filter(
-    (entry) => !entry.draining && !entry.down && !record.excludedMembers.has(entry.member) && !connections.failing(entry.member),
+  const primary = view.leaders.get(service)?.primary ?? '';
+  const eligible = (view.membersByService.get(service) ?? []).filter(
+    (entry) => !entry.draining && !entry.down && !record.excludedMembers.has(entry.member) && !connections.isFailing(entry.member),
   );
-  const [best] = able
-    .map((entry) => ({ entry, cost: cost(parts, entry, primary, known.area) }))
+  const [cheapest] = eligible
+    .map((entry) => ({ entry, cost: cost(parts, entry, primary, view.area) }))
     .sort((left, right) => left.cost - right.cost);
-  return best?.entry;
+  return cheapest?.entry;
 }
 
 /** A read goes to the cheapest member that can show the required position; to the leader when nobody can. */
-function readTarget(parts: PlacementParts, record: RequestRecord): Option.Option<Target> {
+function readTarget(parts: SelectionParts, record: RequestRecord): Option.Option<Target> {
   const { service } = record.request.database;
   const minimumPosition = requiredPosition(parts, record);
   if (Option.isNone(minimumPosition)) return leaderTarget(parts, service);
   const entry = cheapestMember(parts, record);
   if (entry === undefined) return leaderTarget(parts, service);
-  return Option.some({ place: placeOf(entry), epoch: 0, leader: false, minimumPosition });
+  return Option.some({ memberAddress: addressOf(entry), epoch: 0, leader: false, minimumPosition });
 }
 
-function create(parts: PlacementParts): Placement {
+function create(parts: SelectionParts): MemberSelection {
   const { runtime, view, connections } = parts;
   const startedAt = runtime.clock.now();
-  const changes = new Map<string, Readonly<{ release: number; since: Instant }>>();
+  const handovers = new Map<string, Readonly<{ releaseBelow: number; since: Instant }>>();
 
   return {
-    target: (record) => (needsLeader(record.request) ? leaderTarget(parts, record.request.database.service) : readTarget(parts, record)),
-    isHandedOver: function isHandedOver(service) {
+    selectTarget: (record) =>
+      needsLeader(record.request) ? leaderTarget(parts, record.request.database.service) : readTarget(parts, record),
+    isHandoverInProgress: function isHandedOver(service) {
       const now = runtime.clock.now();
       if (now - startedAt < startupMilliseconds) return true;
       const leader = view().leaders.get(service);
       const entry = view().members.get(leader?.primary ?? '');
-      if (leader === undefined || leader.release <= leader.epoch || entry === undefined || entry.down || connections.failing(entry.member))
+      if (
+        leader === undefined ||
+        leader.releaseBelow <= leader.epoch ||
+        entry === undefined ||
+        entry.down ||
+        connections.isFailing(entry.member)
+      )
         return false;
-      const known = changes.get(service);
-      if (known !== undefined && known.release === leader.release) return now - known.since < changeMilliseconds;
-      changes.set(service, { release: leader.release, since: now });
+      const handover = handovers.get(service);
+      if (handover !== undefined && handover.releaseBelow === leader.releaseBelow) return now - handover.since < handoverMilliseconds;
+      handovers.set(service, { releaseBelow: leader.releaseBelow, since: now });
       return true;
     },
   };
 }
 
-export const placements = { create } as const;
+export const memberSelections = { create } as const;
--- a/packages/pooler/src/outage-copies.ts
+++ b/packages/pooler/src/outage-cache.ts
@@ -7,65 +7,65 @@
 import { sessions } from './sessions.js';
 import type { StatementRequest } from './statement-request.js';
 
-/** A read that a session was served, as it is asked again; `tried` once a member replied to that, whether or not the copy is still held. */
-export type RememberedRead = { readonly read: StatementRequest; tried: boolean };
+/** A read that a session was served, as it is asked again; `tried` once a member replied to that, whether or not the copy is still cache. */
+export type RecordedRead = { readonly read: StatementRequest; isAttempted: boolean };
 
-export type CopiedReply = Readonly<{
+export type CachedReply = Readonly<{
   rows: readonly string[];
   completion: Completion;
   position: Option.Option<Position>;
   service: string;
-  copiedAt: WallTime;
+  cachedAt: WallTime;
 }>;
 
-export type OutageCopies = {
+export type OutageCache = {
   readonly outage: AnnouncedOutage;
   /** The outage as it was configured: another text is another outage. */
-  readonly source: string;
+  readonly configuredText: string;
   readonly window: OutageWindow;
-  readonly reads: LRUCache<string, RememberedRead>;
-  readonly copies: LRUCache<string, CopiedReply>;
+  readonly reads: LRUCache<string, RecordedRead>;
+  readonly replies: LRUCache<string, CachedReply>;
   /** Everything remembered had been read again at some moment before the window. */
-  complete: boolean;
-  begun: boolean;
-  filling: boolean;
+  isComplete: boolean;
+  hasBegun: boolean;
+  isFilling: boolean;
 };
 
 /** An uplink may come back so much later than announced. */
 export const outageGraceMilliseconds = 30_000;
-const mostRemembered = 5_000;
+const maximumRecordedReads = 5_000;
 /** Reckoned for each entry beside its texts. */
-const entryBytes = 256;
+const entryOverheadBytes = 256;
 
-function create(outage: AnnouncedOutage, source: string, window: OutageWindow): OutageCopies {
+function create(outage: AnnouncedOutage, configuredText: string, window: OutageWindow): OutageCache {
   return {
     outage,
-    source,
+    configuredText,
     window,
     reads: new LRUCache({
-      max: mostRemembered,
+      max: maximumRecordedReads,
       maxSize: outage.mostBytes,
-      sizeCalculation: (_remembered, key) => key.length + entryBytes,
+      sizeCalculation: (_read, key) => key.length + entryOverheadBytes,
     }),
-    copies: new LRUCache<string, CopiedReply>({
+    replies: new LRUCache<string, CachedReply>({
       maxSize: outage.mostBytes,
-      sizeCalculation: (copied, key) => key.length + entryBytes + copied.rows.reduce((sum, row) => sum + row.length, 0),
+      sizeCalculation: (cached, key) => key.length + entryOverheadBytes + cached.rows.reduce((sum, row) => sum + row.length, 0),
     }),
-    complete: false,
-    begun: false,
-    filling: false,
+    isComplete: false,
+    hasBegun: false,
+    isFilling: false,
   };
 }
 
 /** Requests with the same key read the same: same database, tenant, session values and text. */
 function keyOf(request: StatementRequest): string {
   const values = [...request.session.values].sort(([left], [right]) => (left < right ? -1 : 1));
-  const text = Option.isSome(request.prepared) ? [request.prepared.value.statement.text, request.prepared.value.rest] : request.text;
+  const text = Option.isSome(request.prepared) ? [request.prepared.value.statement.text, request.prepared.value.parameters] : request.text;
   return JSON.stringify([request.database.database, request.tenant, values, text]);
 }
 
 /** Single reads alone: a transaction's would come from different moments, and its commit from none. */
-function covers({ outage }: OutageCopies, request: StatementRequest): boolean {
+function covers({ outage }: OutageCache, request: StatementRequest): boolean {
   return (
     !request.writes &&
     Option.isNone(request.transaction) &&
@@ -75,14 +75,14 @@
 }
 
 /** A session sees its own commits, or no copy at all. */
-function coversOwnCommits(request: StatementRequest, copied: CopiedReply): boolean {
-  if (request.session.unsettled) return false;
-  const own = request.session.commits.get(copied.service);
-  return own === undefined || (Option.isSome(copied.position) && positions.compare(copied.position.value, own) >= 0);
+function reflectsOwnCommits(request: StatementRequest, cached: CachedReply): boolean {
+  if (request.session.hasUnknownOutcome) return false;
+  const ownCommit = request.session.commits.get(cached.service);
+  return ownCommit === undefined || (Option.isSome(cached.position) && positions.compare(cached.position.value, ownCommit) >= 0);
 }
 
 /** A read to be sent to a member to fill a copy. */
-function copyingRead(
+function cacheFillRequest(
   session: StatementRequest['session'],
   from: Pick<StatementRequest, 'text' | 'prepared' | 'database' | 'tenant'>,
 ): StatementRequest {
@@ -95,38 +95,38 @@
     database,
     tenant,
     writes: false,
-    commit: false,
+    commits: false,
     transaction: Option.none,
-    copying: true,
+    fillsCache: true,
   };
 }
 
 /** Remembers a read that a session was served. */
-function remember(held: OutageCopies, request: StatementRequest): void {
+function recordRead(cache: OutageCache, request: StatementRequest): void {
   const key = keyOf(request);
-  if (held.reads.get(key) !== undefined) return;
+  if (cache.reads.get(key) !== undefined) return;
   const session = sessions.create('copy', request.session.database, request.session.key);
   for (const [name, value] of request.session.values) session.values.set(name, value);
-  held.reads.set(key, { read: copyingRead(session, request), tried: false });
+  cache.reads.set(key, { read: cacheFillRequest(session, request), isAttempted: false });
 }
 
 /** Whether copies are served: from the window's beginning until the grace after its end; `wall` is the wall clock's time. */
-function isOpen({ window }: OutageCopies, wall: WallTime): boolean {
+function isOpen({ window }: OutageCache, wall: WallTime): boolean {
   return wall >= window.from && wall < window.to + outageGraceMilliseconds;
 }
 
 /** Whether copies are made: for the configured time before the window, not in it. */
-function isToBeFilled({ outage, window }: OutageCopies, wall: WallTime): boolean {
+function isFillTime({ outage, window }: OutageCache, wall: WallTime): boolean {
   return wall >= window.from - outage.holdMilliseconds && wall < window.from;
 }
 
 /** The copy for a request, when all are complete and it satisfies the session. */
-function reply(held: OutageCopies, request: StatementRequest, wall: WallTime): Option.Option<StatementReply> {
-  if (!held.complete || !isOpen(held, wall) || !covers(held, request)) return Option.none;
-  const copied = held.copies.get(keyOf(request));
-  if (copied === undefined || copied.service !== request.database.service || !coversOwnCommits(request, copied)) return Option.none;
-  const { rows, completion, position, copiedAt } = copied;
-  return Option.some({ rows, completion, transactionStatus: 'idle', position, copiedAt });
+function reply(cache: OutageCache, request: StatementRequest, wall: WallTime): Option.Option<StatementReply> {
+  if (!cache.isComplete || !isOpen(cache, wall) || !covers(cache, request)) return Option.none;
+  const cached = cache.replies.get(keyOf(request));
+  if (cached === undefined || cached.service !== request.database.service || !reflectsOwnCommits(request, cached)) return Option.none;
+  const { rows, completion, position, cachedAt } = cached;
+  return Option.some({ rows, completion, transactionStatus: 'idle', position, cachedAt });
 }
 
-export const outageCopies = { create, copyingRead, covers, remember, isOpen, isToBeFilled, reply } as const;
+export const outageCaches = { create, cacheFillRequest, covers, recordRead, isOpen, isFillTime, reply } as const;
--- a/packages/pooler/src/placement-feed.ts
+++ b/packages/pooler/src/placement-feed.ts
@@ -26,7 +26,7 @@
   /** The placement has changed. */
   onUpdate: (leadersChanged: boolean) => void;
   /** The agent has replied, with news or without: leases may have been renewed. */
-  onFed: () => void;
+  onReply: () => void;
   stopped: () => boolean;
 }>;
 
@@ -40,23 +40,24 @@
 
 const holdMilliseconds = 400;
 /** Held shorter while a leader is missing somewhere. */
-const troubledHoldMilliseconds = 100;
-const callMilliseconds = 1_200;
-const pauseMilliseconds = 50;
+const leaderlessHoldMilliseconds = 100;
+const replyTimeoutMilliseconds = 1_200;
+const retryMilliseconds = 50;
 
 function leadersOf(view: View): string {
   return [...view.leaders.values()].map((leader) => `${leader.primary} ${leader.epoch}`).join(' ');
 }
 
-function isTroubled(view: View, now: Instant, connections: Connections): boolean {
+function isLeaderMissing(view: View, now: Instant, connections: Connections): boolean {
   return [...view.leaders.values()].some(
     (leader) =>
-      leader.epoch > 0 && (leader.until <= now || view.members.get(leader.primary)?.down === true || connections.failing(leader.primary)),
+      leader.epoch > 0 &&
+      (leader.leaseEnd <= now || view.members.get(leader.primary)?.down === true || connections.isFailing(leader.primary)),
   );
 }
 
 /** The view, and how far this process has followed its agent: `token` names the agent's process, `seen` and `serial` its numbers. */
-type FeedState = { view: View; token: string; seen: number; serial: number };
+type FeedState = { view: View; token: string; lastNumber: number; serial: number };
 
 function request(parts: FeedParts, state: FeedState, hold: number): Promise<Option.Option<Reply<'placement'>>> {
   const { agent, freshness, connections } = parts;
@@ -65,57 +66,57 @@
     'placement',
     {
       token: state.token,
-      seen: state.seen,
+      seen: state.lastNumber,
       serial: state.serial,
       hold,
-      configuration: state.view.version,
+      configuration: state.view.configurationVersion,
       released: { ...released },
-      positions: { ...freshness.commits() },
-      marks: { ...freshness.marks() },
+      positions: { ...freshness.commitPositions() },
+      marks: { ...freshness.latestPositions() },
       notListening: [...connections.notListening()],
       demand,
       metrics: { ...metrics },
     },
-    hold + callMilliseconds,
+    hold + replyTimeoutMilliseconds,
   );
 }
 
 /** Takes the reply to a request sent at `sentAt` into the state; returns whether the placement has changed. */
 function accept(parts: FeedParts, state: FeedState, reply: Reply<'placement'>, sentAt: Instant): boolean {
   const { runtime, freshness } = parts;
-  const isUpdate = reply.token !== state.token || reply.number > state.seen;
+  const isUpdate = reply.token !== state.token || reply.number > state.lastNumber;
   const validFrom = identifiers.after(sentAt, subtractClockDrift(reply.held));
-  state.view = views.fed(state.view, reply, validFrom, runtime.clock.now());
+  state.view = views.update(state.view, reply, validFrom, runtime.clock.now());
   for (const [service, mark] of Object.entries(reply.marks))
-    freshness.learnt(service, identifiers.after(validFrom, -mark.ago), { term: mark.term, number: mark.number });
+    freshness.recordLeaderPosition(service, identifiers.after(validFrom, -mark.ago), { term: mark.term, number: mark.number });
   state.token = reply.token;
-  state.seen = reply.number;
+  state.lastNumber = reply.number;
   state.serial = reply.serial;
   return isUpdate;
 }
 
 function create(parts: FeedParts): PlacementFeed {
   const { runtime, agent, connections } = parts;
-  const state: FeedState = { view: views.empty, token: '', seen: 0, serial: 0 };
+  const state: FeedState = { view: views.empty, token: '', lastNumber: 0, serial: 0 };
 
   async function refresh(hold: number): Promise<boolean> {
     const sentAt = runtime.clock.now();
     const reply = await request(parts, state, hold);
     if (Option.isNone(reply)) return false;
     // Overtaken by a later reply.
-    if (reply.value.token === state.token && reply.value.number < state.seen) return true;
+    if (reply.value.token === state.token && reply.value.number < state.lastNumber) return true;
     const leadersBefore = leadersOf(state.view);
     const isUpdate = accept(parts, state, reply.value, sentAt);
     if (isUpdate) parts.onUpdate(leadersBefore !== leadersOf(state.view));
-    parts.onFed();
+    parts.onReply();
     return true;
   }
 
   async function run(): Promise<void> {
     while (!parts.stopped()) {
-      const hold = isTroubled(state.view, runtime.clock.now(), connections) ? troubledHoldMilliseconds : holdMilliseconds;
+      const hold = isLeaderMissing(state.view, runtime.clock.now(), connections) ? leaderlessHoldMilliseconds : holdMilliseconds;
       const fed = agent.connected() && (await refresh(hold));
-      if (!fed) await runtime.clock.sleep(pauseMilliseconds);
+      if (!fed) await runtime.clock.sleep(retryMilliseconds);
     }
   }
 
--- a/packages/pooler/src/pooler.ts
+++ b/packages/pooler/src/pooler.ts
@@ -5,10 +5,10 @@
 import type { Dialect } from '@stallstall/session-protocol';
 import { admissions } from './admission.js';
 import { clientConnections, type ClientConnections } from './client-connection.js';
-import { clientTables, type Clients } from './clients.js';
-import { connectionShares, type ConnectionShare } from './connection-share.js';
+import { clientTables, type Clients } from './client-table.js';
+import { connectionLimiters, type ConnectionLimiter } from './connection-limits.js';
 import { connections as connectionTables, type Connections } from './connections.js';
-import { copies as copyTables, type Copies } from './copies.js';
+import { cachedReplies as cachedReplyTables, type CachedReplies } from './cached-replies.js';
 import { draining, type Draining } from './draining.js';
 import { epochReleases, type EpochRelease } from './epoch-release.js';
 import { freshness as freshnessTables } from './freshness.js';
@@ -21,11 +21,11 @@
 
 export type PoolerSettings = Readonly<{
   /** Where clients connect. */
-  address: string;
+  clientAddress: string;
   /** Where readiness is asked over HTTP. */
-  outward: string;
+  readinessAddress: string;
   /** Where the agent of this machine listens. */
-  feed: string;
+  agentAddress: string;
   /** How long a process that is to end is given; the first half of it for open transactions. */
   graceMilliseconds: number;
 }>;
@@ -33,7 +33,7 @@
 export type PoolerParts = Readonly<{
   dialect: Dialect;
   /** The readiness pages, in the platform's words. */
-  pages: (ready: () => boolean) => readonly HttpRoute[];
+  readinessRoutes: (ready: () => boolean) => readonly HttpRoute[];
 }>;
 
 export type Pooler = Readonly<{
@@ -47,7 +47,7 @@
   /** Counters of what became of statements. */
   totals: () => Readonly<Record<string, number>>;
   /** What is held for announced outages. */
-  copied: () => ReturnType<Copies['describe']>;
+  cachedReplies: () => ReturnType<CachedReplies['describe']>;
 }>;
 
 /** The parts of a running pooler. */
@@ -56,8 +56,8 @@
   agent: Peer;
   clients: Clients;
   connections: Connections;
-  share: ConnectionShare;
-  copies: Copies;
+  limiter: ConnectionLimiter;
+  cachedReplies: CachedReplies;
   requests: Requests;
   feed: PlacementFeed;
   usage: Usage;
@@ -68,10 +68,10 @@
 
 type Lifecycle = { stopped: boolean };
 
-const tendMilliseconds = 250;
+const maintenanceMilliseconds = 250;
 /** What an edge has counted since it reported last is lost with it. */
 const reportUsageMilliseconds = 300;
-const mostReportUsageMilliseconds = 1_000;
+const maximumReportUsageMilliseconds = 1_000;
 /** The pause between reports grows with the number of edges: all cores hear of each. */
 const reportUsageEdgeMilliseconds = 20;
 /** So often the log states this process's counters. */
@@ -81,20 +81,20 @@
 
 function assemble(runtime: Runtime, settings: PoolerSettings, dialect: Dialect): Assembly {
   const lifecycle: Lifecycle = { stopped: false };
-  const agent = peer.dial(runtime, identifiers.address(settings.feed));
+  const agent = peer.dial(runtime, identifiers.address(settings.agentAddress));
   const freshness = freshnessTables.create(runtime.clock.now);
   const usage = usageTables.create(runtime, agent);
   const clients = clientTables.create(runtime.clock);
-  const share = connectionShares.create(runtime.clock, view);
-  const connections = connectionTables.create(runtime, dialect, share.share, () => requests.sweep());
-  const copies = copyTables.create(runtime, view, (request) => requests.submit(request));
-  const requests: Requests = requestTables.create({ runtime, dialect, view, connections, freshness, usage, copies });
+  const limiter = connectionLimiters.create(runtime.clock, view);
+  const connections = connectionTables.create(runtime, dialect, limiter.limitsFor, () => requests.processWaiting());
+  const cachedReplies = cachedReplyTables.create(runtime, view, (request) => requests.submit(request));
+  const requests: Requests = requestTables.create({ runtime, dialect, view, connections, freshness, usage, cachedReplies });
   const release: EpochRelease = epochReleases.create({
     runtime,
     view,
     clients,
     connections,
-    sentBelow: requests.sentBelow,
+    countSentBelow: requests.countSentBelow,
     onReleased: () => void feed.refresh(0),
   });
   const feed: PlacementFeed = placementFeeds.create({
@@ -104,19 +104,19 @@
     freshness,
     report: () => ({
       released: release.released(),
-      demand: share.demand(),
+      demand: limiter.demand(),
       metrics: { ...requests.totals(), ...connections.describe(), sessions: clients.sessionCount() },
     }),
     onUpdate: function onNews(leadersChanged) {
-      copies.follow();
-      release.follow();
+      cachedReplies.applyConfiguration();
+      release.applyPlacement();
       if (leadersChanged) warmUpSessions(clients, connections, feed.view());
-      connections.tend(feed.view().members);
+      connections.closeStale(feed.view().members);
     },
-    onFed: requests.sweep,
+    onReply: requests.processWaiting,
     stopped: () => lifecycle.stopped,
   });
-  const commands = { clock: runtime.clock, dialect, view, connections, requests, copies };
+  const commands = { clock: runtime.clock, dialect, view, connections, requests, cachedReplies };
   const serving = clientConnections.create({ commands, clients, stopped: () => lifecycle.stopped });
   const ending = draining.create(runtime.clock, settings.graceMilliseconds, clients);
 
@@ -124,7 +124,7 @@
     return feed.view();
   }
 
-  return { runtime, agent, clients, connections, share, copies, requests, feed, usage, draining: ending, serving, lifecycle };
+  return { runtime, agent, clients, connections, limiter, cachedReplies, requests, feed, usage, draining: ending, serving, lifecycle };
 }
 
 /** A leader has changed: every session will want its new one. */
@@ -136,34 +136,34 @@
 }
 
 /** Closes what is not needed any more, and ends transactions that are idle too long or stand in the way of the process's end. */
-function tend({ runtime, clients, connections, share, requests, feed, draining: ending }: Assembly): void {
-  share.noteSent(requests.totals()['sent'] ?? 0);
+function maintain({ runtime, clients, connections, limiter, requests, feed, draining: ending }: Assembly): void {
+  limiter.recordSent(requests.totals()['sent'] ?? 0);
   const now: Instant = runtime.clock.now();
-  const { members, sheet } = feed.view();
-  connections.tend(members);
-  const mostIdle = Option.isSome(sheet) ? sheet.value.bounds.restMilliseconds : defaultIdleMilliseconds;
-  const endsTransactions = ending.endsTransactions();
+  const { members, configuration } = feed.view();
+  connections.closeStale(members);
+  const mostIdle = Option.isSome(configuration) ? configuration.value.bounds.restMilliseconds : defaultIdleMilliseconds;
+  const endsTransactions = ending.mustEndTransactions();
   for (const session of clients.sessions()) {
     if (Option.isNone(session.transaction)) continue;
     const transaction = session.transaction.value;
-    const isIdleTooLong = Option.isSome(transaction.held) && now - transaction.idleSince >= mostIdle;
+    const isIdleTooLong = Option.isSome(transaction.pinned) && now - transaction.idleSince >= mostIdle;
     if (isIdleTooLong || endsTransactions) transactions.abandonIdle(connections, transaction);
   }
 }
 
 function isReady({ runtime, feed, draining: ending, lifecycle }: Assembly): boolean {
   const view = feed.view();
-  if (ending.began() || lifecycle.stopped || Option.isNone(view.sheet)) return false;
+  if (ending.hasBegun() || lifecycle.stopped || Option.isNone(view.configuration)) return false;
   const now = runtime.clock.now();
-  return [...view.leaders.values()].some((leader) => leader.until > now);
+  return [...view.leaders.values()].some((leader) => leader.leaseEnd > now);
 }
 
 async function reportUsage({ runtime, agent, usage, feed, lifecycle }: Assembly): Promise<void> {
   while (!lifecycle.stopped) {
-    if (agent.connected()) await usage.tell();
-    const edges = Object.values(feed.view().edges).reduce((sum, count) => sum + count, 0);
+    if (agent.connected()) await usage.report();
+    const edges = Object.values(feed.view().edgesByArea).reduce((sum, count) => sum + count, 0);
     const pause = Math.max(reportUsageMilliseconds, edges * reportUsageEdgeMilliseconds);
-    await runtime.clock.sleep(Math.min(mostReportUsageMilliseconds, pause));
+    await runtime.clock.sleep(Math.min(maximumReportUsageMilliseconds, pause));
   }
 }
 
@@ -181,8 +181,8 @@
   void feed.run();
   void runtimeUtilities.every(
     runtime.clock,
-    tendMilliseconds,
-    () => tend(assembly),
+    maintenanceMilliseconds,
+    () => maintain(assembly),
     () => !lifecycle.stopped,
   );
   void runtimeUtilities.every(
@@ -194,9 +194,12 @@
   void reportUsage(assembly);
 }
 
-async function stopAll({ lifecycle, copies, connections, agent, clients }: Assembly, listening: readonly Listening[]): Promise<void> {
+async function stopAll(
+  { lifecycle, cachedReplies, connections, agent, clients }: Assembly,
+  listening: readonly Listening[],
+): Promise<void> {
   lifecycle.stopped = true;
-  copies.stop();
+  cachedReplies.stop();
   connections.closeAll();
   agent.close();
   clients.closeAll();
@@ -217,18 +220,18 @@
 
   async function drain(): Promise<void> {
     await assembly.draining.run(clientListener);
-    await assembly.usage.tell();
+    await assembly.usage.report();
     await stop();
   }
 
   const clientListener = await runtime.network.listenStream(
-    identifiers.address(settings.address),
+    identifiers.address(settings.clientAddress),
     (stream) => void assembly.serving.serve(stream),
   );
-  const pages = await runtime.network.serve(identifiers.address(settings.outward), { routes: parts.pages(ready) });
+  const pages = await runtime.network.serve(identifiers.address(settings.readinessAddress), { routes: parts.readinessRoutes(ready) });
   startTasks(assembly);
-  const { feed, requests, copies } = assembly;
-  return { drain, stop, view: feed.view, ready, totals: requests.totals, copied: copies.describe };
+  const { feed, requests, cachedReplies } = assembly;
+  return { drain, stop, view: feed.view, ready, totals: requests.totals, cachedReplies: cachedReplies.describe };
 }
 
 export const pooler = { start } as const;
--- a/packages/pooler/src/rejection.ts
+++ b/packages/pooler/src/rejection.ts
@@ -11,11 +11,11 @@
   /** The statement did not run. A rejection within a transaction ends the transaction. */
   reject: (record: RequestRecord, condition: Condition, text: string) => RequestRecord;
   /** As `reject`, because no member can be reached: during an announced outage the reply is a copy, if one is held (design 8.13). */
-  rejectUnplaced: (record: RequestRecord, condition: Condition, text: string) => RequestRecord;
+  rejectUnreachable: (record: RequestRecord, condition: Condition, text: string) => RequestRecord;
 }>;
 
-function create(parts: Pick<RequestParts, 'connections' | 'copies'>, table: RequestTable): Rejection {
-  const { connections, copies } = parts;
+function create(parts: Pick<RequestParts, 'connections' | 'cachedReplies'>, table: RequestTable): Rejection {
+  const { connections, cachedReplies } = parts;
 
   function reject(record: RequestRecord, condition: Condition, text: string): RequestRecord {
     table.count(`denied.${condition}`);
@@ -23,14 +23,14 @@
     return table.resolve(record, replies.fault(condition, text));
   }
 
-  function rejectUnplaced(record: RequestRecord, condition: Condition, text: string): RequestRecord {
-    if (record.request.copying || !copies.open(record.request)) return reject(record, condition, text);
-    const copied = copies.reply(record.request);
-    table.count(Option.isSome(copied) ? 'copy.served' : 'copy.missed');
-    return Option.isSome(copied) ? table.resolve(record, copied.value) : reject(record, condition, text);
+  function rejectUnreachable(record: RequestRecord, condition: Condition, text: string): RequestRecord {
+    if (record.request.fillsCache || !cachedReplies.isOutageOpen(record.request)) return reject(record, condition, text);
+    const cached = cachedReplies.reply(record.request);
+    table.count(Option.isSome(cached) ? 'copy.served' : 'copy.missed');
+    return Option.isSome(cached) ? table.resolve(record, cached.value) : reject(record, condition, text);
   }
 
-  return { reject, rejectUnplaced };
+  return { reject, rejectUnreachable };
 }
 
 export const rejections = { create } as const;
--- a/packages/pooler/src/request-parts.ts
+++ b/packages/pooler/src/request-parts.ts
@@ -2,7 +2,7 @@
 import type { Runtime } from '@stallstall/kernel';
 import type { Dialect } from '@stallstall/session-protocol';
 import type { Connections } from './connections.js';
-import type { Copies } from './copies.js';
+import type { CachedReplies } from './cached-replies.js';
 import type { Freshness } from './freshness.js';
 import type { Usage } from './usage.js';
 import type { View } from './view.js';
@@ -15,5 +15,5 @@
   connections: Connections;
   freshness: Freshness;
   usage: Usage;
-  copies: Copies;
+  cachedReplies: CachedReplies;
 }>;
--- a/packages/pooler/src/request-table.ts
+++ b/packages/pooler/src/request-table.ts
@@ -15,7 +15,7 @@
   isWaiting: (id: number) => boolean;
   inFlight: () => number;
   /** Statements sent to the leader of a service under an epoch below this one. */
-  sentBelow: (service: string, epoch: number) => number;
+  countSentBelow: (service: string, epoch: number) => number;
   count: (name: string) => void;
   totals: () => Readonly<Record<string, number>>;
 }>;
@@ -54,7 +54,7 @@
         .sort((left, right) => left.request.database.rank - right.request.database.rank || left.arrivedAt - right.arrivedAt),
     isWaiting: (id) => records.get(id)?.stage === 'waiting',
     inFlight: () => resolvers.size,
-    sentBelow: function sentBelow(service, epoch) {
+    countSentBelow: function sentBelow(service, epoch) {
       let sum = 0;
       for (const record of records.values()) if (isSentBelow(record, service, epoch)) sum += 1;
       return sum;
--- a/packages/pooler/src/requests.ts
+++ b/packages/pooler/src/requests.ts
@@ -2,9 +2,9 @@
 import * as Option from 'fp-ts/lib/Option.js';
 import { identifiers, type Runtime } from '@stallstall/kernel';
 import type { StatementReply } from '@stallstall/session-protocol';
-import { exchanges, type ExchangeParts } from './exchange.js';
-import { passes } from './passes.js';
-import { placements } from './placement.js';
+import { statementExecutions, type ExecutionParts } from './statement-execution.js';
+import { routingSteps } from './routing-steps.js';
+import { memberSelections } from './member-selection.js';
 import { rejections } from './rejection.js';
 import type { RequestParts } from './request-parts.js';
 import { requestTables, type RequestTable } from './request-table.js';
@@ -15,20 +15,20 @@
   /** Resolves once a member has replied, or the statement was rejected. */
   submit: (request: StatementRequest) => Promise<StatementReply>;
   /** Something has changed: the passes run over whoever waits. */
-  sweep: () => void;
+  processWaiting: () => void;
   inFlight: () => number;
   /** Statements sent to the leader of a service under an epoch below this one. */
-  sentBelow: (service: string, epoch: number) => number;
+  countSentBelow: (service: string, epoch: number) => number;
   totals: () => Readonly<Record<string, number>>;
 }>;
 
 /** Those that wait are looked at so often when nothing else wakes them. */
-const sweepMilliseconds = 20;
+const retryMilliseconds = 20;
 /** Share of the latency aim that a statement waits while nothing says that it can be placed soon. */
-const holdShare = 0.24;
-const leastHoldMilliseconds = 20;
+const waitShare = 0.24;
+const minimumWaitMilliseconds = 20;
 /** Share of its time limit that it waits for a connection that is being opened, or for a leader that is about to follow. */
-const patientShare = 0.2;
+const extendedWaitShare = 0.2;
 
 function recordOf(runtime: Runtime, id: number, request: StatementRequest): RequestRecord {
   const now = runtime.clock.now();
@@ -40,8 +40,8 @@
     arrivedAt: now,
     startedAt: Option.isSome(request.transaction) ? request.transaction.value.startedAt : now,
     deadline: identifiers.after(now, horizonMilliseconds),
-    holdUntil: identifiers.after(now, Math.max(leastHoldMilliseconds, aimMilliseconds * holdShare)),
-    patientUntil: identifiers.after(now, horizonMilliseconds * patientShare),
+    waitUntil: identifiers.after(now, Math.max(minimumWaitMilliseconds, aimMilliseconds * waitShare)),
+    extendedWaitUntil: identifiers.after(now, horizonMilliseconds * extendedWaitShare),
     attempts: 0,
     excludedMembers: new Set(),
     openingMember: '',
@@ -50,20 +50,20 @@
   };
 }
 
-type Scheduler = Readonly<{ run: (record: RequestRecord) => void; sweep: () => void }>;
+type Scheduler = Readonly<{ run: (record: RequestRecord) => void; processWaiting: () => void }>;
 
 /** Runs `process` over one record or over all that wait, one at a time: what frees a connection on the way asks for another sweep. */
 function createScheduler(runtime: Runtime, table: RequestTable, process: (record: RequestRecord) => void): Scheduler {
-  let working = false;
-  let sweepAgain = false;
-  let timerSet = false;
+  let isProcessing = false;
+  let isRetryRequested = false;
+  let isTimerSet = false;
 
   function setTimer(): void {
-    if (timerSet) return;
-    timerSet = true;
-    runtime.clock.startTimer(sweepMilliseconds, function due() {
-      timerSet = false;
-      sweep();
+    if (isTimerSet) return;
+    isTimerSet = true;
+    runtime.clock.startTimer(retryMilliseconds, function due() {
+      isTimerSet = false;
+      processWaiting();
     });
   }
 
@@ -72,38 +72,45 @@
     if (table.isWaiting(record.id)) setTimer();
   }
 
-  function sweepOnce(): void {
+  function processAllWaiting(): void {
     for (const record of table.waiting()) if (table.isWaiting(record.id)) processOne(record);
   }
 
   function exclusively(action: () => void): void {
-    if (working) {
-      sweepAgain = true;
+    if (isProcessing) {
+      isRetryRequested = true;
       return;
     }
-    working = true;
+    isProcessing = true;
     action();
-    while (sweepAgain) {
-      sweepAgain = false;
-      sweepOnce();
+    while (isRetryRequested) {
+      isRetryRequested = false;
+      processAllWaiting();
     }
-    working = false;
+    isProcessing = false;
   }
 
-  function sweep(): void {
-    exclusively(sweepOnce);
+  function processWaiting(): void {
+    exclusively(processAllWaiting);
   }
 
-  return { run: (record) => exclusively(() => processOne(record)), sweep };
+  return { run: (record) => exclusively(() => processOne(record)), processWaiting };
 }
 
 function create(parts: RequestParts): Requests {
   const { runtime } = parts;
   const table = requestTables.create();
   const rejection = rejections.create(parts, table);
-  const pipeline = passes.create({ parts, table, rejection, placement: placements.create(parts) });
+  const pipeline = routingSteps.create({ parts, table, rejection, selection: memberSelections.create(parts) });
   const scheduler = createScheduler(runtime, table, process);
-  const exchange: ExchangeParts = { parts, table, rejection, times: responseTimes.create(), retry, sweep: scheduler.sweep };
+  const exchange: ExecutionParts = {
+    parts,
+    table,
+    rejection,
+    times: responseTimes.create(),
+    retry,
+    processWaiting: scheduler.processWaiting,
+  };
 
   function process(record: RequestRecord): void {
     let current: RequestRecord = { ...record, stage: 'arrived' };
@@ -120,7 +127,7 @@
     if (Option.isNone(record.connection)) return;
     const sent: RequestRecord = { ...record, stage: 'sent', attempts: record.attempts + 1 };
     table.update(sent);
-    void exchanges.run(exchange, sent, record.connection.value);
+    void statementExecutions.run(exchange, sent, record.connection.value);
   }
 
   function retry(record: RequestRecord, without: readonly string[]): void {
@@ -132,7 +139,7 @@
       connection: Option.none,
       openingMember: '',
     });
-    scheduler.sweep();
+    scheduler.processWaiting();
   }
 
   function submit(request: StatementRequest): Promise<StatementReply> {
@@ -143,7 +150,13 @@
     });
   }
 
-  return { submit, sweep: scheduler.sweep, inFlight: table.inFlight, sentBelow: table.sentBelow, totals: table.totals };
+  return {
+    submit,
+    processWaiting: scheduler.processWaiting,
+    inFlight: table.inFlight,
+    countSentBelow: table.countSentBelow,
+    totals: table.totals,
+  };
 }
 
 export const requests = { create } as const;
--- a/packages/pooler/src/response-times.ts
+++ b/packages/pooler/src/response-times.ts
@@ -5,14 +5,14 @@
 type Estimate = Readonly<{ mean: number; deviation: number }>;
 
 export type ResponseTimes = Readonly<{
-  note: (database: DatabasePlacement, milliseconds: number) => void;
+  record: (database: DatabasePlacement, milliseconds: number) => void;
   /** A statement that can be retried is given up after so many milliseconds of silence. */
-  patienceMilliseconds: (database: DatabasePlacement) => number;
+  timeoutMilliseconds: (database: DatabasePlacement) => number;
 }>;
 
-const leastPatienceMilliseconds = 60;
+const minimumTimeoutMilliseconds = 60;
 /** Share of a database's time limit after which an attempt is given up at the latest. */
-const mostPatienceShare = 0.6;
+const maximumTimeoutShare = 0.6;
 const meanGain = 1 / 8;
 const deviationGain = 1 / 4;
 const meanFactor = 4;
@@ -22,27 +22,27 @@
   return `${database.service} ${database.reads}`;
 }
 
-function smoothed(known: Estimate, milliseconds: number): Estimate {
+function smoothed(estimate: Estimate, milliseconds: number): Estimate {
   return {
-    mean: known.mean + (milliseconds - known.mean) * meanGain,
-    deviation: known.deviation + (Math.abs(milliseconds - known.mean) - known.deviation) * deviationGain,
+    mean: estimate.mean + (milliseconds - estimate.mean) * meanGain,
+    deviation: estimate.deviation + (Math.abs(milliseconds - estimate.mean) - estimate.deviation) * deviationGain,
   };
 }
 
 function create(): ResponseTimes {
   const estimates = new Map<string, Estimate>();
   return {
-    note: function note(database, milliseconds) {
+    record: function record(database, milliseconds) {
       const key = keyOf(database);
-      const known = estimates.get(key);
-      estimates.set(key, known === undefined ? { mean: milliseconds, deviation: milliseconds / 2 } : smoothed(known, milliseconds));
+      const estimate = estimates.get(key);
+      estimates.set(key, estimate === undefined ? { mean: milliseconds, deviation: milliseconds / 2 } : smoothed(estimate, milliseconds));
     },
-    patienceMilliseconds: function patienceMilliseconds(database) {
-      const known = estimates.get(keyOf(database));
-      const most = database.horizonMilliseconds * mostPatienceShare;
-      if (known === undefined) return most;
-      const expected = meanFactor * known.mean + deviationFactor * known.deviation;
-      return Math.max(leastPatienceMilliseconds, Math.min(expected, most));
+    timeoutMilliseconds: function timeoutMilliseconds(database) {
+      const estimate = estimates.get(keyOf(database));
+      const maximum = database.horizonMilliseconds * maximumTimeoutShare;
+      if (estimate === undefined) return maximum;
+      const expected = meanFactor * estimate.mean + deviationFactor * estimate.deviation;
+      return Math.max(minimumTimeoutMilliseconds, Math.min(expected, maximum));
     },
   };
 }
--- a/packages/pooler/src/session-commands.ts
+++ b/packages/pooler/src/session-commands.ts
@@ -1,10 +1,10 @@
 /** Carries out what a client asks of its session: transaction control, session values and prepared names here, statements on a member. */
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Clock } from '@stallstall/kernel';
-import type { Command, Dialect, Incoming, StatementReply } from '@stallstall/session-protocol';
+import type { Command, Dialect, ClientMessage, StatementReply } from '@stallstall/session-protocol';
 import { admissions } from './admission.js';
 import type { Connections } from './connections.js';
-import type { Copies } from './copies.js';
+import type { CachedReplies } from './cached-replies.js';
 import { replies } from './replies.js';
 import type { Requests } from './requests.js';
 import type { PreparedStatement, Session, Transaction } from './sessions.js';
@@ -18,13 +18,13 @@
   view: () => View;
   connections: Connections;
   requests: Requests;
-  copies: Copies;
+  cachedReplies: CachedReplies;
 }>;
 
-export type Query = Extract<Incoming, { kind: 'query' }>;
+export type Query = Extract<ClientMessage, { kind: 'query' }>;
 
 /** A reply at once, or after a member has replied: no promise is made for what the pooler carries out itself. */
-type Handled = StatementReply | Promise<StatementReply>;
+type MaybePromisedReply = StatementReply | Promise<StatementReply>;
 
 const notAdmitted = 'not let in';
 const noSuchName = 'no such prepared name';
@@ -47,7 +47,7 @@
     database: admission.database,
     tenant: admission.tenant,
     startedAt: now,
-    held: Option.none,
+    pinned: Option.none,
     failed: false,
     isFailureReported: false,
     busy: false,
@@ -95,13 +95,16 @@
     transaction,
     database,
     tenant,
-    prepared: command.kind === 'execute' && prepared !== undefined ? Option.some({ statement: prepared, rest: command.rest }) : Option.none,
+    prepared:
+      command.kind === 'execute' && prepared !== undefined
+        ? Option.some({ statement: prepared, parameters: command.parameters })
+        : Option.none,
     writes: command.kind === 'write' || prepared?.writes === true,
-    commit: command.kind === 'commit',
-    copying: false,
+    commits: command.kind === 'commit',
+    fillsCache: false,
   };
   const reply = await parts.requests.submit(request);
-  parts.copies.note(request, reply);
+  parts.cachedReplies.recordRead(request, reply);
   if (Option.isSome(transaction)) {
     transaction.value.busy = false;
     if (reply.completion.kind === 'fault') transaction.value.isFailureReported = true;
@@ -111,14 +114,14 @@
   return reply;
 }
 
-function execute(parts: CommandParts, session: Session, query: Query, command: Extract<Command, { kind: 'execute' }>): Handled {
+function execute(parts: CommandParts, session: Session, query: Query, command: Extract<Command, { kind: 'execute' }>): MaybePromisedReply {
   const prepared = session.prepared.get(command.name);
   if (prepared !== undefined) return submit(parts, session, query, command, prepared);
   failTransaction(parts, session);
   return replies.fault('undefined', noSuchName);
 }
 
-function carryOut(parts: CommandParts, session: Session, query: Query, command: Command): Handled {
+function runCommand(parts: CommandParts, session: Session, query: Query, command: Command): MaybePromisedReply {
   switch (command.kind) {
     case 'set':
       session.values.set(command.name, command.value);
@@ -142,7 +145,7 @@
 }
 
 /** Replies to one query of a session; queries of one session come one after another. */
-function handle(parts: CommandParts, session: Session, query: Query): Handled {
+function handle(parts: CommandParts, session: Session, query: Query): MaybePromisedReply {
   if (Option.isNone(query.command)) {
     failTransaction(parts, session);
     return replies.fault('malformed', 'it cannot be read');
@@ -150,7 +153,7 @@
   const command = query.command.value;
   const { transaction } = session;
   if (Option.isSome(transaction) && transaction.value.failed) return handleFailed(session, transaction.value, command);
-  return carryOut(parts, session, query, command);
+  return runCommand(parts, session, query, command);
 }
 
 export const sessionCommands = { handle } as const;
--- a/packages/pooler/src/sessions.ts
+++ b/packages/pooler/src/sessions.ts
@@ -3,20 +3,20 @@
 import type { Instant } from '@stallstall/kernel';
 import type { DatabasePlacement } from '@stallstall/placement';
 import { positions, type Dialect, type Position, type TransactionStatus } from '@stallstall/session-protocol';
-import type { Image, PooledLine } from './connections.js';
+import type { ServerState, PooledConnection } from './connections.js';
 
 /** A statement that a session prepared under a name of its own. */
 export type PreparedStatement = Readonly<{ writes: boolean; text: string }>;
 
 /** Where a transaction runs once its first statement has been placed: its connection, and the epoch it was placed under. */
-export type Held = Readonly<{ pooled: PooledLine; epoch: number; leader: boolean }>;
+export type PinnedConnection = Readonly<{ pooled: PooledConnection; epoch: number; leader: boolean }>;
 
 export type Transaction = {
   readonly readOnly: boolean;
   readonly database: DatabasePlacement;
   readonly tenant: string;
   readonly startedAt: Instant;
-  held: Option.Option<Held>;
+  pinned: Option.Option<PinnedConnection>;
   /** Only its end is accepted any more. */
   failed: boolean;
   /** The client has been told that it failed. */
@@ -36,16 +36,25 @@
   readonly prepared: Map<string, PreparedStatement>;
   /** The latest commit of the session on each service. */
   readonly commits: Map<string, Position>;
-  /** The outcome of a commit of it is not known. */
-  unsettled: boolean;
+  /** The outcome of a commit of it is not previous. */
+  hasUnknownOutcome: boolean;
   transaction: Option.Option<Transaction>;
 };
 
 /** When a connection has more prepared statements than this, its state is cleared before it is used again. */
-const mostPrepared = 200;
+const maximumPreparedStatements = 200;
 
 function create(id: string, database: string, key: string): Session {
-  return { id, database, key, values: new Map(), prepared: new Map(), commits: new Map(), unsettled: false, transaction: Option.none };
+  return {
+    id,
+    database,
+    key,
+    values: new Map(),
+    prepared: new Map(),
+    commits: new Map(),
+    hasUnknownOutcome: false,
+    transaction: Option.none,
+  };
 }
 
 /** The transaction status that the client is told after each statement. */
@@ -55,9 +64,9 @@
 }
 
 /** Notes a commit of the session, so that its later reads see it. */
-function committed(session: Session, service: string, position: Position): void {
-  const known = session.commits.get(service);
-  session.commits.set(service, known === undefined ? position : positions.later(known, position));
+function recordCommit(session: Session, service: string, position: Position): void {
+  const previous = session.commits.get(service);
+  session.commits.set(service, previous === undefined ? position : positions.later(previous, position));
 }
 
 function preparedKey(prepared: PreparedStatement): string {
@@ -65,34 +74,39 @@
 }
 
 /**
- * The settings to be sent on a connection before a statement of the session, so that exactly the session's values stand there, and the
- * needed prepared statement. The connection's image is changed at once: should they not be carried out, the connection must not be used.
+ * The statements to be sent on a connection before a statement of the session, so that exactly the session's values stand there, and the
+ * needed prepared statement. The connection's serverState is changed at once: should they not be carried out, the connection must not be used.
  */
-function prelude(dialect: Dialect, session: Session, image: Image, needed: Option.Option<PreparedStatement>): readonly string[] {
-  const settings: string[] = [];
-  const foreign = [...image.values.keys()].some((name) => !session.values.has(name));
-  if (foreign || image.prepared.size > mostPrepared) {
-    settings.push(dialect.texts.clear);
-    image.values.clear();
-    image.prepared.clear();
+function preparationStatements(
+  dialect: Dialect,
+  session: Session,
+  serverState: ServerState,
+  needed: Option.Option<PreparedStatement>,
+): readonly string[] {
+  const statements: string[] = [];
+  const hasOtherValues = [...serverState.values.keys()].some((name) => !session.values.has(name));
+  if (hasOtherValues || serverState.prepared.size > maximumPreparedStatements) {
+    statements.push(dialect.statements.clear);
+    serverState.values.clear();
+    serverState.prepared.clear();
   }
   for (const [name, value] of session.values) {
-    if (image.values.get(name) === value) continue;
-    settings.push(dialect.texts.set(name, value));
-    image.values.set(name, value);
+    if (serverState.values.get(name) === value) continue;
+    statements.push(dialect.statements.set(name, value));
+    serverState.values.set(name, value);
   }
-  if (Option.isSome(needed) && !image.prepared.has(preparedKey(needed.value))) {
-    image.names += 1;
-    const name = `p${image.names}`;
-    settings.push(dialect.texts.prepare(name, needed.value.writes, needed.value.text));
-    image.prepared.set(preparedKey(needed.value), name);
+  if (Option.isSome(needed) && !serverState.prepared.has(preparedKey(needed.value))) {
+    serverState.lastNameNumber += 1;
+    const name = `p${serverState.lastNameNumber}`;
+    statements.push(dialect.statements.prepare(name, needed.value.writes, needed.value.text));
+    serverState.prepared.set(preparedKey(needed.value), name);
   }
-  return settings;
+  return statements;
 }
 
 /** The connection's name of a prepared statement; empty when it stands there under none. */
-function preparedName(image: Image, prepared: PreparedStatement): string {
-  return image.prepared.get(preparedKey(prepared)) ?? '';
+function preparedName(serverState: ServerState, prepared: PreparedStatement): string {
+  return serverState.prepared.get(preparedKey(prepared)) ?? '';
 }
 
-export const sessions = { create, transactionStatus, committed, prelude, preparedName } as const;
+export const sessions = { create, transactionStatus, recordCommit, preparationStatements, preparedName } as const;
--- a/packages/pooler/src/statement-request.ts
+++ b/packages/pooler/src/statement-request.ts
@@ -6,11 +6,11 @@
 import type { Instant } from '@stallstall/kernel';
 import type { DatabasePlacement } from '@stallstall/placement';
 import type { MemberAddress, Position } from '@stallstall/session-protocol';
-import type { PooledLine } from './connections.js';
+import type { PooledConnection } from './connections.js';
 import type { PreparedStatement, Session, Transaction } from './sessions.js';
 
 /** The execution of a prepared statement: the statement, and the text that follows its name (its arguments). */
-export type PreparedExecution = Readonly<{ statement: PreparedStatement; rest: string }>;
+export type PreparedExecution = Readonly<{ statement: PreparedStatement; parameters: string }>;
 
 /** One statement of a session, as it is given to the pooler to be run on a member. */
 export type StatementRequest = Readonly<{
@@ -21,17 +21,17 @@
   prepared: Option.Option<PreparedExecution>;
   writes: boolean;
   /** The statement commits `transaction`, which is then present. */
-  commit: boolean;
+  commits: boolean;
   transaction: Option.Option<Transaction>;
   database: DatabasePlacement;
   tenant: string;
   /** Read to fill an outage copy, not for a client: counted as nobody's usage (design 8.13). */
-  copying: boolean;
+  fillsCache: boolean;
 }>;
 
 /** The member that a statement is to be run on. */
 export type Target = Readonly<{
-  place: MemberAddress;
+  memberAddress: MemberAddress;
   /** The leader's epoch, 0 for a read that any member may reply to. */
   epoch: number;
   leader: boolean;
@@ -53,9 +53,9 @@
   /** After this it is not sent any more. */
   deadline: Instant;
   /** Until then it waits for a leader that nothing announces. */
-  holdUntil: Instant;
+  waitUntil: Instant;
   /** Until then it waits for a connection that is being opened, or for a leader that is being changed. */
-  patientUntil: Instant;
+  extendedWaitUntil: Instant;
   /** How many times it was given to a connection. */
   attempts: number;
   /** Members that failed it: no read of it goes there again. */
@@ -63,5 +63,5 @@
   /** The member to which a connection was opened on its behalf; empty when there is none. */
   openingMember: string;
   target: Option.Option<Target>;
-  connection: Option.Option<PooledLine>;
+  connection: Option.Option<PooledConnection>;
 }>;
--- a/packages/pooler/src/transactions.ts
+++ b/packages/pooler/src/transactions.ts
@@ -9,10 +9,10 @@
 /** Breaks off the transaction's connection, so that its member rolls it back. Only its end is accepted from the client after this. */
 function abandon(connections: Connections, transaction: Transaction): void {
   transaction.failed = true;
-  if (Option.isNone(transaction.held)) return;
-  const { pooled } = transaction.held.value;
-  transaction.held = Option.none;
-  connections.giveBack(pooled, false);
+  if (Option.isNone(transaction.pinned)) return;
+  const { pooled } = transaction.pinned.value;
+  transaction.pinned = Option.none;
+  connections.release(pooled, false);
 }
 
 /** Abandons a transaction unless a statement of it is under way. */
@@ -23,11 +23,11 @@
 /** Rolls the transaction back on its member, so that its connection can be used again. One whose statement is under way is only marked. */
 async function rollback(connections: Connections, dialect: Dialect, transaction: Transaction): Promise<void> {
   transaction.failed = true;
-  if (Option.isNone(transaction.held) || transaction.busy) return;
-  const { pooled } = transaction.held.value;
-  transaction.held = Option.none;
-  const ran = await pooled.line.run([dialect.query(dialect.ownIdentifier, dialect.texts.rollback)], rollbackMilliseconds);
-  connections.giveBack(pooled, ran.whole && ran.replies[0]?.transactionStatus === 'idle');
+  if (Option.isNone(transaction.pinned) || transaction.busy) return;
+  const { pooled } = transaction.pinned.value;
+  transaction.pinned = Option.none;
+  const ran = await pooled.connection.run([dialect.query(dialect.internalIdentifier, dialect.statements.rollback)], rollbackMilliseconds);
+  connections.release(pooled, ran.isComplete && ran.replies[0]?.transactionStatus === 'idle');
 }
 
 export const transactions = { abandon, abandonIdle, rollback } as const;
--- a/packages/pooler/src/view.ts
+++ b/packages/pooler/src/view.ts
@@ -7,38 +7,38 @@
 export const never: Instant = identifiers.instant(Number.NEGATIVE_INFINITY);
 
 /** A service's leader as this edge may use it: `until` is when its lease ends, in this process's own moments. */
-export type Leadership = Readonly<{ epoch: number; primary: string; until: Instant; release: number }>;
+export type Leadership = Readonly<{ epoch: number; primary: string; leaseEnd: Instant; releaseBelow: number }>;
 
 export type View = Readonly<{
-  version: number;
-  sheet: Option.Option<PlacementConfiguration>;
+  configurationVersion: number;
+  configuration: Option.Option<PlacementConfiguration>;
   databases: ReadonlyMap<string, DatabasePlacement>;
   /** By key. */
-  tenants: ReadonlyMap<string, Tenant>;
+  tenantsByKey: ReadonlyMap<string, Tenant>;
   leaders: ReadonlyMap<string, Leadership>;
   members: ReadonlyMap<string, MemberRecord>;
-  byService: ReadonlyMap<string, readonly MemberRecord[]>;
+  membersByService: ReadonlyMap<string, readonly MemberRecord[]>;
   /** Since when each member is known to be draining; `never` where that may have been said at any time before. */
   drainingSince: ReadonlyMap<string, Instant>;
   /** How many edges hold leases, by area. */
-  edges: Readonly<Record<string, number>>;
+  edgesByArea: Readonly<Record<string, number>>;
   /** Statements a second that are asked of all of them, by area. */
-  demand: Readonly<Record<string, number>>;
+  demandByArea: Readonly<Record<string, number>>;
   area: string;
   node: string;
 }>;
 
 const empty: View = {
-  version: 0,
-  sheet: Option.none,
+  configurationVersion: 0,
+  configuration: Option.none,
   databases: new Map(),
-  tenants: new Map(),
+  tenantsByKey: new Map(),
   leaders: new Map(),
   members: new Map(),
-  byService: new Map(),
+  membersByService: new Map(),
   drainingSince: new Map(),
-  edges: {},
-  demand: {},
+  edgesByArea: {},
+  demandByArea: {},
   area: '',
   node: '',
 };
@@ -58,56 +58,59 @@
  * of cores within a term, so that the report is no older than that; to anybody else it may be of any age, and its time is over.
  */
 function drainingSinceOf(before: View, entry: MemberRecord, now: Instant): Instant {
-  const known = before.drainingSince.get(entry.member);
-  if (known !== undefined) return known;
+  const since = before.drainingSince.get(entry.member);
+  if (since !== undefined) return since;
   const leader = before.leaders.get(entry.service);
-  return leader?.primary === entry.member && leader.until > now ? now : never;
+  return leader?.primary === entry.member && leader.leaseEnd > now ? now : never;
 }
 
 /** Neither a configuration nor an epoch is taken back, and a lease that was told stays true to its end, whoever feeds (design 3.4). */
-function fed(before: View, reply: Reply<'placement'>, saidAt: Instant, now: Instant): View {
-  const sheet =
-    reply.configuration === null || reply.configuration.version <= before.version
-      ? before.sheet
+function update(before: View, reply: Reply<'placement'>, validFrom: Instant, now: Instant): View {
+  const configuration =
+    reply.configuration === null || reply.configuration.version <= before.configurationVersion
+      ? before.configuration
       : Option.some(reply.configuration.sheet as PlacementConfiguration);
-  const changed = sheet !== before.sheet;
+  const isConfigurationChanged = configuration !== before.configuration;
   const leaders = new Map(before.leaders);
   for (const placement of reply.services) {
-    const known = before.leaders.get(placement.service);
-    const until = placement.left > 0 ? identifiers.after(saidAt, placement.left) : never;
-    if (known !== undefined && known.epoch > placement.epoch) continue;
-    const same = known !== undefined && known.epoch === placement.epoch;
-    const release = Math.max(placement.release, known?.release ?? 0);
+    const previous = before.leaders.get(placement.service);
+    const leaseEnd = placement.left > 0 ? identifiers.after(validFrom, placement.left) : never;
+    if (previous !== undefined && previous.epoch > placement.epoch) continue;
+    const isSameEpoch = previous !== undefined && previous.epoch === placement.epoch;
+    const releaseBelow = Math.max(placement.release, previous?.releaseBelow ?? 0);
     leaders.set(placement.service, {
       epoch: placement.epoch,
       primary: placement.primary,
-      release,
-      until: release > placement.epoch ? never : same && known.until > until ? known.until : until,
+      releaseBelow,
+      leaseEnd: releaseBelow > placement.epoch ? never : isSameEpoch && previous.leaseEnd > leaseEnd ? previous.leaseEnd : leaseEnd,
     });
   }
-  const entries = reply.roster ?? [...before.members.values()];
+  const members = reply.roster ?? [...before.members.values()];
   const drainingSince =
     reply.roster === null
       ? before.drainingSince
-      : new Map(entries.filter((entry) => entry.draining).map((entry) => [entry.member, drainingSinceOf(before, entry, now)] as const));
+      : new Map(members.filter((entry) => entry.draining).map((entry) => [entry.member, drainingSinceOf(before, entry, now)] as const));
   return {
-    version: changed && reply.configuration !== null ? reply.configuration.version : before.version,
-    sheet,
+    configurationVersion:
+      isConfigurationChanged && reply.configuration !== null ? reply.configuration.version : before.configurationVersion,
+    configuration,
     databases:
-      changed && Option.isSome(sheet) ? new Map(sheet.value.databases.map((database) => [database.database, database])) : before.databases,
-    tenants:
-      changed && Option.isSome(sheet)
-        ? new Map(sheet.value.tenants.flatMap((tenant) => tenant.keys.map((key) => [key, tenant] as const)))
-        : before.tenants,
+      isConfigurationChanged && Option.isSome(configuration)
+        ? new Map(configuration.value.databases.map((database) => [database.database, database]))
+        : before.databases,
+    tenantsByKey:
+      isConfigurationChanged && Option.isSome(configuration)
+        ? new Map(configuration.value.tenants.flatMap((tenant) => tenant.keys.map((key) => [key, tenant] as const)))
+        : before.tenantsByKey,
     leaders,
-    members: reply.roster === null ? before.members : new Map(entries.map((entry) => [entry.member, entry])),
-    byService: reply.roster === null ? before.byService : grouped(entries),
+    members: reply.roster === null ? before.members : new Map(members.map((entry) => [entry.member, entry])),
+    membersByService: reply.roster === null ? before.membersByService : grouped(members),
     drainingSince,
-    edges: reply.edges,
-    demand: reply.demand,
+    edgesByArea: reply.edges,
+    demandByArea: reply.demand,
     area: reply.area,
     node: reply.node,
   };
 }
 
-export const views = { empty, fed } as const;
+export const views = { empty, update } as const;
--- a/packages/session-protocol/src/dialect.ts
+++ b/packages/session-protocol/src/dialect.ts
@@ -31,10 +31,10 @@
   | Readonly<{ kind: 'write' }>
   | Readonly<{ kind: 'set'; name: string; value: string }>
   | Readonly<{ kind: 'prepare'; name: string; writes: boolean; statement: string }>
-  | Readonly<{ kind: 'execute'; name: string; rest: string }>
+  | Readonly<{ kind: 'execute'; name: string; parameters: string }>
   | Readonly<{ kind: 'forget'; name: string }>;
 
-export type Incoming =
+export type ClientMessage =
   | Readonly<{ kind: 'open'; database: string; key: string }>
   | Readonly<{ kind: 'query'; identifier: string; text: string; command: Option.Option<Command> }>
   | Readonly<{ kind: 'close' }>
@@ -43,10 +43,10 @@
 export type Completion = Readonly<{ kind: 'done'; stamp: string }> | Readonly<{ kind: 'fault'; condition: Condition; text: string }>;
 
 /** What a member's connection says, piece by piece; rows are handed on as they came. */
-export type Piece =
+export type ReplyMessage =
   | Readonly<{ kind: 'row'; raw: string }>
   | Readonly<{ kind: 'completion'; completion: Completion }>
-  | Readonly<{ kind: 'rest'; transactionStatus: TransactionStatus; position: Option.Option<Position> }>
+  | Readonly<{ kind: 'ready'; transactionStatus: TransactionStatus; position: Option.Option<Position> }>
   | Readonly<{ kind: 'unreadable' }>;
 
 export type StatementReply = Readonly<{
@@ -55,41 +55,41 @@
   transactionStatus: TransactionStatus;
   position: Option.Option<Position>;
   /** By the wall clock: it is no member's reply but a copy of one, held through an outage; a dialect may show it (design 8.13). */
-  copiedAt?: number;
+  cachedAt?: number;
 }>;
 
 /** What a member says of itself when asked for its STATE. */
 export type MemberStatus = Readonly<{ role: 'primary' | 'replica'; term: number; received: Position; lagMilliseconds: number }>;
 
 /** Cuts what arrives into messages; `oversize` once one is longer than may be. */
-export type Framer = Readonly<{ push: (piece: string) => Readonly<{ messages: readonly string[]; oversize: boolean }> }>;
+export type Framer = Readonly<{ push: (chunk: string) => Readonly<{ messages: readonly string[]; oversize: boolean }> }>;
 
 export type Dialect = Readonly<{
-  framer: (mostBytes: number) => Framer;
+  framer: (maximumBytes: number) => Framer;
   // Towards senders.
-  incoming: (message: string) => Incoming;
+  parseRequest: (message: string) => ClientMessage;
   reply: (reply: StatementReply) => string;
-  idle: (status: TransactionStatus, position: Option.Option<Position>) => string;
+  ready: (status: TransactionStatus, position: Option.Option<Position>) => string;
   fault: (condition: Condition, text: string) => string;
   // Towards members.
   opening: (service: string, tenant: string, member: string) => string;
   query: (identifier: string, text: string) => string;
   closing: () => string;
-  piece: (message: string) => Piece;
-  texts: Readonly<{
+  parseReply: (message: string) => ReplyMessage;
+  statements: Readonly<{
     begin: (readOnly: boolean) => string;
     commit: string;
     rollback: string;
     clear: string;
     state: string;
     /** Runs the text only on a log that holds the position. */
-    since: (position: Position, text: string) => string;
+    atPosition: (position: Position, text: string) => string;
     set: (name: string, value: string) => string;
     prepare: (name: string, writes: boolean, statement: string) => string;
-    execute: (name: string, idle: string) => string;
+    execute: (name: string, parameters: string) => string;
   }>;
   /** Statements of the pooler's own carry this. */
-  ownIdentifier: string;
+  internalIdentifier: string;
   memberStatus: (rows: readonly string[]) => Option.Option<MemberStatus>;
 }>;
 
--- a/packages/session-protocol/src/member-connection.ts
+++ b/packages/session-protocol/src/member-connection.ts
@@ -9,7 +9,7 @@
 export type MemberAddress = Readonly<{ service: string; member: string; address: string }>;
 
 /** What came of queries: `whole` when every one was answered, else the connection is broken behind the last reply. */
-export type QueryOutcome = Readonly<{ replies: readonly StatementReply[]; whole: boolean }>;
+export type QueryOutcome = Readonly<{ replies: readonly StatementReply[]; isComplete: boolean }>;
 
 export type MemberConnection = Readonly<{
   /** Sends the queries in one piece and waits for as many replies, for so long at the most; after that the connection is of no use. */
@@ -18,7 +18,7 @@
   close: () => void;
   /** Breaks it off at once: the member rolls back what is open on it. */
   reset: () => void;
-  closed: () => boolean;
+  isClosed: () => boolean;
 }>;
 
 /** What is in flight. */
@@ -26,7 +26,7 @@
   kind: 'opening' | 'queries';
   replies: StatementReply[];
   expected: number;
-  settle: (whole: boolean) => void;
+  finish: (whole: boolean) => void;
 }>;
 
 type ConnectionState = {
@@ -38,7 +38,7 @@
   isBroken: boolean;
 };
 
-const longestMessage = 2 * 1024 * 1024;
+const maximumMessageBytes = 2 * 1024 * 1024;
 
 /** The condition that a member's rejection of an opening names, for those who see the fault. */
 function conditionOf(error: Fault): Option.Option<Condition> {
@@ -46,38 +46,38 @@
   return Option.fromNullable(known?.condition);
 }
 
-function settle(connection: ConnectionState, whole: boolean): void {
+function finishExchange(connection: ConnectionState, whole: boolean): void {
   const { exchange } = connection;
   connection.exchange = undefined;
-  exchange?.settle(whole);
+  exchange?.finish(whole);
 }
 
 function reset(connection: ConnectionState): void {
   if (connection.isBroken) return;
   connection.isBroken = true;
   connection.stream.reset();
-  settle(connection, false);
+  finishExchange(connection, false);
 }
 
 /** False when a message fits nowhere. */
-function takeMessage(connection: ConnectionState, message: string): boolean {
+function handleMessage(connection: ConnectionState, message: string): boolean {
   const { exchange, assembly } = connection;
   if (exchange === undefined) return false;
-  const step = assembly.take(message, exchange.kind === 'opening');
+  const step = assembly.addMessage(message, exchange.kind === 'opening');
   if (step.kind === 'violation') return false;
   if (step.kind === 'partial') return true;
   exchange.replies.push(step.reply);
-  if (exchange.replies.length === exchange.expected) settle(connection, true);
+  if (exchange.replies.length === exchange.expected) finishExchange(connection, true);
   return true;
 }
 
 async function readMessages(connection: ConnectionState): Promise<void> {
-  const framer = connection.dialect.framer(longestMessage);
+  const framer = connection.dialect.framer(maximumMessageBytes);
   for (;;) {
     const piece = await connection.stream.read();
     if (Option.isNone(piece)) return;
     const { messages, oversize } = framer.push(piece.value);
-    if (oversize || !messages.every((message) => takeMessage(connection, message))) return;
+    if (oversize || !messages.every((message) => handleMessage(connection, message))) return;
   }
 }
 
@@ -94,7 +94,7 @@
   queries: readonly string[],
   milliseconds: number,
 ): Promise<QueryOutcome> {
-  if (connection.isBroken || connection.exchange !== undefined) return Promise.resolve({ replies: [], whole: false });
+  if (connection.isBroken || connection.exchange !== undefined) return Promise.resolve({ replies: [], isComplete: false });
   return new Promise(function exchangeQueries(resolve) {
     const replies: StatementReply[] = [];
     const timer = connection.runtime.clock.startTimer(Math.max(1, milliseconds), () => reset(connection));
@@ -102,9 +102,9 @@
       kind,
       replies,
       expected: queries.length,
-      settle: function settleExchange(whole) {
+      finish: function settleExchange(whole) {
         timer.cancel();
-        resolve({ replies, whole });
+        resolve({ replies, isComplete: whole });
       },
     };
     connection.stream.write(queries.join(''));
@@ -120,7 +120,7 @@
   connection.stream.close();
 }
 
-function notOpened(member: string, condition: Condition | undefined): Fault {
+function openFailure(member: string, condition: Condition | undefined): Fault {
   return fault.create({
     kind: 'unreachable',
     message: `${member} opened no connection${condition === undefined ? '' : `: ${condition}`}`,
@@ -155,15 +155,15 @@
   const opening = dialect.opening(place.service, tenant, place.member);
   const outcome = await send(connection, 'opening', [opening], deadline - runtime.clock.now());
   const completion = outcome.replies[0]?.completion;
-  if (!outcome.whole || completion?.kind !== 'done') {
+  if (!outcome.isComplete || completion?.kind !== 'done') {
     reset(connection);
-    return Either.left(notOpened(place.member, completion?.kind === 'fault' ? completion.condition : undefined));
+    return Either.left(openFailure(place.member, completion?.kind === 'fault' ? completion.condition : undefined));
   }
   return Either.right({
     run: (queries, timeout) => send(connection, 'queries', queries, timeout),
     reset: () => reset(connection),
     close: () => close(connection),
-    closed: () => connection.isBroken || connection.stream.closed(),
+    isClosed: () => connection.isBroken || connection.stream.closed(),
   });
 }
 
--- a/packages/session-protocol/src/member-prober.ts
+++ b/packages/session-protocol/src/member-prober.ts
@@ -15,7 +15,7 @@
   readStatus: (service: string, member: string, address: string, milliseconds: number) => Promise<Either.Either<Fault, MemberStatus>>;
 }>;
 
-type Connected = Promise<Either.Either<Fault, MemberConnection>>;
+type PendingConnection = Promise<Either.Either<Fault, MemberConnection>>;
 
 type ProberState = Readonly<{
   runtime: Runtime;
@@ -23,14 +23,14 @@
   tenant: string;
   open: Map<string, Readonly<{ address: string; connection: MemberConnection }>>;
   /** Callers that arrive while a connection is being opened share it: a second one would be kept by nobody. */
-  opening: Map<string, Readonly<{ address: string; connection: Connected }>>;
+  opening: Map<string, Readonly<{ address: string; connection: PendingConnection }>>;
 }>;
 
 function unreachable(reason: string, remedy: string): Either.Either<Fault, never> {
   return Either.left(fault.create({ kind: 'unreachable', message: reason, remedy }));
 }
 
-function stateLost(member: string): Fault {
+function stateReplyLost(member: string): Fault {
   return fault.create({
     kind: 'reply-lost',
     message: `the STATE of ${member} was lost`,
@@ -38,7 +38,7 @@
   });
 }
 
-function noState(member: string, { completion }: StatementReply): Fault {
+function stateNotGiven(member: string, { completion }: StatementReply): Fault {
   return fault.create({
     kind: 'overloaded',
     message: `${member} gave no STATE: ${completion.kind === 'fault' ? completion.condition : 'nothing that can be read'}`,
@@ -51,7 +51,7 @@
   { runtime, dialect, tenant, open, opening }: ProberState,
   place: MemberAddress,
   milliseconds: number,
-): Connected {
+): PendingConnection {
   const { member, address } = place;
   const opened = await memberConnection.open(runtime, dialect, place, tenant, milliseconds);
   const isWanted = opening.get(member)?.address === address;
@@ -66,11 +66,11 @@
 }
 
 /** The open connection to a member, or one that is opened now. */
-async function connectionTo(prober: ProberState, place: MemberAddress, milliseconds: number): Connected {
+async function connectionTo(prober: ProberState, place: MemberAddress, milliseconds: number): PendingConnection {
   const { open, opening } = prober;
   const { member, address } = place;
   const known = open.get(member);
-  if (known !== undefined && known.address === address && !known.connection.closed()) return Either.right(known.connection);
+  if (known !== undefined && known.address === address && !known.connection.isClosed()) return Either.right(known.connection);
   known?.connection.close();
   open.delete(member);
   if (address === '') return unreachable(`no beat has told where ${member} is`, 'wait for its beat');
@@ -85,14 +85,14 @@
   const { dialect } = prober;
   const connection = await connectionTo(prober, place, milliseconds);
   if (Either.isLeft(connection)) return connection;
-  const outcome = await connection.right.run([dialect.query(dialect.ownIdentifier, dialect.texts.state)], milliseconds);
+  const outcome = await connection.right.run([dialect.query(dialect.internalIdentifier, dialect.statements.state)], milliseconds);
   const reply = outcome.replies[0];
-  if (!outcome.whole || reply === undefined) {
+  if (!outcome.isComplete || reply === undefined) {
     connection.right.reset();
-    return Either.left(stateLost(place.member));
+    return Either.left(stateReplyLost(place.member));
   }
   const status = reply.completion.kind === 'done' ? dialect.memberStatus(reply.rows) : Option.none;
-  return Option.isSome(status) ? Either.right(status.value) : Either.left(noState(place.member, reply));
+  return Option.isSome(status) ? Either.right(status.value) : Either.left(stateNotGiven(place.member, reply));
 }
 
 /** @param tenant - who the product is to members when it asks for itself */
@@ -107,4 +107,4 @@
   };
 }
 
-export const prober = { create } as const;
+export const memberProber = { create } as const;
--- a/packages/session-protocol/src/reply-assembly.ts
+++ b/packages/session-protocol/src/reply-assembly.ts
@@ -1,11 +1,11 @@
 /** Puts the pieces that a member sends together to replies (design 8.10). */
 import * as Option from 'fp-ts/lib/Option.js';
-import type { Completion, Dialect, Piece, StatementReply } from './dialect.js';
+import type { Completion, Dialect, ReplyMessage, StatementReply } from './dialect.js';
 
 /** @internal */
 export type ReplyAssembly = Readonly<{
   /** Takes one message. An opening is answered by rest alone, a query never. */
-  take: (message: string, isOpening: boolean) => AssemblyStep;
+  addMessage: (message: string, isOpening: boolean) => AssemblyStep;
   /** A rejected opening is a fault and a close, with no rest behind it; none where nothing has arrived. */
   unfinished: () => Option.Option<StatementReply>;
 }>;
@@ -17,33 +17,33 @@
   /** It fits nowhere: the connection is of no use any more. */
   | Readonly<{ kind: 'violation' }>;
 
-const partial: AssemblyStep = { kind: 'partial' };
+const incomplete: AssemblyStep = { kind: 'partial' };
 const violation: AssemblyStep = { kind: 'violation' };
 
 function create(dialect: Dialect): ReplyAssembly {
   let rows: string[] = [];
   let completion: Completion | undefined;
 
-  function complete({ transactionStatus, position }: Extract<Piece, { kind: 'rest' }>): StatementReply {
+  function complete({ transactionStatus, position }: Extract<ReplyMessage, { kind: 'ready' }>): StatementReply {
     const reply: StatementReply = { rows, completion: completion ?? { kind: 'done', stamp: '' }, transactionStatus, position };
     rows = [];
     completion = undefined;
     return reply;
   }
 
-  function takeCompletion(piece: Extract<Piece, { kind: 'completion' }>): AssemblyStep {
+  function addCompletion(piece: Extract<ReplyMessage, { kind: 'completion' }>): AssemblyStep {
     if (completion !== undefined) return violation;
     completion = piece.completion;
-    return partial;
+    return incomplete;
   }
 
-  function take(message: string, isOpening: boolean): AssemblyStep {
-    const piece = dialect.piece(message);
+  function addMessage(message: string, isOpening: boolean): AssemblyStep {
+    const piece = dialect.parseReply(message);
     if (piece.kind === 'unreadable') return violation;
-    if (piece.kind === 'completion') return takeCompletion(piece);
+    if (piece.kind === 'completion') return addCompletion(piece);
     if (piece.kind === 'row') {
       rows.push(piece.raw);
-      return partial;
+      return incomplete;
     }
     // Rest by itself is no reply to a query but a stray one.
     if (isOpening !== (completion === undefined)) return violation;
@@ -55,7 +55,7 @@
     return Option.some({ rows, completion, transactionStatus: 'idle', position: Option.none });
   }
 
-  return { take, unfinished };
+  return { addMessage: addMessage, unfinished };
 }
 
 /** @internal */
--- a/packages/simulator/pooled-mutations.mjs
+++ b/packages/simulator/pooled-mutations.mjs
@@ -8,11 +8,11 @@
 import { checkGuards, copyOf, lineOf, takeOut } from './mutation-tool.mjs';
 
 const root = path.resolve(path.dirname(fileURLToPath(import.meta.url)), '../..');
-const placement = 'pooler/build/placement.js';
-const passes = 'pooler/build/passes.js';
-const exchange = 'pooler/build/exchange.js';
-const copies = 'pooler/build/copies.js';
-const outageCopies = 'pooler/build/outage-copies.js';
+const memberSelection = 'pooler/build/member-selection.js';
+const routingSteps = 'pooler/build/routing-steps.js';
+const statementExecution = 'pooler/build/statement-execution.js';
+const cachedReplies = 'pooler/build/cached-replies.js';
+const outageCache = 'pooler/build/outage-cache.js';
 const lag = ['replica-deaf', 'replica-crashed'];
 const orders = ['orders-raced-on-one-number', 'orders-resent', 'order-numbers-reused', 'acknowledgements-lost', 'orders-raced-in-trouble'];
 const sends = ['configuration-changed', 'key-withdrawn'];
@@ -22,8 +22,8 @@
     story: 'deposed',
     expect: 'stale',
     only: ['primary-and-edge-cut'],
-    file: placement,
-    from: '|| runtime.clock.now() >= leader.until',
+    file: memberSelection,
+    from: '|| runtime.clock.now() >= leader.leaseEnd',
     to: '',
   },
   {
@@ -31,8 +31,8 @@
     story: 'lost on a commit',
     expect: 'refused|twice',
     only: ['replies-lost'],
-    file: exchange,
-    from: 'if (request.commit || (request.writes && Option.isNone(request.transaction))) {',
+    file: statementExecution,
+    from: 'if (request.commits || (request.writes && Option.isNone(request.transaction))) {',
     to: 'if (false) {',
   },
   {
@@ -40,7 +40,7 @@
     story: 'drained member',
     expect: 'draining',
     only: ['primary-draining', 'replica-draining'],
-    file: placement,
+    file: memberSelection,
     from: '!entry.draining && ',
     to: '',
   },
@@ -48,22 +48,22 @@
     name: 'any-replica-is-fresh',
     expect: 'stale',
     only: lag,
-    file: placement,
-    from: 'freshness.covering(database.service, bound)',
+    file: memberSelection,
+    from: 'freshness.positionCovering(database.service, bound)',
     to: 'Option.some({ term: 0, number: 0 })',
   },
-  { name: 'own-commit-forgotten', expect: 'stale', only: lag, file: placement, from: "database.reads === 'own' ?", to: 'false ?' },
+  { name: 'own-commit-forgotten', expect: 'stale', only: lag, file: memberSelection, from: "database.reads === 'own' ?", to: 'false ?' },
   {
     name: 'position-learnt-from-anyone',
     story: 'bounded age',
-    file: exchange,
-    from: 'if (leader && wasLed(exchange, record, sentAt) && Option.isSome(replied.position))',
+    file: statementExecution,
+    from: 'if (leader && wasLeaseValid(exchange, record, sentAt) && Option.isSome(replied.position))',
     to: 'if (Option.isSome(replied.position))',
   },
   {
     name: 'moved-database-not-followed',
     story: 'follows it',
-    file: passes,
+    file: routingSteps,
     from: '{ ...record, request: { ...request, database } }',
     to: 'record',
   },
@@ -71,15 +71,15 @@
     name: 'abandoned-transaction-given-on',
     story: 'leaves nothing on its connection',
     file: 'pooler/build/transactions.js',
-    from: 'connections.giveBack(pooled, false);',
-    to: 'connections.giveBack(pooled, true);',
+    from: 'connections.release(pooled, false);',
+    to: 'connections.release(pooled, true);',
   },
   {
     name: 'every-statement-counted',
     expect: 'usage',
     only: sends,
-    file: exchange,
-    from: 'if (begins && record.attempts === 1 && !request.copying)',
+    file: statementExecution,
+    from: 'if (begins && record.attempts === 1 && !request.fillsCache)',
     to: 'if (true)',
   },
   {
@@ -88,8 +88,8 @@
     expect: 'configuration|route',
     only: sends,
     file: 'pooler/build/admission.js',
-    from: 'const tenant = view.tenants.get(key);',
-    to: "const tenant = view.tenants.get(key) ?? { tenant: 'tenant-one' };",
+    from: 'const tenant = view.tenantsByKey.get(key);',
+    to: "const tenant = view.tenantsByKey.get(key) ?? { tenant: 'tenant-one' };",
   },
   {
     name: 'rest-not-ended',
@@ -110,8 +110,8 @@
     story: 'ends as planned',
     expect: 'planned-end',
     only: ['edge-drained'],
-    file: 'pooler/build/clients.js',
-    from: '&& !waits',
+    file: 'pooler/build/client-table.js',
+    from: '&& !awaitsReply',
     to: '',
   },
   {
@@ -159,7 +159,7 @@
     expect: 'pinned',
     only: sends,
     file: 'pooler/build/sessions.js',
-    from: 'if (foreign ||',
+    from: 'if (hasOtherValues ||',
     to: 'if (false ||',
   },
   {
@@ -176,7 +176,7 @@
     expect: 'route',
     only: sends,
     file: 'pooler/build/member-connections.js',
-    from: 'one.pooled.tenant !== tenant || ',
+    from: 'idle.pooled.tenant !== tenant || ',
     to: '',
   },
   {
@@ -312,82 +312,82 @@
   {
     name: 'copy-before-its-window',
     story: 'Before its window',
-    file: outageCopies,
+    file: outageCache,
     from: 'wall >= window.from && wall < window.to',
     to: 'wall < window.to',
   },
   {
     name: 'copy-after-its-window',
     story: 'clock that is set on',
-    file: outageCopies,
+    file: outageCache,
     from: 'wall >= window.from && wall < window.to + outageGraceMilliseconds',
     to: 'wall >= window.from',
   },
   {
     name: 'copy-not-dropped',
     story: 'copy is gone',
-    file: copies,
+    file: cachedReplies,
     from: 'wall - outageGraceMilliseconds, wall',
     to: 'wall - 10 * outageGraceMilliseconds, wall',
   },
   {
     name: 'copies-of-all-tenants',
     story: "Another tenant's copy",
-    file: outageCopies,
+    file: outageCache,
     from: 'request.database.database, request.tenant, values',
     to: 'request.database.database, values',
   },
   {
     name: 'copies-under-any-values',
     story: 'other session values',
-    file: outageCopies,
+    file: outageCache,
     from: 'request.tenant, values, text',
     to: 'request.tenant, text',
   },
-  { name: 'incomplete-copy-used', story: 'not completed', file: outageCopies, from: '!held.complete || !isOpen', to: '!isOpen' },
+  { name: 'incomplete-copy-used', story: 'not completed', file: outageCache, from: '!cache.isComplete || !isOpen', to: '!isOpen' },
   {
     name: 'copy-filled-in-its-window',
     story: 'not finished in it',
-    file: outageCopies,
+    file: outageCache,
     from: 'outage.holdMilliseconds && wall < window.from',
     to: 'outage.holdMilliseconds',
   },
-  { name: 'own-commit-not-in-copy', story: 'own commit after the copy', file: outageCopies, from: 'own === undefined ||', to: 'true ||' },
+  { name: 'own-commit-not-in-copy', story: 'own commit after the copy', file: outageCache, from: 'ownCommit === undefined ||', to: 'true ||' },
   {
     name: 'unknown-commit-not-in-copy',
     story: 'unknown end',
-    file: outageCopies,
-    from: 'if (request.session.unsettled)',
+    file: outageCache,
+    from: 'if (request.session.hasUnknownOutcome)',
     to: 'if (false)',
   },
-  { name: 'write-from-a-copy', story: 'settles nothing', file: outageCopies, from: '!request.writes &&', to: '' },
-  { name: 'transaction-from-a-copy', story: 'settles nothing', file: outageCopies, from: 'Option.isNone(request.transaction) &&', to: '' },
+  { name: 'write-from-a-copy', story: 'settles nothing', file: outageCache, from: '!request.writes &&', to: '' },
+  { name: 'transaction-from-a-copy', story: 'settles nothing', file: outageCache, from: 'Option.isNone(request.transaction) &&', to: '' },
   {
     name: 'leader-read-from-a-copy',
     story: 'settles nothing',
-    file: outageCopies,
+    file: outageCache,
     from: "request.database.reads !== 'leader' &&",
     to: '',
   },
   {
     name: 'any-database-held',
     story: 'settles nothing',
-    file: outageCopies,
+    file: outageCache,
     from: 'outage.databases.includes(request.database.database)',
     to: 'true',
   },
   {
     name: 'moved-database-from-its-copy',
     story: 'has moved since',
-    file: outageCopies,
-    from: 'copied.service !== request.database.service || ',
+    file: outageCache,
+    from: 'cached.service !== request.database.service || ',
     to: '',
   },
-  { name: 'any-edge-holds', story: "doesn't name", file: copies, from: 'outage.nodes.includes(known.node)', to: 'true' },
+  { name: 'any-edge-holds', story: "doesn't name", file: cachedReplies, from: 'outage.nodes.includes(view.node)', to: 'true' },
   {
     name: 'copies-without-bound',
     story: 'within its bound',
-    file: outageCopies,
+    file: outageCache,
     from: 'maxSize: outage.mostBytes',
     to: 'maxSize: 1_000_000',
   },
@@ -395,16 +395,16 @@
     name: 'copy-of-a-copy',
     story: 'never made from another copy',
     file: 'pooler/build/rejection.js',
-    from: 'record.request.copying || ',
+    from: 'record.request.fillsCache || ',
     to: '',
   },
-  { name: 'copying-counted-as-usage', story: "nobody's usage", file: exchange, from: ' && !request.copying', to: '' },
+  { name: 'copying-counted-as-usage', story: "nobody's usage", file: statementExecution, from: ' && !request.fillsCache', to: '' },
   {
     name: 'copy-before-any-member',
     story: 'can be placed goes to a member',
-    file: passes,
-    from: 'const target = placement.target(record);',
-    to: "if (parts.copies.open(record.request))\n        return rejection.rejectUnplaced(record, 'read-only', '');\n    const target = placement.target(record);",
+    file: routingSteps,
+    from: 'const target = selection.selectTarget(record);',
+    to: "if (parts.cachedReplies.isOutageOpen(record.request))\n        return rejection.rejectUnreachable(record, 'read-only', '');\n    const target = selection.selectTarget(record);",
   },
   {
     name: 'overlapping-windows-taken',
@@ -705,7 +705,7 @@
     name: 'old-news-of-draining-is-new',
     story: 'An edge that starts while a primary drains',
     file: 'pooler/build/view.js',
-    from: 'leader?.primary === entry.member && leader.until > now ? now : never',
+    from: 'leader?.primary === entry.member && leader.leaseEnd > now ? now : never',
     to: 'now',
   },
   {
--- a/packages/simulator/src/pooled-adapter.ts
+++ b/packages/simulator/src/pooled-adapter.ts
@@ -5,7 +5,7 @@
 import { http, type HttpRoute, type HttpReply, type Runtime } from '@stallstall/kernel';
 import type { Registration } from '@stallstall/member-registry';
 import { plainDialect } from '@stallstall/fakes';
-import { prober } from '@stallstall/session-protocol';
+import { memberProber } from '@stallstall/session-protocol';
 import { ownTenant } from './pooled-model.js';
 
 /** A member must be heard by whoever takes its beats before it counts; a platformApi that cannot be of use turns it away. */
@@ -66,7 +66,7 @@
 };
 
 function memberProbe(runtime: Runtime): MemberProbe {
-  const probes = prober.create(runtime, plainDialect, ownTenant);
+  const probes = memberProber.create(runtime, plainDialect, ownTenant);
   return {
     ensureConnection: probes.ensureConnection,
     readState: async function ask(service, member, address, milliseconds) {
--- a/packages/simulator/src/pooled-fleet.ts
+++ b/packages/simulator/src/pooled-fleet.ts
@@ -193,10 +193,10 @@
     slot.proxyProcess = world.spawn(`${slot.name}/proxy`, slot.machine);
     slot.proxy = await pooler.start(
       slot.proxyProcess.runtime,
-      { address, outward, feed, graceMilliseconds },
+      { clientAddress: address, readinessAddress: outward, agentAddress: feed, graceMilliseconds },
       {
         dialect: plainDialect,
-        pages: (ready) => [{ method: 'GET', path: '/ready', handle: async () => ({ status: ready() ? 200 : 503, body: {} }) }],
+        readinessRoutes: (ready) => [{ method: 'GET', path: '/ready', handle: async () => ({ status: ready() ? 200 : 503, body: {} }) }],
       },
     );
   }
--- a/packages/simulator/src/wires.ts
+++ b/packages/simulator/src/wires.ts
@@ -175,10 +175,10 @@
       const piece = await stream.read();
       if (Option.isNone(piece)) return;
       for (const message of framer.push(piece.value).messages) {
-        const incoming = plainDialect.incoming(message);
-        if (incoming.kind === 'open') stream.write(plainDialect.idle('idle', Option.none));
+        const incoming = plainDialect.parseRequest(message);
+        if (incoming.kind === 'open') stream.write(plainDialect.ready('idle', Option.none));
         if (incoming.kind === 'open' && runtime.randomness.fraction() < troubles.duplicate)
-          stream.write(plainDialect.idle('idle', Option.none));
+          stream.write(plainDialect.ready('idle', Option.none));
         if (incoming.kind !== 'query') continue;
         carriedOut(incoming.identifier);
         const { identifier } = incoming;
@@ -219,8 +219,8 @@
   async function ask(line: MemberConnection, identifier: string): Promise<void> {
     const ran = await line.run([plainDialect.query(identifier, 'get x')], callMilliseconds);
     const reply = ran.replies[0];
-    if (!ran.whole) {
-      if (!line.closed()) violations.push(`the line of ${identifier} is used again with its question open`);
+    if (!ran.isComplete) {
+      if (!line.isClosed()) violations.push(`the line of ${identifier} is used again with its question open`);
       return;
     }
     replied += 1;
@@ -232,7 +232,7 @@
   async function askAll(): Promise<void> {
     let line: MemberConnection | undefined;
     for (let number = 1; number <= lineQueries; number += 1) {
-      if (line === undefined || line.closed()) line = await opened();
+      if (line === undefined || line.isClosed()) line = await opened();
       if (line !== undefined) await ask(line, `q${number}`);
       await near.clock.sleep(near.randomness.fraction() * restMilliseconds);
     }
