--- a/packages/pooler/src/placement-feed.ts
+++ b/packages/pooler/src/placement-feed.ts
@@ -115,7 +115,7 @@
   async function run(): Promise<void> {
     while (!parts.stopped()) {
       const hold = isLeaderMissing(state.view, runtime.clock.now(), connections) ? leaderlessHoldMilliseconds : holdMilliseconds;
-      const fed = agent.connected() && (await refresh(hold));
+      const fed = agent.isConnected() && (await refresh(hold));
       if (!fed) await runtime.clock.sleep(retryMilliseconds);
     }
   }
--- a/packages/pooler/src/pooler.ts
+++ b/packages/pooler/src/pooler.ts
@@ -160,7 +160,7 @@
 
 async function reportUsage({ runtime, agent, usage, feed, lifecycle }: Assembly): Promise<void> {
   while (!lifecycle.stopped) {
-    if (agent.connected()) await usage.report();
+    if (agent.isConnected()) await usage.report();
     const edges = Object.values(feed.view().edgesByArea).reduce((sum, count) => sum + count, 0);
     const pause = Math.max(reportUsageMilliseconds, edges * reportUsageEdgeMilliseconds);
     await runtime.clock.sleep(Math.min(maximumReportUsageMilliseconds, pause));
--- a/packages/simulator/pooled-mutations.mjs
+++ b/packages/simulator/pooled-mutations.mjs
@@ -352,7 +352,13 @@
     from: 'outage.holdMilliseconds && wall < window.from',
     to: 'outage.holdMilliseconds',
   },
-  { name: 'own-commit-not-in-copy', story: 'own commit after the copy', file: outageCache, from: 'ownCommit === undefined ||', to: 'true ||' },
+  {
+    name: 'own-commit-not-in-copy',
+    story: 'own commit after the copy',
+    file: outageCache,
+    from: 'ownCommit === undefined ||',
+    to: 'true ||',
+  },
   {
     name: 'unknown-commit-not-in-copy',
     story: 'unknown end',
