--- a/packages/runtime/src/clock.ts
+++ b/packages/runtime/src/clock.ts
@@ -1,20 +1,20 @@
-/** A real machine's clocks (design 2.2). */
+/** The clocks of a real host (design 2.2). */
 import { identifiers, wallClock, type Clock, type WallTime } from '@stallstall/kernel';
 
-/** Made when first asked: a program that starts from a snapshot must not go by the time at which that was built. */
-let anchored: (() => WallTime) | undefined;
+/** Created on first use: a program started from a snapshot must not use the time at which the snapshot was built. */
+let anchoredWallClock: (() => WallTime) | undefined;
 
-function steady(): ReturnType<Clock['now']> {
+function monotonic(): ReturnType<Clock['now']> {
   return identifiers.instant(performance.now());
 }
 
 function wall(): WallTime {
-  anchored ??= wallClock.create(steady, () => identifiers.wallTime(Date.now()));
-  return anchored();
+  anchoredWallClock ??= wallClock.create(monotonic, () => identifiers.wallTime(Date.now()));
+  return anchoredWallClock();
 }
 
 export const clock: Clock = {
-  now: steady,
+  now: monotonic,
   wall,
   startTimer: function startTimer(milliseconds, action) {
     const timer = setTimeout(action, milliseconds);
--- a/packages/runtime/src/disk-space-probe.ts
+++ b/packages/runtime/src/disk-space-probe.ts
@@ -1,8 +1,8 @@
 /**
- * Tries whether a disk takes bytes, before lmdb has to find out (design 5.1).
+ * Checks that a disk accepts writes before lmdb writes to it (design 5.1).
  *
- * lmdb 3.5 formats the error of a failed write into a buffer that may be too short for it, and so spoils the heap of the process: a disk
- * that takes nothing must be noticed before a commit is begun, not by a commit that fails.
+ * lmdb 3.5 formats the error of a failed write into a buffer that may be too short, which corrupts the heap of the process. A full disk must
+ * therefore be detected before a commit is started, not by a failing commit.
  */
 import fs from 'node:fs';
 import path from 'node:path';
@@ -11,18 +11,18 @@
 import { fault, type Fault } from '@stallstall/kernel';
 
 export type DiskSpaceProbe = Readonly<{
-  /** Whether the disk takes a few bytes now; cheap enough to be asked before every commit. */
+  /** Whether the disk accepts a few bytes; cheap enough to run before every commit. */
   check: () => Promise<Either.Either<Fault, null>>;
-  /** Whether it takes and syncs so many bytes: asked of a disk that has failed. */
-  prove: (bytes: number) => Promise<Either.Either<Fault, null>>;
+  /** Whether the disk accepts and syncs this many bytes; run when the store is opened and after a failure. */
+  testWrite: (bytes: number) => Promise<Either.Either<Fault, null>>;
   close: () => void;
 }>;
 
-const name = 'room';
+const fileName = 'room';
 const checkBytes = 64;
-const leastProofBytes = 16 * 1024;
-/** Less free space than this is none: a commit may take more than it puts. */
-const leastFreeBytes = 2 * 1024 * 1024;
+const minTestBytes = 16 * 1024;
+/** With less free space the disk counts as full, since a commit may need more space than its puts. */
+const minFreeBytes = 2 * 1024 * 1024;
 const freeSpaceCheckMilliseconds = 1_000;
 
 const write = promisify(fs.write);
@@ -30,26 +30,26 @@
 const sync = promisify(fs.fdatasync);
 
 function diskFull(cause: Error): Fault {
-  return fault.diskFailed('what is put', cause);
+  return fault.diskFailed('the put', cause);
 }
 
-/** Opens the file of a folder that is written for this alone. */
+/** Opens the probe's own file in a folder. */
 function open(folder: string): DiskSpaceProbe {
-  const file = fs.openSync(path.join(folder, name), 'w');
+  const file = fs.openSync(path.join(folder, fileName), 'w');
   const sample = Buffer.alloc(checkBytes);
   let checkedAt = Number.NEGATIVE_INFINITY;
 
   async function writeAll(bytes: Buffer): Promise<void> {
     const { bytesWritten } = await write(file, bytes, 0, bytes.length, 0);
-    if (bytesWritten !== bytes.length) throw new Error('the disk took only a part');
+    if (bytesWritten !== bytes.length) throw new Error('the disk accepted only a part of the bytes');
   }
 
-  /** Asked of the system now and then; where it does not tell, the write alone decides. */
+  /** Checks the free space at intervals; where the file system does not report it, only the write counts. */
   async function checkFreeSpace(): Promise<void> {
     if (performance.now() - checkedAt < freeSpaceCheckMilliseconds) return;
     const space = await fs.promises.statfs(folder).catch(() => undefined);
-    if (space !== undefined && space.blocks > 0 && space.bavail * space.bsize < leastFreeBytes)
-      throw new Error(`${space.bavail * space.bsize} bytes are free`);
+    if (space !== undefined && space.blocks > 0 && space.bavail * space.bsize < minFreeBytes)
+      throw new Error(`only ${space.bavail * space.bsize} bytes are free`);
     checkedAt = performance.now();
   }
 
@@ -69,11 +69,11 @@
         await checkFreeSpace();
         await writeAll(sample);
       }),
-    prove: (bytes) =>
-      attempt(async function prove() {
+    testWrite: (bytes) =>
+      attempt(async function testWrite() {
         await checkFreeSpace();
         await truncate(file, 0);
-        await writeAll(Buffer.alloc(Math.max(bytes, leastProofBytes)));
+        await writeAll(Buffer.alloc(Math.max(bytes, minTestBytes)));
         await sync(file);
       }),
     close: () => fs.closeSync(file),
--- a/packages/runtime/src/disk.ts
+++ b/packages/runtime/src/disk.ts
@@ -1,4 +1,4 @@
-/** Opens the disk of a core: lmdb with each put awaited until it is synced (design 5.1). Its file map is private to this process. */
+/** Opens the disk of a core: an lmdb store whose puts resolve once they are synced (design 5.1). No other process maps the store's file. */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { fault, type Disk, type Fault } from '@stallstall/kernel';
@@ -14,7 +14,7 @@
 
 const retryMilliseconds = 250;
 
-/** Claims the folder, or closes what was opened of it. */
+/** Locks the folder for this process; closes the store if that fails. */
 async function claimOrClose(folder: string, close: () => Promise<void>): Promise<Either.Either<Fault, null>> {
   try {
     const claimed = folderLock.claim(folder);
@@ -26,25 +26,25 @@
   }
 }
 
-/** The store is opened only once the disk has shown that it takes bytes: lmdb may end the process where it does not. */
+/** Opens the store after a test write: on a disk that accepts no bytes, lmdb may crash the process. */
 async function openWith(folder: string, openStore: OpenStore, probe: DiskSpaceProbe): Promise<Either.Either<Fault, Disk>> {
   const wasUsed = folderLock.wasClaimed(folder);
-  const proven = await probe.prove(0);
-  if (Either.isLeft(proven)) return proven;
+  const tested = await probe.testWrite(0);
+  if (Either.isLeft(tested)) return tested;
   const store = await lmdbStore.openOrReplace(folder, openStore, wasUsed);
   const claimed = await claimOrClose(folder, () => store.close());
   return Either.isLeft(claimed) ? claimed : Either.right(storedDisk.create(folder, openStore, probe, store));
 }
 
 /**
- * Opens the store in a folder. One that cannot be used is moved aside for an empty one: its core then copies the others. Errors:
- * `disk-failed`, which may pass; `foreign-disk`, for an operator.
+ * Opens the store in a folder. An unusable store is moved aside and replaced by an empty one, which the core then fills from other cores.
+ * Errors: `disk-failed`, which may be transient; `foreign-disk`, which needs an operator.
  */
 async function open(folder: string, openStore: OpenStore = lmdbStore.openLmdb): Promise<Either.Either<Fault, Disk>> {
   try {
-    storeFile.makeFolder(folder);
-    const held = folderLock.heldByAnother(folder);
-    if (Option.isSome(held)) return Either.left(held.value);
+    storeFile.createFolder(folder);
+    const conflict = folderLock.heldByAnother(folder);
+    if (Option.isSome(conflict)) return Either.left(conflict.value);
     const probe = diskSpaceProbe.open(folder);
     const opened = await openWith(folder, openStore, probe);
     if (Either.isLeft(opened)) probe.close();
@@ -54,7 +54,7 @@
   }
 }
 
-/** Opens a folder whose disk may be full as this process starts: retries until it takes bytes, and calls `onTrouble` once. */
+/** Opens a folder whose disk may be full when this process starts: retries until the disk works; `onTrouble` is called once. */
 async function openWhenWorking(
   folder: string,
   onTrouble: (reason: Fault) => void,
--- a/packages/runtime/src/enable-logging.ts
+++ b/packages/runtime/src/enable-logging.ts
@@ -1,2 +1,2 @@
-/** The log's library looks once, as it is loaded, whether it is to write at all (design 2.2). */
+/** To be imported before roarr, which reads this variable only when it is loaded (design 2.2). */
 process.env['ROARR_LOG'] = 'true';
--- a/packages/runtime/src/fastify-server.ts
+++ b/packages/runtime/src/fastify-server.ts
@@ -1,22 +1,22 @@
-/** An HTTP server through fastify (design 2.2). */
+/** An HTTP server based on fastify (design 2.2). */
 import fastify, { type FastifyInstance } from 'fastify';
 import { fault, http, type Address, type Fault, type HttpReply, type HttpRoute, type HttpServer, type Listening } from '@stallstall/kernel';
 import { connectionNames } from './connection-names.js';
-import { badBody, bodyTooLarge, longestBody } from './minimal-http-body.js';
+import { badBody, bodyTooLarge, maxBodyBytes } from './minimal-http-body.js';
 import { sockets } from './sockets.js';
 
 const keepAliveMilliseconds = 600_000;
-const longestParameter = 300;
+const maxParameterLength = 300;
 const jsonRemedy = 'send HTTP/1.1 with a JSON body';
 
-/** The fault that an error of fastify stands for. */
+/** The fault for an error that fastify reports. */
 function faultOf(error: Error & { readonly statusCode?: number }): Fault {
   const status = error.statusCode ?? 500;
   if (status === 413) return bodyTooLarge();
   return status < 500 ? badBody(error, jsonRemedy) : fault.create({ kind: 'internal', message: error.message, remedy: jsonRemedy });
 }
 
-function answerErrors(app: FastifyInstance): void {
+function handleErrors(app: FastifyInstance): void {
   app.setErrorHandler(async function onError(error, _request, response) {
     const reply = http.rejected(faultOf(error as Error));
     await response.status(reply.status).send(reply.body);
@@ -49,16 +49,16 @@
   });
 }
 
-/** Resolves once the address is listened on. @internal */
+/** Resolves once the server is listening. @internal */
 export async function serve(address: Address, server: HttpServer): Promise<Listening> {
   const app: FastifyInstance = fastify({
-    bodyLimit: longestBody,
+    bodyLimit: maxBodyBytes,
     keepAliveTimeout: keepAliveMilliseconds,
     forceCloseConnections: true,
-    routerOptions: { maxParamLength: longestParameter },
+    routerOptions: { maxParamLength: maxParameterLength },
   });
   const nameOf = connectionNames(address, server.connectionClosed);
-  answerErrors(app);
+  handleErrors(app);
   for (const route of server.routes) addRoute(app, route, nameOf);
   await app.listen(sockets.hostAndPort(address));
   return {
--- a/packages/runtime/src/index.ts
+++ b/packages/runtime/src/index.ts
@@ -1,4 +1,4 @@
-/** A real machine's runtime, with the libraries of the command line (design 2.2). */
+/** The runtime of a real host, with the HTTP libraries that the command line uses (design 2.2). */
 import type * as Option from 'fp-ts/lib/Option.js';
 import type { Disk, Runtime } from '@stallstall/kernel';
 import { hostRuntime } from './host-runtime.js';
--- a/packages/runtime/src/links.ts
+++ b/packages/runtime/src/links.ts
@@ -1,4 +1,4 @@
-/** Links of a real machine: one JSON value a line, in order, over one socket (design 2.2). */
+/** Links of a real host: ordered messages over one socket, each a JSON value on a line (design 2.2). */
 import type net from 'node:net';
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
@@ -7,16 +7,16 @@
 
 type LinkState = {
   readonly socket: net.Socket;
-  /** Messages that nobody has received yet. */
-  readonly arrived: unknown[];
+  /** Messages that were not received by the user of the link yet. */
+  readonly unreceived: unknown[];
   receiver: ((message: Option.Option<unknown>) => void) | undefined;
-  /** The beginning of a line whose end has not arrived yet. */
+  /** The beginning of an incomplete line. */
   partialLine: string;
   isOpen: boolean;
 };
 
-/** A longer line ends the link. Unit: characters. */
-const longestLine = 8 * 1024 * 1024;
+/** A longer line closes the link. Unit: characters. */
+const maxLineLength = 8 * 1024 * 1024;
 
 function end(link: LinkState, closeSocket: () => void): void {
   if (!link.isOpen) return;
@@ -34,7 +34,7 @@
   end(link, () => link.socket.resetAndDestroy());
 }
 
-function takeLine(link: LinkState, line: string): void {
+function handleLine(link: LinkState, line: string): void {
   let message: unknown;
   try {
     message = JSON.parse(line);
@@ -44,30 +44,30 @@
   }
   const { receiver } = link;
   link.receiver = undefined;
-  if (receiver === undefined) link.arrived.push(message);
+  if (receiver === undefined) link.unreceived.push(message);
   else receiver(Option.some(message));
 }
 
-function takeChunk(link: LinkState, chunk: string): void {
+function handleChunk(link: LinkState, chunk: string): void {
   const lines = (link.partialLine + chunk).split('\n');
   link.partialLine = lines.pop() ?? '';
-  if (link.partialLine.length > longestLine) close(link);
-  for (const line of lines) if (link.isOpen) takeLine(link, line);
+  if (link.partialLine.length > maxLineLength) close(link);
+  for (const line of lines) if (link.isOpen) handleLine(link, line);
 }
 
 function receive(link: LinkState): Promise<Option.Option<unknown>> {
-  if (link.arrived.length > 0) return Promise.resolve(Option.some(link.arrived.shift()));
+  if (link.unreceived.length > 0) return Promise.resolve(Option.some(link.unreceived.shift()));
   if (!link.isOpen) return Promise.resolve(Option.none);
   return new Promise(function wait(resolve) {
     link.receiver = resolve;
   });
 }
 
-function linkOver(socket: net.Socket): Link {
-  const link: LinkState = { socket, arrived: [], receiver: undefined, partialLine: '', isOpen: true };
+function createLink(socket: net.Socket): Link {
+  const link: LinkState = { socket, unreceived: [], receiver: undefined, partialLine: '', isOpen: true };
   socket.setNoDelay(true);
   socket.setEncoding('utf8');
-  socket.on('data', (chunk: string) => takeChunk(link, chunk));
+  socket.on('data', (chunk: string) => handleChunk(link, chunk));
   socket.on('close', () => close(link));
   socket.on('error', () => close(link));
   return {
@@ -81,13 +81,13 @@
 }
 
 function listen(address: Address, onLink: (link: Link) => void): Promise<Listening> {
-  return sockets.listen({ address, onSocket: (socket) => onLink(linkOver(socket)) });
+  return sockets.listen({ address, onSocket: (socket) => onLink(createLink(socket)) });
 }
 
 /** Errors: `unreachable`. */
 async function open(address: Address): Promise<Either.Either<Fault, Link>> {
   const connected = await sockets.connect(address, connectMilliseconds, (error) => sockets.unreachable(address, error));
-  return Either.map(linkOver)(connected);
+  return Either.map(createLink)(connected);
 }
 
 /** @internal */
--- a/packages/runtime/src/lmdb-store.ts
+++ b/packages/runtime/src/lmdb-store.ts
@@ -1,4 +1,4 @@
-/** The store of a data folder in lmdb: opened as it is, or replaced by an empty one where it cannot be used (design 4.3, 5.1). */
+/** The lmdb store of a data folder: opened, or replaced by an empty one if it is unusable (design 4.3, 5.1). */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { fault, type Fault } from '@stallstall/kernel';
@@ -6,22 +6,22 @@
 import { putsKey, type Store } from './commit-queue.js';
 import { storeFile } from './store-file.js';
 
-/** Opens a store of lmdb; another one takes its place where a failing disk is to be seen. */
+/** Opens an lmdb store. Tests replace it to simulate a failing disk. */
 export type OpenStore = (file: string) => Store;
 
-/** Why the store before this one was given up. */
-export const lostKey = '#lost';
-/** Keys that begin so are this package's own. */
-export const ownPrefix = '#';
+/** Key of the reason why the previous store was discarded. */
+export const lossReasonKey = '#lost';
+/** Prefix of the internal keys of this package. */
+export const internalKeyPrefix = '#';
 
-/** What the system says of a disk that may take bytes again later. */
-const passingCodes = new Set(['ENOSPC', 'EDQUOT', 'EIO', 'EFBIG', 'EROFS']);
+/** Error codes of disk faults that may be transient. */
+const transientCodes = new Set(['ENOSPC', 'EDQUOT', 'EIO', 'EFBIG', 'EROFS']);
 
-function isPassing(error: unknown): boolean {
-  return passingCodes.has((error as NodeJS.ErrnoException).code ?? '');
+function isTransient(error: unknown): boolean {
+  return transientCodes.has((error as NodeJS.ErrnoException).code ?? '');
 }
 
-/** Without batches of its own: lmdb drops the promises of these, and their rejections would end the process. */
+/** Disables lmdb's implicit batches: it drops their promises, and an unhandled rejection would end the process. */
 function openLmdb(file: string): Store {
   return openDatabase<unknown, string>({
     path: file,
@@ -32,25 +32,25 @@
   });
 }
 
-/** `disk-failed` where it may pass, `foreign-disk` for an operator. */
+/** `disk-failed` for a fault that may be transient, `foreign-disk` for one that needs an operator. */
 function cannotOpen(error: Error): Fault {
-  if (isPassing(error)) return fault.diskFailed('the data folder', error);
+  if (isTransient(error)) return fault.diskFailed('the data folder', error);
   return fault.create({
     kind: 'foreign-disk',
     message: `the data folder cannot be opened: ${error.message}`,
-    remedy: 'see that it is a folder and can be written',
+    remedy: 'check that it is a folder and that this process may write to it',
     cause: error,
   });
 }
 
-/** Creates a store that holds its count of puts from the first, so that one without a count is known as broken. */
-async function createEmpty(folder: string, openStore: OpenStore, lost: Option.Option<string>): Promise<void> {
-  await storeFile.make(folder, async function fill(file) {
+/** Creates a store with a put count of 0, so that a store without a count can be recognised as damaged. */
+async function createEmpty(folder: string, openStore: OpenStore, lossReason: Option.Option<string>): Promise<void> {
+  await storeFile.createAtomically(folder, async function fill(file) {
     const created = openStore(file);
     try {
-      await created.batch(function first() {
+      await created.batch(function initialize() {
         void created.put(putsKey, 0);
-        if (Option.isSome(lost)) void created.put(lostKey, lost.value);
+        if (Option.isSome(lossReason)) void created.put(lossReasonKey, lossReason.value);
       });
     } finally {
       await created.close();
@@ -58,32 +58,32 @@
   });
 }
 
-/** The store in this folder as it can be used; left with why there is none, or with nothing where there never was one. */
+/** Opens the store in a folder. Left: why an existing store cannot be used, or none if there never was a store. */
 function openExisting(folder: string, openStore: OpenStore, wasUsed: boolean): Either.Either<Option.Option<string>, Store> {
   const state = storeFile.inspect(folder);
-  // The lock is written once the first store is there: a folder with a lock and no store has lost it.
-  if (state === 'missing') return Either.left(wasUsed ? Option.some('its file is missing') : Option.none);
-  if (state === 'broken') return Either.left(Option.some('its first pages are damaged'));
+  // The lock file is written after the first store was created, so a folder with a lock file and no store has lost its store.
+  if (state === 'missing') return Either.left(wasUsed ? Option.some('the store file is missing') : Option.none);
+  if (state === 'broken') return Either.left(Option.some('the first pages of the store are damaged'));
   try {
     const store = openStore(storeFile.pathOf(folder));
-    return typeof store.get(putsKey) === 'number' ? Either.right(store) : Either.left(Option.some('its count of puts is missing'));
+    return typeof store.get(putsKey) === 'number' ? Either.right(store) : Either.left(Option.some('the put count of the store is missing'));
   } catch (error) {
-    if (isPassing(error)) throw error;
+    if (isTransient(error)) throw error;
     return Either.left(Option.some((error as Error).message));
   }
 }
 
-/** Moves the store aside and opens an empty one in its place. */
-async function replace(folder: string, openStore: OpenStore, lost: Option.Option<string>): Promise<Store> {
-  storeFile.setAside(folder);
-  await createEmpty(folder, openStore, lost);
+/** Moves the store aside and opens a new, empty one. */
+async function replace(folder: string, openStore: OpenStore, lossReason: Option.Option<string>): Promise<Store> {
+  storeFile.moveAside(folder);
+  await createEmpty(folder, openStore, lossReason);
   return openStore(storeFile.pathOf(folder));
 }
 
-/** @param wasUsed - whether any process has ever held the folder */
+/** @param wasUsed - whether any process has ever locked the folder */
 async function openOrReplace(folder: string, openStore: OpenStore, wasUsed: boolean): Promise<Store> {
-  const found = openExisting(folder, openStore, wasUsed);
-  return Either.isRight(found) ? found.right : replace(folder, openStore, found.left);
+  const existing = openExisting(folder, openStore, wasUsed);
+  return Either.isRight(existing) ? existing.right : replace(folder, openStore, existing.left);
 }
 
 /** @internal */
--- a/packages/runtime/src/minimal-http-body.ts
+++ b/packages/runtime/src/minimal-http-body.ts
@@ -1,17 +1,21 @@
-/** Reads JSON bodies with the HTTP of the runtime. */
+/** Reads JSON bodies of messages of Node.js's HTTP module. */
 import type http from 'node:http';
 import * as Either from 'fp-ts/lib/Either.js';
 import { fault, type Fault } from '@stallstall/kernel';
 
-/** The longest body that is read. Unit: bytes. @internal */
-export const longestBody = 1024 * 1024;
+/** The largest accepted body. Unit: bytes. @internal */
+export const maxBodyBytes = 1024 * 1024;
 
-/** A body over `longestBody`. @internal */
+/** The fault for a body of more than `maxBodyBytes`. @internal */
 export function bodyTooLarge(): Fault {
-  return fault.create({ kind: 'too-large', message: `the body is over ${longestBody} bytes`, remedy: 'send less at a time' });
+  return fault.create({
+    kind: 'too-large',
+    message: `the body is larger than ${maxBodyBytes} bytes`,
+    remedy: 'split the request into smaller ones',
+  });
 }
 
-/** A body that is no JSON, or broke off. @internal */
+/** The fault for a body that is not valid JSON or is incomplete. @internal */
 export function badBody(error: Error, remedy: string): Fault {
   return fault.create({ kind: 'bad-request', message: error.message, remedy });
 }
@@ -24,16 +28,16 @@
   }
 }
 
-/** Right with null for an empty body. Errors: `too-large`, `bad-request`. @internal */
+/** Reads and parses a body; an empty body is null. Errors: `too-large`, `bad-request`. @internal */
 export function readBody(message: http.IncomingMessage): Promise<Either.Either<Fault, unknown>> {
   return new Promise(function collect(resolve) {
-    const pieces: Buffer[] = [];
+    const chunks: Buffer[] = [];
     let length = 0;
-    message.on('data', function onData(piece: Buffer) {
-      length += piece.length;
-      if (length <= longestBody) pieces.push(piece);
+    message.on('data', function onData(chunk: Buffer) {
+      length += chunk.length;
+      if (length <= maxBodyBytes) chunks.push(chunk);
     });
-    message.on('error', (error) => resolve(Either.left(badBody(error, 'send it again'))));
-    message.on('end', () => resolve(length > longestBody ? Either.left(bodyTooLarge()) : parse(Buffer.concat(pieces).toString('utf8'))));
+    message.on('error', (error) => resolve(Either.left(badBody(error, 'send the request again'))));
+    message.on('end', () => resolve(length > maxBodyBytes ? Either.left(bodyTooLarge()) : parse(Buffer.concat(chunks).toString('utf8'))));
   });
 }
--- a/packages/runtime/src/minimal-http-connection.ts
+++ b/packages/runtime/src/minimal-http-connection.ts
@@ -1,18 +1,18 @@
-/** One outward HTTP connection from the runtime alone, one exchange at a time (design 2.7). */
+/** A client HTTP connection based on Node.js alone; runs one exchange at a time (design 2.7). */
 import type http from 'node:http';
 import type net from 'node:net';
 import * as Either from 'fp-ts/lib/Either.js';
 import { type Address, type Fault, type HttpConnection, type HttpReply, type OutgoingHttpRequest } from '@stallstall/kernel';
 import { readBody } from './minimal-http-body.js';
-import { runtimeHttp } from './minimal-http-server.js';
+import { nodeHttp } from './minimal-http-server.js';
 import { connectMilliseconds, sockets } from './sockets.js';
 
 type ConnectionState = {
   readonly address: Address;
   readonly agent: http.Agent;
-  /** One socket serves every exchange; once lost, the connection never comes back by itself. */
+  /** The only socket of the connection; once it is lost, the connection is not reopened. */
   socket: net.Socket | undefined;
-  /** The exchange under way. */
+  /** The request of the exchange in progress. */
   request: http.ClientRequest | undefined;
   isConnected: boolean;
   isClosed: boolean;
@@ -22,7 +22,7 @@
 
 const socketKeepAliveMilliseconds = 3_000;
 
-/** While an exchange is under way by a reset, so that what the machine has not sent yet is not sent any more. */
+/** Closes the connection; with a reset during an exchange, so that the operating system discards data that it has not sent yet. */
 function close(state: ConnectionState): void {
   if (state.isClosed) return;
   state.isClosed = true;
@@ -31,10 +31,10 @@
   state.agent.destroy();
 }
 
-function adopt(state: ConnectionState, socket: net.Socket): void {
+function attachSocket(state: ConnectionState, socket: net.Socket): void {
   state.socket = socket;
   socket.once('close', () => close(state));
-  // A reply that nobody waits for: what comes next could be taken for the reply to something else.
+  // An unsolicited reply: a later request could be given the reply to an earlier one.
   socket.on('data', function onData() {
     if (state.request === undefined) close(state);
   });
@@ -51,16 +51,16 @@
   };
 }
 
-/** One exchange, from the request to its reply. */
+/** Runs one exchange: sends the request and waits for its reply. */
 function runExchange(state: ConnectionState, outgoing: OutgoingHttpRequest, milliseconds: number): Promise<Outcome> {
   const { address } = state;
   return new Promise(function exchange(resolve) {
     const text = outgoing.body === undefined ? undefined : JSON.stringify(outgoing.body);
-    let hasLeft = false;
+    let isSent = false;
     const timer = setTimeout(() => close(state), milliseconds);
     const connectTimer = setTimeout(() => (state.isConnected ? undefined : close(state)), Math.min(2 * connectMilliseconds, milliseconds));
 
-    function settle(outcome: Outcome): void {
+    function finish(outcome: Outcome): void {
       clearTimeout(timer);
       clearTimeout(connectTimer);
       state.request = undefined;
@@ -69,29 +69,29 @@
 
     function fail(error: Error): void {
       close(state);
-      settle(Either.left(hasLeft ? sockets.replyLost(address, error) : sockets.unreachable(address, error)));
+      finish(Either.left(isSent ? sockets.replyLost(address, error) : sockets.unreachable(address, error)));
     }
 
     async function onResponse(response: http.IncomingMessage): Promise<void> {
       const body = await readBody(response);
       if (Either.isLeft(body)) return fail(body.left);
-      settle(Either.right({ status: response.statusCode ?? 0, headers: response.headers as Record<string, string>, body: body.right }));
+      finish(Either.right({ status: response.statusCode ?? 0, headers: response.headers as Record<string, string>, body: body.right }));
     }
 
     function send(request: http.ClientRequest): void {
       state.isConnected = true;
       if (outgoing.leaveBefore !== undefined && performance.now() >= outgoing.leaveBefore) {
-        return fail(new Error('the time to leave is over'));
+        return fail(new Error('the latest time to send the request has passed'));
       }
-      hasLeft = true;
+      isSent = true;
       request.end(text);
     }
 
     function start(): http.ClientRequest | undefined {
       try {
-        return runtimeHttp().request(optionsOf(state, outgoing, text), (response) => void onResponse(response));
+        return nodeHttp().request(optionsOf(state, outgoing, text), (response) => void onResponse(response));
       } catch (error) {
-        // The runtime throws at a port or a header that cannot be; no byte has left.
+        // Node.js throws on an invalid port or header, before anything is sent.
         fail(error as Error);
         return undefined;
       }
@@ -102,9 +102,9 @@
     state.request = request;
     request.once('error', fail);
     request.once('socket', function onSocket(socket) {
-      // The runtime opens another in place of one that was lost: nothing goes over that.
+      // Node.js replaces a lost socket with a new one, which must not be used.
       if (state.socket !== undefined && state.socket !== socket) return fail(new Error('the connection was lost'));
-      if (state.socket === undefined) adopt(state, socket);
+      if (state.socket === undefined) attachSocket(state, socket);
       if (socket.connecting) socket.once('connect', () => send(request));
       else send(request);
     });
@@ -116,7 +116,7 @@
     return Promise.resolve(Either.left(sockets.unreachable(state.address, new Error(reason))));
   }
   if (state.isClosed) return rejected('the connection is closed');
-  if (state.request !== undefined) return rejected('another exchange is under way');
+  if (state.request !== undefined) return rejected('another exchange is in progress');
   return runExchange(state, outgoing, milliseconds);
 }
 
@@ -124,7 +124,7 @@
 export function connect(address: Address): HttpConnection {
   const state: ConnectionState = {
     address,
-    agent: new (runtimeHttp().Agent)({ keepAlive: true, maxSockets: 1, keepAliveMsecs: socketKeepAliveMilliseconds }),
+    agent: new (nodeHttp().Agent)({ keepAlive: true, maxSockets: 1, keepAliveMsecs: socketKeepAliveMilliseconds }),
     socket: undefined,
     request: undefined,
     isConnected: false,
--- a/packages/runtime/src/minimal-http-server.ts
+++ b/packages/runtime/src/minimal-http-server.ts
@@ -1,4 +1,4 @@
-/** An HTTP server from the runtime alone, for programs whose every start is paid for (design 2.7). */
+/** An HTTP server based on Node.js alone, for programs that must start fast (design 2.7). */
 import type http from 'node:http';
 import type net from 'node:net';
 import * as Either from 'fp-ts/lib/Either.js';
@@ -8,10 +8,10 @@
 import { sockets } from './sockets.js';
 
 const keepAliveMilliseconds = 600_000;
-const requestMilliseconds = 10_000;
+const requestTimeoutMilliseconds = 10_000;
 
-/** Fetched when first used: it cannot be part of a snapshot, and an agent never uses it. @internal */
-export function runtimeHttp(): typeof http {
+/** Loaded on first use: the module cannot be part of a snapshot, and agents do not use it. @internal */
+export function nodeHttp(): typeof http {
   return process.getBuiltinModule('node:http');
 }
 
@@ -40,15 +40,19 @@
   response.end(text);
 }
 
-/** Resolves once the address is listened on; rejects when it cannot be. @internal */
+/** Resolves once the server is listening; rejects if it cannot listen on the address. @internal */
 export function serve(address: Address, server: HttpServer): Promise<Listening> {
   const nameOf = connectionNames(address, server.connectionClosed);
   async function handle(request: http.IncomingMessage, response: http.ServerResponse): Promise<void> {
     send(response, await replyTo(server, nameOf, request));
   }
 
-  const listener = runtimeHttp().createServer(
-    { keepAliveTimeout: keepAliveMilliseconds, requestTimeout: requestMilliseconds, connectionsCheckingInterval: requestMilliseconds },
+  const listener = nodeHttp().createServer(
+    {
+      keepAliveTimeout: keepAliveMilliseconds,
+      requestTimeout: requestTimeoutMilliseconds,
+      connectionsCheckingInterval: requestTimeoutMilliseconds,
+    },
     (request, response) => void handle(request, response),
   );
 
--- a/packages/runtime/src/minimal-runtime.ts
+++ b/packages/runtime/src/minimal-runtime.ts
@@ -1,4 +1,4 @@
-/** A real machine's runtime for programs whose every start is paid for: HTTP from Node.js alone (design 2.7). */
+/** The runtime of a real host for programs that must start fast: HTTP is based on Node.js alone (design 2.7). */
 import './enable-logging.js';
 import { ROARR, Roarr } from 'roarr';
 import type * as Option from 'fp-ts/lib/Option.js';
@@ -18,7 +18,7 @@
   connect,
 };
 
-/** @param program - the program's name, for its log */
+/** @param program - the name of the program in its log */
 function create(program: string, disk: Option.Option<Disk>): Runtime {
   return hostRuntime.create(hostRuntime.createLog(program, { Roarr, ROARR }), minimalNetwork, disk);
 }
--- a/packages/runtime/src/network.ts
+++ b/packages/runtime/src/network.ts
@@ -1,4 +1,4 @@
-/** The network of a real machine: TCP by IP numbers, HTTP through fastify and undici (design 2.2). */
+/** The network of a real host: TCP to IP addresses, HTTP based on fastify and undici (design 2.2). */
 import type { Network } from '@stallstall/kernel';
 import { serve } from './fastify-server.js';
 import { links } from './links.js';
--- a/packages/runtime/src/sockets.ts
+++ b/packages/runtime/src/sockets.ts
@@ -1,16 +1,16 @@
-/** TCP by IP numbers, from the runtime alone (design 2.2). */
+/** TCP sockets to IP addresses, based on Node.js alone (design 2.2). */
 import net from 'node:net';
 import * as Either from 'fp-ts/lib/Either.js';
 import { fault, type Address, type Fault, type Listening } from '@stallstall/kernel';
 
 /**
- * A machine without power drops the opening packet, and the runtime's next one comes a second later; dialling anew comes sooner. Far
- * beyond the way to any region and back. Unit: milliseconds.
+ * Connection timeout. A host without power drops the SYN packet, which is retransmitted only after a second; a new attempt comes sooner. The
+ * timeout is far above the round-trip time to any region. Unit: milliseconds.
  */
 export const connectMilliseconds = 400;
 
-/** Where to listen, and how. */
-type ListenPlan = Readonly<{ address: Address; backlog?: number; onSocket: (socket: net.Socket) => void }>;
+/** Address and options of a listening socket. */
+type ListenOptions = Readonly<{ address: Address; backlog?: number; onSocket: (socket: net.Socket) => void }>;
 
 function hostAndPort(address: Address): Readonly<{ host: string; port: number }> {
   const colon = address.lastIndexOf(':');
@@ -21,7 +21,7 @@
   return fault.create({
     kind: 'unreachable',
     message: `${address} could not be reached`,
-    remedy: 'see whether it runs and can be reached',
+    remedy: 'check that the process runs and is reachable',
     cause,
   });
 }
@@ -30,7 +30,7 @@
   return fault.create({
     kind: 'reply-lost',
     message: `the reply of ${address} was lost`,
-    remedy: 'see whether it runs and can be reached',
+    remedy: 'check that the process runs and is reachable',
     cause,
   });
 }
@@ -39,12 +39,12 @@
   return fault.create({
     kind: 'not-listening',
     message: `nothing listens on ${address}`,
-    remedy: 'start it, or mend the address',
+    remedy: 'start the process, or correct the address',
     cause,
   });
 }
 
-/** The runtime throws at a port that cannot be; whoever connects is told instead. */
+/** Starts connecting. Node.js throws on an invalid port; that is returned as `unreachable` instead. */
 function startConnecting(address: Address): Either.Either<Fault, net.Socket> {
   try {
     return Either.right(net.connect(hostAndPort(address)));
@@ -54,7 +54,7 @@
 }
 
 /**
- * Connects within so many milliseconds.
+ * Connects within the given time.
  *
  * @param faultOf - the fault for an error of the socket
  */
@@ -68,7 +68,7 @@
       socket.destroy();
       resolve(Either.left(faultOf(error)));
     }
-    const timer = setTimeout(() => fail(new Error('no connection in time')), milliseconds);
+    const timer = setTimeout(() => fail(new Error('the connection timed out')), milliseconds);
     socket.once('error', fail);
     socket.once('connect', function connected() {
       clearTimeout(timer);
@@ -78,19 +78,19 @@
   });
 }
 
-/** Resolves once the address is listened on; rejects when it cannot be. */
-function listen({ address, backlog, onSocket }: ListenPlan): Promise<Listening> {
-  const open = new Set<net.Socket>();
+/** Resolves once the server is listening; rejects if it cannot listen on the address. */
+function listen({ address, backlog, onSocket }: ListenOptions): Promise<Listening> {
+  const openSockets = new Set<net.Socket>();
   const server = net.createServer({ allowHalfOpen: false }, function accept(socket) {
-    open.add(socket);
-    socket.on('close', () => open.delete(socket));
+    openSockets.add(socket);
+    socket.on('close', () => openSockets.delete(socket));
     onSocket(socket);
   });
 
   function stop(): Promise<void> {
     return new Promise(function closeAll(resolve) {
       server.close(() => resolve());
-      for (const socket of open) socket.destroy();
+      for (const socket of openSockets) socket.destroy();
     });
   }
 
--- a/packages/runtime/src/store-file.ts
+++ b/packages/runtime/src/store-file.ts
@@ -1,29 +1,29 @@
-/** The store's file in a data folder: made whole or not at all, and looked at before lmdb maps it (design 4.3). */
+/** The store file in a data folder: created atomically, and checked before lmdb maps it (design 4.3). */
 import fs from 'node:fs';
 import path from 'node:path';
 
-const name = 'register.lmdb';
+const fileName = 'register.lmdb';
 const lockSuffix = '-lock';
-/** A file being made: it gets its name only once it is whole. */
-const makingSuffix = '.new';
-/** The last store that was given up, for whoever wants to look at it. */
+/** Suffix of a file that is being created; it is renamed once it is complete. */
+const creationSuffix = '.new';
+/** Suffix of the last store that was replaced, kept for inspection. */
 const brokenSuffix = '.broken';
 
-/** Where lmdb's two meta pages hold what is checked here: after a page header of 24 bytes, in the machine's own order of bytes. */
-const magicAt = 24;
+/** Offsets of the checked fields in lmdb's two meta pages, after a page header of 24 bytes. Fields are in the byte order of the host. */
+const magicOffset = 24;
 const magic = 0xbeefc0de;
-const pageSizeAt = 48;
-const lastPageAt = 144;
-const transactionAt = 152;
+const pageSizeOffset = 48;
+const lastPageOffset = 144;
+const transactionOffset = 152;
 const metaBytes = 160;
-const leastPage = 512;
-const mostPage = 65_536;
+const minPageSize = 512;
+const maxPageSize = 65_536;
 
 export type StoreFileState = 'missing' | 'present' | 'broken';
 
 type Meta = Readonly<{ pageSize: number; lastPage: number; transaction: number }>;
 
-/** Makes the names in a folder last: a file that was made, renamed or removed may else be lost, or come back, by itself. */
+/** Syncs the entries of a folder: otherwise files that were created, renamed or removed may be lost or reappear after a power loss. */
 function syncFolder(folder: string): void {
   const descriptor = fs.openSync(folder, 'r');
   try {
@@ -33,52 +33,52 @@
   }
 }
 
-/** Makes a folder with all above it, each lasting in the one that holds it. */
-function makeFolder(folder: string): void {
-  const first = fs.mkdirSync(folder, { recursive: true });
-  if (first === undefined) return;
-  for (let made = path.resolve(folder); made.length >= path.resolve(first).length; made = path.dirname(made))
-    syncFolder(path.dirname(made));
+/** Creates a folder and its missing parents, and syncs each of them in its parent. */
+function createFolder(folder: string): void {
+  const topmostCreated = fs.mkdirSync(folder, { recursive: true });
+  if (topmostCreated === undefined) return;
+  for (let created = path.resolve(folder); created.length >= path.resolve(topmostCreated).length; created = path.dirname(created))
+    syncFolder(path.dirname(created));
 }
 
 function pathOf(folder: string): string {
-  return path.join(folder, name);
+  return path.join(folder, fileName);
 }
 
-function metaAt(file: Buffer, at: number): Meta | undefined {
-  if (file.length < at + metaBytes || file.readUInt32LE(at + magicAt) !== magic) return undefined;
-  const pageSize = file.readUInt32LE(at + pageSizeAt);
-  const isPageSize = pageSize >= leastPage && pageSize <= mostPage && (pageSize & (pageSize - 1)) === 0;
-  if (!isPageSize) return undefined;
+function readMeta(file: Buffer, offset: number): Meta | undefined {
+  if (file.length < offset + metaBytes || file.readUInt32LE(offset + magicOffset) !== magic) return undefined;
+  const pageSize = file.readUInt32LE(offset + pageSizeOffset);
+  const isValidPageSize = pageSize >= minPageSize && pageSize <= maxPageSize && (pageSize & (pageSize - 1)) === 0;
+  if (!isValidPageSize) return undefined;
   return {
     pageSize,
-    lastPage: Number(file.readBigUInt64LE(at + lastPageAt)),
-    transaction: Number(file.readBigUInt64LE(at + transactionAt)),
+    lastPage: Number(file.readBigUInt64LE(offset + lastPageOffset)),
+    transaction: Number(file.readBigUInt64LE(offset + transactionOffset)),
   };
 }
 
-function head(descriptor: number): Buffer {
-  const read = Buffer.alloc(mostPage + metaBytes);
-  return read.subarray(0, fs.readSync(descriptor, read, 0, read.length, 0));
+function readFirstPages(descriptor: number): Buffer {
+  const buffer = Buffer.alloc(maxPageSize + metaBytes);
+  return buffer.subarray(0, fs.readSync(descriptor, buffer, 0, buffer.length, 0));
 }
 
 /**
- * Whether the file is there and its first pages are whole. One that ends before its last page is given its length again, in zeros: lmdb
- * reads a map, and a read past the end of the file would end the process, where a page of zeros is a fault like any other.
+ * Checks that the file exists and that its meta pages are intact. A file that ends before its last page is extended with zeros: lmdb reads
+ * through a memory map, where a read past the end of the file would kill the process, while a page of zeros is an ordinary read error.
  */
 function inspect(folder: string): StoreFileState {
   const file = pathOf(folder);
   if (!fs.existsSync(file)) return 'missing';
   const descriptor = fs.openSync(file, 'r+');
   try {
-    const start = head(descriptor);
-    const first = metaAt(start, 0);
-    const second = first === undefined ? undefined : metaAt(start, first.pageSize);
+    const firstPages = readFirstPages(descriptor);
+    const first = readMeta(firstPages, 0);
+    const second = first === undefined ? undefined : readMeta(firstPages, first.pageSize);
     if (first === undefined || second === undefined) return 'broken';
     const latest = second.transaction > first.transaction ? second : first;
-    const whole = (latest.lastPage + 1) * latest.pageSize;
-    if (!Number.isSafeInteger(whole)) return 'broken';
-    if (fs.fstatSync(descriptor).size < whole) fs.ftruncateSync(descriptor, whole);
+    const expectedSize = (latest.lastPage + 1) * latest.pageSize;
+    if (!Number.isSafeInteger(expectedSize)) return 'broken';
+    if (fs.fstatSync(descriptor).size < expectedSize) fs.ftruncateSync(descriptor, expectedSize);
     return 'present';
   } finally {
     fs.closeSync(descriptor);
@@ -90,22 +90,22 @@
   fs.rmSync(file + lockSuffix, { force: true });
 }
 
-/** Makes a store by `fill`, which writes and closes the file it is given; whoever starts finds all of it or nothing. */
-async function make(folder: string, fill: (file: string) => Promise<void>): Promise<void> {
-  const making = pathOf(folder) + makingSuffix;
-  remove(making);
-  await fill(making);
-  fs.rmSync(making + lockSuffix, { force: true });
-  fs.renameSync(making, pathOf(folder));
+/** Creates a store file atomically: after a crash it is either complete or absent. `fill` writes and closes the file. */
+async function createAtomically(folder: string, fill: (file: string) => Promise<void>): Promise<void> {
+  const temporary = pathOf(folder) + creationSuffix;
+  remove(temporary);
+  await fill(temporary);
+  fs.rmSync(temporary + lockSuffix, { force: true });
+  fs.renameSync(temporary, pathOf(folder));
   syncFolder(folder);
 }
 
-/** Moves a store aside that cannot be used; the one moved aside before it is removed. */
-function setAside(folder: string): void {
+/** Moves an unusable store aside, replacing the one that was moved aside before. */
+function moveAside(folder: string): void {
   const file = pathOf(folder);
   if (fs.existsSync(file)) fs.renameSync(file, file + brokenSuffix);
   fs.rmSync(file + lockSuffix, { force: true });
   syncFolder(folder);
 }
 
-export const storeFile = { pathOf, makeFolder, syncFolder, inspect, make, setAside } as const;
+export const storeFile = { pathOf, createFolder, syncFolder, inspect, createAtomically, moveAside } as const;
--- a/packages/runtime/src/stored-disk.ts
+++ b/packages/runtime/src/stored-disk.ts
@@ -1,4 +1,4 @@
-/** The disk of a core over an open store: reads at once, puts in commits that are synced when they end (design 5.1). */
+/** The disk of a core on top of an open store: synchronous reads, and puts that resolve once their commit is synced (design 5.1). */
 import fs from 'node:fs';
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
@@ -6,7 +6,7 @@
 import { clock } from './clock.js';
 import { commitQueues, type CommitQueue, type Store } from './commit-queue.js';
 import type { DiskSpaceProbe } from './disk-space-probe.js';
-import { lmdbStore, lostKey, ownPrefix, type OpenStore } from './lmdb-store.js';
+import { lmdbStore, lossReasonKey, internalKeyPrefix, type OpenStore } from './lmdb-store.js';
 import { storeFile } from './store-file.js';
 
 type DiskState = {
@@ -14,18 +14,18 @@
   readonly openStore: OpenStore;
   readonly probe: DiskSpaceProbe;
   store: Store;
-  writing: CommitQueue;
+  commitQueue: CommitQueue;
 };
 
 type KeyRange = Readonly<{ start?: string; end?: string }>;
 type Entry = readonly [string, unknown];
 
-/** Reads never wait for a sync; one that finds what it cannot read says so. */
-function reading<Outcome>(what: string, read: () => Outcome): Promise<Either.Either<Fault, Outcome>> {
+/** Runs a read, which never waits for a sync. Errors: `disk-damaged` if the data cannot be read. */
+function tryRead<Outcome>(subject: string, read: () => Outcome): Promise<Either.Either<Fault, Outcome>> {
   try {
     return Promise.resolve(Either.right(read()));
   } catch (error) {
-    return Promise.resolve(Either.left(fault.diskDamaged(what, error as Error)));
+    return Promise.resolve(Either.left(fault.diskDamaged(subject, error as Error)));
   }
 }
 
@@ -39,7 +39,7 @@
   }
 }
 
-function commitsOf(disk: DiskState): CommitQueue {
+function createCommitQueue(disk: DiskState): CommitQueue {
   return commitQueues.create(
     clock,
     disk.probe,
@@ -52,38 +52,38 @@
   try {
     await disk.store.close();
     disk.store = await lmdbStore.replace(disk.folder, disk.openStore, Option.some(reason));
-    disk.writing = commitsOf(disk);
+    disk.commitQueue = createCommitQueue(disk);
     return Either.right(null);
   } catch (error) {
     return Either.left(fault.diskFailed('an empty store', error as Error));
   }
 }
 
-/** The entries of a range but for this package's own. */
+/** The entries of a range, without the internal keys of this package. */
 function* entriesIn({ store }: DiskState, range: KeyRange): Iterable<Entry> {
-  for (const { key, value } of store.getRange(range)) if (!key.startsWith(ownPrefix)) yield [key, value];
+  for (const { key, value } of store.getRange(range)) if (!key.startsWith(internalKeyPrefix)) yield [key, value];
 }
 
-/** '0' follows '/': all keys before the prefix, then all keys after it, without a look at what lies between. */
-function loadWithout(disk: DiskState, prefix: string): ReadonlyMap<string, unknown> {
+/** Loads all entries except those with the prefix, without reading the latter. The prefix ends with '/', whose successor is '0'. */
+function loadAllExcept(disk: DiskState, prefix: string): ReadonlyMap<string, unknown> {
   return new Map([...entriesIn(disk, { end: prefix }), ...entriesIn(disk, { start: `${prefix.slice(0, -1)}0` })]);
 }
 
-function pageOf(disk: DiskState, prefix: string, after: string, bytes: number): readonly Entry[] {
-  const found: Entry[] = [];
+function readPage(disk: DiskState, prefix: string, after: string, bytes: number): readonly Entry[] {
+  const entries: Entry[] = [];
   let bytesLeft = bytes;
   for (const [key, value] of entriesIn(disk, { start: after > prefix ? after : prefix })) {
     if (!key.startsWith(prefix) || bytesLeft <= 0) break;
     if (key === after) continue;
-    found.push([key, value]);
+    entries.push([key, value]);
     bytesLeft -= JSON.stringify(value).length;
   }
-  return found;
+  return entries;
 }
 
-function lostReason({ store }: DiskState): Option.Option<string> {
+function lossReason({ store }: DiskState): Option.Option<string> {
   try {
-    return Option.fromNullable(store.get(lostKey) as string | undefined);
+    return Option.fromNullable(store.get(lossReasonKey) as string | undefined);
   } catch {
     return Option.none;
   }
@@ -91,17 +91,17 @@
 
 function create(folder: string, openStore: OpenStore, probe: DiskSpaceProbe, store: Store): Disk {
   const disk = { folder, openStore, probe, store } as DiskState;
-  disk.writing = commitsOf(disk);
+  disk.commitQueue = createCommitQueue(disk);
   return {
-    puts: () => disk.writing.synced(),
-    load: (without) => reading('the data folder', () => loadWithout(disk, without)),
-    read: (key) => reading(key, () => Option.fromNullable(disk.store.get(key))),
-    page: (prefix, after, bytes) => reading(prefix, () => pageOf(disk, prefix, after, bytes)),
+    puts: () => disk.commitQueue.syncedPuts(),
+    load: (excludedPrefix) => tryRead('the data folder', () => loadAllExcept(disk, excludedPrefix)),
+    read: (key) => tryRead(key, () => Option.fromNullable(disk.store.get(key))),
+    page: (prefix, after, bytes) => tryRead(prefix, () => readPage(disk, prefix, after, bytes)),
     size: () => fs.statSync(storeFile.pathOf(folder), { throwIfNoEntry: false })?.size ?? 0,
-    put: (key, value) => disk.writing.put(key, value),
-    trouble: () => disk.writing.health.trouble(),
-    onTrouble: (listener) => disk.writing.health.onTrouble(listener),
-    lost: () => lostReason(disk),
+    put: (key, value) => disk.commitQueue.put(key, value),
+    trouble: () => disk.commitQueue.health.trouble(),
+    onTrouble: (listener) => disk.commitQueue.health.onTrouble(listener),
+    lost: () => lossReason(disk),
     discard: (reason) => discard(disk, reason),
   };
 }
--- a/packages/runtime/src/streams.ts
+++ b/packages/runtime/src/streams.ts
@@ -1,4 +1,4 @@
-/** Streams of a real machine: text both ways as it arrives, one character for each byte (design 2.2). */
+/** Streams of a real host: text in both directions as it arrives, one character per byte (design 2.2). */
 import type net from 'node:net';
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
@@ -7,24 +7,24 @@
 
 type StreamState = {
   readonly socket: net.Socket;
-  /** Pieces that nobody has read yet. */
-  readonly arrived: string[];
-  reader: ((piece: Option.Option<string>) => void) | undefined;
+  /** Chunks that were not read yet. */
+  readonly unread: string[];
+  reader: ((chunk: Option.Option<string>) => void) | undefined;
   isEnded: boolean;
 };
 
-/** What one side may have waiting for a reader that does not read. */
-const mostUnsentBytes = 8 * 1024 * 1024;
-/** A far end without power is noticed by keep-alive probes after so long. */
+/** A stream is closed when more bytes are buffered for a peer that does not read. */
+const maxUnsentBytes = 8 * 1024 * 1024;
+/** Idle time before keep-alive probes, which detect a peer without power. */
 const keepAliveMilliseconds = 3_000;
-/** Many clients may connect at the same moment. */
+/** Large enough for many clients that connect at the same time. */
 const backlog = 1_024;
 
-/** Gives a piece to whoever waits for one; false where nobody does. */
-function deliver(stream: StreamState, piece: Option.Option<string>): boolean {
+/** Passes a chunk to the waiting reader. Returns false if no reader is waiting. */
+function deliver(stream: StreamState, chunk: Option.Option<string>): boolean {
   const { reader } = stream;
   stream.reader = undefined;
-  reader?.(piece);
+  reader?.(chunk);
   return reader !== undefined;
 }
 
@@ -33,10 +33,10 @@
   deliver(stream, Option.none);
 }
 
-function watch(stream: StreamState): void {
+function attachListeners(stream: StreamState): void {
   const { socket } = stream;
-  socket.on('data', function onData(piece: string) {
-    if (!deliver(stream, Option.some(piece))) stream.arrived.push(piece);
+  socket.on('data', function onData(chunk: string) {
+    if (!deliver(stream, Option.some(chunk))) stream.unread.push(chunk);
   });
   socket.on('end', function onEnd() {
     markEnded(stream);
@@ -52,24 +52,24 @@
 function write({ socket, isEnded }: StreamState, text: string): void {
   if (isEnded || socket.destroyed || !socket.writable) return;
   socket.write(text, 'latin1');
-  if (socket.writableLength > mostUnsentBytes) socket.destroy();
+  if (socket.writableLength > maxUnsentBytes) socket.destroy();
 }
 
 function read(stream: StreamState): Promise<Option.Option<string>> {
-  const piece = stream.arrived.shift();
-  if (piece !== undefined) return Promise.resolve(Option.some(piece));
+  const chunk = stream.unread.shift();
+  if (chunk !== undefined) return Promise.resolve(Option.some(chunk));
   if (stream.isEnded) return Promise.resolve(Option.none);
   return new Promise(function wait(resolve) {
     stream.reader = resolve;
   });
 }
 
-function streamOver(socket: net.Socket): Stream {
-  const stream: StreamState = { socket, arrived: [], reader: undefined, isEnded: false };
+function createStream(socket: net.Socket): Stream {
+  const stream: StreamState = { socket, unread: [], reader: undefined, isEnded: false };
   socket.setNoDelay(true);
   socket.setKeepAlive(true, keepAliveMilliseconds);
   socket.setEncoding('latin1');
-  watch(stream);
+  attachListeners(stream);
   return {
     write: (text) => write(stream, text),
     read: () => read(stream),
@@ -88,16 +88,16 @@
 }
 
 function listen(address: Address, onStream: (stream: Stream) => void): Promise<Listening> {
-  return sockets.listen({ address, backlog, onSocket: (socket) => onStream(streamOver(socket)) });
+  return sockets.listen({ address, backlog, onSocket: (socket) => onStream(createStream(socket)) });
 }
 
-/** Errors: `not-listening` when the machine refuses the connection, else `unreachable`. */
+/** Errors: `not-listening` if the host refuses the connection, otherwise `unreachable`. */
 async function open(address: Address, milliseconds: number): Promise<Either.Either<Fault, Stream>> {
   const connected = await sockets.connect(address, Math.min(milliseconds, connectMilliseconds), function faultOf(error) {
     const isRefused = (error as NodeJS.ErrnoException).code === 'ECONNREFUSED';
     return isRefused ? sockets.notListening(address, error) : sockets.unreachable(address, error);
   });
-  return Either.map(streamOver)(connected);
+  return Either.map(createStream)(connected);
 }
 
 /** @internal */
--- a/packages/runtime/src/undici-connection.ts
+++ b/packages/runtime/src/undici-connection.ts
@@ -1,4 +1,4 @@
-/** One outward HTTP connection through undici, one exchange at a time (design 2.2). */
+/** A client HTTP connection based on undici; runs one exchange at a time (design 2.2). */
 import type net from 'node:net';
 import * as Either from 'fp-ts/lib/Either.js';
 import { type Address, type Fault, type HttpConnection, type HttpReply, type OutgoingHttpRequest } from '@stallstall/kernel';
@@ -11,14 +11,14 @@
   socket: net.Socket | undefined;
   isConnected: boolean;
   isClosed: boolean;
-  /** Whether an exchange is under way. */
+  /** Whether an exchange is in progress. */
   isBusy: boolean;
 };
 
 const connectMilliseconds = 3_000;
 const keepAliveMilliseconds = 600_000;
 
-/** While an exchange is under way by a reset, so that what the machine has not sent yet is not sent any more. */
+/** Closes the connection; with a reset during an exchange, so that the operating system discards data that it has not sent yet. */
 function close(state: ConnectionState): void {
   if (state.isClosed) return;
   state.isClosed = true;
@@ -28,7 +28,8 @@
 
 async function sendAndReceive(state: ConnectionState, outgoing: OutgoingHttpRequest): Promise<HttpReply> {
   if (state.isClosed) throw new Error('the connection is closed');
-  if (outgoing.leaveBefore !== undefined && performance.now() >= outgoing.leaveBefore) throw new Error('the time to leave is over');
+  if (outgoing.leaveBefore !== undefined && performance.now() >= outgoing.leaveBefore)
+    throw new Error('the latest time to send the request has passed');
   state.isBusy = true;
   const response = await state.client.request({
     method: outgoing.method,
@@ -60,13 +61,13 @@
   }
 }
 
-/** Connects for a client, telling the socket. */
+/** Returns a connector that also reports the socket of each connection. */
 function connectorFor(onSocket: (socket: net.Socket | undefined) => void): buildConnector.connector {
   const connector = buildConnector({ timeout: connectMilliseconds });
-  return function reach(options, callback) {
+  return function connectAndReport(options, callback) {
     connector(options, function onConnected(...result) {
-      const [, opened] = result;
-      onSocket(opened ?? undefined);
+      const [, socket] = result;
+      onSocket(socket ?? undefined);
       callback(...result);
     });
   };
@@ -88,7 +89,7 @@
   client.on('connect', function onConnect() {
     state.isConnected = true;
   });
-  // Once lost, this connection never comes back by itself: a member would not know the session on it.
+  // A lost connection is not reopened: the member keeps session state for each connection.
   client.on('disconnect', () => close(state));
   return {
     exchange: (outgoing, milliseconds) => exchange(state, outgoing, milliseconds),
--- a/packages/simulator/pooled-mutations.mjs
+++ b/packages/simulator/pooled-mutations.mjs
@@ -552,8 +552,8 @@
     name: 'disk-not-looked-at',
     story: 'A process that starts on a full disk',
     file: 'runtime/build/disk.js',
-    from: 'const proven = await probe.prove(0);',
-    to: 'const proven = Either.right(null);',
+    from: 'const tested = await probe.testWrite(0);',
+    to: 'const tested = Either.right(null);',
   },
   {
     name: 'commit-error-left-alone',
