--- a/packages/acceptance/src/cores.ts
+++ b/packages/acceptance/src/cores.ts
@@ -63,7 +63,7 @@
   await this.cores.spare([first, second].map((index) => this.cores.machine(`core-${index}`).address));
 });
 
-// Configurations that arrive faster than such slow disks can decide them keep preempting each other in any core set, so the operator slows down too.
+// Configurations that arrive faster than such disks can decide them preempt each other in any core set, so the operator slows down too.
 When(
   'every disk write takes {int} ms longer, and the operator sends a configuration every {int} ms',
   function when(this: CoreStory, disk: number, send: number) {
