--- a/packages/acceptance/src/ballots.ts
+++ b/packages/acceptance/src/ballots.ts
@@ -169,7 +169,7 @@
 async function readVersion(fleet: PooledFleet, core: number, version: number): Promise<unknown> {
   const { runtime } = fleet.world.spawn('reader', 'operator-machine');
   const address = identifiers.address(`10.1.0.${core + 1}:7001`);
-  const reply = await fleet.drive(http.once(runtime, address, { method: 'GET', path: `/v1/sheet?version=${version}` }, 2_000));
+  const reply = await fleet.drive(http.exchangeOnce(runtime, address, { method: 'GET', path: `/v1/sheet?version=${version}` }, 2_000));
   assert.ok(Either.isRight(reply) && reply.right.status === 200, `version ${version} at core ${core + 1}`);
   return (reply.right.body as { sheet: PooledSheet }).sheet.databases.filter((database) => database.database.startsWith('route-'));
 }
--- a/packages/acceptance/src/candidacies.ts
+++ b/packages/acceptance/src/candidacies.ts
@@ -112,19 +112,19 @@
       },
     ],
   });
-  runtime.services.offer(registerService, stubRegister(story));
-  runtime.services.offer(durableReportsService, {
+  runtime.services.register(registerService, stubRegister(story));
+  runtime.services.register(durableReportsService, {
     report: () => Promise.resolve(Either.right({})),
     watermarks: () => Promise.resolve(Either.right({})),
   } as DurableReports);
-  runtime.services.offer(livenessService, stubLiveness(story));
-  runtime.services.offer(quorumLeaseService, quorumLease.create());
+  runtime.services.register(livenessService, stubLiveness(story));
+  runtime.services.register(quorumLeaseService, quorumLease.create());
   story.election = election.create(
     runtime,
     {
       platformCalls: Option.some({
-        promotion: ({ member }) => ({ method: 'POST', path: '/promotion', body: { member }, repeatable: 'unchanged' }),
-        usage: () => ({ method: 'POST', path: '/usage', body: {}, repeatable: 'unchanged' }),
+        promotion: ({ member }) => ({ method: 'POST', path: '/promotion', body: { member }, retrySafety: 'deduplicated' }),
+        usage: () => ({ method: 'POST', path: '/usage', body: {}, retrySafety: 'deduplicated' }),
         handoverDelayMilliseconds: 0,
       }),
       leaseHolders: () => Option.some([]),
--- a/packages/acceptance/src/cut-core.ts
+++ b/packages/acceptance/src/cut-core.ts
@@ -169,7 +169,12 @@
 async function page(fleet: CoreFleet, machine: CoreMachine, path: string): Promise<Readonly<{ reply: HttpReply; after: number }>> {
   const asked = fleet.world.now();
   let found: HttpReply | undefined;
-  const asking = http.once(fleet.operatorRuntime, identifiers.address(machine.outward), { method: 'GET', path }, patienceMilliseconds);
+  const asking = http.exchangeOnce(
+    fleet.operatorRuntime,
+    identifiers.address(machine.outward),
+    { method: 'GET', path },
+    patienceMilliseconds,
+  );
   void asking.then((reply) => {
     found = Either.isRight(reply) ? reply.right : { status: 0, body: null };
   });
--- a/packages/acceptance/src/data-folders.ts
+++ b/packages/acceptance/src/data-folders.ts
@@ -50,7 +50,7 @@
   assert.ok(Either.isRight(opened));
   this.disk = opened.right;
   this.changes = [];
-  this.disk.onTrouble((trouble) => this.changes.push(Option.isSome(trouble)));
+  this.disk.onSyncFaultChange((trouble) => this.changes.push(Option.isSome(trouble)));
 });
 
 When('{int} puts are started and none is awaited', async function when(this: RuntimeStory, count: number) {
@@ -86,7 +86,7 @@
 Then(
   'within {int} s the disk reports a fault, and {int} more puts fail at once',
   async function then(this: RuntimeStory, _s: number, count: number) {
-    assert.ok(await soon(() => Option.isSome(this.disk.trouble())));
+    assert.ok(await soon(() => Option.isSome(this.disk.syncFault())));
     const from = performance.now();
     const puts = await Promise.all(Array.from({ length: count }, (_, index) => this.disk.put(`more/${index}`, index)));
     assert.ok(puts.every((put) => Either.isLeft(put) && fault.kind(put.left) === 'disk-failed'));
@@ -123,7 +123,7 @@
   async function then(this: RuntimeStory, kind: string, _s: number) {
     const failed = await this.put;
     assert.ok(Either.isLeft(failed) && fault.kind(failed.left) === kind);
-    assert.ok(await soon(() => Option.isNone(this.disk.trouble())));
+    assert.ok(await soon(() => Option.isNone(this.disk.syncFault())));
     assert.ok(Either.isRight(await this.disk.put('after', 3)));
     assert.deepEqual(
       await this.disk.load('archive/'),
@@ -282,12 +282,12 @@
 async function openedAs(folder: string): Promise<string> {
   const opened = await disk.open(folder);
   if (Either.isLeft(opened)) return fault.kind(opened.left);
-  if (Option.isSome(opened.right.lost())) return 'lost';
+  if (Option.isSome(opened.right.discardedStoreReason())) return 'lost';
   const loaded = await opened.right.load('archive/');
   if (Either.isLeft(loaded)) {
     assert.equal(fault.kind(loaded.left), 'disk-damaged');
     assert.ok(Either.isRight(await opened.right.discard('it is damaged')));
-    assert.ok(Option.isSome(opened.right.lost()));
+    assert.ok(Option.isSome(opened.right.discardedStoreReason()));
     return 'damaged';
   }
   return loaded.right.size === entries ? 'intact' : loaded.right.size === 0 ? 'blank' : 'half';
--- a/packages/acceptance/src/duties.ts
+++ b/packages/acceptance/src/duties.ts
@@ -70,7 +70,7 @@
   await startPlatform(story, replies);
   story.holder = story.world.spawn('core-1', 'core-machine-1');
   const { runtime } = story.holder;
-  runtime.services.offer(registerService, memoryRegister(runtime, new Map()));
+  runtime.services.register(registerService, memoryRegister(runtime, new Map()));
   const acquiring = singletonRole.create(runtime, 'promotion/ferries', 'core-1').tryAcquire();
   await story.world.run(10);
   const roleLease = await acquiring;
@@ -178,11 +178,11 @@
     await startPlatform(this, true);
     const { runtime } = this.world.spawn('core-1', 'core-machine-1');
     const entries = new Map<string, Entry>([['epoch/ferries', { ballot: ballotZero, version: 1, value: electedAtEpoch(registeredEpoch) }]]);
-    runtime.services.offer(registerService, memoryRegister(runtime, entries));
-    runtime.services.offer(durableReportsService, {
+    runtime.services.register(registerService, memoryRegister(runtime, entries));
+    runtime.services.register(durableReportsService, {
       watermarks: () => Promise.resolve(Either.right({})),
     } satisfies Partial<DurableReports> as unknown as DurableReports);
-    runtime.services.offer(
+    runtime.services.register(
       livenessService,
       liveness.create(
         runtime,
@@ -192,7 +192,7 @@
         }),
       ),
     );
-    runtime.services.offer(quorumLeaseService, { ...quorumLease.create(), reachableCount: () => seats.length });
+    runtime.services.register(quorumLeaseService, { ...quorumLease.create(), reachableCount: () => seats.length });
     /** This core does not learn of elections that other cores recorded, only of those that it recorded itself. */
     function electedAsSeenHere(): ElectedPrimary {
       const own = entries.get('epoch/ferries')?.value as ElectedPrimary;
@@ -203,8 +203,8 @@
       {
         self: 'core-1',
         platformCalls: Option.some({
-          promotion: () => ({ repeatable: 'unchanged', method: 'POST', path: '/promotion', body: {} }),
-          usage: () => ({ repeatable: 'unchanged', method: 'POST', path: '/usage', body: {} }),
+          promotion: () => ({ retrySafety: 'deduplicated', method: 'POST', path: '/promotion', body: {} }),
+          usage: () => ({ retrySafety: 'deduplicated', method: 'POST', path: '/usage', body: {} }),
           handoverDelayMilliseconds: 0,
         }),
         leaseHolders: () => Option.some([]),
--- a/packages/acceptance/src/full-disk-process.ts
+++ b/packages/acceptance/src/full-disk-process.ts
@@ -32,7 +32,7 @@
   const opened = await disk.openWhenWorking(folder, printDiskFault);
   if (Either.isLeft(opened)) throw opened.left;
   const ownDisk = opened.right;
-  ownDisk.onTrouble((trouble) => (Option.isSome(trouble) ? printDiskFault(trouble.value) : print('disk works')));
+  ownDisk.onSyncFaultChange((trouble) => (Option.isSome(trouble) ? printDiskFault(trouble.value) : print('disk works')));
   readline.createInterface({ input: process.stdin }).on('line', (key) => void put(ownDisk, key));
   print('opened');
 }
--- a/packages/acceptance/src/member-registry-steps.ts
+++ b/packages/acceptance/src/member-registry-steps.ts
@@ -14,7 +14,7 @@
 
 export function startRegistry(world: World, name: string): MemberRegistry {
   const { runtime } = world.spawn(name, `${name}-machine`);
-  runtime.services.offer(livenessService, liveness.create(runtime));
+  runtime.services.register(livenessService, liveness.create(runtime));
   return memberRegistry.create(runtime, () => undefined);
 }
 
--- a/packages/acceptance/src/platform.ts
+++ b/packages/acceptance/src/platform.ts
@@ -305,7 +305,7 @@
 ): Promise<readonly HttpReply[]> {
   const under = Promise.all(
     asks.map((ask) =>
-      http.once(
+      http.exchangeOnce(
         story.operator,
         platformApiAddresses[ask.to - 1] ?? identifiers.address(`10.1.0.${ask.to}:7003`),
         { method: ask.method, path: ask.path, body: ask.body },
--- a/packages/acceptance/src/product.ts
+++ b/packages/acceptance/src/product.ts
@@ -219,7 +219,7 @@
 
 async function page(story: Story, edge: EdgeSlot, path: string): Promise<HttpReply> {
   const { runtime } = story.fleet.world.spawn('reader', 'operator-machine');
-  const asked = http.once(runtime, identifiers.address(story.fleet.edgeAddresses(edge).outward), { method: 'GET', path }, 2_000);
+  const asked = http.exchangeOnce(runtime, identifiers.address(story.fleet.edgeAddresses(edge).outward), { method: 'GET', path }, 2_000);
   await story.fleet.world.run(100);
   const reply = await asked;
   assert.ok(Either.isRight(reply));
--- a/packages/acceptance/src/replies.ts
+++ b/packages/acceptance/src/replies.ts
@@ -3,7 +3,7 @@
 import fs from 'node:fs';
 import { Given, Then, When } from '@cucumber/cucumber';
 import * as Option from 'fp-ts/lib/Option.js';
-import { identifiers, protocolsSpoken, type Link, type Stream } from '@stallstall/kernel';
+import { identifiers, supportedProtocols, type Link, type Stream } from '@stallstall/kernel';
 import { peer, repeatableCalls } from '@stallstall/peer';
 import { world as worlds, type World } from '@stallstall/simulator';
 import { plainDialect } from '@stallstall/fakes';
@@ -20,7 +20,7 @@
   const { runtime } = this.world.spawn('far', 'far-machine');
 
   async function serve(link: Link): Promise<void> {
-    link.send({ greet: protocolsSpoken });
+    link.send({ greet: supportedProtocols });
     await link.receive();
     for (;;) {
       const frame = await link.receive();
--- a/packages/acceptance/src/runtime.ts
+++ b/packages/acceptance/src/runtime.ts
@@ -15,7 +15,7 @@
   type Fault,
   type OutgoingHttpRequest,
   type HttpReply,
-  type Listening,
+  type Listener,
   type Stream,
 } from '@stallstall/kernel';
 import { minimalNetwork } from '@stallstall/runtime/minimal-runtime';
@@ -24,7 +24,7 @@
 
 export type RuntimeStory = {
   address: Address;
-  listening: Listening[];
+  listening: Listener[];
   connections: string[];
   closed: string[];
   warnings: string[];
@@ -325,7 +325,7 @@
 Then('an ask whose time to leave is over never leaves', async function then(this: RuntimeStory) {
   const before = this.connections.length;
   const leaveBefore = identifiers.instant(performance.now());
-  const reply = await ask(this.address, { method: 'POST', path: '/echo/late', body: {}, leaveBefore });
+  const reply = await ask(this.address, { method: 'POST', path: '/echo/late', body: {}, sendBefore: leaveBefore });
   assert.ok(Either.isLeft(reply) && fault.kind(reply.left) === 'unreachable');
   await new Promise((resolve) => setTimeout(resolve, strayMilliseconds));
   assert.equal(this.connections.length, before);
@@ -498,7 +498,7 @@
   this.near.write('into the void');
   assert.ok(Option.isNone(await this.near.read()));
   assert.ok(Option.isNone(await this.far.read()));
-  const listening = this.listening[0] as Listening;
+  const listening = this.listening[0] as Listener;
   this.listening = [];
   // Only a connection that is closed both ways lets the server stop without being torn.
   await listening.stop();
--- a/packages/acceptance/src/unit-story.ts
+++ b/packages/acceptance/src/unit-story.ts
@@ -1,5 +1,5 @@
 /** What a story of units.feature holds, and what its steps share. */
-import type { Runtime, Instant, Listening } from '@stallstall/kernel';
+import type { Runtime, Instant, Listener } from '@stallstall/kernel';
 import type { LeaseHolder, LeaseGrantor } from '@stallstall/lease';
 import type { MemberRegistry } from '@stallstall/member-registry';
 import type { Request, Reply } from '@stallstall/message';
@@ -37,7 +37,7 @@
   changedAt: number;
   connections: Connections;
   member: Process;
-  memberListening: Listening;
+  memberListening: Listener;
   heard: string[];
   opening: string;
   wanted: boolean[];
--- a/packages/agent/src/agent.ts
+++ b/packages/agent/src/agent.ts
@@ -2,7 +2,7 @@
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { livenessService } from '@stallstall/election';
-import { fault, identifiers, runtimeUtilities, type Fault, type Runtime, type Listening } from '@stallstall/kernel';
+import { fault, identifiers, runtimeUtilities, type Fault, type Runtime, type Listener } from '@stallstall/kernel';
 import type { Reply, Request } from '@stallstall/message';
 import { node as nodes, type Node } from '@stallstall/node';
 import { peer } from '@stallstall/peer';
@@ -67,7 +67,7 @@
   void node.durableReports.report({ floors: {}, reports: [], through: { [settings.node]: through } });
 }
 
-async function listen(context: AgentContext): Promise<readonly Listening[]> {
+async function listen(context: AgentContext): Promise<readonly Listener[]> {
   const { runtime, settings, node } = context;
   return [
     await peer.listen(runtime, identifiers.address(settings.address), { ...node.handlers }),
--- a/packages/agent/src/lease-agent.ts
+++ b/packages/agent/src/lease-agent.ts
@@ -1,6 +1,6 @@
 /** The agent of an edge that holds leases: no vote, no seat in the table; it feeds its proxy with placement (design 7.12, 8.10). */
 import * as Option from 'fp-ts/lib/Option.js';
-import { identifiers, type Runtime, type Listening } from '@stallstall/kernel';
+import { identifiers, type Runtime, type Listener } from '@stallstall/kernel';
 import { leaseHolder, type LeaseHolder } from '@stallstall/lease';
 import type { CommitWatermarks, Placement, Reply, Request } from '@stallstall/message';
 import { peer, type Caller } from '@stallstall/peer';
@@ -141,7 +141,7 @@
 /** Resolves once the proxy can connect. */
 async function start(runtime: Runtime, settings: LeaseAgentSettings): Promise<LeaseAgent> {
   const state = assemble(runtime, settings);
-  const listening: Listening = await peer.listen(runtime, identifiers.address(settings.feed), {
+  const listening: Listener = await peer.listen(runtime, identifiers.address(settings.feed), {
     placement: (request, caller) => placement(state, request, caller),
     tell: state.reports.tell,
   });
--- a/packages/agent/src/placement-updates.ts
+++ b/packages/agent/src/placement-updates.ts
@@ -64,7 +64,7 @@
     current: () => number,
     areMembersKnown: (seen) => seen >= membersChangedAt,
     observe,
-    wait: waiting.hold,
+    wait: waiting.wait,
   };
 }
 
--- a/packages/bench/src/rehearse.ts
+++ b/packages/bench/src/rehearse.ts
@@ -18,7 +18,7 @@
 const seconds = Number(secondsText);
 
 async function get(runtime: Runtime, address: string, page: string): Promise<HttpReply> {
-  const reply = await http.once(runtime, identifiers.address(address), { method: 'GET', path: page }, 5_000);
+  const reply = await http.exchangeOnce(runtime, identifiers.address(address), { method: 'GET', path: page }, 5_000);
   return Either.isRight(reply) ? reply.right : { status: 0, body: null };
 }
 
@@ -243,7 +243,7 @@
       sheet: { ...sheet, keys: [...sheet.keys, { key: mark, services: [deployment.services[0]], kinds: ['leader-read'] }] },
       sentBy: 'rehearsal',
     };
-    const reply = await http.once(
+    const reply = await http.exchangeOnce(
       runtime,
       identifiers.address(fleet.cores[number % 3] as string),
       { method: 'PUT', path: '/v1/sheet', body },
@@ -266,7 +266,7 @@
 }
 
 async function probe(runtime: Runtime, proxy: string, key: string): Promise<string> {
-  const reply = await http.once(
+  const reply = await http.exchangeOnce(
     runtime,
     identifiers.address(proxy),
     {
@@ -348,7 +348,7 @@
       async () => ((await get(runtime, fleet.cores[0] as string, '/v1/fleet')).body as { size?: number } | null)?.size === 9,
     );
     const sheet: unknown = JSON.parse(fs.readFileSync(fleet.sheetFile, 'utf8'));
-    const sent = await http.once(
+    const sent = await http.exchangeOnce(
       runtime,
       identifiers.address(fleet.cores[0] as string),
       { method: 'PUT', path: '/v1/sheet', body: { sheet, sentBy: 'rehearsal' } },
--- a/packages/bench/src/soak/soak-fleet.ts
+++ b/packages/bench/src/soak/soak-fleet.ts
@@ -77,7 +77,7 @@
 
   async function isReady({ base }: SoakEdge): Promise<boolean> {
     const address = identifiers.address(loopback(base + 1));
-    const reply = await http.once(runtime, address, { method: 'GET', path: '/ready' }, readinessDeadlineMilliseconds);
+    const reply = await http.exchangeOnce(runtime, address, { method: 'GET', path: '/ready' }, readinessDeadlineMilliseconds);
     return Either.isRight(reply) && reply.right.status === 200;
   }
 
--- a/packages/bench/src/soak/stand-in-host.ts
+++ b/packages/bench/src/soak/stand-in-host.ts
@@ -1,6 +1,6 @@
 /** A host of stand-ins within the soak's own process: one that is stopped does, hears and says nothing any more, as a killed process does. */
 import * as Either from 'fp-ts/lib/Either.js';
-import { fault, type Runtime, type Listening, type Stream } from '@stallstall/kernel';
+import { fault, type Runtime, type Listener, type Stream } from '@stallstall/kernel';
 
 export type StandInHost = Readonly<{ runtime: Runtime; stop: () => Promise<void> }>;
 
@@ -8,7 +8,7 @@
 const streamsKept = 1_000;
 
 function create(base: Runtime): StandInHost {
-  const listening = new Set<Listening>();
+  const listening = new Set<Listener>();
   const streams = new Set<Stream>();
   let isStopped = false;
 
@@ -19,7 +19,7 @@
     return stream;
   }
 
-  async function keep(opening: Promise<Listening>): Promise<Listening> {
+  async function keep(opening: Promise<Listener>): Promise<Listener> {
     const opened = await opening;
     listening.add(opened);
     return opened;
--- a/packages/bench/src/weigh.ts
+++ b/packages/bench/src/weigh.ts
@@ -36,11 +36,11 @@
   const core = identifiers.address(fleet.cores[0] as string);
   try {
     await until(async () => {
-      const reply = await http.once(runtime, core, { method: 'GET', path: '/v1/fleet' }, 5_000);
+      const reply = await http.exchangeOnce(runtime, core, { method: 'GET', path: '/v1/fleet' }, 5_000);
       return Either.isRight(reply) && (reply.right.body as { heard?: number } | null)?.heard === edges + 3;
     }, 120);
     const sheet: unknown = JSON.parse(fs.readFileSync(fleet.sheetFile, 'utf8'));
-    await http.once(runtime, core, { method: 'PUT', path: '/v1/sheet', body: { sheet } }, 8_000);
+    await http.exchangeOnce(runtime, core, { method: 'PUT', path: '/v1/sheet', body: { sheet } }, 8_000);
     await runtime.clock.sleep(10_000);
     const before = new Map([...fleet.running].map(([name, entry]) => [name, weigh(entry.child.pid as number)]));
     await runtime.clock.sleep(countMilliseconds);
--- a/packages/core/src/administration/authorization.ts
+++ b/packages/core/src/administration/authorization.ts
@@ -21,9 +21,9 @@
 export function authorized(table: OperatorTable, permission: Permission, handle: AuthorizedHandler): HttpRoute['handle'] {
   return async function handleAuthorized(request) {
     const caller = await table.authenticate(request);
-    if (Either.isLeft(caller)) return http.rejected(caller.left);
+    if (Either.isLeft(caller)) return http.faultReply(caller.left);
     if (!isAllowed(caller.right.scope, permission))
-      return http.rejected(operators.rejected(`${caller.right.operator} is not allowed to do this`));
+      return http.faultReply(operators.rejected(`${caller.right.operator} is not allowed to do this`));
     return handle(request, caller.right);
   };
 }
--- a/packages/core/src/administration/election-routes.ts
+++ b/packages/core/src/administration/election-routes.ts
@@ -56,12 +56,12 @@
 async function acceptLoss(context: AdministrationContext, request: HttpRequest, caller: Caller): Promise<HttpReply> {
   const service = request.query['service'] ?? '';
   const rejection = rejectionOf(context, service, caller);
-  if (Option.isSome(rejection)) return http.rejected(rejection.value);
+  if (Option.isSome(rejection)) return http.faultReply(rejection.value);
   const watermarks = await context.durableReports.watermarks();
-  if (Either.isLeft(watermarks)) return http.rejected(watermarks.left);
+  if (Either.isLeft(watermarks)) return http.faultReply(watermarks.left);
   const watermark = watermarks.right[service] ?? zeroWatermark;
   const written = await context.register.change(acceptedLossKey(service), () => Option.some(watermark));
-  if (Either.isLeft(written)) return http.rejected(written.left);
+  if (Either.isLeft(written)) return http.faultReply(written.left);
   await context.operators.recordAction(caller.operator, 'accept-loss', `${service} up to ${formatWatermark(watermark)}`);
   return { status: 200, body: { service, floor: watermark } };
 }
--- a/packages/core/src/administration/node-routes.ts
+++ b/packages/core/src/administration/node-routes.ts
@@ -33,12 +33,12 @@
 async function setDraining(context: AdministrationContext, request: HttpRequest, caller: Caller, draining: boolean): Promise<HttpReply> {
   const name = request.query['node'] ?? '';
   const edge = findEdge(context, name);
-  if (Either.isLeft(edge)) return http.rejected(edge.left);
+  if (Either.isLeft(edge)) return http.faultReply(edge.left);
   const changed = await context.parts.changeMembership(function withDraining(before) {
     const current = quorum.findNode(before, name);
     return current === undefined ? before : quorum.putNode(before, { ...current, draining });
   });
-  if (Either.isLeft(changed)) return http.rejected(changed.left);
+  if (Either.isLeft(changed)) return http.faultReply(changed.left);
   await context.operators.recordAction(caller.operator, draining ? 'drain' : 'undrain', name);
   return http.toReply(Either.right({ node: name, draining }));
 }
@@ -66,11 +66,11 @@
 async function remove(context: AdministrationContext, request: HttpRequest, caller: Caller): Promise<HttpReply> {
   const name = request.query['node'] ?? '';
   const edge = findEdge(context, name);
-  if (Either.isLeft(edge)) return http.rejected(edge.left);
+  if (Either.isLeft(edge)) return http.faultReply(edge.left);
   const risk = removalRisk(context, edge.right, request.query['force'] === 'true');
-  if (Option.isSome(risk)) return http.rejected(risk.value);
+  if (Option.isSome(risk)) return http.faultReply(risk.value);
   const changed = await context.parts.changeMembership((current) => quorum.removeNode(current, name));
-  if (Either.isLeft(changed)) return http.rejected(changed.left);
+  if (Either.isLeft(changed)) return http.faultReply(changed.left);
   await context.operators.recordAction(caller.operator, 'remove', name);
   return http.toReply(Either.right({ node: name, removed: true }));
 }
--- a/packages/core/src/administration/operator-routes.ts
+++ b/packages/core/src/administration/operator-routes.ts
@@ -27,9 +27,9 @@
   const operator = request.query['operator'] ?? '';
   const { body } = request;
   const isValid = message.matches(ScopeSchema, body) && operatorName.test(operator) && operator !== rootName;
-  if (!isValid) return http.rejected(malformedOperator());
+  if (!isValid) return http.faultReply(malformedOperator());
   const key = await context.operators.put(operator, body);
-  if (Either.isLeft(key)) return http.rejected(key.left);
+  if (Either.isLeft(key)) return http.faultReply(key.left);
   await context.operators.recordAction(caller.operator, 'operator-put', describeOperator(operator, body));
   return http.toReply(Either.right({ operator, key: key.right }));
 }
@@ -37,14 +37,14 @@
 async function remove(context: AdministrationContext, request: HttpRequest, caller: Caller): Promise<HttpReply> {
   const operator = request.query['operator'] ?? '';
   const removed = await context.operators.remove(operator);
-  if (Either.isLeft(removed)) return http.rejected(removed.left);
+  if (Either.isLeft(removed)) return http.faultReply(removed.left);
   if (!removed.right) {
     const unknown = fault.create({
       kind: 'not-found',
       message: `there is no operator ${operator}`,
       remedy: 'list them with stallstall operators',
     });
-    return http.rejected(unknown);
+    return http.faultReply(unknown);
   }
   await context.operators.recordAction(caller.operator, 'operator-removed', operator);
   return { status: 200, body: { operator, removed: true } };
--- a/packages/core/src/administration/placement-routes.ts
+++ b/packages/core/src/administration/placement-routes.ts
@@ -18,7 +18,7 @@
 });
 
 function badRequest(reason: string, remedy: string): HttpReply {
-  return http.rejected(fault.create({ kind: 'bad-request', message: reason, remedy }));
+  return http.faultReply(fault.create({ kind: 'bad-request', message: reason, remedy }));
 }
 
 function noConfiguration(remedy: string): Fault {
@@ -52,7 +52,7 @@
     );
   }
   const checked = placements.validate(body.sheet);
-  if (Either.isLeft(checked)) return http.rejected(checked.left);
+  if (Either.isLeft(checked)) return http.faultReply(checked.left);
   const expected = expectedVersion(request.headers['if-match']);
   if (Either.isLeft(expected)) return expected.left;
   const sentBy = caller.operator === 'anyone' ? (body.sentBy ?? 'unnamed') : caller.operator;
@@ -65,7 +65,7 @@
     sentBy,
     expectedVersion: expected.right,
   });
-  if (Either.isLeft(sent)) return http.rejected(sent.left);
+  if (Either.isLeft(sent)) return http.faultReply(sent.left);
   const { version } = sent.right;
   await operators.recordAction(sentBy, 'sheet', `version ${version}`);
   return { status: 200, headers: { etag: `"${version}"` }, body: { version } };
@@ -73,23 +73,23 @@
 
 async function readBack({ versions }: AdministrationContext, request: HttpRequest): Promise<HttpReply> {
   const read = await versions.current();
-  if (Either.isLeft(read)) return http.rejected(read.left);
-  if (Option.isNone(read.right)) return http.rejected(noConfiguration('send one with stallstall sheet send'));
+  if (Either.isLeft(read)) return http.faultReply(read.left);
+  if (Option.isNone(read.right)) return http.faultReply(noConfiguration('send one with stallstall sheet send'));
   const current = read.right.value;
   const latest = current.version;
   const oldest = versions.oldest(latest);
   const requested = request.query['version'];
   const version = requested === undefined ? latest : Number(requested);
   const found = await versions.find(version, current);
-  if (Either.isLeft(found)) return http.rejected(found.left);
-  if (Option.isNone(found.right)) return http.rejected(versionUnavailable(requested, version, latest, oldest));
+  if (Either.isLeft(found)) return http.faultReply(found.left);
+  if (Option.isNone(found.right)) return http.faultReply(versionUnavailable(requested, version, latest, oldest));
   const { sheet, sentBy, sentAt } = found.right.value;
   return { status: 200, headers: { etag: `"${version}"` }, body: { version, sheet, sentBy, sentAt, oldest, latest } };
 }
 
 async function listVersions({ versions }: AdministrationContext, request: HttpRequest): Promise<HttpReply> {
   const read = await versions.current();
-  if (Either.isLeft(read)) return http.rejected(read.left);
+  if (Either.isLeft(read)) return http.faultReply(read.left);
   if (Option.isNone(read.right)) return { status: 200, body: pageOf([], request) };
   const current = read.right.value;
   const page = pageOf(versions.availableVersions(current.version), request);
--- a/packages/core/src/core-routes.ts
+++ b/packages/core/src/core-routes.ts
@@ -1,6 +1,6 @@
 /** Serves a core's HTTP routes: those of the platform's protocol at an address of their own, all others at its HTTP address. */
 import * as Option from 'fp-ts/lib/Option.js';
-import { http, identifiers, type HttpRoute, type Listening } from '@stallstall/kernel';
+import { http, identifiers, type HttpRoute, type Listener } from '@stallstall/kernel';
 import type { Administration } from './administration/administration.js';
 import type { CoreServices } from './core-context.js';
 import type { PlatformApi } from './platform-api.js';
@@ -8,7 +8,7 @@
 
 /** @internal */
 export type CoreRoutes = Readonly<{
-  listening: readonly Listening[];
+  listening: readonly Listener[];
   /** How many requests have not been replied to yet. */
   inFlight: () => number;
 }>;
--- a/packages/core/src/core-storage.ts
+++ b/packages/core/src/core-storage.ts
@@ -18,7 +18,7 @@
 }>;
 
 function logDiskFaults(runtime: Runtime, disk: Disk): void {
-  disk.onTrouble(function onTrouble(trouble) {
+  disk.onSyncFaultChange(function onTrouble(trouble) {
     if (Option.isSome(trouble)) runtime.log('disk.failed', { reason: trouble.value.message });
     else runtime.log('disk.works', {});
   });
--- a/packages/core/src/core.ts
+++ b/packages/core/src/core.ts
@@ -1,7 +1,7 @@
 /** A core: stores a replica of the register, pushes changes to edges, and serves the operators' administration API (design 5, 6, 9). */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
-import { fault, identifiers, type Disk, type Fault, type Runtime, type Listening } from '@stallstall/kernel';
+import { fault, identifiers, type Disk, type Fault, type Runtime, type Listener } from '@stallstall/kernel';
 import type { Node } from '@stallstall/node';
 import { peer } from '@stallstall/peer';
 import { registerService } from '@stallstall/register';
@@ -151,7 +151,7 @@
     changeMembership: table.change,
     appliedVersions: subscribers.appliedVersions,
     diskBytes: disk.size,
-    diskFault: disk.trouble,
+    diskFault: disk.syncFault,
     versions,
     metrics: () => ({
       cells: storage.cells.keys().length,
@@ -213,7 +213,7 @@
   bootstrap.start();
 }
 
-async function stop({ services, versions, usage }: Assembly, listening: readonly Listening[]): Promise<void> {
+async function stop({ services, versions, usage }: Assembly, listening: readonly Listener[]): Promise<void> {
   const { context, storage, node } = services;
   context.isStopped = true;
   versions.stop();
--- a/packages/core/src/data-folder.ts
+++ b/packages/core/src/data-folder.ts
@@ -83,7 +83,7 @@
   node: string,
 ): Promise<Either.Either<Fault, ReadonlyMap<string, unknown>>> {
   const loaded = await disk.load(archiveStoragePrefix);
-  const lost = disk.lost();
+  const lost = disk.discardedStoreReason();
   if (Option.isSome(lost) && Either.isRight(loaded) && !loaded.right.has('fleet')) runtime.log('disk.replaced', { reason: lost.value });
   const state = Either.isLeft(loaded) ? damaged(loaded.left.message) : checkFolder(loaded.right, node);
   if (state.kind === 'refused') return Either.left(state.reason);
--- a/packages/core/src/fleet-bootstrap.ts
+++ b/packages/core/src/fleet-bootstrap.ts
@@ -23,7 +23,7 @@
 export type FleetBootstrapParts = Readonly<{
   node: Pick<Node, 'ownRecord' | 'setFleet'>;
   cells: Pick<Acceptor, 'ready'>;
-  disk: Pick<Disk, 'puts' | 'lost'>;
+  disk: Pick<Disk, 'puts' | 'discardedStoreReason'>;
   recordStore: FleetRecordStore;
   transfer: StateTransfer;
   votes: Pick<CoreVoteStore, 'epochs'>;
@@ -122,7 +122,7 @@
   }
   // A core that lost its disk founds no fleet: it was part of one, whose acknowledged writes a new fleet would not have (design 4.3).
   const mayFound = Option.isNone(parts.founding) || parts.founding.value.mayFound;
-  if (Option.isNone(disk.lost()) && mayFound) void founding.run();
+  if (Option.isNone(disk.discardedStoreReason()) && mayFound) void founding.run();
 }
 
 function create(runtime: Runtime, settings: FleetBootstrapSettings, parts: FleetBootstrapParts): FleetBootstrap {
--- a/packages/core/src/founding.ts
+++ b/packages/core/src/founding.ts
@@ -111,7 +111,7 @@
 
   async function handleForm({ fleet, cores: founders, step }: Request<'form'>): Promise<Reply<'form'>> {
     const isBlank = recordStore.stage() === 'blank';
-    if (isBlank && Option.isSome(disk.lost())) return { agreed: false };
+    if (isBlank && Option.isSome(disk.discardedStoreReason())) return { agreed: false };
     if (isBlank && step === 'propose') {
       const isSaved = await recordStore.save({ fleet, node: settings.node, cores: founders, stage: 'founding' });
       if (!isSaved) return { agreed: false };
--- a/packages/core/src/member-registration.ts
+++ b/packages/core/src/member-registration.ts
@@ -152,8 +152,8 @@
 
 function create(runtime: Runtime, parts: MemberRegistrationParts): MemberRegistration {
   const state = assemble(runtime, parts);
-  runtime.services.offer(memberRegistryService, state.registry);
-  runtime.services.offer(leaseGrantorService, state.grantor);
+  runtime.services.register(memberRegistryService, state.registry);
+  runtime.services.register(leaseGrantorService, state.grantor);
   registryFile.restore(state.registry, parts.storedRegistry);
   return {
     grantor: state.grantor,
--- a/packages/core/src/quorum-contact.ts
+++ b/packages/core/src/quorum-contact.ts
@@ -84,7 +84,7 @@
       ...route,
       handle: async function handleInContact(request): Promise<HttpReply> {
         const replied = await runInContact(async () => Either.right(await route.handle(request)));
-        return Either.isLeft(replied) ? http.rejected(replied.left) : replied.right;
+        return Either.isLeft(replied) ? http.faultReply(replied.left) : replied.right;
       },
     };
   }
--- a/packages/core/src/usage-reporting.ts
+++ b/packages/core/src/usage-reporting.ts
@@ -113,7 +113,7 @@
   const holder = node.settings.node;
   if (Option.isSome(leased)) return leased.value.calls.usage({ window, counts, fencingToken, holder });
   return {
-    repeatable: 'unchanged',
+    retrySafety: 'deduplicated',
     method: 'POST',
     path: '/v1/usage',
     body: { window, endsAt: endOf(window), counts, turn: fencingToken, holder },
--- a/packages/core/src/vote-store.ts
+++ b/packages/core/src/vote-store.ts
@@ -25,7 +25,7 @@
     load: (service) => votes.run((table) => Either.right(Option.fromNullable(table.get(service)))),
     record: async function record(service, vote) {
       // A vote that cannot be synced does not count. Failing at once keeps further requests from queueing behind a disk that hangs.
-      if (Option.isSome(disk.trouble())) return false;
+      if (Option.isSome(disk.syncFault())) return false;
       return votes.run(async function sync(table) {
         if ((table.get(service)?.epoch ?? 0) >= vote.epoch) return false;
         const put = await disk.put(`${voteStoragePrefix}${service}`, vote);
--- a/packages/election/src/platform-calls.ts
+++ b/packages/election/src/platform-calls.ts
@@ -1,11 +1,11 @@
 /** Requests to a platform that does not implement this product's own HTTP API (design 7.13). */
-import type { OutgoingHttpRequest, Repeatable } from '@stallstall/kernel';
+import type { OutgoingHttpRequest, RetrySafety } from '@stallstall/kernel';
 
 /**
  * A request that is retried unchanged until its outcome is known. The adapter that builds it thereby declares that the platform applies a
  * repeated request only once (design 8.14).
  */
-export type PlatformCall = OutgoingHttpRequest & Readonly<{ repeatable: Extract<Repeatable, 'unchanged'> }>;
+export type PlatformCall = OutgoingHttpRequest & Readonly<{ retrySafety: Extract<RetrySafety, 'deduplicated'> }>;
 
 export type PromotionCall = Readonly<{ service: string; member: string; epoch: number; fencingToken: number; holder: string }>;
 
--- a/packages/election/src/promotion.ts
+++ b/packages/election/src/promotion.ts
@@ -40,7 +40,7 @@
   const { fencingToken } = roleLease;
   if (Option.isSome(context.platformCalls))
     return context.platformCalls.value.promotion({ service, member, epoch, fencingToken, holder: context.self });
-  return { repeatable: 'unchanged', method: 'POST', path: '/v1/promotions', body: { service, member, epoch, turn: fencingToken } };
+  return { retrySafety: 'deduplicated', method: 'POST', path: '/v1/promotions', body: { service, member, epoch, turn: fencingToken } };
 }
 
 function rejectedByPlatform(status: number): Fault {
--- a/packages/election/src/role-lease.ts
+++ b/packages/election/src/role-lease.ts
@@ -131,7 +131,7 @@
   closeAtExpiry(lease, connection, isInProgress);
   void renewWhile(lease, isInProgress);
   recordCall(lease);
-  const reply = await connection.exchange({ ...request, leaveBefore: lease.expiresAt }, timeoutMilliseconds);
+  const reply = await connection.exchange({ ...request, sendBefore: lease.expiresAt }, timeoutMilliseconds);
   recordCall(lease);
   inProgress = false;
   lease.connections.delete(connection);
--- a/packages/fakes/src/member-heartbeat.ts
+++ b/packages/fakes/src/member-heartbeat.ts
@@ -27,7 +27,7 @@
     for (let attempt = 0; attempt < cores.length; attempt += 1) {
       const address = identifiers.address(cores[core] as string);
       const request = { method: 'POST', path: `/members/${settings.member}/${path}`, body };
-      const reply = await http.once(runtime, address, request, callMilliseconds);
+      const reply = await http.exchangeOnce(runtime, address, request, callMilliseconds);
       if (Either.isRight(reply) && reply.right.status === 200) return true;
       core = (core + 1) % cores.length;
     }
--- a/packages/fakes/src/member.ts
+++ b/packages/fakes/src/member.ts
@@ -7,7 +7,7 @@
   type HttpReply,
   type HttpRequest,
   type Runtime,
-  type Listening,
+  type Listener,
 } from '@stallstall/kernel';
 
 /** A change that raises never lowers what stands when it commits. */
@@ -316,7 +316,7 @@
     await Promise.all(settings.nodes.map((address) => beatTo(address)));
   }
 
-  const listening: readonly Listening[] = [
+  const listening: readonly Listener[] = [
     await runtime.network.serve(identifiers.address(settings.address), {
       routes: [
         {
--- a/packages/fakes/src/platform.ts
+++ b/packages/fakes/src/platform.ts
@@ -1,6 +1,6 @@
 /** A stand-in for the platform: promotions and usage from one holder at a time, and a record of both (design 10.1). */
 import * as Either from 'fp-ts/lib/Either.js';
-import { http, identifiers, runtimeUtilities, type HttpReply, type HttpRequest, type Runtime, type Listening } from '@stallstall/kernel';
+import { http, identifiers, runtimeUtilities, type HttpReply, type HttpRequest, type Runtime, type Listener } from '@stallstall/kernel';
 
 export type PlatformMember = Readonly<{ service: string; member: string; control: string }>;
 export type PlatformSettings = Readonly<{ address: string; members: readonly PlatformMember[] }>;
@@ -68,7 +68,7 @@
     if (!accepted) return { status: 409, body: { message: 'a later turn was here' } };
     const target = settings.members.find((one) => one.member === asked.member && one.service === asked.service);
     if (target === undefined) return { status: 404, body: { message: 'no such member' } };
-    const reply = await http.once(
+    const reply = await http.exchangeOnce(
       runtime,
       identifiers.address(target.control),
       { method: 'POST', path: '/promote', body: { epoch: asked.epoch } },
@@ -109,7 +109,7 @@
         settings.members
           .filter((one) => one.service === service && one.member !== leader.member)
           .map((one) =>
-            http.once(
+            http.exchangeOnce(
               runtime,
               identifiers.address(one.control),
               { method: 'POST', path: '/follow', body: { primary: primary.control, epoch: leader.epoch } },
@@ -120,7 +120,7 @@
     }
   }
 
-  const listening: Listening = await runtime.network.serve(identifiers.address(settings.address), {
+  const listening: Listener = await runtime.network.serve(identifiers.address(settings.address), {
     routes: [
       { method: 'POST', path: '/v1/promotions', handle: promote },
       { method: 'POST', path: '/v1/usage', handle: usage },
--- a/packages/fakes/src/session-member.ts
+++ b/packages/fakes/src/session-member.ts
@@ -1,6 +1,6 @@
 /** A stand-in for a database member that speaks the session wire: slots, transactions, a log with terms, late replicas, promotion (design 10.1). */
 import * as Option from 'fp-ts/lib/Option.js';
-import { identifiers, runtimeUtilities, type Runtime, type Listening } from '@stallstall/kernel';
+import { identifiers, runtimeUtilities, type Runtime, type Listener } from '@stallstall/kernel';
 import { memberHeartbeats } from './member-heartbeat.js';
 import { memberLogs } from './member-log.js';
 import type { MemberParts } from './member-parts.js';
@@ -62,7 +62,7 @@
   settings: SessionMemberSettings,
   connections: SessionConnections,
   replication: MemberReplication,
-): Promise<readonly Listening[]> {
+): Promise<readonly Listener[]> {
   return [
     await runtime.network.listenStream(identifiers.address(settings.address), (stream) => void connections.serve(stream)),
     await runtime.network.serve(identifiers.address(settings.control), {
--- a/packages/fakes/src/session-platform.ts
+++ b/packages/fakes/src/session-platform.ts
@@ -1,5 +1,5 @@
 /** A stand-in for a platform that promotes members and takes usage, and checks the turn of whoever holds a duty (design 10.1). */
-import { identifiers, runtimeUtilities, type HttpReply, type HttpRequest, type Runtime, type Listening } from '@stallstall/kernel';
+import { identifiers, runtimeUtilities, type HttpReply, type HttpRequest, type Runtime, type Listener } from '@stallstall/kernel';
 
 /** Promotion reaches members in one moment, whatever is cut off from whom. */
 export type SessionPlatformMember = Readonly<{
@@ -103,7 +103,7 @@
     }
   }
 
-  const listening: Listening = await runtime.network.serve(identifiers.address(settings.address), {
+  const listening: Listener = await runtime.network.serve(identifiers.address(settings.address), {
     routes: [
       {
         method: 'POST',
--- a/packages/kernel/src/disk-health.ts
+++ b/packages/kernel/src/disk-health.ts
@@ -4,25 +4,25 @@
 import { fault, type Fault } from './fault.js';
 import type { Clock } from './runtime.js';
 
-export type TroubleListener = (trouble: Option.Option<Fault>) => void;
+export type SyncFaultListener = (trouble: Option.Option<Fault>) => void;
 
 export type DiskHealth = Readonly<{
   /** Why the disk does not sync now; none while it does. */
-  trouble: () => Option.Option<Fault>;
+  syncFault: () => Option.Option<Fault>;
   /** Calls back at each change of state, not at each put. */
-  onTrouble: (listener: TroubleListener) => void;
+  onSyncFaultChange: (listener: SyncFaultListener) => void;
   /** Runs a commit; one that lasts too long is trouble until it ends, one that fails is trouble until a probe succeeds. */
-  follow: (commit: () => Promise<Either.Either<Fault, null>>) => Promise<Either.Either<Fault, null>>;
+  monitor: (commit: () => Promise<Either.Either<Fault, null>>) => Promise<Either.Either<Fault, null>>;
 }>;
 
 /** A commit that has not ended by then is taken for a disk that hangs. */
-export const stallMilliseconds = 1_000;
+export const commitStallMilliseconds = 1_000;
 /** How often a disk that failed is tried again. */
-export const probeMilliseconds = 250;
+export const probeIntervalMilliseconds = 250;
 
 /** `probe` tries whether the disk takes bytes again; it writes nothing that anybody reads. */
 function create(clock: Clock, probe: () => Promise<Either.Either<Fault, null>>): DiskHealth {
-  const listeners: TroubleListener[] = [];
+  const listeners: SyncFaultListener[] = [];
   let current: Option.Option<Fault> = Option.none;
   let probing = false;
 
@@ -33,7 +33,7 @@
   }
 
   async function watched(commit: () => Promise<Either.Either<Fault, null>>): Promise<Either.Either<Fault, null>> {
-    const timer = clock.startTimer(stallMilliseconds, () => change(Option.some(fault.diskStalled(stallMilliseconds))));
+    const timer = clock.startTimer(commitStallMilliseconds, () => change(Option.some(fault.diskStalled(commitStallMilliseconds))));
     const outcome = await commit();
     timer.cancel();
     change(Either.isLeft(outcome) ? Option.some(outcome.left) : Option.none);
@@ -43,15 +43,15 @@
   async function probeUntilWorking(): Promise<void> {
     if (probing) return;
     probing = true;
-    do await clock.sleep(probeMilliseconds);
+    do await clock.sleep(probeIntervalMilliseconds);
     while (Either.isLeft(await watched(probe)));
     probing = false;
   }
 
   return {
-    trouble: () => current,
-    onTrouble: (listener) => void listeners.push(listener),
-    follow: async function follow(commit) {
+    syncFault: () => current,
+    onSyncFaultChange: (listener) => void listeners.push(listener),
+    monitor: async function monitor(commit) {
       const outcome = await watched(commit);
       if (Either.isLeft(outcome)) void probeUntilWorking();
       return outcome;
--- a/packages/kernel/src/http.ts
+++ b/packages/kernel/src/http.ts
@@ -30,12 +30,12 @@
   return Option.some(parameters);
 }
 
-function rejected(error: Fault): HttpReply {
+function faultReply(error: Fault): HttpReply {
   return { status: fault.status(error), headers: fault.headers(error), body: fault.body(error) };
 }
 
 function toReply(result: Either.Either<Fault, unknown>, status = 200): HttpReply {
-  return Either.isLeft(result) ? rejected(result.left) : { status, body: result.right };
+  return Either.isLeft(result) ? faultReply(result.left) : { status, body: result.right };
 }
 
 /** Finds the mapping and runs it; a thrown error becomes an honest 500, never the end of the process. */
@@ -47,7 +47,7 @@
     try {
       return await candidate.handle({ ...request, query: { ...request.query, ...parameters.value } });
     } catch (error) {
-      return rejected(
+      return faultReply(
         fault.create({
           kind: 'internal',
           message: `${request.method} ${request.path} failed: ${(error as Error).message}`,
@@ -56,7 +56,7 @@
       );
     }
   }
-  return rejected(
+  return faultReply(
     fault.create({
       kind: 'not-found',
       message: `there is no ${request.method} ${request.path}`,
@@ -85,7 +85,7 @@
 }
 
 /** One exchange on a connection of its own. */
-async function once(
+async function exchangeOnce(
   runtime: Runtime,
   address: Address,
   ask: OutgoingHttpRequest,
@@ -97,4 +97,4 @@
   return reply;
 }
 
-export const http = { matchPath, rejected, toReply, dispatch, countInFlight, once } as const;
+export const http = { matchPath, faultReply, toReply, dispatch, countInFlight, exchangeOnce } as const;
--- a/packages/kernel/src/identifiers.ts
+++ b/packages/kernel/src/identifiers.ts
@@ -43,7 +43,7 @@
   address: text<'Address'>,
   fleet: text<'FleetId'>,
   epoch: count<'Epoch'>,
-  turn: count<'FencingToken'>,
+  fencingToken: count<'FencingToken'>,
   version: count<'Version'>,
   incarnation: count<'Incarnation'>,
   position: count<'Position'>,
--- a/packages/kernel/src/index.ts
+++ b/packages/kernel/src/index.ts
@@ -3,7 +3,7 @@
 export * from './owner.js';
 export * from './runtime.js';
 export * from './http.js';
-export * from './repeatable.js';
+export * from './retry-safety.js';
 export * from './waiters.js';
 export * from './disk-health.js';
 export * from './wall-clock.js';
--- a/packages/kernel/src/repeatable.ts
+++ b/packages/kernel/src/retry-safety.ts
@@ -5,4 +5,4 @@
  * `unchanged`: again with the same content under the same number; the receiver takes it once.
  * `never`: it leaves once, and its sender says that the outcome is not known.
  */
-export type Repeatable = 'freely' | 'unchanged' | 'never';
+export type RetrySafety = 'idempotent' | 'deduplicated' | 'never';
--- a/packages/kernel/src/runtime.ts
+++ b/packages/kernel/src/runtime.ts
@@ -75,7 +75,7 @@
   headers?: Readonly<Record<string, string>>;
   body?: unknown;
   /** No byte of the request leaves at this moment of the process's own clock or later, however long the connection took to open. */
-  leaveBefore?: Instant;
+  sendBefore?: Instant;
 }>;
 
 /**
@@ -89,15 +89,15 @@
 }>;
 
 /** `deafen`: nobody new is let in, what is open stays; `stop` ends that as well. */
-export type Listening = Readonly<{ stopAccepting: () => void; stop: () => Promise<void> }>;
+export type Listener = Readonly<{ stopAccepting: () => void; stop: () => Promise<void> }>;
 
 export type Network = Readonly<{
-  listen: (address: Address, greet: (link: Link) => void) => Promise<Listening>;
+  listen: (address: Address, greet: (link: Link) => void) => Promise<Listener>;
   open: (address: Address) => Promise<Either.Either<Fault, Link>>;
-  listenStream: (address: Address, greet: (stream: Stream) => void) => Promise<Listening>;
+  listenStream: (address: Address, greet: (stream: Stream) => void) => Promise<Listener>;
   /** A fault of kind `not-listening` says that the machine is there and nothing listens; `unreachable` says nothing of the kind. */
   openStream: (address: Address, milliseconds: number) => Promise<Either.Either<Fault, Stream>>;
-  serve: (address: Address, server: HttpServer) => Promise<Listening>;
+  serve: (address: Address, server: HttpServer) => Promise<Listener>;
   connect: (address: Address) => HttpConnection;
 }>;
 
@@ -114,11 +114,11 @@
   /** How many puts this disk has taken in its life; kept with each of them, so that an old copy tells itself. */
   puts: () => number;
   /** Why this disk does not sync now; none while it does. Puts fail at once meanwhile. */
-  trouble: () => Option.Option<Fault>;
+  syncFault: () => Option.Option<Fault>;
   /** Calls back at each change between a disk that syncs and one that does not. */
-  onTrouble: (listener: (trouble: Option.Option<Fault>) => void) => void;
+  onSyncFaultChange: (listener: (trouble: Option.Option<Fault>) => void) => void;
   /** Why an earlier store in this folder was given up for an empty one; none if this is the first, or if it stands. */
-  lost: () => Option.Option<string>;
+  discardedStoreReason: () => Option.Option<string>;
   /** Gives up what is stored and starts an empty store that knows it is not the first (design 4.3). */
   discard: (reason: string) => Promise<Either.Either<Fault, null>>;
 }>;
@@ -129,14 +129,14 @@
 declare const held: unique symbol;
 export type ServiceName<Service> = string & { readonly [held]: Service };
 
-export type Directory = Readonly<{
-  offer: <Service>(name: ServiceName<Service>, service: Service) => void;
+export type ServiceDirectory = Readonly<{
+  register: <Service>(name: ServiceName<Service>, service: Service) => void;
   find: <Service>(name: ServiceName<Service>) => Service;
 }>;
 
 /** The versions of what processes say to each other that this build speaks (design 3.5). */
 export type Protocols = Readonly<{ from: number; to: number }>;
-export const protocolsSpoken: Protocols = { from: 2, to: 2 };
+export const supportedProtocols: Protocols = { from: 2, to: 2 };
 
 export type Runtime = Readonly<{
   protocols: Protocols;
@@ -145,15 +145,15 @@
   disk: Option.Option<Disk>;
   randomness: Randomness;
   log: Log;
-  services: Directory;
+  services: ServiceDirectory;
   /** Ends this process: the last act of one that must not go on. */
   stop: (reason: Fault) => void;
 }>;
 
-function directory(): Directory {
+function directory(): ServiceDirectory {
   const services = new Map<string, unknown>();
 
-  function offer<Service>(name: ServiceName<Service>, service: Service): void {
+  function register<Service>(name: ServiceName<Service>, service: Service): void {
     services.set(name, service);
   }
 
@@ -163,7 +163,7 @@
     return service as Service;
   }
 
-  return { offer, find };
+  return { register, find };
 }
 
 function serviceName<Service>(name: string): ServiceName<Service> {
--- a/packages/kernel/src/waiters.ts
+++ b/packages/kernel/src/waiters.ts
@@ -3,14 +3,14 @@
 
 export type Waiters = Readonly<{
   /** Resolves at the next wake, or after so many milliseconds. */
-  hold: (milliseconds: number) => Promise<void>;
+  wait: (milliseconds: number) => Promise<void>;
   wake: () => void;
 }>;
 
 function create(clock: Clock): Waiters {
   const waiting = new Set<() => void>();
 
-  function hold(milliseconds: number): Promise<void> {
+  function wait(milliseconds: number): Promise<void> {
     return new Promise((resolve) => {
       const timer = clock.startTimer(milliseconds, over);
       function over(): void {
@@ -26,7 +26,7 @@
     for (const resolve of [...waiting]) resolve();
   }
 
-  return { hold, wake };
+  return { wait, wake };
 }
 
 export const waiters = { create } as const;
--- a/packages/lease/src/update-numbers.ts
+++ b/packages/lease/src/update-numbers.ts
@@ -62,7 +62,7 @@
   return {
     current: () => number,
     notify,
-    wait: pendingRequests.hold,
+    wait: pendingRequests.wait,
     registryVersionAt: (seen) => registryVersions.get(seen) ?? 0,
     changedEpochs,
     forgetEpochs: () => epochChanges.clear(),
--- a/packages/node/src/member-routes.ts
+++ b/packages/node/src/member-routes.ts
@@ -27,9 +27,9 @@
   async function heartbeat(request: HttpRequest): Promise<HttpReply> {
     const current = placement();
     const { body } = request;
-    if (!message.matches(MemberStateSchema, body) || body.member !== request.query['member']) return http.rejected(malformedHeartbeat());
+    if (!message.matches(MemberStateSchema, body) || body.member !== request.query['member']) return http.faultReply(malformedHeartbeat());
     if (Option.isNone(current) || placements.findMember(current.value, body.member) === undefined) {
-      return http.rejected(unknownMember(body.member));
+      return http.faultReply(unknownMember(body.member));
     }
     members.recordState(body);
     return { status: 200, body: { heard: true } };
--- a/packages/node/src/node.ts
+++ b/packages/node/src/node.ts
@@ -237,8 +237,8 @@
     Option.isSome(context.registration) ? Option.some(context.registration.value.probe) : Option.none,
   );
   const lease = quorumLease.create();
-  runtime.services.offer(livenessService, members);
-  runtime.services.offer(quorumLeaseService, lease);
+  runtime.services.register(livenessService, members);
+  runtime.services.register(quorumLeaseService, lease);
   const links: PeerLinks = peerLinks.create(context, {
     onConnected: (node) => watch.onConnected(node),
     onChange: (node, link, change) => watch.onChange(node, link, change),
@@ -253,7 +253,7 @@
   const incarnations: Incarnations = incarnationTables.create(context, access.register, onSuperseded);
   const watch: CoreWatch = coreWatch.create(context, { applied, incarnations, linkOf: links.of, onSuperseded });
   const elections = createElection(context, applied, links, parts.votes(access.register));
-  runtime.services.offer(electionService, elections);
+  runtime.services.register(electionService, elections);
   const heartbeats: Heartbeats = heartbeatTables.create(context, {
     applied,
     incarnations,
--- a/packages/node/src/register-access.ts
+++ b/packages/node/src/register-access.ts
@@ -63,8 +63,8 @@
     () => context.cores.length,
     coreSets,
   );
-  runtime.services.offer(registerService, register);
-  runtime.services.offer(durableReportsService, reports);
+  runtime.services.register(registerService, register);
+  runtime.services.register(durableReportsService, reports);
   return { register, reports, coreSets };
 }
 
--- a/packages/peer/src/served-link.ts
+++ b/packages/peer/src/served-link.ts
@@ -1,6 +1,6 @@
 /** The serving side of a link: answers calls and pushes changes (design 3.2). */
 import * as Option from 'fp-ts/lib/Option.js';
-import type { Address, Runtime, Link, Listening } from '@stallstall/kernel';
+import type { Address, Runtime, Link, Listener } from '@stallstall/kernel';
 import { FrameSchema, message, messages, type Frame } from '@stallstall/message';
 import { handshake } from './handshake.js';
 import type { Caller, Handlers } from './peer.js';
@@ -66,6 +66,6 @@
 }
 
 /** Answers calls on every link that is opened to an address; resolves once it listens. */
-export function listen(runtime: Runtime, address: Address, handlers: Handlers): Promise<Listening> {
+export function listen(runtime: Runtime, address: Address, handlers: Handlers): Promise<Listener> {
   return runtime.network.listen(address, (link) => void serve(runtime, address, link, handlers));
 }
--- a/packages/pooler/src/draining.ts
+++ b/packages/pooler/src/draining.ts
@@ -1,5 +1,5 @@
 /** The planned end of the process: readiness fails first; whoever waits is served, whoever is idle is closed (design 7.10). */
-import { identifiers, type Clock, type Instant, type Listening } from '@stallstall/kernel';
+import { identifiers, type Clock, type Instant, type Listener } from '@stallstall/kernel';
 import type { Clients } from './clients.js';
 import { never } from './view.js';
 
@@ -8,7 +8,7 @@
   /** Whether open transactions have had their part of the grace. */
   endsTransactions: () => boolean;
   /** Resolves once no client is left, or the grace is over but for the time that stopping takes. */
-  run: (listener: Listening) => Promise<void>;
+  run: (listener: Listener) => Promise<void>;
 }>;
 
 /** New sessions still arrive for so long after SIGTERM; nobody is admitted later, so that clients can only become fewer. */
@@ -23,7 +23,7 @@
 function create(clock: Clock, graceMilliseconds: number, clients: Clients): Draining {
   let beganAt: Instant = never;
 
-  async function run(listener: Listening): Promise<void> {
+  async function run(listener: Listener): Promise<void> {
     beganAt = clock.now();
     const deadline = identifiers.after(beganAt, graceMilliseconds - stoppingMilliseconds);
     let accepting = true;
--- a/packages/pooler/src/pooler.ts
+++ b/packages/pooler/src/pooler.ts
@@ -1,6 +1,6 @@
 /** The process that clients connect to: their sessions in, their statements placed on members, the members' replies out (design 8.10). */
 import * as Option from 'fp-ts/lib/Option.js';
-import { identifiers, runtimeUtilities, type HttpRoute, type Instant, type Runtime, type Listening } from '@stallstall/kernel';
+import { identifiers, runtimeUtilities, type HttpRoute, type Instant, type Runtime, type Listener } from '@stallstall/kernel';
 import { peer, type Peer } from '@stallstall/peer';
 import type { Dialect } from '@stallstall/session-protocol';
 import { admissions } from './admission.js';
@@ -194,7 +194,7 @@
   void reportUsage(assembly);
 }
 
-async function stopAll({ lifecycle, copies, connections, agent, clients }: Assembly, listening: readonly Listening[]): Promise<void> {
+async function stopAll({ lifecycle, copies, connections, agent, clients }: Assembly, listening: readonly Listener[]): Promise<void> {
   lifecycle.stopped = true;
   copies.stop();
   connections.closeAll();
--- a/packages/proxy/src/client-api.ts
+++ b/packages/proxy/src/client-api.ts
@@ -73,7 +73,7 @@
 
 async function runStatement(parts: ClientApiParts, request: HttpRequest): Promise<HttpReply> {
   if (!message.matches(statementSchema, request.body))
-    return http.rejected(
+    return http.faultReply(
       requestFaults.badRequest(
         'a statement is {kind, statements: [{text, parameters}], transaction?, atLeast?, horizonMilliseconds?}',
         `kind is one of ${statementKinds.join(', ')}; see docs/operations.md`,
@@ -84,7 +84,7 @@
   const session = Option.fromNullable(request.headers['x-stallstall-session']);
   const transaction = body.transaction ?? 'none';
   const rejected = sessionFault(parts, request, service, session, transaction);
-  if (Option.isSome(rejected)) return http.rejected(rejected.value);
+  if (Option.isSome(rejected)) return http.faultReply(rejected.value);
   const outcome = await parts.requests.submit({
     service,
     kind: body.kind,
@@ -103,7 +103,7 @@
   const { sheet } = parts.known();
   const name = request.query['mapping'] ?? '';
   const mapping = Option.isSome(sheet) ? placements.findNamedStatement(sheet.value, name) : undefined;
-  if (mapping === undefined) return http.rejected(requestFaults.notFound(`a mapping ${name}`));
+  if (mapping === undefined) return http.faultReply(requestFaults.notFound(`a mapping ${name}`));
   const given = (typeof request.body === 'object' && request.body !== null ? request.body : {}) as Readonly<Record<string, unknown>>;
   const { parameters, ...rest } = given;
   return runStatement(parts, {
@@ -115,9 +115,9 @@
 
 async function openSession({ clock, known, sessions }: ClientApiParts, request: HttpRequest): Promise<HttpReply> {
   const service = request.query['service'] ?? '';
-  if (known().controlUntil <= clock.now()) return http.rejected(requestFaults.staleConfiguration('try another edge'));
-  if (known().draining) return http.rejected(requestFaults.draining());
-  if (!mayUse(known(), keyOf(request), service)) return http.rejected(requestFaults.keyRejected(`open a session on ${service}`));
+  if (known().controlUntil <= clock.now()) return http.faultReply(requestFaults.staleConfiguration('try another edge'));
+  if (known().draining) return http.faultReply(requestFaults.draining());
+  if (!mayUse(known(), keyOf(request), service)) return http.faultReply(requestFaults.keyRejected(`open a session on ${service}`));
   return { status: 201, body: { session: sessions.open(keyOf(request), service).id } };
 }
 
@@ -129,18 +129,18 @@
 
 async function setValue(parts: ClientApiParts, request: HttpRequest): Promise<HttpReply> {
   const session = sessionFor(parts, request, request.query['session'] ?? '');
-  if (Either.isLeft(session)) return http.rejected(session.left);
+  if (Either.isLeft(session)) return http.faultReply(session.left);
   if (!message.matches(valueSchema, request.body))
-    return http.rejected(requestFaults.badRequest('a session value is {"value": text, number or truth}', 'send that shape'));
+    return http.faultReply(requestFaults.badRequest('a session value is {"value": text, number or truth}', 'send that shape'));
   session.right.setValue(request.query['name'] ?? '', request.body.value);
   return { status: 200, body: { set: true } };
 }
 
 async function prepareStatement(parts: ClientApiParts, request: HttpRequest): Promise<HttpReply> {
   const session = sessionFor(parts, request, request.query['session'] ?? '');
-  if (Either.isLeft(session)) return http.rejected(session.left);
+  if (Either.isLeft(session)) return http.faultReply(session.left);
   if (!message.matches(preparedSchema, request.body))
-    return http.rejected(requestFaults.badRequest('a prepared shape is {"text": "..."}', 'send that shape'));
+    return http.faultReply(requestFaults.badRequest('a prepared shape is {"text": "..."}', 'send that shape'));
   session.right.prepare(request.query['name'] ?? '', request.body.text);
   return { status: 200, body: { prepared: true } };
 }
--- a/packages/proxy/src/proxy.ts
+++ b/packages/proxy/src/proxy.ts
@@ -1,6 +1,6 @@
 /** The HTTP proxy of an edge: clients' statements in, verdicts looked up, members' replies out; fed by its agent (design 8). */
 import * as Option from 'fp-ts/lib/Option.js';
-import { identifiers, runtimeUtilities, type HttpRoute, type Runtime, type Listening } from '@stallstall/kernel';
+import { identifiers, runtimeUtilities, type HttpRoute, type Runtime, type Listener } from '@stallstall/kernel';
 import { peer, type Peer } from '@stallstall/peer';
 import { pools, type Pool } from '@stallstall/pool';
 import { clientApi } from './client-api.js';
@@ -159,7 +159,7 @@
   const routes = [...clientApi.routes({ clock: runtime.clock, known: feed.known, sessions, requests }), ...statusRoutes(assembly)];
   let stopped = false;
 
-  const listening: Listening = await runtime.network.serve(identifiers.address(settings.address), {
+  const listening: Listener = await runtime.network.serve(identifiers.address(settings.address), {
     routes: routes.map((route) => noteConnection(assembly, route)),
     connectionClosed: (connection) => void connected.delete(connection),
   });
--- a/packages/register/src/acceptor.ts
+++ b/packages/register/src/acceptor.ts
@@ -72,7 +72,7 @@
  * disk.
  */
 function isDiskWorking({ disk }: AcceptorState): boolean {
-  return Option.isNone(disk.trouble());
+  return Option.isNone(disk.syncFault());
 }
 
 async function prepareCell(acceptor: AcceptorState, cell: Cell, request: Request<'prepare'>): Promise<Reply<'prepare'>> {
--- a/packages/register/src/report-store.ts
+++ b/packages/register/src/report-store.ts
@@ -131,7 +131,7 @@
 /** Reports that arrive during a sync are written together in the next one. */
 async function storeReport(store: StoreState, request: Request<'note'>): Promise<Reply<'note'>> {
   // While the disk does not sync, reports are rejected: they could not be acknowledged, and would queue up behind a hanging disk.
-  if (Option.isSome(store.disk.trouble())) return { ready: false, floors: { ...store.watermarks } };
+  if (Option.isSome(store.disk.syncFault())) return { ready: false, floors: { ...store.watermarks } };
   merge(store, request);
   const { changeCount } = store;
   const isStored = await store.commands.run(() => sync(store, changeCount));
--- a/packages/runtime/src/base.ts
+++ b/packages/runtime/src/base.ts
@@ -3,7 +3,7 @@
 import type * as Option from 'fp-ts/lib/Option.js';
 import {
   runtimeUtilities,
-  protocolsSpoken,
+  supportedProtocols,
   type Disk,
   type Fault,
   type Runtime,
@@ -40,7 +40,7 @@
 
 function create(say: Log, network: Network, disk: Option.Option<Disk>): Runtime {
   return {
-    protocols: protocolsSpoken,
+    protocols: supportedProtocols,
     clock,
     network,
     disk,
--- a/packages/runtime/src/commits.ts
+++ b/packages/runtime/src/commits.ts
@@ -88,14 +88,14 @@
     while (waiting.length > 0) {
       const group = waiting;
       waiting = [];
-      const outcome = await health.follow(() => commit(group));
+      const outcome = await health.monitor(() => commit(group));
       for (const one of group) one.settle(outcome);
     }
     working = false;
   }
 
   function put(key: string, value: unknown): Promise<Either.Either<Fault, null>> {
-    const trouble = health.trouble();
+    const trouble = health.syncFault();
     if (Option.isSome(trouble)) return Promise.resolve(Either.left(trouble.value));
     if (waiting.length >= mostWaiting) {
       return Promise.resolve(Either.left(fault.diskFailed(key, new Error(`${mostWaiting} puts wait for the disk`))));
--- a/packages/runtime/src/fastify-server.ts
+++ b/packages/runtime/src/fastify-server.ts
@@ -1,6 +1,6 @@
 /** An HTTP server through fastify (design 2.2). */
 import fastify, { type FastifyInstance } from 'fastify';
-import { fault, http, type Address, type Fault, type HttpReply, type HttpRoute, type HttpServer, type Listening } from '@stallstall/kernel';
+import { fault, http, type Address, type Fault, type HttpReply, type HttpRoute, type HttpServer, type Listener } from '@stallstall/kernel';
 import { connectionNames } from './connection-names.js';
 import { badBody, bodyTooLarge, longestBody } from './minimal-http-body.js';
 import { sockets } from './sockets.js';
@@ -18,7 +18,7 @@
 
 function answerErrors(app: FastifyInstance): void {
   app.setErrorHandler(async function onError(error, _request, response) {
-    const reply = http.rejected(faultOf(error as Error));
+    const reply = http.faultReply(faultOf(error as Error));
     await response.status(reply.status).send(reply.body);
   });
   app.setNotFoundHandler(async function onNotFound(request, response) {
@@ -50,7 +50,7 @@
 }
 
 /** Resolves once the address is listened on. @internal */
-export async function serve(address: Address, server: HttpServer): Promise<Listening> {
+export async function serve(address: Address, server: HttpServer): Promise<Listener> {
   const app: FastifyInstance = fastify({
     bodyLimit: longestBody,
     keepAliveTimeout: keepAliveMilliseconds,
--- a/packages/runtime/src/links.ts
+++ b/packages/runtime/src/links.ts
@@ -2,7 +2,7 @@
 import type net from 'node:net';
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
-import type { Address, Fault, Link, Listening } from '@stallstall/kernel';
+import type { Address, Fault, Link, Listener } from '@stallstall/kernel';
 import { connectMilliseconds, sockets } from './sockets.js';
 
 type LinkState = {
@@ -80,7 +80,7 @@
   };
 }
 
-function listen(address: Address, onLink: (link: Link) => void): Promise<Listening> {
+function listen(address: Address, onLink: (link: Link) => void): Promise<Listener> {
   return sockets.listen({ address, onSocket: (socket) => onLink(linkOver(socket)) });
 }
 
--- a/packages/runtime/src/minimal-http-server.ts
+++ b/packages/runtime/src/minimal-http-server.ts
@@ -2,7 +2,7 @@
 import type http from 'node:http';
 import type net from 'node:net';
 import * as Either from 'fp-ts/lib/Either.js';
-import { http as routing, type Address, type HttpReply, type HttpServer, type Listening } from '@stallstall/kernel';
+import { http as routing, type Address, type HttpReply, type HttpServer, type Listener } from '@stallstall/kernel';
 import { connectionNames } from './connection-names.js';
 import { readBody } from './minimal-http-body.js';
 import { sockets } from './sockets.js';
@@ -18,7 +18,7 @@
 async function replyTo(server: HttpServer, nameOf: (socket: net.Socket) => string, request: http.IncomingMessage): Promise<HttpReply> {
   const connection = nameOf(request.socket);
   const body = await readBody(request);
-  if (Either.isLeft(body)) return routing.rejected(body.left);
+  if (Either.isLeft(body)) return routing.faultReply(body.left);
   const [path, query] = (request.url ?? '').split('?');
   return routing.dispatch(server.routes, {
     method: request.method ?? '',
@@ -41,7 +41,7 @@
 }
 
 /** Resolves once the address is listened on; rejects when it cannot be. @internal */
-export function serve(address: Address, server: HttpServer): Promise<Listening> {
+export function serve(address: Address, server: HttpServer): Promise<Listener> {
   const nameOf = connectionNames(address, server.connectionClosed);
   async function handle(request: http.IncomingMessage, response: http.ServerResponse): Promise<void> {
     send(response, await replyTo(server, nameOf, request));
--- a/packages/runtime/src/sockets.ts
+++ b/packages/runtime/src/sockets.ts
@@ -1,7 +1,7 @@
 /** TCP by IP numbers, from the runtime alone (design 2.2). */
 import net from 'node:net';
 import * as Either from 'fp-ts/lib/Either.js';
-import { fault, type Address, type Fault, type Listening } from '@stallstall/kernel';
+import { fault, type Address, type Fault, type Listener } from '@stallstall/kernel';
 
 /**
  * A machine without power drops the opening packet, and the runtime's next one comes a second later; dialling anew comes sooner. Far
@@ -79,7 +79,7 @@
 }
 
 /** Resolves once the address is listened on; rejects when it cannot be. */
-function listen({ address, backlog, onSocket }: ListenPlan): Promise<Listening> {
+function listen({ address, backlog, onSocket }: ListenPlan): Promise<Listener> {
   const open = new Set<net.Socket>();
   const server = net.createServer({ allowHalfOpen: false }, function accept(socket) {
     open.add(socket);
--- a/packages/runtime/src/stored-disk.ts
+++ b/packages/runtime/src/stored-disk.ts
@@ -99,9 +99,9 @@
     page: (prefix, after, bytes) => reading(prefix, () => pageOf(disk, prefix, after, bytes)),
     size: () => fs.statSync(storeFile.pathOf(folder), { throwIfNoEntry: false })?.size ?? 0,
     put: (key, value) => disk.writing.put(key, value),
-    trouble: () => disk.writing.health.trouble(),
-    onTrouble: (listener) => disk.writing.health.onTrouble(listener),
-    lost: () => lostReason(disk),
+    syncFault: () => disk.writing.health.syncFault(),
+    onSyncFaultChange: (listener) => disk.writing.health.onSyncFaultChange(listener),
+    discardedStoreReason: () => lostReason(disk),
     discard: (reason) => discard(disk, reason),
   };
 }
--- a/packages/runtime/src/streams.ts
+++ b/packages/runtime/src/streams.ts
@@ -2,7 +2,7 @@
 import type net from 'node:net';
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
-import type { Address, Fault, Listening, Stream } from '@stallstall/kernel';
+import type { Address, Fault, Listener, Stream } from '@stallstall/kernel';
 import { connectMilliseconds, sockets } from './sockets.js';
 
 type StreamState = {
@@ -87,7 +87,7 @@
   };
 }
 
-function listen(address: Address, onStream: (stream: Stream) => void): Promise<Listening> {
+function listen(address: Address, onStream: (stream: Stream) => void): Promise<Listener> {
   return sockets.listen({ address, backlog, onSocket: (socket) => onStream(streamOver(socket)) });
 }
 
--- a/packages/simulator/pooled-mutations.mjs
+++ b/packages/simulator/pooled-mutations.mjs
@@ -229,7 +229,7 @@
     name: 'late-departure',
     story: 'A call whose connection opens',
     file: 'election/build/role-lease.js',
-    from: 'leaveBefore: lease.expiresAt',
+    from: 'sendBefore: lease.expiresAt',
     to: '',
   },
   {
@@ -532,14 +532,14 @@
     name: 'ballots-on-a-full-disk',
     story: 'whose disk hangs',
     file: 'register/build/acceptor.js',
-    from: 'return Option.isNone(disk.trouble());',
+    from: 'return Option.isNone(disk.syncFault());',
     to: 'return true;',
   },
   {
     name: 'notes-on-a-full-disk',
     story: 'whose disk hangs',
     file: 'register/build/report-store.js',
-    from: 'if (Option.isSome(store.disk.trouble()))',
+    from: 'if (Option.isSome(store.disk.syncFault()))',
     to: 'if (false)',
   },
   {
@@ -560,9 +560,9 @@
     name: 'lost-core-founds',
     story: 'have lost their stores',
     file: 'core/build/fleet-bootstrap.js',
-    from: 'disk.lost()',
+    from: 'disk.discardedStoreReason()',
     to: 'Option.none',
-    more: [{ file: 'core/build/founding.js', from: 'disk.lost()', to: 'Option.none' }],
+    more: [{ file: 'core/build/founding.js', from: 'disk.discardedStoreReason()', to: 'Option.none' }],
   },
   {
     name: 'count-not-looked-for',
--- a/packages/simulator/src/fleet.ts
+++ b/packages/simulator/src/fleet.ts
@@ -285,13 +285,13 @@
     coreIndex = 0,
   ): Promise<HttpReply> {
     const address = identifiers.address(place(cores[coreIndex] as CoreSlot).outward);
-    return replyOf(await drive(http.once(operator.runtime, address, { method, path, body, headers }, 10_000)));
+    return replyOf(await drive(http.exchangeOnce(operator.runtime, address, { method, path, body, headers }, 10_000)));
   }
 
   async function send(sheet: unknown, coreIndex: number): Promise<HttpReply> {
     const address = identifiers.address(place(cores[coreIndex] as CoreSlot).outward);
     return replyOf(
-      await http.once(
+      await http.exchangeOnce(
         operator.runtime,
         address,
         { method: 'PUT', path: '/v1/sheet', body: { sheet, sentBy: `operator-${coreIndex}` } },
@@ -302,13 +302,13 @@
 
   async function command(method: string, path: string, coreIndex: number): Promise<HttpReply> {
     const address = identifiers.address(place(cores[coreIndex] as CoreSlot).outward);
-    return replyOf(await http.once(operator.runtime, address, { method, path, body: {} }, 8_000));
+    return replyOf(await http.exchangeOnce(operator.runtime, address, { method, path, body: {} }, 8_000));
   }
 
   async function post(edge: EdgeSlot, path: string, body: unknown): Promise<HttpReply> {
     const address = identifiers.address(edgeAddresses(edge).proxy);
     return replyOf(
-      await http.once(clients.runtime, address, { method: 'POST', path, body, headers: { 'x-stallstall-key': clientKey } }, 30_000),
+      await http.exchangeOnce(clients.runtime, address, { method: 'POST', path, body, headers: { 'x-stallstall-key': clientKey } }, 30_000),
     );
   }
 
@@ -322,7 +322,7 @@
     const address = identifiers.address(edgeAddresses(edge).proxy);
     return replyOf(
       await drive(
-        http.once(clients.runtime, address, { method, path, body, headers: { 'x-stallstall-key': clientKey, ...headers } }, 10_000),
+        http.exchangeOnce(clients.runtime, address, { method, path, body, headers: { 'x-stallstall-key': clientKey, ...headers } }, 10_000),
       ),
     );
   }
@@ -331,7 +331,7 @@
 
   /** The platform sends senders only to edges whose readiness it has found. */
   async function probeReadiness(edge: EdgeSlot): Promise<void> {
-    const reply = await http.once(
+    const reply = await http.exchangeOnce(
       chooser.runtime,
       identifiers.address(edgeAddresses(edge).proxy),
       { method: 'GET', path: '/ready' },
--- a/packages/simulator/src/fuzz.ts
+++ b/packages/simulator/src/fuzz.ts
@@ -223,7 +223,7 @@
   const stranger = fleet.world.spawn('stranger', 'stranger-machine').runtime;
   const replies: HttpReply[] = [];
   for (let attempt = 0; attempt < attempts; attempt += 1) {
-    const reply = await http.once(
+    const reply = await http.exchangeOnce(
       stranger,
       identifiers.address(address),
       {
--- a/packages/simulator/src/pooled-adapter.ts
+++ b/packages/simulator/src/pooled-adapter.ts
@@ -33,7 +33,7 @@
       handle: async function configure(request) {
         const { version, sheet } = request.body as Readonly<{ version: number; sheet: unknown }>;
         const taken = await platformApi.configure({ version, source: JSON.stringify({ version, sheet }) }, sheet);
-        return Either.isLeft(taken) ? http.rejected(taken.left) : { status: 200, body: {} };
+        return Either.isLeft(taken) ? http.faultReply(taken.left) : { status: 200, body: {} };
       },
     },
     {
@@ -41,7 +41,7 @@
       path: '/configuration',
       handle: async function read() {
         const source = await platformApi.readSource();
-        return Either.isLeft(source) ? http.rejected(source.left) : { status: 200, body: JSON.parse(source.right) as unknown };
+        return Either.isLeft(source) ? http.faultReply(source.left) : { status: 200, body: JSON.parse(source.right) as unknown };
       },
     },
   ];
@@ -50,14 +50,14 @@
 const calls: PlatformCalls = {
   handoverDelayMilliseconds: 3_000,
   promotion: ({ service, member, fencingToken: turn, holder }) => ({
-    repeatable: 'unchanged',
+    retrySafety: 'deduplicated',
     method: 'POST',
     path: '/duties/promotion',
     headers: { holder, turn: String(turn) },
     body: { service, member },
   }),
   usage: ({ window, counts, fencingToken: turn, holder }) => ({
-    repeatable: 'unchanged',
+    retrySafety: 'deduplicated',
     method: 'POST',
     path: '/duties/usage',
     headers: { holder, turn: String(turn) },
--- a/packages/simulator/src/pooled-fleet.ts
+++ b/packages/simulator/src/pooled-fleet.ts
@@ -371,7 +371,7 @@
 
   /** The platform's own choice of edges: one that misses two readings is left out until it replies again. */
   async function readiness(slot: PooledEdge): Promise<void> {
-    const reply = await http.once(
+    const reply = await http.exchangeOnce(
       chooser,
       identifiers.address(edgeAddresses(slot).outward),
       { method: 'GET', path: '/ready' },
--- a/packages/simulator/src/pooled-operator.ts
+++ b/packages/simulator/src/pooled-operator.ts
@@ -34,7 +34,7 @@
     const address = addresses()[coreIndex];
     if (address === undefined) throw new Error(`there is no core ${coreIndex} in use`);
     const method = body === undefined ? 'GET' : 'POST';
-    return replyOf(await http.once(runtime, identifiers.address(address), { method, path, body }, callMilliseconds));
+    return replyOf(await http.exchangeOnce(runtime, identifiers.address(address), { method, path, body }, callMilliseconds));
   }
 
   /** The reply as the operator hears it: one that is lost on the way is silence. */
--- a/packages/simulator/src/simulated-disk.ts
+++ b/packages/simulator/src/simulated-disk.ts
@@ -55,18 +55,18 @@
     page: (prefix, after, bytes) => read(() => page(prefix, after, bytes)),
     size: () => [...kept.entries].reduce((sum, [key, value]) => sum + key.length + value.length, 0),
     put: function put(key, value) {
-      const trouble = health.trouble();
+      const trouble = health.syncFault();
       if (Option.isSome(trouble)) return Promise.resolve(Either.left(trouble.value));
       const text = JSON.stringify(value);
       function write(): void {
         kept.entries.set(key, text);
         kept.entries.set(putsKey, String(Number(kept.entries.get(putsKey) ?? 0) + 1));
       }
-      return health.follow(() => putOn(key, write));
+      return health.monitor(() => putOn(key, write));
     },
-    trouble: health.trouble,
-    onTrouble: health.onTrouble,
-    lost: () => Option.fromNullable(kept.entries.get(lostKey)),
+    syncFault: health.syncFault,
+    onSyncFaultChange: health.onSyncFaultChange,
+    discardedStoreReason: () => Option.fromNullable(kept.entries.get(lostKey)),
     discard: function discard(reason) {
       kept.entries.clear();
       kept.entries.set(lostKey, reason);
--- a/packages/simulator/src/simulated-http.ts
+++ b/packages/simulator/src/simulated-http.ts
@@ -132,7 +132,7 @@
           settle(Either.left(lostFault('unreachable')));
           return;
         }
-        if (ask.leaveBefore !== undefined && process.clockOffset + network.time.now() * process.clockRate >= ask.leaveBefore) {
+        if (ask.sendBefore !== undefined && process.clockOffset + network.time.now() * process.clockRate >= ask.sendBefore) {
           settle(Either.left(lostFault('unreachable')));
           close();
           return;
--- a/packages/simulator/src/simulated-runtime.ts
+++ b/packages/simulator/src/simulated-runtime.ts
@@ -9,7 +9,7 @@
   type Fault,
   type Instant,
   type Runtime,
-  type Listening,
+  type Listener,
   type LogFields,
   type Protocols,
 } from '@stallstall/kernel';
@@ -98,7 +98,7 @@
       }),
   };
 
-  function listening(table: Map<string, { readonly process: SimulatedProcess }>, address: string): Listening {
+  function listening(table: Map<string, { readonly process: SimulatedProcess }>, address: string): Listener {
     function deafen(): void {
       if (table.get(address)?.process === process) table.delete(address);
     }
--- a/packages/simulator/src/sound-disk.ts
+++ b/packages/simulator/src/sound-disk.ts
@@ -17,9 +17,9 @@
     size: () => 0,
     puts: () => 0,
     put,
-    trouble: () => Option.none,
-    onTrouble: () => undefined,
-    lost: () => Option.none,
+    syncFault: () => Option.none,
+    onSyncFaultChange: () => undefined,
+    discardedStoreReason: () => Option.none,
     discard: () => Promise.resolve(Either.right(null)),
   };
 }
--- a/packages/simulator/src/storm.ts
+++ b/packages/simulator/src/storm.ts
@@ -51,7 +51,7 @@
     const service = key === marks.at(-1) ? (fleet.deployment.services[0] as string) : pick(fleet, fleet.deployment.services);
     const kind = key === marks.at(-1) ? 'leader-read' : pick(fleet, statementKinds);
     const startedAt = fleet.world.now();
-    const reply = await http.once(
+    const reply = await http.exchangeOnce(
       prober,
       identifiers.address(fleet.edgeAddresses(edge).proxy),
       {
--- a/packages/simulator/src/world.ts
+++ b/packages/simulator/src/world.ts
@@ -1,6 +1,6 @@
 /** Virtual time, network, disks and randomness from one seed; the production code runs on them unchanged (design 10.4). */
 import * as Option from 'fp-ts/lib/Option.js';
-import { protocolsSpoken, type Fault, type Protocols } from '@stallstall/kernel';
+import { supportedProtocols, type Fault, type Protocols } from '@stallstall/kernel';
 import type { SimulatedDisk } from './simulated-disk.js';
 import { simulatedRuntime, type LogLine } from './simulated-runtime.js';
 import { simulatedNetwork, type Traffic } from './simulated-network.js';
@@ -105,7 +105,7 @@
   }
 
   /** Clocks of the product differ by any span, and run up to 3 % apart; those of the stand-ins are the ledger's. */
-  function spawn(name: string, machine: string, disk?: SimulatedDisk, protocols: Protocols = protocolsSpoken): Process {
+  function spawn(name: string, machine: string, disk?: SimulatedDisk, protocols: Protocols = supportedProtocols): Process {
     const product = /^(core|edge)-/.test(name);
     const simulated: SimulatedProcess = {
       name,
