--- a/packages/pooler/src/draining.ts
+++ b/packages/pooler/src/draining.ts
@@ -1,5 +1,5 @@
 /** The planned end of the process: readiness fails first; whoever waits is served, whoever is idle is closed (design 7.10). */
-import { identifiers, type Clock, type Instant, type Listening } from '@stallstall/kernel';
+import { identifiers, type Clock, type Instant, type Listener } from '@stallstall/kernel';
 import type { Clients } from './client-table.js';
 import { never } from './view.js';
 
--- a/packages/pooler/src/pooler.ts
+++ b/packages/pooler/src/pooler.ts
@@ -196,7 +196,7 @@
 
 async function stopAll(
   { lifecycle, cachedReplies, connections, agent, clients }: Assembly,
-  listening: readonly Listening[],
+  listening: readonly Listener[],
 ): Promise<void> {
   lifecycle.stopped = true;
   cachedReplies.stop();
--- a/packages/proxy/src/client-api.ts
+++ b/packages/proxy/src/client-api.ts
@@ -115,9 +115,9 @@
 
 async function openSession({ clock, placement: known, sessions }: ClientApiParts, request: HttpRequest): Promise<HttpReply> {
   const service = request.query['service'] ?? '';
-  if (known().controlTermEnd <= clock.now()) return http.rejected(requestFaults.staleConfiguration('try another edge'));
-  if (known().draining) return http.rejected(requestFaults.draining());
-  if (!mayUse(known(), keyOf(request), service)) return http.rejected(requestFaults.keyRejected(`open a session on ${service}`));
+  if (known().controlTermEnd <= clock.now()) return http.faultReply(requestFaults.staleConfiguration('try another edge'));
+  if (known().draining) return http.faultReply(requestFaults.draining());
+  if (!mayUse(known(), keyOf(request), service)) return http.faultReply(requestFaults.keyRejected(`open a session on ${service}`));
   return { status: 201, body: { session: sessions.open(keyOf(request), service).id } };
 }
 
