--- a/packages/proxy/src/client-api.ts
+++ b/packages/proxy/src/client-api.ts
@@ -91,7 +91,7 @@
   const session = Option.fromNullable(request.headers['x-stallstall-session']);
   const transaction = body.transaction ?? 'none';
   const invalid = sessionFault(context, request, service, session, transaction);
-  if (Option.isSome(invalid)) return http.rejected(invalid.value);
+  if (Option.isSome(invalid)) return http.faultReply(invalid.value);
   const outcome = await context.requests.submit({
     service,
     kind: body.kind,
@@ -110,7 +110,7 @@
   const { configuration } = context.placement();
   const name = request.query['mapping'] ?? '';
   const mapping = Option.isSome(configuration) ? placements.findNamedStatement(configuration.value, name) : undefined;
-  if (mapping === undefined) return http.rejected(requestFaults.notFound(`mapping ${name}`));
+  if (mapping === undefined) return http.faultReply(requestFaults.notFound(`mapping ${name}`));
   const body = (typeof request.body === 'object' && request.body !== null ? request.body : {}) as Readonly<Record<string, unknown>>;
   const { parameters, ...rest } = body;
   return runStatement(context, {
@@ -122,10 +122,10 @@
 
 async function openSession({ clock, placement, sessions }: ClientApiContext, request: HttpRequest): Promise<HttpReply> {
   const service = request.query['service'] ?? '';
-  if (placement().controlTermEnd <= clock.now()) return http.rejected(requestFaults.staleConfiguration('retry at another edge'));
-  if (placement().draining) return http.rejected(requestFaults.draining());
+  if (placement().controlTermEnd <= clock.now()) return http.faultReply(requestFaults.staleConfiguration('retry at another edge'));
+  if (placement().draining) return http.faultReply(requestFaults.draining());
   if (!mayUseService(placement(), clientKey(request), service))
-    return http.rejected(requestFaults.keyRejected(`open a session on ${service}`));
+    return http.faultReply(requestFaults.keyRejected(`open a session on ${service}`));
   return { status: 201, body: { session: sessions.open(clientKey(request), service).id } };
 }
 
@@ -137,18 +137,18 @@
 
 async function setValue(context: ClientApiContext, request: HttpRequest): Promise<HttpReply> {
   const session = sessionFor(context, request, request.query['session'] ?? '');
-  if (Either.isLeft(session)) return http.rejected(session.left);
+  if (Either.isLeft(session)) return http.faultReply(session.left);
   if (!message.matches(valueSchema, request.body))
-    return http.rejected(requestFaults.badRequest('the body must be {"value": <string, number or boolean>}', 'correct the body'));
+    return http.faultReply(requestFaults.badRequest('the body must be {"value": <string, number or boolean>}', 'correct the body'));
   session.right.setValue(request.query['name'] ?? '', request.body.value);
   return { status: 200, body: { set: true } };
 }
 
 async function prepareStatement(context: ClientApiContext, request: HttpRequest): Promise<HttpReply> {
   const session = sessionFor(context, request, request.query['session'] ?? '');
-  if (Either.isLeft(session)) return http.rejected(session.left);
+  if (Either.isLeft(session)) return http.faultReply(session.left);
   if (!message.matches(preparedSchema, request.body))
-    return http.rejected(requestFaults.badRequest('the body must be {"text": "<statement>"}', 'correct the body'));
+    return http.faultReply(requestFaults.badRequest('the body must be {"text": "<statement>"}', 'correct the body'));
   session.right.prepare(request.query['name'] ?? '', request.body.text);
   return { status: 200, body: { prepared: true } };
 }
--- a/packages/proxy/src/proxy.ts
+++ b/packages/proxy/src/proxy.ts
@@ -161,7 +161,7 @@
   const routes = [...clientApi.routes({ clock: runtime.clock, placement: feed.placement, sessions, requests }), ...statusRoutes(assembly)];
   let isStopped = false;
 
-  const listening: Listening = await runtime.network.serve(identifiers.address(settings.address), {
+  const listening: Listener = await runtime.network.serve(identifiers.address(settings.address), {
     routes: routes.map((route) => trackConnection(assembly, route)),
     connectionClosed: (connection) => void clientConnections.delete(connection),
   });
--- a/packages/simulator/src/simulated-disk.ts
+++ b/packages/simulator/src/simulated-disk.ts
@@ -62,11 +62,11 @@
         disk.entries.set(key, text);
         disk.entries.set(putCountKey, String(Number(disk.entries.get(putCountKey) ?? 0) + 1));
       }
-      return health.follow(() => scheduleWrite(key, write));
+      return health.monitor(() => scheduleWrite(key, write));
     },
-    trouble: health.trouble,
-    onTrouble: health.onTrouble,
-    lost: () => Option.fromNullable(disk.entries.get(discardReasonKey)),
+    syncFault: health.syncFault,
+    onSyncFaultChange: health.onSyncFaultChange,
+    discardedStoreReason: () => Option.fromNullable(disk.entries.get(discardReasonKey)),
     discard: function discard(reason) {
       disk.entries.clear();
       disk.entries.set(discardReasonKey, reason);
--- a/packages/simulator/src/simulated-http.ts
+++ b/packages/simulator/src/simulated-http.ts
@@ -133,7 +133,7 @@
           complete(Either.left(exchangeFault('unreachable')));
           return;
         }
-        if (request.leaveBefore !== undefined && process.clockOffset + network.time.now() * process.clockRate >= request.leaveBefore) {
+        if (request.sendBefore !== undefined && process.clockOffset + network.time.now() * process.clockRate >= request.sendBefore) {
           complete(Either.left(exchangeFault('unreachable')));
           close();
           return;
--- a/packages/simulator/src/simulated-runtime.ts
+++ b/packages/simulator/src/simulated-runtime.ts
@@ -101,7 +101,7 @@
       }),
   };
 
-  function listeningAt(listeners: Map<string, { readonly process: SimulatedProcess }>, address: string): Listening {
+  function listeningAt(listeners: Map<string, { readonly process: SimulatedProcess }>, address: string): Listener {
     function stopAccepting(): void {
       if (listeners.get(address)?.process === process) listeners.delete(address);
     }
