--- a/packages/core/src/administration/node-routes.ts
+++ b/packages/core/src/administration/node-routes.ts
@@ -2,7 +2,7 @@
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { fault, http, type Fault, type HttpReply, type HttpRequest, type HttpRoute } from '@stallstall/kernel';
-import type { Seat } from '@stallstall/message';
+import type { NodeRecord } from '@stallstall/message';
 import { quorum } from '@stallstall/quorum';
 import type { Caller } from '../operators.js';
 import type { AdministrationContext } from './administration-context.js';
@@ -18,7 +18,7 @@
 }
 
 /** Finds an edge in the membership table. Errors: `not-found`. */
-function findEdge({ node }: AdministrationContext, name: string): Either.Either<Fault, Seat> {
+function findEdge({ node }: AdministrationContext, name: string): Either.Either<Fault, NodeRecord> {
   const seat = quorum.findNode(node.membership().value, name);
   if (seat !== undefined && seat.role === 'edge') return Either.right(seat);
   return Either.left(
@@ -33,18 +33,18 @@
 async function setDraining(context: AdministrationContext, request: HttpRequest, caller: Caller, draining: boolean): Promise<HttpReply> {
   const name = request.query['node'] ?? '';
   const edge = findEdge(context, name);
-  if (Either.isLeft(edge)) return http.rejected(edge.left);
+  if (Either.isLeft(edge)) return http.faultReply(edge.left);
   const changed = await context.parts.changeMembership(function withDraining(before) {
     const current = quorum.findNode(before, name);
     return current === undefined ? before : quorum.putNode(before, { ...current, draining });
   });
-  if (Either.isLeft(changed)) return http.rejected(changed.left);
+  if (Either.isLeft(changed)) return http.faultReply(changed.left);
   await context.operators.recordAction(caller.operator, draining ? 'drain' : 'undrain', name);
   return http.toReply(Either.right({ node: name, draining }));
 }
 
 /** Why an edge may not be removed now; none if it may. */
-function removalRisk(context: AdministrationContext, edge: Seat, isForced: boolean): Option.Option<Fault> {
+function removalRisk(context: AdministrationContext, edge: NodeRecord, isForced: boolean): Option.Option<Fault> {
   const { runtime, node } = context;
   const lastHeartbeatAt = node.lastHeartbeatAt(edge.node);
   const isRunning = Option.isSome(lastHeartbeatAt) && runtime.clock.now() - lastHeartbeatAt.value < recentHeartbeatMilliseconds;
@@ -66,11 +66,11 @@
 async function remove(context: AdministrationContext, request: HttpRequest, caller: Caller): Promise<HttpReply> {
   const name = request.query['node'] ?? '';
   const edge = findEdge(context, name);
-  if (Either.isLeft(edge)) return http.rejected(edge.left);
+  if (Either.isLeft(edge)) return http.faultReply(edge.left);
   const risk = removalRisk(context, edge.right, request.query['force'] === 'true');
-  if (Option.isSome(risk)) return http.rejected(risk.value);
+  if (Option.isSome(risk)) return http.faultReply(risk.value);
   const changed = await context.parts.changeMembership((current) => quorum.removeNode(current, name));
-  if (Either.isLeft(changed)) return http.rejected(changed.left);
+  if (Either.isLeft(changed)) return http.faultReply(changed.left);
   await context.operators.recordAction(caller.operator, 'remove', name);
   return http.toReply(Either.right({ node: name, removed: true }));
 }
--- a/packages/core/src/fleet-bootstrap.ts
+++ b/packages/core/src/fleet-bootstrap.ts
@@ -21,9 +21,9 @@
 }>;
 
 export type FleetBootstrapParts = Readonly<{
-  node: Pick<Node, 'ownSeat' | 'setFleet'>;
+  node: Pick<Node, 'ownRecord' | 'setFleet'>;
   cells: Pick<Acceptor, 'ready'>;
-  disk: Pick<Disk, 'puts' | 'lost'>;
+  disk: Pick<Disk, 'puts' | 'discardedStoreReason'>;
   recordStore: FleetRecordStore;
   transfer: StateTransfer;
   votes: Pick<CoreVoteStore, 'epochs'>;
@@ -95,7 +95,7 @@
 function onHelloReply(bootstrap: Bootstrap, reply: Reply<'hello'>, address: string): void {
   const { runtime, settings, parts, cores, recovery } = bootstrap;
   if (reply.role !== 'core' || reply.node === settings.node) return;
-  cores.observe({ ...parts.node.ownSeat(), node: reply.node, address }, reply.fleet);
+  cores.observe({ ...parts.node.ownRecord(), node: reply.node, address }, reply.fleet);
   recovery.observeKnownPuts(reply.knownPuts);
   if (reply.fleet === '') return;
   const record = parts.recordStore.current();
@@ -122,7 +122,7 @@
   }
   // A core that lost its disk founds no fleet: it was part of one, whose acknowledged writes a new fleet would not have (design 4.3).
   const mayFound = Option.isNone(parts.founding) || parts.founding.value.mayFound;
-  if (Option.isNone(disk.lost()) && mayFound) void founding.run();
+  if (Option.isNone(disk.discardedStoreReason()) && mayFound) void founding.run();
 }
 
 function create(runtime: Runtime, settings: FleetBootstrapSettings, parts: FleetBootstrapParts): FleetBootstrap {
--- a/packages/simulator/src/pooled-adapter.ts
+++ b/packages/simulator/src/pooled-adapter.ts
@@ -5,7 +5,7 @@
 import { http, type HttpRoute, type HttpReply, type Runtime } from '@stallstall/kernel';
 import type { Registration } from '@stallstall/member-registry';
 import { plainDialect } from '@stallstall/fakes';
-import { prober } from '@stallstall/session-protocol';
+import { memberProber } from '@stallstall/session-protocol';
 import { ownTenant } from './pooled-model.js';
 
 /** A member must be heard by whoever takes its beats before it counts; a platformApi that cannot be of use turns it away. */
@@ -33,7 +33,7 @@
       handle: async function configure(request) {
         const { version, sheet } = request.body as Readonly<{ version: number; sheet: unknown }>;
         const taken = await platformApi.configure({ version, source: JSON.stringify({ version, sheet }) }, sheet);
-        return Either.isLeft(taken) ? http.rejected(taken.left) : { status: 200, body: {} };
+        return Either.isLeft(taken) ? http.faultReply(taken.left) : { status: 200, body: {} };
       },
     },
     {
@@ -41,7 +41,7 @@
       path: '/configuration',
       handle: async function read() {
         const source = await platformApi.readSource();
-        return Either.isLeft(source) ? http.rejected(source.left) : { status: 200, body: JSON.parse(source.right) as unknown };
+        return Either.isLeft(source) ? http.faultReply(source.left) : { status: 200, body: JSON.parse(source.right) as unknown };
       },
     },
   ];
@@ -50,14 +50,14 @@
 const calls: PlatformCalls = {
   handoverDelayMilliseconds: 3_000,
   promotion: ({ service, member, fencingToken: turn, holder }) => ({
-    repeatable: 'unchanged',
+    retrySafety: 'deduplicated',
     method: 'POST',
     path: '/duties/promotion',
     headers: { holder, turn: String(turn) },
     body: { service, member },
   }),
   usage: ({ window, counts, fencingToken: turn, holder }) => ({
-    repeatable: 'unchanged',
+    retrySafety: 'deduplicated',
     method: 'POST',
     path: '/duties/usage',
     headers: { holder, turn: String(turn) },
@@ -66,7 +66,7 @@
 };
 
 function memberProbe(runtime: Runtime): MemberProbe {
-  const probes = prober.create(runtime, plainDialect, ownTenant);
+  const probes = memberProber.create(runtime, plainDialect, ownTenant);
   return {
     ensureConnection: probes.ensureConnection,
     readState: async function ask(service, member, address, milliseconds) {
