--- a/packages/runtime/src/commit-queue.ts
+++ b/packages/runtime/src/commit-queue.ts
@@ -95,7 +95,7 @@
   }
 
   function put(key: string, value: unknown): Promise<Either.Either<Fault, null>> {
-    const trouble = health.trouble();
+    const trouble = health.syncFault();
     if (Option.isSome(trouble)) return Promise.resolve(Either.left(trouble.value));
     if (queue.length >= maxQueuedPuts) {
       return Promise.resolve(Either.left(fault.diskFailed(key, new Error(`${maxQueuedPuts} puts are already queued`))));
--- a/packages/runtime/src/fastify-server.ts
+++ b/packages/runtime/src/fastify-server.ts
@@ -1,6 +1,6 @@
 /** An HTTP server based on fastify (design 2.2). */
 import fastify, { type FastifyInstance } from 'fastify';
-import { fault, http, type Address, type Fault, type HttpReply, type HttpRoute, type HttpServer, type Listening } from '@stallstall/kernel';
+import { fault, http, type Address, type Fault, type HttpReply, type HttpRoute, type HttpServer, type Listener } from '@stallstall/kernel';
 import { connectionNames } from './connection-names.js';
 import { badBody, bodyTooLarge, maxBodyBytes } from './minimal-http-body.js';
 import { sockets } from './sockets.js';
@@ -18,7 +18,7 @@
 
 function handleErrors(app: FastifyInstance): void {
   app.setErrorHandler(async function onError(error, _request, response) {
-    const reply = http.rejected(faultOf(error as Error));
+    const reply = http.faultReply(faultOf(error as Error));
     await response.status(reply.status).send(reply.body);
   });
   app.setNotFoundHandler(async function onNotFound(request, response) {
--- a/packages/runtime/src/sockets.ts
+++ b/packages/runtime/src/sockets.ts
@@ -1,7 +1,7 @@
 /** TCP sockets to IP addresses, based on Node.js alone (design 2.2). */
 import net from 'node:net';
 import * as Either from 'fp-ts/lib/Either.js';
-import { fault, type Address, type Fault, type Listening } from '@stallstall/kernel';
+import { fault, type Address, type Fault, type Listener } from '@stallstall/kernel';
 
 /**
  * Connection timeout. A host without power drops the SYN packet, which is retransmitted only after a second; a new attempt comes sooner. The
--- a/packages/simulator/src/simulated-disk.ts
+++ b/packages/simulator/src/simulated-disk.ts
@@ -55,18 +55,18 @@
     page: (prefix, after, bytes) => read(() => page(prefix, after, bytes)),
     size: () => [...disk.entries].reduce((sum, [key, value]) => sum + key.length + value.length, 0),
     put: function put(key, value) {
-      const trouble = health.trouble();
+      const trouble = health.syncFault();
       if (Option.isSome(trouble)) return Promise.resolve(Either.left(trouble.value));
       const text = JSON.stringify(value);
       function write(): void {
         disk.entries.set(key, text);
         disk.entries.set(putCountKey, String(Number(disk.entries.get(putCountKey) ?? 0) + 1));
       }
-      return health.follow(() => scheduleWrite(key, write));
+      return health.monitor(() => scheduleWrite(key, write));
     },
-    trouble: health.trouble,
-    onTrouble: health.onTrouble,
-    lost: () => Option.fromNullable(disk.entries.get(discardReasonKey)),
+    syncFault: health.syncFault,
+    onSyncFaultChange: health.onSyncFaultChange,
+    discardedStoreReason: () => Option.fromNullable(disk.entries.get(discardReasonKey)),
     discard: function discard(reason) {
       disk.entries.clear();
       disk.entries.set(discardReasonKey, reason);
--- a/packages/simulator/src/simulated-runtime.ts
+++ b/packages/simulator/src/simulated-runtime.ts
@@ -9,7 +9,7 @@
   type Fault,
   type Instant,
   type Runtime,
-  type Listening,
+  type Listener,
   type LogFields,
   type Protocols,
 } from '@stallstall/kernel';
@@ -101,7 +101,7 @@
       }),
   };
 
-  function listeningAt(listeners: Map<string, { readonly process: SimulatedProcess }>, address: string): Listening {
+  function listeningAt(listeners: Map<string, { readonly process: SimulatedProcess }>, address: string): Listener {
     function stopAccepting(): void {
       if (listeners.get(address)?.process === process) listeners.delete(address);
     }
