--- a/packages/runtime/src/commit-queue.ts
+++ b/packages/runtime/src/commit-queue.ts
@@ -88,15 +88,15 @@
     while (queue.length > 0) {
       const group = queue;
       queue = [];
-      const outcome = await health.follow(() => commit(group));
+      const outcome = await health.monitor(() => commit(group));
       for (const queued of group) queued.resolve(outcome);
     }
     isWorking = false;
   }
 
   function put(key: string, value: unknown): Promise<Either.Either<Fault, null>> {
-    const trouble = health.syncFault();
-    if (Option.isSome(trouble)) return Promise.resolve(Either.left(trouble.value));
+    const syncFault = health.syncFault();
+    if (Option.isSome(syncFault)) return Promise.resolve(Either.left(syncFault.value));
     if (queue.length >= maxQueuedPuts) {
       return Promise.resolve(Either.left(fault.diskFailed(key, new Error(`${maxQueuedPuts} puts are already queued`))));
     }
--- a/packages/runtime/src/disk.ts
+++ b/packages/runtime/src/disk.ts
@@ -54,16 +54,16 @@
   }
 }
 
-/** Opens a folder whose disk may be full when this process starts: retries until the disk works; `onTrouble` is called once. */
+/** Opens a folder whose disk may be full when this process starts: retries until the disk works; `onFault` is called once. */
 async function openWhenWorking(
   folder: string,
-  onTrouble: (reason: Fault) => void,
+  onFault: (reason: Fault) => void,
   openStore: OpenStore = lmdbStore.openLmdb,
 ): Promise<Either.Either<Fault, Disk>> {
   for (let attempts = 1; ; attempts += 1) {
     const opened = await open(folder, openStore);
     if (Either.isRight(opened) || fault.kind(opened.left) !== 'disk-failed') return opened;
-    if (attempts === 1) onTrouble(opened.left);
+    if (attempts === 1) onFault(opened.left);
     await clock.sleep(retryMilliseconds);
   }
 }
--- a/packages/runtime/src/fastify-server.ts
+++ b/packages/runtime/src/fastify-server.ts
@@ -50,7 +50,7 @@
 }
 
 /** Resolves once the server is listening. @internal */
-export async function serve(address: Address, server: HttpServer): Promise<Listening> {
+export async function serve(address: Address, server: HttpServer): Promise<Listener> {
   const app: FastifyInstance = fastify({
     bodyLimit: maxBodyBytes,
     keepAliveTimeout: keepAliveMilliseconds,
--- a/packages/runtime/src/links.ts
+++ b/packages/runtime/src/links.ts
@@ -80,7 +80,7 @@
   };
 }
 
-function listen(address: Address, onLink: (link: Link) => void): Promise<Listening> {
+function listen(address: Address, onLink: (link: Link) => void): Promise<Listener> {
   return sockets.listen({ address, onSocket: (socket) => onLink(createLink(socket)) });
 }
 
--- a/packages/runtime/src/minimal-http-connection.ts
+++ b/packages/runtime/src/minimal-http-connection.ts
@@ -80,7 +80,7 @@
 
     function send(request: http.ClientRequest): void {
       state.isConnected = true;
-      if (outgoing.leaveBefore !== undefined && performance.now() >= outgoing.leaveBefore) {
+      if (outgoing.sendBefore !== undefined && performance.now() >= outgoing.sendBefore) {
         return fail(new Error('the latest time to send the request has passed'));
       }
       isSent = true;
--- a/packages/runtime/src/minimal-http-server.ts
+++ b/packages/runtime/src/minimal-http-server.ts
@@ -41,7 +41,7 @@
 }
 
 /** Resolves once the server is listening; rejects if it cannot listen on the address. @internal */
-export function serve(address: Address, server: HttpServer): Promise<Listening> {
+export function serve(address: Address, server: HttpServer): Promise<Listener> {
   const nameOf = connectionNames(address, server.connectionClosed);
   async function handle(request: http.IncomingMessage, response: http.ServerResponse): Promise<void> {
     send(response, await replyTo(server, nameOf, request));
--- a/packages/runtime/src/sockets.ts
+++ b/packages/runtime/src/sockets.ts
@@ -79,7 +79,7 @@
 }
 
 /** Resolves once the server is listening; rejects if it cannot listen on the address. */
-function listen({ address, backlog, onSocket }: ListenOptions): Promise<Listening> {
+function listen({ address, backlog, onSocket }: ListenOptions): Promise<Listener> {
   const openSockets = new Set<net.Socket>();
   const server = net.createServer({ allowHalfOpen: false }, function accept(socket) {
     openSockets.add(socket);
--- a/packages/runtime/src/stored-disk.ts
+++ b/packages/runtime/src/stored-disk.ts
@@ -99,8 +99,8 @@
     page: (prefix, after, bytes) => tryRead(prefix, () => readPage(disk, prefix, after, bytes)),
     size: () => fs.statSync(storeFile.pathOf(folder), { throwIfNoEntry: false })?.size ?? 0,
     put: (key, value) => disk.commitQueue.put(key, value),
-    trouble: () => disk.commitQueue.health.trouble(),
-    onTrouble: (listener) => disk.commitQueue.health.onTrouble(listener),
+    syncFault: () => disk.commitQueue.health.syncFault(),
+    onSyncFaultChange: (listener) => disk.commitQueue.health.onSyncFaultChange(listener),
     lost: () => lossReason(disk),
     discard: (reason) => discard(disk, reason),
   };
--- a/packages/runtime/src/streams.ts
+++ b/packages/runtime/src/streams.ts
@@ -87,7 +87,7 @@
   };
 }
 
-function listen(address: Address, onStream: (stream: Stream) => void): Promise<Listening> {
+function listen(address: Address, onStream: (stream: Stream) => void): Promise<Listener> {
   return sockets.listen({ address, backlog, onSocket: (socket) => onStream(createStream(socket)) });
 }
 
--- a/packages/runtime/src/undici-connection.ts
+++ b/packages/runtime/src/undici-connection.ts
@@ -28,7 +28,7 @@
 
 async function sendAndReceive(state: ConnectionState, outgoing: OutgoingHttpRequest): Promise<HttpReply> {
   if (state.isClosed) throw new Error('the connection is closed');
-  if (outgoing.leaveBefore !== undefined && performance.now() >= outgoing.leaveBefore)
+  if (outgoing.sendBefore !== undefined && performance.now() >= outgoing.sendBefore)
     throw new Error('the latest time to send the request has passed');
   state.isBusy = true;
   const response = await state.client.request({
