--- a/packages/acceptance/src/cores.ts
+++ b/packages/acceptance/src/cores.ts
@@ -63,7 +63,7 @@
   await this.cores.spare([first, second].map((index) => this.cores.machine(`core-${index}`).address));
 });
 
-// Configurations that arrive faster than such slow disks can decide them keep preempting each other in any core set, so the operator slows down too.
+// Configurations that arrive faster than such disks can decide them preempt each other in any core set, so the operator slows down too.
 When(
   'every disk write takes {int} ms longer, and the operator sends a configuration every {int} ms',
   function when(this: CoreStory, disk: number, send: number) {
@@ -299,7 +299,7 @@
   machine.disk = story.cores.world.disk();
   for (const [key, value] of old) machine.disk.entries.set(key, value);
   await story.cores.world.run(500);
-  machine.disk.trouble.failing = failing;
+  machine.disk.faults.failing = failing;
   await story.cores.start(machine, false);
   await story.cores.world.run(2_000);
 }
@@ -313,7 +313,7 @@
   async function when(this: CoreStory, index: number, seconds: number, failingSeconds: number) {
     await startWithOldCopy(this, index, seconds, true);
     await this.cores.world.run(failingSeconds * 1_000);
-    this.cores.machine(`core-${index}`).disk.trouble.failing = false;
+    this.cores.machine(`core-${index}`).disk.faults.failing = false;
     await this.cores.world.run(2_000);
   },
 );
--- a/packages/proxy/src/proxy.ts
+++ b/packages/proxy/src/proxy.ts
@@ -1,103 +1,105 @@
-/** The HTTP proxy of an edge: clients' statements in, verdicts looked up, members' replies out; fed by its agent (design 8). */
+/** The HTTP proxy of an edge: routes clients' statements to members by the placement that its agent reports (design 8). */
 import * as Option from 'fp-ts/lib/Option.js';
-import { identifiers, runtimeUtilities, type HttpRoute, type Runtime, type Listening } from '@stallstall/kernel';
+import { identifiers, runtimeUtilities, type HttpRoute, type Runtime, type Listener } from '@stallstall/kernel';
 import { peer, type Peer } from '@stallstall/peer';
 import { pools, type Pool } from '@stallstall/pool';
 import { clientApi } from './client-api.js';
-import { notes as noteTables, type Notes } from './durable-reports.js';
+import { durableReports, type DurableReports } from './durable-reports.js';
 import { placementFeeds, type PlacementFeed } from './placement-feed.js';
-import { requests as requestTables, type Requests } from './requests.js';
+import { requestQueues, type RequestQueue } from './request-queue.js';
 import { sessions as sessionTables, type Sessions } from './sessions.js';
 import { graceMilliseconds, lameDuckMilliseconds, type ProxySettings } from './settings.js';
-import type { Known } from './statement-request.js';
+import type { PlacementSnapshot } from './statement-request.js';
 
 export type Proxy = Readonly<{
-  /** Fails readiness at once, takes work for a moment more, lets what is in flight end, then stops. */
+  /** Shuts down gracefully: fails readiness at once, accepts work for a short time, waits for requests in flight, then stops. */
   drain: () => Promise<void>;
-  /** Ends at once. */
+  /** Stops at once. */
   stop: () => Promise<void>;
   inFlight: () => number;
-  known: () => Known;
+  placement: () => PlacementSnapshot;
   connections: () => ReturnType<Pool['describe']>;
 }>;
 
-/** The parts of a running proxy. */
+/** The components of a running proxy. */
 type Assembly = Readonly<{
   runtime: Runtime;
   agent: Peer;
   feed: PlacementFeed;
   pool: Pool;
   sessions: Sessions;
-  notes: Notes;
-  requests: Requests;
-  /** Client connections that have sent a request and are still open. */
-  connected: Set<string>;
+  reports: DurableReports;
+  requests: RequestQueue;
+  /** Open client connections that have sent a request. */
+  clientConnections: Set<string>;
 }>;
 
-const feedMilliseconds = 100;
-const feedCallMilliseconds = 800;
-const sweepMilliseconds = 25;
+const feedIntervalMilliseconds = 100;
+const feedTimeoutMilliseconds = 800;
+const tickIntervalMilliseconds = 25;
 
 function assemble(runtime: Runtime, settings: ProxySettings): Assembly {
   const incarnation = runtime.randomness.token();
   const feed = placementFeeds.create(runtime.clock);
-  const pool = pools.create(runtime, () => requests.sweep());
+  const pool = pools.create(runtime, () => requests.processWaiting());
   const sessions = sessionTables.create(runtime, pool);
   const agent = peer.dial(runtime, identifiers.address(settings.feed));
-  const notes = noteTables.create(runtime, agent, incarnation, {
+  const reports = durableReports.create(runtime, agent, incarnation, {
     counts: (window) => requests.counts(window),
-    onNoted: () => requests.sweep(),
+    onDurable: () => requests.processWaiting(),
   });
-  const requests: Requests = requestTables.create({ runtime, known: feed.known, pool, sessions, notes });
-  return { runtime, agent, feed, pool, sessions, notes, requests, connected: new Set() };
+  const requests: RequestQueue = requestQueues.create({ runtime, placement: feed.placement, pool, sessions, reports });
+  return { runtime, agent, feed, pool, sessions, reports, requests, clientConnections: new Set() };
 }
 
-function counters({ requests, notes, sessions }: Assembly): Readonly<Record<string, number>> {
-  return { ...requests.totals(), ...notes.totals(), inFlight: requests.inFlight(), sessions: sessions.all().length };
+function counters({ requests, reports, sessions }: Assembly): Readonly<Record<string, number>> {
+  return { ...requests.totals(), ...reports.totals(), inFlight: requests.inFlight(), sessions: sessions.all().length };
 }
 
-/** A withdrawn key ends its sessions, and with them any transaction under it (design 6.4). */
-function closeWithdrawn({ feed, sessions }: Assembly): void {
-  for (const session of sessions.all()) if (!clientApi.mayUse(feed.known(), session.key, session.service)) sessions.close(session);
+/** Closes the sessions of withdrawn keys, which aborts their transactions (design 6.4). */
+function closeSessionsOfWithdrawnKeys({ feed, sessions }: Assembly): void {
+  for (const session of sessions.all())
+    if (!clientApi.mayUseService(feed.placement(), session.key, session.service)) sessions.close(session);
 }
 
-async function follow(assembly: Assembly): Promise<void> {
+/** Requests the placement from the agent and applies it. */
+async function refreshPlacement(assembly: Assembly): Promise<void> {
   const { runtime, agent, feed, pool, requests } = assembly;
   const sentAt = runtime.clock.now();
   const reply = await agent.call(
     'feed',
-    { configuration: feed.known().version, open: { ...pool.open() }, metrics: { ...counters(assembly) } },
-    feedCallMilliseconds,
+    { configuration: feed.placement().version, open: { ...pool.openConnections() }, metrics: { ...counters(assembly) } },
+    feedTimeoutMilliseconds,
   );
   if (Option.isNone(reply)) return;
-  const accepted = feed.accept(reply.value, sentAt);
-  if (accepted === 'ignored') return;
-  if (accepted === 'new-configuration') closeWithdrawn(assembly);
-  pool.wish(feed.wishes());
-  requests.sweep();
+  const outcome = feed.accept(reply.value, sentAt);
+  if (outcome === 'ignored') return;
+  if (outcome === 'new-configuration') closeSessionsOfWithdrawnKeys(assembly);
+  pool.configure(feed.poolTargets());
+  requests.processWaiting();
 }
 
-function endOverdueTransactions({ feed, sessions }: Assembly): void {
+function abortOverdueTransactions({ feed, sessions }: Assembly): void {
   for (const session of sessions.all()) {
     const pinned = session.pinned();
-    if (Option.isSome(pinned) && feed.isGone(pinned.value.choice.member)) sessions.endTransaction(session);
+    if (Option.isSome(pinned) && feed.isDrainOverdue(pinned.value.choice.member)) sessions.endTransaction(session);
   }
 }
 
 function tick(assembly: Assembly): void {
   assembly.feed.refreshDraining();
-  endOverdueTransactions(assembly);
+  abortOverdueTransactions(assembly);
   assembly.sessions.expire();
-  assembly.notes.tick();
-  assembly.requests.sweep();
+  assembly.reports.tick();
+  assembly.requests.processWaiting();
 }
 
 function isReady({ runtime, feed }: Assembly): boolean {
-  const { controlUntil, sheet } = feed.known();
-  return Option.isNone(feed.drainingSince()) && controlUntil > runtime.clock.now() && Option.isSome(sheet);
+  const { controlTermEnd, configuration } = feed.placement();
+  return Option.isNone(feed.drainingSince()) && controlTermEnd > runtime.clock.now() && Option.isSome(configuration);
 }
 
-/** What the platform and the operators ask of this process itself. */
+/** The routes that the platform and the operators use to check this process. */
 function statusRoutes(assembly: Assembly): readonly HttpRoute[] {
   const { feed, requests, pool } = assembly;
   return [
@@ -107,7 +109,7 @@
       path: '/ready',
       handle: async function handle() {
         const ready = isReady(assembly);
-        return { status: ready ? 200 : 503, body: { ready, configuration: feed.known().version } };
+        return { status: ready ? 200 : 503, body: { ready, configuration: feed.placement().version } };
       },
     },
     {
@@ -116,7 +118,7 @@
       handle: async () => ({
         status: 200,
         body: {
-          configuration: feed.known().version,
+          configuration: feed.placement().version,
           inFlight: requests.inFlight(),
           connections: pool.describe(),
           totals: counters(assembly),
@@ -126,69 +128,69 @@
   ];
 }
 
-/** Notes who is connected: a planned end waits until each has been told to close its connection (design 7.10). */
-function noteConnection({ connected, feed }: Assembly, route: HttpRoute): HttpRoute {
+/** Tracks client connections: a graceful shutdown waits until each client was told to close its connection (design 7.10). */
+function trackConnection({ clientConnections, feed }: Assembly, route: HttpRoute): HttpRoute {
   return {
     ...route,
     handle: async function handle(request) {
-      connected.add(request.connection);
+      clientConnections.add(request.connection);
       const reply = await route.handle(request);
-      return feed.known().draining ? { ...reply, headers: { ...reply.headers, connection: 'close' } } : reply;
+      return feed.placement().draining ? { ...reply, headers: { ...reply.headers, connection: 'close' } } : reply;
     },
   };
 }
 
-function isBusy({ connected, requests, sessions }: Assembly): boolean {
-  return connected.size > 0 || requests.inFlight() > 0 || sessions.all().some((session) => Option.isSome(session.pinned()));
+function isBusy({ clientConnections, requests, sessions }: Assembly): boolean {
+  return clientConnections.size > 0 || requests.inFlight() > 0 || sessions.all().some((session) => Option.isSome(session.pinned()));
 }
 
-/** Resolves once nothing is under way any more, or the grace is over. */
-async function awaitEnd(assembly: Assembly): Promise<void> {
-  const { runtime, feed, notes } = assembly;
+/** Drains this process. Resolves when no work is left or the grace period is over. */
+async function waitUntilDrained(assembly: Assembly): Promise<void> {
+  const { runtime, feed, reports } = assembly;
   feed.stop();
   const deadline = identifiers.after(runtime.clock.now(), graceMilliseconds);
   await runtime.clock.sleep(lameDuckMilliseconds);
-  while (runtime.clock.now() < deadline && isBusy(assembly)) await runtime.clock.sleep(sweepMilliseconds);
-  await notes.flush();
+  while (runtime.clock.now() < deadline && isBusy(assembly)) await runtime.clock.sleep(tickIntervalMilliseconds);
+  await reports.flush();
 }
 
-/** Starts listening and following the agent; resolves once clients can connect. */
+/** Starts listening and refreshing the placement; resolves once clients can connect. */
 async function start(runtime: Runtime, settings: ProxySettings): Promise<Proxy> {
   const assembly = assemble(runtime, settings);
-  const { agent, feed, pool, sessions, requests, connected } = assembly;
-  const routes = [...clientApi.routes({ clock: runtime.clock, known: feed.known, sessions, requests }), ...statusRoutes(assembly)];
-  let stopped = false;
+  const { agent, feed, pool, sessions, requests, clientConnections } = assembly;
+  const routes = [...clientApi.routes({ clock: runtime.clock, placement: feed.placement, sessions, requests }), ...statusRoutes(assembly)];
+  let isStopped = false;
 
-  const listening: Listening = await runtime.network.serve(identifiers.address(settings.address), {
-    routes: routes.map((route) => noteConnection(assembly, route)),
-    connectionClosed: (connection) => void connected.delete(connection),
+  const listening: Listener = await runtime.network.serve(identifiers.address(settings.address), {
+    routes: routes.map((route) => trackConnection(assembly, route)),
+    connectionClosed: (connection) => void clientConnections.delete(connection),
   });
   void runtimeUtilities.every(
     runtime.clock,
-    feedMilliseconds,
-    () => follow(assembly),
-    () => !stopped,
+    feedIntervalMilliseconds,
+    () => refreshPlacement(assembly),
+    () => !isStopped,
   );
   void runtimeUtilities.every(
     runtime.clock,
-    sweepMilliseconds,
+    tickIntervalMilliseconds,
     () => tick(assembly),
-    () => !stopped,
+    () => !isStopped,
   );
 
   async function stop(): Promise<void> {
-    stopped = true;
+    isStopped = true;
     agent.close();
     await listening.stop();
     pool.closeAll();
   }
 
   async function drain(): Promise<void> {
-    await awaitEnd(assembly);
+    await waitUntilDrained(assembly);
     await stop();
   }
 
-  return { drain, stop, inFlight: requests.inFlight, known: feed.known, connections: pool.describe };
+  return { drain, stop, inFlight: requests.inFlight, placement: feed.placement, connections: pool.describe };
 }
 
 export const proxy = { start } as const;
--- a/packages/runtime/src/commits.ts
+++ b/packages/runtime/src/commit-queue.ts
@@ -14,7 +14,7 @@
   close: () => Promise<void>;
 }>;
 
-export type Commits = Readonly<{
+export type CommitQueue = Readonly<{
   put: (key: string, value: unknown) => Promise<Either.Either<Fault, null>>;
   /** How many puts have been synced in the life of this store. */
   synced: () => number;
@@ -47,7 +47,7 @@
 }
 
 /** `reopen` closes the store and opens it anew. */
-function create(clock: Clock, probe: DiskSpaceProbe, store: () => Store, reopen: () => Promise<Either.Either<Fault, null>>): Commits {
+function create(clock: Clock, probe: DiskSpaceProbe, store: () => Store, reopen: () => Promise<Either.Either<Fault, null>>): CommitQueue {
   const first = store().get(putsKey);
   let count = typeof first === 'number' ? first : 0;
   let waiting: Waiting[] = [];
@@ -88,14 +88,14 @@
     while (waiting.length > 0) {
       const group = waiting;
       waiting = [];
-      const outcome = await health.follow(() => commit(group));
+      const outcome = await health.monitor(() => commit(group));
       for (const one of group) one.settle(outcome);
     }
     working = false;
   }
 
   function put(key: string, value: unknown): Promise<Either.Either<Fault, null>> {
-    const trouble = health.trouble();
+    const trouble = health.syncFault();
     if (Option.isSome(trouble)) return Promise.resolve(Either.left(trouble.value));
     if (waiting.length >= mostWaiting) {
       return Promise.resolve(Either.left(fault.diskFailed(key, new Error(`${mostWaiting} puts wait for the disk`))));
@@ -110,4 +110,4 @@
   return { put, synced: () => count, health };
 }
 
-export const commits = { create } as const;
+export const commitQueues = { create } as const;
--- a/packages/runtime/src/base.ts
+++ b/packages/runtime/src/host-runtime.ts
@@ -3,7 +3,7 @@
 import type * as Option from 'fp-ts/lib/Option.js';
 import {
   runtimeUtilities,
-  protocolsSpoken,
+  supportedProtocols,
   type Disk,
   type Fault,
   type Runtime,
@@ -26,7 +26,7 @@
 }
 
 /** What writes an event, given the library that makes records of events. */
-function logThrough(
+function createLog(
   program: string,
   library: Readonly<{ Roarr: (context: never, message: string) => void; ROARR: { write?: (record: string) => void } }>,
 ): Log {
@@ -40,7 +40,7 @@
 
 function create(say: Log, network: Network, disk: Option.Option<Disk>): Runtime {
   return {
-    protocols: protocolsSpoken,
+    protocols: supportedProtocols,
     clock,
     network,
     disk,
@@ -55,4 +55,4 @@
   };
 }
 
-export const base = { create, logThrough } as const;
+export const hostRuntime = { create, createLog } as const;
