--- a/packages/runtime/src/lmdb-store.ts
+++ b/packages/runtime/src/lmdb-store.ts
@@ -10,7 +10,7 @@
 export type OpenStore = (file: string) => Store;
 
 /** Key of the reason why the previous store was discarded. */
-export const lossReasonKey = '#lost';
+export const discardReasonKey = '#lost';
 /** Prefix of the internal keys of this package. */
 export const internalKeyPrefix = '#';
 
@@ -44,13 +44,13 @@
 }
 
 /** Creates a store with a put count of 0, so that a store without a count can be recognised as damaged. */
-async function createEmpty(folder: string, openStore: OpenStore, lossReason: Option.Option<string>): Promise<void> {
+async function createEmpty(folder: string, openStore: OpenStore, discardReason: Option.Option<string>): Promise<void> {
   await storeFile.createAtomically(folder, async function fill(file) {
     const created = openStore(file);
     try {
       await created.batch(function initialize() {
         void created.put(putsKey, 0);
-        if (Option.isSome(lossReason)) void created.put(lossReasonKey, lossReason.value);
+        if (Option.isSome(discardReason)) void created.put(discardReasonKey, discardReason.value);
       });
     } finally {
       await created.close();
@@ -74,9 +74,9 @@
 }
 
 /** Moves the store aside and opens a new, empty one. */
-async function replace(folder: string, openStore: OpenStore, lossReason: Option.Option<string>): Promise<Store> {
+async function replace(folder: string, openStore: OpenStore, discardReason: Option.Option<string>): Promise<Store> {
   storeFile.moveAside(folder);
-  await createEmpty(folder, openStore, lossReason);
+  await createEmpty(folder, openStore, discardReason);
   return openStore(storeFile.pathOf(folder));
 }
 
--- a/packages/runtime/src/stored-disk.ts
+++ b/packages/runtime/src/stored-disk.ts
@@ -6,7 +6,7 @@
 import { clock } from './clock.js';
 import { commitQueues, type CommitQueue, type Store } from './commit-queue.js';
 import type { DiskSpaceProbe } from './disk-space-probe.js';
-import { lmdbStore, lossReasonKey, internalKeyPrefix, type OpenStore } from './lmdb-store.js';
+import { lmdbStore, discardReasonKey, internalKeyPrefix, type OpenStore } from './lmdb-store.js';
 import { storeFile } from './store-file.js';
 
 type DiskState = {
@@ -81,9 +81,9 @@
   return entries;
 }
 
-function lossReason({ store }: DiskState): Option.Option<string> {
+function discardReason({ store }: DiskState): Option.Option<string> {
   try {
-    return Option.fromNullable(store.get(lossReasonKey) as string | undefined);
+    return Option.fromNullable(store.get(discardReasonKey) as string | undefined);
   } catch {
     return Option.none;
   }
@@ -101,7 +101,7 @@
     put: (key, value) => disk.commitQueue.put(key, value),
     syncFault: () => disk.commitQueue.health.syncFault(),
     onSyncFaultChange: (listener) => disk.commitQueue.health.onSyncFaultChange(listener),
-    lost: () => lossReason(disk),
+    discardedStoreReason: () => discardReason(disk),
     discard: (reason) => discard(disk, reason),
   };
 }
