--- a/packages/simulator/pooled-mutations.mjs
+++ b/packages/simulator/pooled-mutations.mjs
@@ -84,7 +84,7 @@
   },
   {
     name: 'any-key-lets-in',
-    story: 'withdrawn|typed fault',
+    story: 'withdrawn|typed fault|Removing a key ends its session',
     expect: 'configuration|route',
     only: sends,
     file: 'pooler/build/admission.js',
