--- a/packages/acceptance/src/unit-story.ts
+++ b/packages/acceptance/src/unit-story.ts
@@ -1,10 +1,10 @@
 /** What a story of units.feature holds, and what its steps share. */
-import type { Runtime, Instant, Listening } from '@stallstall/kernel';
+import type { Runtime, Instant, Listener } from '@stallstall/kernel';
 import type { LeaseHolder, LeaseGrantor } from '@stallstall/lease';
 import type { MemberRegistry } from '@stallstall/member-registry';
 import type { Request, Reply } from '@stallstall/message';
 import type { Caller } from '@stallstall/peer';
-import type { Connections, PooledLine } from '@stallstall/pooler/connections';
+import type { Connections, PooledConnection } from '@stallstall/pooler/connections';
 import type { World, Process } from '@stallstall/simulator';
 
 export type StubCore = {
@@ -37,9 +37,9 @@
   changedAt: number;
   connections: Connections;
   member: Process;
-  memberListening: Listening;
+  memberListening: Listener;
   heard: string[];
   opening: string;
   wanted: boolean[];
-  pooled: PooledLine;
+  pooled: PooledConnection;
 };
--- a/packages/peer/src/served-link.ts
+++ b/packages/peer/src/served-link.ts
@@ -1,6 +1,6 @@
 /** The serving side of a link: answers calls and pushes changes (design 3.2). */
 import * as Option from 'fp-ts/lib/Option.js';
-import type { Address, Runtime, Link, Listening } from '@stallstall/kernel';
+import type { Address, Runtime, Link, Listener } from '@stallstall/kernel';
 import { FrameSchema, message, messages, type Frame } from '@stallstall/message';
 import { handshake } from './handshake.js';
 import type { Caller, Handlers } from './peer.js';
--- a/packages/proxy/src/durable-reports.ts
+++ b/packages/proxy/src/durable-reports.ts
@@ -1,141 +1,142 @@
-/** Reports what must be durable on a majority of core disks before a reply leaves: commit positions and usage (design 7.5, 8.6). */
+/** Reports commit positions and usage to the cores, where they must be durable on a majority of disks before a reply is returned (design 7.5, 8.6). */
 import * as Option from 'fp-ts/lib/Option.js';
 import { identifiers, type Instant, type Runtime } from '@stallstall/kernel';
 import { message, type DurableWatermark, type DurableWatermarks } from '@stallstall/message';
 import type { Peer } from '@stallstall/peer';
 import type { UsageWindow } from './usage-windows.js';
 
-export type Notes = Readonly<{
-  /** The number of the report that will hold what is counted before the next call of `note`. */
-  next: () => number;
-  /** Has a position reported, with all that is counted by now. */
-  note: (service: string, watermark: Option.Option<DurableWatermark>) => void;
-  /** Whether that report, or a later one, is durable. */
-  noted: (number: number) => boolean;
-  /** The usage window of the latest durable report: what it confirms was served then. */
-  window: () => number;
-  /** Reports what was counted since, and that this proxy still counts. */
+export type DurableReports = Readonly<{
+  /** Number of the report that will include what is counted before the next call of `requestReport`. */
+  nextNumber: () => number;
+  /** Requests a report of a position and of everything counted so far. */
+  requestReport: (service: string, watermark: Option.Option<DurableWatermark>) => void;
+  /** Whether the report with this number, or a later one, is durable. */
+  isDurable: (number: number) => boolean;
+  /** The usage window of the latest durable report; the requests that it confirms are counted in this window. */
+  durableWindow: () => number;
+  /** Starts a report if one was requested, or if the latest is too old to show that this proxy still counts. */
   tick: () => void;
   flush: () => Promise<void>;
-  /** The agent can be reached, so that what is sent now can be made durable. */
-  sound: () => boolean;
-  /** How many reports there were, and how long they took in all. */
+  /** Whether the agent is connected; without it, no reply can become durable. */
+  isAgentConnected: () => boolean;
+  /** The number of reports and their total duration. */
   totals: () => Readonly<{ notes: number; noteMilliseconds: number }>;
 }>;
 
-export type NoteSources = Readonly<{
-  /** What was served, by window of the wall clock. */
+export type ReportSources = Readonly<{
+  /** Requests served, by window of the wall clock. */
   counts: (window: number) => readonly UsageWindow[];
-  /** A report has become durable. */
-  onNoted: () => void;
+  /** Called when a report has become durable. */
+  onDurable: () => void;
 }>;
 
 type State = {
   readonly runtime: Runtime;
   readonly agent: Peer;
-  /** Names this run of the process: its counts replace none of an earlier run. */
+  /** Identifies this run of the process, so that its counts do not replace those of an earlier run. */
   readonly incarnation: string;
-  readonly sources: NoteSources;
-  /** The highest position of each service that was reported. */
+  readonly sources: ReportSources;
+  /** The highest reported commit position of each service. */
   watermarks: DurableWatermarks;
-  /** Numbers of reports: the latest begun, the latest durable, the latest that somebody waits for. */
-  started: number;
-  durable: number;
-  wanted: number;
-  /** Of the latest durable report. */
+  /** Numbers of the latest report that was started, that is durable, and that was requested. */
+  lastStarted: number;
+  lastDurable: number;
+  lastRequested: number;
+  /** Window and start time of the latest durable report. */
   durableWindow: number;
   durableAt: Instant;
-  reporting: boolean;
-  /** By window: the counts that the latest durable report holds, as text. Empty once a report may be durable in part. */
+  isReporting: boolean;
+  /** By window: the counts in the latest durable report, as JSON. Cleared when a report failed and may be durable on some cores. */
   readonly reported: Map<number, string>;
   attempts: number;
   attemptMilliseconds: number;
 };
 
-const tickMilliseconds = 200;
+const maxReportAgeMilliseconds = 200;
 const windowMilliseconds = 5_000;
-const windowsKept = 6;
-const callMilliseconds = 1_000;
+const retainedWindows = 6;
+const callTimeoutMilliseconds = 1_000;
 
 function windowOf(wall: number): number {
   return Math.floor(wall / windowMilliseconds);
 }
 
-/** Sends one report; false when it is not known to be durable. */
-async function attempt(state: State): Promise<boolean> {
+/** Sends one report. Returns false if it may not be durable. */
+async function sendReport(state: State): Promise<boolean> {
   const { runtime, agent, sources, incarnation, reported } = state;
-  state.started += 1;
-  const number = state.started;
+  state.lastStarted += 1;
+  const number = state.lastStarted;
   const startedAt = runtime.clock.now();
   const wall = runtime.clock.wall();
   const window = windowOf(wall);
   const usage = sources
     .counts(window)
-    .map((one) => ({ window: one.window, counts: { ...one.counts } }))
-    .filter((one) => reported.get(one.window) !== JSON.stringify(one.counts));
+    .map((windowUsage) => ({ window: windowUsage.window, counts: { ...windowUsage.counts } }))
+    .filter((windowUsage) => reported.get(windowUsage.window) !== JSON.stringify(windowUsage.counts));
   const body = { number, floors: { ...state.watermarks }, usage, through: wall, incarnation };
-  const reply = await agent.call('tell', body, callMilliseconds);
+  const reply = await agent.call('tell', body, callTimeoutMilliseconds);
   state.attempts += 1;
   state.attemptMilliseconds += runtime.clock.now() - startedAt;
   if (Option.isNone(reply) || !reply.value.kept) {
     reported.clear();
     return false;
   }
-  for (const one of usage) reported.set(one.window, JSON.stringify(one.counts));
-  for (const old of reported.keys()) if (old < window - windowsKept) reported.delete(old);
-  // A report that took longer than its window confirms nothing: what waits is reported again, in the window it is served in.
+  for (const windowUsage of usage) reported.set(windowUsage.window, JSON.stringify(windowUsage.counts));
+  for (const earlier of reported.keys()) if (earlier < window - retainedWindows) reported.delete(earlier);
+  // A report that ended in a later window confirms nothing: the waiting replies are reported again, in the window in which they are returned.
   if (windowOf(runtime.clock.wall()) !== window) return true;
-  state.durable = number;
+  state.lastDurable = number;
   state.durableWindow = window;
   state.durableAt = startedAt;
   return true;
 }
 
-/** One report at a time; whoever comes meanwhile is in the next. */
-async function report(state: State): Promise<void> {
-  if (state.reporting) return;
-  state.reporting = true;
+/** Sends one report at a time; what is requested during a report is included in the next one. */
+async function sendRequestedReports(state: State): Promise<void> {
+  if (state.isReporting) return;
+  state.isReporting = true;
   do {
-    if (!(await attempt(state))) break;
-    state.sources.onNoted();
-  } while (state.durable < state.wanted);
-  state.reporting = false;
+    if (!(await sendReport(state))) break;
+    state.sources.onDurable();
+  } while (state.lastDurable < state.lastRequested);
+  state.isReporting = false;
 }
 
-function create(runtime: Runtime, agent: Peer, incarnation: string, sources: NoteSources): Notes {
+function create(runtime: Runtime, agent: Peer, incarnation: string, sources: ReportSources): DurableReports {
   const state: State = {
     runtime,
     agent,
     incarnation,
     sources,
     watermarks: {},
-    started: 0,
-    durable: 0,
-    wanted: 0,
+    lastStarted: 0,
+    lastDurable: 0,
+    lastRequested: 0,
     durableWindow: 0,
     durableAt: identifiers.instant(Number.NEGATIVE_INFINITY),
-    reporting: false,
+    isReporting: false,
     reported: new Map(),
     attempts: 0,
     attemptMilliseconds: 0,
   };
 
   return {
-    note: function note(service, watermark) {
+    requestReport: function requestReport(service, watermark) {
       if (Option.isSome(watermark)) state.watermarks = message.maxWatermarks(state.watermarks, { [service]: watermark.value });
-      state.wanted = state.started + 1;
-      void report(state);
+      state.lastRequested = state.lastStarted + 1;
+      void sendRequestedReports(state);
     },
-    next: () => state.started + 1,
-    noted: (number) => state.durable >= number,
-    window: () => state.durableWindow,
+    nextNumber: () => state.lastStarted + 1,
+    isDurable: (number) => state.lastDurable >= number,
+    durableWindow: () => state.durableWindow,
     tick: function tick() {
-      if (state.durable < state.wanted || runtime.clock.now() - state.durableAt >= tickMilliseconds) void report(state);
+      if (state.lastDurable < state.lastRequested || runtime.clock.now() - state.durableAt >= maxReportAgeMilliseconds)
+        void sendRequestedReports(state);
     },
-    flush: () => report(state),
-    sound: agent.isConnected,
+    flush: () => sendRequestedReports(state),
+    isAgentConnected: agent.isConnected,
     totals: () => ({ notes: state.attempts, noteMilliseconds: Math.round(state.attemptMilliseconds) }),
   };
 }
 
-export const notes = { create } as const;
+export const durableReports = { create } as const;
--- a/packages/simulator/src/pooled-fleet.ts
+++ b/packages/simulator/src/pooled-fleet.ts
@@ -193,10 +193,10 @@
     slot.proxyProcess = world.spawn(`${slot.name}/proxy`, slot.machine);
     slot.proxy = await pooler.start(
       slot.proxyProcess.runtime,
-      { address, outward, feed, graceMilliseconds },
+      { clientAddress: address, readinessAddress: outward, agentAddress: feed, graceMilliseconds },
       {
         dialect: plainDialect,
-        pages: (ready) => [{ method: 'GET', path: '/ready', handle: async () => ({ status: ready() ? 200 : 503, body: {} }) }],
+        readinessRoutes: (ready) => [{ method: 'GET', path: '/ready', handle: async () => ({ status: ready() ? 200 : 503, body: {} }) }],
       },
     );
   }
@@ -371,7 +371,7 @@
 
   /** The platform's own choice of edges: one that misses two readings is left out until it replies again. */
   async function readiness(slot: PooledEdge): Promise<void> {
-    const reply = await http.once(
+    const reply = await http.exchangeOnce(
       chooser,
       identifiers.address(edgeAddresses(slot).outward),
       { method: 'GET', path: '/ready' },
