--- a/packages/peer/src/served-link.ts
+++ b/packages/peer/src/served-link.ts
@@ -66,6 +66,6 @@
 }
 
 /** Answers calls on every link that is opened to an address; resolves once it listens. */
-export function listen(runtime: Runtime, address: Address, handlers: Handlers): Promise<Listening> {
+export function listen(runtime: Runtime, address: Address, handlers: Handlers): Promise<Listener> {
   return runtime.network.listen(address, (link) => void serveLink(runtime, address, link, handlers));
 }
