--- a/packages/core/src/administration/fleet-view.ts
+++ b/packages/core/src/administration/fleet-view.ts
@@ -14,7 +14,7 @@
 
 /** The nodes whose last heartbeat is less than a lease term old, and this node itself. */
 function reachableNodes({ runtime, node }: AdministrationContext): readonly string[] {
-  const names = node.membership().value.seats.map((seat) => seat.node);
+  const names = node.membership().value.seats.map((record) => record.node);
   return names.filter(function isReachable(name) {
     const heartbeatAt = node.lastHeartbeatAt(name);
     return name === node.settings.node || (Option.isSome(heartbeatAt) && runtime.clock.now() - heartbeatAt.value < leaseTermMilliseconds);
@@ -30,21 +30,21 @@
   return Option.getOrElse(() => 0)(Option.map((peer: Peer) => peer.protocolVersion())(node.peerOf(name)));
 }
 
-function nodeRow(context: AdministrationContext, seat: NodeRecord, appliedVersions: ReadonlyMap<string, number>): Row {
+function nodeRow(context: AdministrationContext, record: NodeRecord, appliedVersions: ReadonlyMap<string, number>): Row {
   const { runtime, node } = context;
-  const isThisNode = seat.node === node.settings.node;
-  const lastHeartbeatAt = node.lastHeartbeatAt(seat.node);
+  const isThisNode = record.node === node.settings.node;
+  const lastHeartbeatAt = node.lastHeartbeatAt(record.node);
   const heardMilliseconds = Option.isSome(lastHeartbeatAt) ? Math.round(runtime.clock.now() - lastHeartbeatAt.value) : unknownValue;
   return {
-    node: seat.node,
-    role: seat.role,
-    area: seat.area,
-    address: seat.address,
-    outward: seat.outward,
-    draining: seat.draining,
+    node: record.node,
+    role: record.role,
+    area: record.area,
+    address: record.address,
+    outward: record.outward,
+    draining: record.draining,
     heardMilliseconds: isThisNode ? 0 : heardMilliseconds,
-    protocol: isThisNode ? runtime.protocols.to : protocolOf(context, seat.node),
-    obeys: isThisNode ? appliedVersion(context) : (appliedVersions.get(seat.node) ?? unknownValue),
+    protocol: isThisNode ? runtime.protocols.to : protocolOf(context, record.node),
+    obeys: isThisNode ? appliedVersion(context) : (appliedVersions.get(record.node) ?? unknownValue),
   };
 }
 
@@ -65,7 +65,7 @@
     quorum: quorum.majority(seats.length),
     heard: reachable,
     spare: reachable - quorum.majority(seats.length),
-    nodes: seats.map((seat) => nodeRow(context, seat, appliedVersions)),
+    nodes: seats.map((record) => nodeRow(context, record, appliedVersions)),
   };
 }
 
--- a/packages/core/src/administration/node-routes.ts
+++ b/packages/core/src/administration/node-routes.ts
@@ -19,8 +19,8 @@
 
 /** Finds an edge in the membership table. Errors: `not-found`. */
 function findEdge({ node }: AdministrationContext, name: string): Either.Either<Fault, NodeRecord> {
-  const seat = quorum.findNode(node.membership().value, name);
-  if (seat !== undefined && seat.role === 'edge') return Either.right(seat);
+  const record = quorum.findNode(node.membership().value, name);
+  if (record !== undefined && record.role === 'edge') return Either.right(record);
   return Either.left(
     fault.create({
       kind: 'not-found',
--- a/packages/core/src/platform-api.ts
+++ b/packages/core/src/platform-api.ts
@@ -28,7 +28,7 @@
 }>;
 
 export type PlatformApiParts = Readonly<{
-  /** Whether this core has a seat in a fleet and answers for it. */
+  /** Whether this core belongs to a fleet and answers ballots. */
   isOpen: () => boolean;
   isDraining: () => boolean;
   contact: QuorumContact;
