--- a/packages/acceptance/src/product.ts
+++ b/packages/acceptance/src/product.ts
@@ -30,11 +30,11 @@
   fs.writeFileSync(file, JSON.stringify(firstSettings));
   const first = settings.read(agentSettings, file, {});
   assert.ok(Either.isRight(first));
-  this.followed = settings.follow(
+  this.currentSettings = settings.follow(
     this.process.runtime,
     {
       watch: (_file, again) => {
-        this.again = again;
+        this.onSettingsChange = again;
       },
     },
     { schema: agentSettings, file, flags: {} },
@@ -45,7 +45,7 @@
 function write(story: Story, text: string): void {
   fs.writeFileSync(path.join(story.folder, 'agent.json'), text);
   story.world.logs.splice(0);
-  story.again();
+  story.onSettingsChange();
 }
 
 When('the file names another platform and another seed', function when(this: Story) {
@@ -53,7 +53,7 @@
 });
 
 Then('both are obeyed at once, without a restart', function then(this: Story) {
-  assert.deepEqual(this.followed(), laterSettings);
+  assert.deepEqual(this.currentSettings(), laterSettings);
 });
 
 When('the file is half written', function when(this: Story) {
@@ -69,14 +69,14 @@
 });
 
 Then('what stood before stands, and the log names the remedy', function then(this: Story) {
-  assert.deepEqual(this.followed(), laterSettings);
+  assert.deepEqual(this.currentSettings(), laterSettings);
   const [line] = this.world.logs;
   assert.equal(line?.event, 'settings.denied');
-  assert.match(String(line?.fields['reason']), /mend/);
+  assert.match(String(line?.fields['reason']), /fix/);
 });
 
 Then('what stood before stands, and the log says that {string} waits for a restart', function then(this: Story, column: string) {
-  assert.deepEqual(this.followed(), laterSettings);
+  assert.deepEqual(this.currentSettings(), laterSettings);
   const [line] = this.world.logs;
   assert.equal(line?.event, 'settings.waits');
   assert.equal(line?.fields['column'], column);
--- a/packages/acceptance/src/story.ts
+++ b/packages/acceptance/src/story.ts
@@ -33,9 +33,9 @@
   checked: ReadonlyArray<Either.Either<Fault, unknown>>;
   clients: Readonly<{ stop: () => void }>;
   folder: string;
-  followed: () => unknown;
+  currentSettings: () => unknown;
   asked: Array<() => number>;
-  again: () => void;
+  onSettingsChange: () => void;
   world: World;
   probes: Array<Readonly<{ requestedAt: number; sentAt: number }>>;
 };
--- a/packages/cli/bin/stallstall.js
+++ b/packages/cli/bin/stallstall.js
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-// A reload that comes while a daemon still loads must not end it.
+// Without a handler, SIGHUP (a settings reload) that arrives while a daemon is still loading would end the process.
 if (process.argv[2] === 'run') process.on('SIGHUP', () => undefined);
 
 const { execute } = await import('@oclif/core');
--- a/packages/cli/src/commands.ts
+++ b/packages/cli/src/commands.ts
@@ -1,7 +1,7 @@
-/** The commands by their names on the command line. */
+/** Maps command names on the command line to their classes. */
 import { MappingsImport } from './mappings.js';
 import { RunAgent, RunCore, RunProxy } from './daemons.js';
-import { Liveness, Metrics } from './condition-commands.js';
+import { Liveness, Metrics } from './health-commands.js';
 import { Audit, Elections, Members, Operators, SheetVersions, Status, Usage } from './listing-commands.js';
 import { AcceptLoss, Drain, Remove, Retire } from './node-commands.js';
 import { OperatorPut, OperatorRemove } from './operator-commands.js';
--- a/packages/cli/src/daemons.ts
+++ b/packages/cli/src/daemons.ts
@@ -1,4 +1,4 @@
-/** The commands that run a process of the fleet. oclif asks for classes; they are the forced exception of design 2.6. */
+/** The commands that run a process of the fleet. They are classes because oclif requires it, an exception to design 2.6. */
 import fs from 'node:fs';
 import { Command, Flags } from '@oclif/core';
 import * as Either from 'fp-ts/lib/Either.js';
@@ -8,108 +8,132 @@
 import { core } from '@stallstall/core';
 import { agent } from '@stallstall/agent';
 import { proxy } from '@stallstall/proxy';
-import { agentSettings, coreSettings, proxySettings, settings, type Changes } from './settings.js';
+import { agentSettings, coreSettings, proxySettings, settings, type SettingsFileWatcher } from './settings.js';
 
-const shared = {
-  settings: Flags.string({ description: 'a JSON settings file; flags go before it' }),
+const commonFlags = {
+  settings: Flags.string({ description: 'a JSON settings file; flags override its values' }),
 };
 const nodeFlags = {
-  ...shared,
-  node: Flags.string({ description: 'the id of this node, kept over restarts' }),
+  ...commonFlags,
+  node: Flags.string({ description: 'the id of this node; it must stay the same across restarts' }),
   area: Flags.string({ description: 'the area (zone) of this machine' }),
-  address: Flags.string({ description: 'where other nodes reach this one' }),
-  outward: Flags.string({ description: 'where members and operators reach it over HTTP' }),
-  seeds: Flags.string({ description: 'three addresses of other nodes, with commas between' }),
+  address: Flags.string({ description: 'the address at which other nodes reach this one' }),
+  outward: Flags.string({ description: 'the address at which members and operators reach this node over HTTP' }),
+  seeds: Flags.string({ description: 'the addresses of three other nodes, separated by commas' }),
   platform: Flags.string({ description: 'the address of the platform' }),
 };
 
-/** What tells that a settings file is to be read again: SIGHUP, or a change of the file itself. */
-const changes: Changes = {
-  watch: function watch(file, again) {
-    process.on('SIGHUP', again);
-    fs.watchFile(file, { interval: 1_000 }, again);
+/** Triggers a reload of the settings file on SIGHUP and when the file changes. */
+const settingsFileWatcher: SettingsFileWatcher = {
+  watch: function watch(file, onChange) {
+    process.on('SIGHUP', onChange);
+    fs.watchFile(file, { interval: 1_000 }, onChange);
   },
 };
 
-function given(flags: Readonly<Record<string, unknown>>): Readonly<Record<string, unknown>> {
+function settingsFromFlags(flags: Readonly<Record<string, unknown>>): Readonly<Record<string, unknown>> {
   const { settings: _file, json: _json, seeds, ...rest } = flags;
   return { ...rest, ...(typeof seeds === 'string' ? { seeds: seeds.split(',') } : {}) };
 }
 
-function endWith(runtime: Runtime, stop: () => Promise<void>): void {
+function drainOnSignal(runtime: Runtime, drain: () => Promise<void>): void {
   let stopping = false;
-  async function end(): Promise<void> {
+  async function drainAndExit(): Promise<void> {
     if (stopping) return;
     stopping = true;
     runtime.log('process.ends', {});
-    await stop();
+    await drain();
     process.exit(0);
   }
-  process.on('SIGTERM', () => void end());
-  process.on('SIGINT', () => void end());
+  process.on('SIGTERM', () => void drainAndExit());
+  process.on('SIGINT', () => void drainAndExit());
 }
 
-function orFail<Value>(command: Command, result: Either.Either<Fault, Value>): Value {
+function valueOrExit<Value>(command: Command, result: Either.Either<Fault, Value>): Value {
   if (Either.isLeft(result)) return command.error(result.left.message, { exit: 2 });
   return result.right;
 }
 
 export class RunCore extends Command {
-  static override description = 'Run a core: a disk of the register, pushes, and the administration API.';
+  static override description =
+    'Run a core: it stores the register on its disk, pushes the configuration to the edges and serves the administration API.';
   static override flags = {
     ...nodeFlags,
-    data: Flags.string({ description: 'the data folder' }),
-    cores: Flags.integer({ description: 'how many cores form the fleet' }),
-    operatorKey: Flags.string({ description: 'the root key of the administration API; the file is the better place' }),
+    data: Flags.string({ description: 'the folder in which the core stores its data' }),
+    cores: Flags.integer({ description: 'the number of cores that form the fleet' }),
+    operatorKey: Flags.string({
+      description: 'the root key of the administration API; prefer the settings file, since flags show in the process list',
+    }),
   };
 
   async run(): Promise<void> {
     const { flags } = await this.parse(RunCore);
-    const first = orFail(this, settings.read(coreSettings, flags.settings, given(flags)));
+    const initial = valueOrExit(this, settings.read(coreSettings, flags.settings, settingsFromFlags(flags)));
     const runtime = await nodeRuntime.create(
       'core',
-      Option.some(orFail(this, await disk.openWhenWorking(first.data, (reason) => this.warn(reason.message)))),
+      Option.some(valueOrExit(this, await disk.openWhenWorking(initial.data, (reason) => this.warn(reason.message)))),
     );
-    const current = settings.follow(runtime, changes, { schema: coreSettings, file: flags.settings, flags: given(flags) }, first);
-    const started = orFail(this, await core.start(runtime, { ...first, seeds: () => current().seeds, platform: () => current().platform }));
-    endWith(runtime, started.drain);
-    runtime.log('process.runs', { node: first.node, address: first.address, outward: first.outward });
+    const current = settings.follow(
+      runtime,
+      settingsFileWatcher,
+      { schema: coreSettings, file: flags.settings, flags: settingsFromFlags(flags) },
+      initial,
+    );
+    const started = valueOrExit(
+      this,
+      await core.start(runtime, { ...initial, seeds: () => current().seeds, platform: () => current().platform }),
+    );
+    drainOnSignal(runtime, started.drain);
+    runtime.log('process.runs', { node: initial.node, address: initial.address, outward: initial.outward });
   }
 }
 
 export class RunAgent extends Command {
-  static override description = 'Run an agent: the control link, heartbeats and votes of an edge.';
-  static override flags = { ...nodeFlags, feed: Flags.string({ description: 'the loopback address its proxy is fed at' }) };
+  static override description = 'Run the agent of an edge: it holds the links to the cores, sends heartbeats and votes in elections.';
+  static override flags = {
+    ...nodeFlags,
+    feed: Flags.string({ description: 'the loopback address from which its proxy gets the configuration' }),
+  };
 
   async run(): Promise<void> {
     const { flags } = await this.parse(RunAgent);
-    const first = orFail(this, settings.read(agentSettings, flags.settings, given(flags)));
+    const initial = valueOrExit(this, settings.read(agentSettings, flags.settings, settingsFromFlags(flags)));
     const runtime = await nodeRuntime.create('agent', Option.none);
-    const current = settings.follow(runtime, changes, { schema: agentSettings, file: flags.settings, flags: given(flags) }, first);
-    const started = orFail(
+    const current = settings.follow(
+      runtime,
+      settingsFileWatcher,
+      { schema: agentSettings, file: flags.settings, flags: settingsFromFlags(flags) },
+      initial,
+    );
+    const started = valueOrExit(
       this,
-      await agent.start(runtime, { ...first, seeds: () => current().seeds, platform: () => current().platform }),
+      await agent.start(runtime, { ...initial, seeds: () => current().seeds, platform: () => current().platform }),
     );
-    endWith(runtime, started.drain);
-    runtime.log('process.runs', { node: first.node, address: first.address, outward: first.outward });
+    drainOnSignal(runtime, started.drain);
+    runtime.log('process.runs', { node: initial.node, address: initial.address, outward: initial.outward });
   }
 }
 
 export class RunProxy extends Command {
-  static override description = "Run a proxy: the clients' side of an edge, fed by its agent.";
+  static override description = 'Run the proxy of an edge: it serves the clients and gets its configuration from the agent.';
   static override flags = {
-    ...shared,
-    address: Flags.string({ description: 'where clients reach it over HTTP' }),
-    feed: Flags.string({ description: "its agent's feed address" }),
+    ...commonFlags,
+    address: Flags.string({ description: 'the address at which clients reach the proxy over HTTP' }),
+    feed: Flags.string({ description: 'the loopback address at which its agent serves the configuration' }),
   };
 
   async run(): Promise<void> {
     const { flags } = await this.parse(RunProxy);
-    const first = orFail(this, settings.read(proxySettings, flags.settings, given(flags)));
+    const initial = valueOrExit(this, settings.read(proxySettings, flags.settings, settingsFromFlags(flags)));
     const runtime = await nodeRuntime.create('proxy', Option.none);
-    settings.follow(runtime, changes, { schema: proxySettings, file: flags.settings, flags: given(flags) }, first);
-    const started = await proxy.start(runtime, first);
-    endWith(runtime, started.drain);
-    runtime.log('process.runs', { address: first.address });
+    settings.follow(
+      runtime,
+      settingsFileWatcher,
+      { schema: proxySettings, file: flags.settings, flags: settingsFromFlags(flags) },
+      initial,
+    );
+    const started = await proxy.start(runtime, initial);
+    drainOnSignal(runtime, started.drain);
+    runtime.log('process.runs', { address: initial.address });
   }
 }
--- a/packages/cli/src/listing-commands.ts
+++ b/packages/cli/src/listing-commands.ts
@@ -1,9 +1,9 @@
-/** Commands that list what the fleet knows. */
+/** Commands that list the state of the fleet. */
 import { Command } from '@oclif/core';
 import { coreClient, coreFlags, pageFlags } from './core-client.js';
 import { tables, type Row } from './tables.js';
 
-/** What a core says of the fleet; `membership` and `configuration` are versions. */
+/** The status of the fleet as a core reports it; `membership` and `configuration` are version numbers. */
 type FleetStatus = Readonly<{
   fleet: string;
   size: number;
@@ -16,15 +16,16 @@
 }>;
 
 export class Status extends Command {
-  static override description = 'The nodes of the fleet: who is heard, and which configuration each obeys.';
+  static override description =
+    'List the nodes of the fleet: how long ago each was heard from and which configuration version it has applied.';
   static override enableJsonFlag = true;
   static override flags = coreFlags;
 
   async run(): Promise<unknown> {
     const { flags } = await this.parse(Status);
-    const status = (await coreClient.replyOf(this, flags, { method: 'GET', path: '/v1/fleet' })) as FleetStatus;
+    const status = (await coreClient.requestOrExit(this, flags, { method: 'GET', path: '/v1/fleet' })) as FleetStatus;
     this.log(
-      `fleet ${status.fleet}: ${status.size} nodes, ${status.heard} heard, quorum ${status.quorum}, ${status.spare} to spare, membership ${status.membership}, configuration ${status.configuration}`,
+      `fleet ${status.fleet}: ${status.size} nodes, ${status.heard} reachable, quorum ${status.quorum}, ${status.spare} reachable beyond the quorum, membership version ${status.membership}, configuration version ${status.configuration}`,
     );
     this.log(
       tables.table(status.nodes, ['node', 'role', 'area', 'heardMilliseconds', 'obeys', 'protocol', 'draining', 'address', 'outward']),
@@ -34,7 +35,7 @@
 }
 
 export class Members extends Command {
-  static override description = 'The database members: who leads, who is alive, how far each has got.';
+  static override description = 'List the database members: which is primary, which are alive, and the position each has reached.';
   static override enableJsonFlag = true;
   static override flags = pageFlags;
 
@@ -56,7 +57,8 @@
 }
 
 export class Elections extends Command {
-  static override description = 'Each service: its epoch, its primary, the last outcome at the core asked.';
+  static override description =
+    'List the services: the epoch and the primary of each, and the outcome of its last election as this core knows it.';
   static override enableJsonFlag = true;
   static override flags = pageFlags;
 
@@ -67,7 +69,7 @@
 }
 
 export class Usage extends Command {
-  static override description = 'The usage windows fixed last, and whether the platform has them.';
+  static override description = 'List the latest closed usage windows and whether each was reported to the platform.';
   static override enableJsonFlag = true;
   static override flags = pageFlags;
 
@@ -81,7 +83,7 @@
 }
 
 export class Audit extends Command {
-  static override description = 'Who did what, the latest first.';
+  static override description = 'List the actions of operators, latest first.';
   static override enableJsonFlag = true;
   static override flags = pageFlags;
 
@@ -89,13 +91,13 @@
     const { flags } = await this.parse(Audit);
     return tables.showPage(this, flags, '/v1/audit', ['number', 'at', 'by', 'action', 'detail'], (row) => ({
       ...row,
-      at: tables.moment(row['at']),
+      at: tables.formatTime(row['at']),
     }));
   }
 }
 
 export class Operators extends Command {
-  static override description = 'The operators and what each may do.';
+  static override description = 'List the operators and their permissions.';
   static override enableJsonFlag = true;
   static override flags = pageFlags;
 
@@ -106,7 +108,7 @@
 }
 
 export class SheetVersions extends Command {
-  static override description = 'The versions of the sheet that are kept, and who sent each.';
+  static override description = 'List the stored versions of the placement sheet and who sent each.';
   static override enableJsonFlag = true;
   static override flags = pageFlags;
 
@@ -114,7 +116,7 @@
     const { flags } = await this.parse(SheetVersions);
     return tables.showPage(this, flags, '/v1/sheet/versions', ['version', 'sentBy', 'sentAt'], (row) => ({
       ...row,
-      sentAt: tables.moment(row['sentAt']),
+      sentAt: tables.formatTime(row['sentAt']),
     }));
   }
 }
--- a/packages/cli/src/tables.ts
+++ b/packages/cli/src/tables.ts
@@ -1,19 +1,19 @@
-/** Listings as they are shown to an operator. */
+/** Formats listings as text tables for operators. */
 import type { Command } from '@oclif/core';
 import { coreClient, type CoreFlags } from './core-client.js';
 
-/** A row of a listing, by column. */
+/** A row of a listing, keyed by column name. */
 export type Row = Readonly<Record<string, unknown>>;
 
-/** A value as a cell shows it: nothing for what is missing, JSON for what is no plain value. */
-function cellText(value: unknown): string {
+/** Formats the value of a cell: empty if missing, text as it is, anything else as JSON. */
+function formatCell(value: unknown): string {
   if (value === undefined || value === null) return '';
   return typeof value === 'string' ? value : JSON.stringify(value);
 }
 
-/** Rows as a table of text with a line of column names. */
+/** Formats rows as a text table whose first line holds the column names. */
 function table(rows: readonly Row[], columns: readonly string[]): string {
-  const cells = [columns, ...rows.map((row) => columns.map((column) => cellText(row[column])))];
+  const cells = [columns, ...rows.map((row) => columns.map((column) => formatCell(row[column])))];
   const widths = columns.map((_, index) => Math.max(...cells.map((line) => (line[index] ?? '').length)));
   return cells
     .map((line) =>
@@ -27,30 +27,31 @@
 
 type Page = Readonly<{ rows: readonly Row[]; total: number; next?: number }>;
 
-/** Asks for one page of a listing and shows it as a table. */
+/** Requests one page of a listing and prints it as a table. */
 async function showPage(
   command: Command,
   flags: CoreFlags & Readonly<{ limit: number; after: number }>,
   path: string,
   columns: readonly string[],
-  shown: (row: Row) => Row = same,
+  transformRow: (row: Row) => Row = identity,
 ): Promise<Page> {
-  const reply = (await coreClient.replyOf(command, flags, {
+  const reply = (await coreClient.requestOrExit(command, flags, {
     method: 'GET',
     path: `${path}?limit=${flags.limit}&after=${flags.after}`,
   })) as Page;
-  command.log(table(reply.rows.map(shown), columns));
-  if (reply.next !== undefined) command.log(`${reply.rows.length} of ${reply.total} rows; go on with --after ${reply.next}`);
+  command.log(table(reply.rows.map(transformRow), columns));
+  if (reply.next !== undefined)
+    command.log(`showing ${reply.rows.length} of ${reply.total} rows; for the next ones add --after ${reply.next}`);
   return reply;
 }
 
-function same(row: Row): Row {
+function identity(row: Row): Row {
   return row;
 }
 
-/** A time of the wall clock as text; empty when there is none. */
-function moment(value: unknown): string {
+/** Formats a wall-clock time in ISO 8601; empty if the value is missing. */
+function formatTime(value: unknown): string {
   return typeof value === 'number' ? new Date(value).toISOString() : '';
 }
 
-export const tables = { table, showPage, moment } as const;
+export const tables = { table, showPage, formatTime } as const;
