--- a/packages/acceptance/src/clocks.ts
+++ b/packages/acceptance/src/clocks.ts
@@ -3,7 +3,7 @@
 import { Then, When, type DataTable } from '@cucumber/cucumber';
 import * as Option from 'fp-ts/lib/Option.js';
 import { identifiers, wallClock } from '@stallstall/kernel';
-import { firstKey, wallStart, type PooledFleet, type Process } from '@stallstall/simulator';
+import { firstKey, initialWallTime, type PooledFleet, type Process } from '@stallstall/simulator';
 
 type ClockStory = {
   pooled: PooledFleet;
@@ -27,10 +27,10 @@
     let now = 0;
     const wall = wallClock.create(
       () => identifiers.instant(now),
-      () => identifiers.wallTime(wallStart + now + offAt(row, now / 1_000)),
+      () => identifiers.wallTime(initialWallTime + now + offAt(row, now / 1_000)),
     );
     for (; now < Number(second) * 1_000; now += lookMilliseconds) wall();
-    assert.equal(wall() - wallStart - now, Number(expected), `${row}, at second ${second}`);
+    assert.equal(wall() - initialWallTime - now, Number(expected), `${row}, at second ${second}`);
   }
 });
 
@@ -88,7 +88,7 @@
 );
 
 function windowOf(moment: number): number {
-  return Math.floor((wallStart + moment) / windowMilliseconds);
+  return Math.floor((initialWallTime + moment) / windowMilliseconds);
 }
 
 Then('each window in between was told as it was served', function then(this: ClockStory) {
--- a/packages/acceptance/src/cores.ts
+++ b/packages/acceptance/src/cores.ts
@@ -13,7 +13,7 @@
 
 /** Whether all running cores that the newest set lists are in that set, and the set's cores meet the condition. */
 function areInSet(fleet: CoreFleet, isExpected: (cores: readonly string[]) => boolean): boolean {
-  const views = runningMachines(fleet).map((machine) => ({ machine, set: fleet.setOf(machine) }));
+  const views = runningMachines(fleet).map((machine) => ({ machine, set: fleet.coreSetOf(machine) }));
   const newest = Math.max(...views.map((view) => view.set.number));
   const cores = views.find((view) => view.set.number === newest)?.set.cores ?? [];
   return (
@@ -26,20 +26,20 @@
 
 /** The sets that all machines are in, for failure messages. */
 function describeSets(fleet: CoreFleet): string {
-  return JSON.stringify(fleet.machines.map((machine) => ({ name: machine.name, ...fleet.setOf(machine) })));
+  return JSON.stringify(fleet.machines.map((machine) => ({ name: machine.name, ...fleet.coreSetOf(machine) })));
 }
 
 async function assertSetWithin(fleet: CoreFleet, seconds: number, isExpected: (cores: readonly string[]) => boolean): Promise<void> {
-  assert.ok(await fleet.until(() => areInSet(fleet, isExpected), seconds * 1_000), describeSets(fleet));
+  assert.ok(await fleet.runUntil(() => areInSet(fleet, isExpected), seconds * 1_000), describeSets(fleet));
 }
 
 async function assertReadBack(fleet: CoreFleet): Promise<void> {
   assert.deepEqual(fleet.violations, []);
-  const before = fleet.acknowledged();
+  const before = fleet.highestAcknowledgedVersion();
   assert.ok(before > 0, 'nothing was acknowledged');
   for (const machine of runningMachines(fleet)) {
-    if (!fleet.setOf(machine).cores.includes(machine.name)) continue;
-    const read = await fleet.readAt(machine);
+    if (!fleet.coreSetOf(machine).cores.includes(machine.name)) continue;
+    const read = await fleet.readVersion(machine);
     assert.ok(Option.isSome(read) && read.value >= before, `${machine.name} read ${JSON.stringify(read)} after ${before} was acknowledged`);
   }
 }
@@ -60,7 +60,7 @@
 });
 
 When('a new core starts with core-{int} and core-{int} as its seeds', async function when(this: CoreStory, first: number, second: number) {
-  await this.cores.spare([first, second].map((index) => this.cores.machine(`core-${index}`).address));
+  await this.cores.startBlankCore([first, second].map((index) => this.cores.machine(`core-${index}`).address));
 });
 
 // Configurations that arrive faster than such slow disks can decide them keep preempting each other in any core set, so the operator slows down too.
@@ -74,7 +74,7 @@
 );
 
 When('a new core starts whose seeds are unreachable', async function when(this: CoreStory) {
-  await this.cores.spare(['10.9.9.9:7000']);
+  await this.cores.startBlankCore(['10.9.9.9:7000']);
   await this.cores.world.run(1_000);
 });
 
@@ -90,7 +90,7 @@
 
 /** Starts the successor, drains the old machine, and kills it permanently once it has drained, at the latest after 7 s. */
 async function drainAndReplace(fleet: CoreFleet, machine: CoreMachine): Promise<CoreMachine> {
-  const successor = await fleet.spare(
+  const successor = await fleet.startBlankCore(
     runningMachines(fleet)
       .slice(0, 3)
       .map((core) => core.address),
@@ -101,7 +101,7 @@
   void drained?.then(() => {
     hasDrained = true;
   });
-  await fleet.until(() => hasDrained, 7_000);
+  await fleet.runUntil(() => hasDrained, 7_000);
   fleet.kill(machine);
   return successor;
 }
@@ -134,8 +134,8 @@
 Then('within {int} s another configuration is acknowledged', async function then(this: CoreStory, seconds: number) {
   // A configuration that was in flight when a core was lost must not count: it says nothing about the remaining cores.
   await this.cores.world.run(1_000);
-  const before = this.cores.acknowledged();
-  assert.ok(await this.cores.until(() => this.cores.acknowledged() > before, seconds * 1_000), describeSets(this.cores));
+  const before = this.cores.highestAcknowledgedVersion();
+  assert.ok(await this.cores.runUntil(() => this.cores.highestAcknowledgedVersion() > before, seconds * 1_000), describeSets(this.cores));
 });
 
 async function killWhileCopying(fleet: CoreFleet, index: number): Promise<CoreMachine> {
@@ -168,7 +168,7 @@
 When('core-{int} is killed permanently as soon as a set lists it', async function when(this: CoreStory, index: number) {
   const machine = this.cores.machine(`core-${index}`);
   function isListed(fleet: CoreFleet): boolean {
-    return runningMachines(fleet).some((other) => fleet.setOf(other).cores.includes(machine.name));
+    return runningMachines(fleet).some((other) => fleet.coreSetOf(other).cores.includes(machine.name));
   }
   for (let elapsed = 0; !isListed(this.cores); elapsed += 1) {
     assert.ok(elapsed < 10_000, 'no set lists the core');
@@ -187,8 +187,8 @@
 });
 
 When('core-{int} is cut off', function when(this: CoreStory, index: number) {
-  this.cores.cutOff(this.cores.machine(`core-${index}`));
-  this.acknowledgedWhenCut = this.cores.acknowledgedBy(`core-${index}`);
+  this.cores.isolate(this.cores.machine(`core-${index}`));
+  this.acknowledgedWhenCut = this.cores.acknowledgementsBy(`core-${index}`);
 });
 
 When('all connections are restored', function when(this: CoreStory) {
@@ -196,7 +196,7 @@
 });
 
 Then('core-{int} has acknowledged nothing since it was cut off', function then(this: CoreStory, index: number) {
-  assert.equal(this.cores.acknowledgedBy(`core-${index}`), this.acknowledgedWhenCut);
+  assert.equal(this.cores.acknowledgementsBy(`core-${index}`), this.acknowledgedWhenCut);
 });
 
 Then('core-{int} logged that it left the set, and then copied the others', function then(this: CoreStory, index: number) {
@@ -208,8 +208,8 @@
 });
 
 async function lastAcknowledger(fleet: CoreFleet): Promise<CoreMachine> {
-  const before = fleet.acknowledged();
-  assert.ok(await fleet.until(() => fleet.acknowledged() > before, 2_000));
+  const before = fleet.highestAcknowledgedVersion();
+  assert.ok(await fleet.runUntil(() => fleet.highestAcknowledgedVersion() > before, 2_000));
   return fleet.machine(fleet.lastAcknowledger());
 }
 
@@ -220,7 +220,7 @@
     this.lost.push(machine.name);
     this.cores.kill(machine);
     await this.cores.world.run(1_000);
-    await this.cores.spare(runningMachines(this.cores).map((core) => core.address));
+    await this.cores.startBlankCore(runningMachines(this.cores).map((core) => core.address));
   },
 );
 
@@ -247,12 +247,15 @@
 Then('the edge follows {int} cores and its lease never expired', async function then(this: CoreStory, count: number) {
   await this.cores.world.run(1_000);
   assert.equal(this.cores.edge.coreCount(), count);
-  assert.equal(this.cores.leaseGaps(), 0);
+  assert.equal(this.cores.leaseGapCount(), 0);
 });
 
 Then('every core in the set reads the latest acknowledged configuration', async function then(this: CoreStory) {
-  const before = this.cores.acknowledged();
-  assert.ok(await this.cores.until(() => this.cores.acknowledged() > before, 5_000), 'no further configuration was acknowledged');
+  const before = this.cores.highestAcknowledgedVersion();
+  assert.ok(
+    await this.cores.runUntil(() => this.cores.highestAcknowledgedVersion() > before, 5_000),
+    'no further configuration was acknowledged',
+  );
   this.operator.stop();
   await this.cores.world.run(2_000);
   await assertReadBack(this.cores);
@@ -287,7 +290,7 @@
 );
 
 Then('core-{int} is in set {int}', function then(this: CoreStory, index: number, number: number) {
-  assert.equal(this.cores.setOf(this.cores.machine(`core-${index}`)).number, number);
+  assert.equal(this.cores.coreSetOf(this.cores.machine(`core-${index}`)).number, number);
 });
 
 /** Kills the core and starts it with the content that its disk had that long ago. */
@@ -339,7 +342,7 @@
   'within {int} s every core lists core-{int} at {string}',
   async function then(this: CoreStory, seconds: number, index: number, address: string) {
     assert.ok(
-      await this.cores.until(
+      await this.cores.runUntil(
         () =>
           runningMachines(this.cores).every(
             (machine) => machine.running?.node.membership().value.seats.find((seat) => seat.node === `core-${index}`)?.address === address,
@@ -362,8 +365,8 @@
 }
 
 async function assertAllReadBack(fleet: CoreFleet, operator: Readonly<{ stop: () => void }>): Promise<void> {
-  const before = fleet.acknowledged();
-  assert.ok(await fleet.until(() => fleet.acknowledged() > before, 5_000), 'no further configuration was acknowledged');
+  const before = fleet.highestAcknowledgedVersion();
+  assert.ok(await fleet.runUntil(() => fleet.highestAcknowledgedVersion() > before, 5_000), 'no further configuration was acknowledged');
   operator.stop();
   await fleet.world.run(2_000);
   await assertReadBack(fleet);
@@ -375,7 +378,7 @@
   const operator = fleet.startOperator();
   await fleet.world.run(1_000);
   fleet.kill(fleet.machine('core-3'));
-  await fleet.spare(['core-1', 'core-2'].map((name) => fleet.machine(name).address));
+  await fleet.startBlankCore(['core-1', 'core-2'].map((name) => fleet.machine(name).address));
   const proposer = await firstProposer(fleet);
   await fleet.world.run(moment / 2);
   fleet.kill(proposer);
@@ -389,7 +392,7 @@
   const fleet = await coreFleet.create(60 + moment, 3);
   const operator = fleet.startOperator();
   await fleet.world.run(1_000);
-  await fleet.spare(['core-1', 'core-2'].map((name) => fleet.machine(name).address));
+  await fleet.startBlankCore(['core-1', 'core-2'].map((name) => fleet.machine(name).address));
   await fleet.world.run(1_000);
   void fleet.machine('core-1').running?.drain();
   const proposer = await firstProposer(fleet);
--- a/packages/acceptance/src/cut-core.ts
+++ b/packages/acceptance/src/cut-core.ts
@@ -13,7 +13,7 @@
 type CutCoreStory = {
   cores: CoreFleet;
   operator: Readonly<{ stop: () => void }>;
-  lostEdge: ReturnType<CoreFleet['newEdge']>;
+  lostEdge: ReturnType<CoreFleet['startEdge']>;
   lostCore: CoreMachine;
   frozenAnswers: readonly Answer[];
 };
@@ -49,7 +49,7 @@
     case 'leave':
       return platformApi.leave('bookings-9');
     case 'configuration':
-      return Either.isRight(await platformApi.configure({ version, source: String(version) }, fleet.sheet));
+      return Either.isRight(await platformApi.configure({ version, source: String(version) }, fleet.configuration));
     case 'read':
       return Either.isRight(await platformApi.readSource());
   }
@@ -62,7 +62,7 @@
     const asked = fleet.world.now();
     void perform(fleet, machine, operation).then((confirmed) => answers.push({ operation, confirmed, after: fleet.world.now() - asked }));
   }
-  await fleet.until(() => answers.length === operations.length, patienceMilliseconds);
+  await fleet.runUntil(() => answers.length === operations.length, patienceMilliseconds);
   assert.equal(answers.length, operations.length, `only ${answers.map((one) => one.operation).join(', ')} were answered`);
   return answers;
 }
@@ -124,17 +124,17 @@
   'for {int} s configurations are acknowledged, and the edge applies a newer one at least every {int} ms',
   { timeout: 60_000 },
   async function then(this: CutCoreStory, seconds: number, milliseconds: number) {
-    const before = this.cores.acknowledged();
+    const before = this.cores.highestAcknowledgedVersion();
     const longest = await longestStandstill(this.cores, seconds);
     this.operator.stop();
-    const acknowledged = this.cores.acknowledged() - before;
+    const acknowledged = this.cores.highestAcknowledgedVersion() - before;
     assert.ok(acknowledged > seconds, `${acknowledged} configurations were acknowledged`);
     assert.ok(longest <= milliseconds, `no newer configuration was applied for ${Math.round(longest)} ms`);
   },
 );
 
 When('core-{int} is cut off both ways', function when(this: CutCoreStory, index: number) {
-  this.cores.cutOff(this.cores.machine(`core-${index}`));
+  this.cores.isolate(this.cores.machine(`core-${index}`));
 });
 
 Then(
@@ -161,7 +161,7 @@
     for (const answer of await answersOf(this.cores, machine, ['beat', 'draining', 'leave', 'configuration']))
       assert.ok(answer.confirmed, `${answer.operation} was not confirmed`);
     const newest = version;
-    assert.deepEqual(await this.cores.readAt(machine), Option.some(newest));
+    assert.deepEqual(await this.cores.readVersion(machine), Option.some(newest));
   },
 );
 
@@ -173,7 +173,7 @@
   void asking.then((reply) => {
     found = Either.isRight(reply) ? reply.right : { status: 0, body: null };
   });
-  await fleet.until(() => found !== undefined, patienceMilliseconds);
+  await fleet.runUntil(() => found !== undefined, patienceMilliseconds);
   assert.ok(found !== undefined, `${path} was not answered`);
   return { reply: found, after: fleet.world.now() - asked };
 }
@@ -232,7 +232,7 @@
     machine.disk.entries.delete('roster');
     await this.cores.world.run(seconds * 1_000);
     await this.cores.start(machine, false);
-    assert.ok(await this.cores.until(() => machine.running?.isOpen() === true, 5_000));
+    assert.ok(await this.cores.runUntil(() => machine.running?.isOpen() === true, 5_000));
     // In touch with the others, and not a moment longer: a later one would have been told by them.
     await this.cores.world.run(lookMilliseconds);
   },
@@ -246,7 +246,7 @@
 Then('within {int} s all cores know that {string} has left', async function then(this: CutCoreStory, seconds: number, member: string) {
   const { machines } = this.cores;
   assert.ok(
-    await this.cores.until(() => machines.every((machine) => hasLeft(machine, member)), seconds * 1_000),
+    await this.cores.runUntil(() => machines.every((machine) => hasLeft(machine, member)), seconds * 1_000),
     machines.map((machine) => `${machine.name}: ${hasLeft(machine, member)}`).join(', '),
   );
   this.operator.stop();
@@ -255,12 +255,12 @@
 When('an edge and a blank machine begin that reach core-{int} alone', async function when(this: CutCoreStory, index: number) {
   const machine = this.cores.machine(`core-${index}`);
   const others = this.cores.machines.filter((one) => one !== machine);
-  this.lostEdge = this.cores.newEdge('edge-2', [machine.address]);
+  this.lostEdge = this.cores.startEdge('edge-2', [machine.address]);
   for (const other of others) {
     this.cores.world.cut(this.lostEdge.machine, other.machine);
     this.cores.world.cut(other.machine, this.lostEdge.machine);
   }
-  this.lostCore = await this.cores.spare([machine.address]);
+  this.lostCore = await this.cores.startBlankCore([machine.address]);
   for (const other of others) {
     this.cores.world.cut(this.lostCore.machine, other.machine);
     this.cores.world.cut(other.machine, this.lostCore.machine);
@@ -273,7 +273,7 @@
   const { edge, runtime } = this.lostEdge;
   assert.ok(Option.isNone(edge.configuration()));
   assert.ok(edge.leaseUntil(this.cores.service) <= runtime.clock.now());
-  assert.deepEqual(this.cores.setOf(this.lostCore).cores, []);
+  assert.deepEqual(this.cores.coreSetOf(this.lostCore).cores, []);
 });
 
 Then(
@@ -281,7 +281,7 @@
   async function then(this: CutCoreStory, seconds: number) {
     const { edge, runtime } = this.lostEdge;
     assert.ok(
-      await this.cores.until(
+      await this.cores.runUntil(
         () => Option.isSome(edge.configuration()) && edge.leaseUntil(this.cores.service) > runtime.clock.now(),
         seconds * 1_000,
       ),
@@ -320,7 +320,7 @@
 
 /** All that run and are open stand at one set. */
 function standTogether(fleet: CoreFleet): boolean {
-  const sets = fleet.machines.filter((machine) => machine.running?.isOpen() === true).map((machine) => fleet.setOf(machine));
+  const sets = fleet.machines.filter((machine) => machine.running?.isOpen() === true).map((machine) => fleet.coreSetOf(machine));
   return sets.length >= 3 && sets.every((set) => set.number === sets[0]?.number);
 }
 
@@ -330,23 +330,23 @@
   const operator = fleet.startOperator();
   await fleet.world.run(1_000);
   fleet.kill(fleet.machine('core-5'));
-  await fleet.spare(fleet.machines.map((machine) => machine.address));
+  await fleet.startBlankCore(fleet.machines.map((machine) => machine.address));
   const proposer = await proposerOfStep(fleet);
   await fleet.world.run(moment * momentMilliseconds);
-  fleet.cutOff(proposer);
+  fleet.isolate(proposer);
   await fleet.world.run(contactOverMilliseconds);
-  const alone = fleet.acknowledgedBy(proposer.name);
-  const together = fleet.acknowledged();
+  const alone = fleet.acknowledgementsBy(proposer.name);
+  const together = fleet.highestAcknowledgedVersion();
   await fleet.world.run(seconds * 1_000 - contactOverMilliseconds);
-  assert.equal(fleet.acknowledgedBy(proposer.name), alone, `${moment}: the proposer confirmed orders by itself`);
-  assert.ok(fleet.acknowledged() > together, `${moment}: the others confirm no order`);
+  assert.equal(fleet.acknowledgementsBy(proposer.name), alone, `${moment}: the proposer confirmed orders by itself`);
+  assert.ok(fleet.highestAcknowledgedVersion() > together, `${moment}: the others confirm no order`);
   fleet.healAll();
-  assert.ok(await fleet.until(() => standTogether(fleet), 20_000), `${moment}: the cores stand apart`);
+  assert.ok(await fleet.runUntil(() => standTogether(fleet), 20_000), `${moment}: the cores stand apart`);
   operator.stop();
   await fleet.world.run(2_000);
   assert.deepEqual(fleet.violations, []);
-  const newest = fleet.acknowledged();
-  const read = await fleet.readAt(proposer);
+  const newest = fleet.highestAcknowledgedVersion();
+  const read = await fleet.readVersion(proposer);
   assert.ok(Option.isNone(read) || read.value >= newest, `${moment}: ${JSON.stringify(read)} was read after ${newest}`);
 }
 
@@ -369,7 +369,7 @@
     void platformApiOf(fleet.machine(`core-${second}`))
       .leave(leaver)
       .then((confirmed) => (acknowledged = confirmed));
-    assert.ok(await fleet.until(() => acknowledged, 1_000), 'the leave was not acknowledged');
+    assert.ok(await fleet.runUntil(() => acknowledged, 1_000), 'the leave was not acknowledged');
   },
 );
 
--- a/packages/acceptance/src/outages.ts
+++ b/packages/acceptance/src/outages.ts
@@ -5,7 +5,7 @@
 import * as Option from 'fp-ts/lib/Option.js';
 import { fault } from '@stallstall/kernel';
 import { placements } from '@stallstall/placement';
-import { firstKey, pooledFleet, wallStart, type PooledMember, type PooledSheet } from '@stallstall/simulator';
+import { firstKey, pooledFleet, initialWallTime, type PooledMember, type PooledSheet } from '@stallstall/simulator';
 import type { SessionLine } from '@stallstall/fakes';
 import type { StatementReply } from '@stallstall/session-protocol';
 import { edge, open, type WithPooledFleet } from './pooled-story.js';
@@ -63,8 +63,8 @@
     site: 'yard',
     nodes: [name],
     databases: ['bookings-late', 'bookings-lead'],
-    from: new Date(wallStart + story.from).toISOString(),
-    to: new Date(wallStart + story.to).toISOString(),
+    from: new Date(initialWallTime + story.from).toISOString(),
+    to: new Date(initialWallTime + story.to).toISOString(),
     holdMilliseconds,
     ...more,
   };
@@ -121,8 +121,8 @@
     await bringUp(this, name, {}, (from, to) => [
       {
         site: 'dock',
-        from: new Date(wallStart + from + 40_000).toISOString(),
-        to: new Date(wallStart + to + 120_000).toISOString(),
+        from: new Date(initialWallTime + from + 40_000).toISOString(),
+        to: new Date(initialWallTime + to + 120_000).toISOString(),
         holdMilliseconds: 20_000,
       },
     ]);
--- a/packages/simulator/src/core-fleet.ts
+++ b/packages/simulator/src/core-fleet.ts
@@ -4,7 +4,7 @@
 import { core, type Core, type PlatformApi } from '@stallstall/core';
 import { fault, type Runtime } from '@stallstall/kernel';
 import type { PlatformCall } from '@stallstall/election';
-import { leaseHolder as lessees, type LeaseHolder } from '@stallstall/lease';
+import { leaseHolder as leaseHolders, type LeaseHolder } from '@stallstall/lease';
 import { registerService } from '@stallstall/register';
 import { areas, deployments, redComun } from '@stallstall/fakes';
 import { world as worlds, type Process, type SimulatedDisk, type World } from './world.js';
@@ -27,66 +27,66 @@
   machines: CoreMachine[];
   edge: LeaseHolder;
   /** One more edge, on a machine of its own. */
-  newEdge: (name: string, seeds: readonly string[]) => FleetEdge;
+  startEdge: (name: string, seeds: readonly string[]) => FleetEdge;
   /** The service whose epoch is settled, and the sheet that every version here holds. */
   service: string;
-  sheet: unknown;
+  configuration: unknown;
   /** Of a machine that every core can reach. */
   operatorRuntime: Runtime;
   /** Sends configurations one after the other, each to the next core that is there, until told to stop. */
   startOperator: (everyMilliseconds?: number) => Readonly<{ stop: () => void }>;
   /** The highest version that any core acknowledged. */
-  acknowledged: () => number;
-  acknowledgedBy: (name: string) => number;
+  highestAcknowledgedVersion: () => number;
+  acknowledgementsBy: (name: string) => number;
   lastAcknowledger: () => string;
   /** The version that a core reads back as the newest; none when it cannot. */
-  readAt: (machine: CoreMachine) => Promise<Option.Option<number>>;
+  readVersion: (machine: CoreMachine) => Promise<Option.Option<number>>;
   /** An acknowledged version was not read back, or none was obeyed by the edge's lease. */
   violations: readonly string[];
   /** How often the edge's lease was found to have run out while a majority could have granted it. */
-  leaseGaps: () => number;
-  start: (machine: CoreMachine, founds: boolean) => Promise<void>;
+  leaseGapCount: () => number;
+  start: (machine: CoreMachine, mayFound: boolean) => Promise<void>;
   /** A machine that nobody has met, with an empty disk; its seeds may be any. */
-  spare: (seeds: readonly string[]) => Promise<CoreMachine>;
+  startBlankCore: (seeds: readonly string[]) => Promise<CoreMachine>;
   kill: (machine: CoreMachine) => void;
   /** From now on each put takes so much longer, also on machines that come later. */
   slowDisks: (milliseconds: number) => void;
   /** From every other machine, also from those that come later, until all are healed. */
-  cutOff: (machine: CoreMachine) => void;
+  isolate: (machine: CoreMachine) => void;
   healAll: () => void;
   machine: (name: string) => CoreMachine;
-  setOf: (machine: CoreMachine) => Readonly<{ number: number; cores: readonly string[] }>;
-  until: (condition: () => boolean, milliseconds: number) => Promise<boolean>;
+  coreSetOf: (machine: CoreMachine) => Readonly<{ number: number; cores: readonly string[] }>;
+  runUntil: (condition: () => boolean, milliseconds: number) => Promise<boolean>;
 }>;
 
 const service = redComun.services[0] as string;
 const restartMilliseconds = 500;
 const sendMilliseconds = 40;
 
-function nobody(): PlatformCall {
+function unusedCall(): PlatformCall {
   return { repeatable: 'unchanged', method: 'POST', path: '/none', body: {} };
 }
 
-async function create(seed: number, founded: number): Promise<CoreFleet> {
+async function create(seed: number, founderCount: number): Promise<CoreFleet> {
   const world = worlds.create(seed);
   const machines: CoreMachine[] = [];
   const seedsOf = new Map<CoreMachine, readonly string[]>();
   const violations: string[] = [];
-  const cut = new Set<CoreMachine>();
-  const byCore = new Map<string, number>();
-  let acknowledged = 0;
-  let last = '';
-  let sent = 0;
-  let gaps = 0;
-  let slow = 0;
+  const isolatedMachines = new Set<CoreMachine>();
+  const acknowledgementCounts = new Map<string, number>();
+  let highestAcknowledged = 0;
+  let lastAcknowledger = '';
+  let lastSentVersion = 0;
+  let leaseGapCount = 0;
+  let extraWriteMilliseconds = 0;
 
   function newDisk(): SimulatedDisk {
     const disk = world.disk();
-    disk.faults.slowMilliseconds = slow;
+    disk.faults.slowMilliseconds = extraWriteMilliseconds;
     return disk;
   }
 
-  function add(): CoreMachine {
+  function addMachine(): CoreMachine {
     const number = machines.length + 1;
     const machine: CoreMachine = {
       name: `core-${number}`,
@@ -102,7 +102,7 @@
     return machine;
   }
 
-  async function start(machine: CoreMachine, founds: boolean): Promise<void> {
+  async function start(machine: CoreMachine, mayFound: boolean): Promise<void> {
     const spawned = world.spawn(machine.name, machine.machine, machine.disk);
     machine.process = spawned;
     const seeds = seedsOf.get(machine) ?? [];
@@ -118,7 +118,7 @@
         cores: 3,
       },
       Option.some({
-        calls: { promotion: nobody, usage: nobody, handoverDelayMilliseconds: 3_000 },
+        calls: { promotion: unusedCall, usage: unusedCall, handoverDelayMilliseconds: 3_000 },
         probe: {
           readState: () =>
             Promise.resolve(Either.left(fault.create({ kind: 'unreachable', message: 'no member runs here', remedy: 'none is needed' }))),
@@ -129,7 +129,7 @@
           return [];
         },
         platformApiAddress: machine.outward.replace(':7001', ':7002'),
-        mayFound: founds,
+        mayFound,
         founderAddresses: seeds,
       }),
     );
@@ -138,18 +138,18 @@
   }
 
   /** What ended by itself is started again, as the platform does. */
-  function restartEnded(): void {
+  function restartEndedCores(): void {
     for (const machine of machines) {
       if (machine.process !== undefined && !machine.process.alive() && Option.isSome(machine.process.stopReason()))
         void start(machine, false);
     }
-    world.at(restartMilliseconds, restartEnded);
+    world.at(restartMilliseconds, restartEndedCores);
   }
 
-  async function spare(seeds: readonly string[]): Promise<CoreMachine> {
-    const machine = add();
+  async function startBlankCore(seeds: readonly string[]): Promise<CoreMachine> {
+    const machine = addMachine();
     seedsOf.set(machine, seeds);
-    for (const one of cut) cutOff(one);
+    for (const isolated of isolatedMachines) isolate(isolated);
     await start(machine, false);
     return machine;
   }
@@ -161,8 +161,8 @@
     machine.platformApi = undefined;
   }
 
-  function cutOff(machine: CoreMachine): void {
-    cut.add(machine);
+  function isolate(machine: CoreMachine): void {
+    isolatedMachines.add(machine);
     for (const other of [...machines.map((one) => one.machine), 'edge-machine']) {
       if (other === machine.machine) continue;
       world.cut(other, machine.machine);
@@ -170,7 +170,7 @@
     }
   }
 
-  const sheet = deployments.sheet(
+  const configuration = deployments.sheet(
     redComun,
     redComun.services.flatMap((name, group) =>
       areas.map((area, index) => ({
@@ -184,15 +184,15 @@
     'sender-key-0001',
   );
 
-  async function readAt(machine: CoreMachine): Promise<Option.Option<number>> {
+  async function readVersion(machine: CoreMachine): Promise<Option.Option<number>> {
     if (machine.platformApi === undefined || machine.process?.alive() !== true) return Option.none;
     const reading = machine.platformApi.readSource();
-    let read: Option.Option<Either.Either<unknown, string>> = Option.none;
+    let result: Option.Option<Either.Either<unknown, string>> = Option.none;
     void reading.then((text) => {
-      read = Option.some(text);
+      result = Option.some(text);
     });
-    for (let spent = 0; Option.isNone(read) && spent < 10_000; spent += 20) await world.run(20);
-    const found = Option.toNullable(read as Option.Option<Either.Either<unknown, string>>);
+    for (let elapsed = 0; Option.isNone(result) && elapsed < 10_000; elapsed += 20) await world.run(20);
+    const found = Option.toNullable(result as Option.Option<Either.Either<unknown, string>>);
     return found !== null && Either.isRight(found) ? Option.some(Number(found.right)) : Option.none;
   }
 
@@ -201,28 +201,28 @@
     async function send(version: number, machine: CoreMachine): Promise<void> {
       const { platformApi, process } = machine;
       if (platformApi === undefined || process?.alive() !== true) return;
-      const taken = await platformApi.configure({ version, source: String(version) }, sheet);
-      if (Either.isLeft(taken) || !process.alive()) return;
-      acknowledged = Math.max(acknowledged, version);
-      byCore.set(machine.name, (byCore.get(machine.name) ?? 0) + 1);
-      last = machine.name;
+      const configured = await platformApi.configure({ version, source: String(version) }, configuration);
+      if (Either.isLeft(configured) || !process.alive()) return;
+      highestAcknowledged = Math.max(highestAcknowledged, version);
+      acknowledgementCounts.set(machine.name, (acknowledgementCounts.get(machine.name) ?? 0) + 1);
+      lastAcknowledger = machine.name;
     }
-    async function check(machine: CoreMachine): Promise<void> {
+    async function checkRead(machine: CoreMachine): Promise<void> {
       const { platformApi, process } = machine;
-      const before = acknowledged;
+      const before = highestAcknowledged;
       if (platformApi === undefined || process?.alive() !== true) return;
       const read = await platformApi.readSource();
       if (Either.isRight(read) && process.alive() && Number(read.right) < before)
         violations.push(`${machine.name} read ${read.right} after ${before} was acknowledged`);
     }
-    function next(): void {
+    function sendNext(): void {
       if (stopped) return;
-      sent += 1;
-      void send(sent, machines[sent % machines.length] as CoreMachine);
-      void check(machines[(sent * 7 + 3) % machines.length] as CoreMachine);
-      world.at(everyMilliseconds, next);
+      lastSentVersion += 1;
+      void send(lastSentVersion, machines[lastSentVersion % machines.length] as CoreMachine);
+      void checkRead(machines[(lastSentVersion * 7 + 3) % machines.length] as CoreMachine);
+      world.at(everyMilliseconds, sendNext);
     }
-    next();
+    sendNext();
     return {
       stop: function stop() {
         stopped = true;
@@ -232,7 +232,7 @@
 
   function startEdge(name: string, machine: string, edgeSeeds: readonly string[]): FleetEdge {
     const { runtime } = world.spawn(name, machine);
-    const started = lessees.create(
+    const leaseHolder = leaseHolders.create(
       runtime,
       { node: name, area: areas[0] as string, seeds: () => edgeSeeds },
       {
@@ -246,80 +246,80 @@
         onChange: () => undefined,
       },
     );
-    started.start();
-    return { edge: started, machine, runtime };
+    leaseHolder.start();
+    return { edge: leaseHolder, machine, runtime };
   }
 
-  for (let index = 0; index < founded; index += 1) add();
+  for (let index = 0; index < founderCount; index += 1) addMachine();
   const seeds = machines.slice(0, 3).map((machine) => machine.address);
   for (const machine of machines) seedsOf.set(machine, seeds);
   for (const machine of [...machines]) await start(machine, true);
   const { edge, runtime: edgeRuntime } = startEdge('edge-1', 'edge-machine', seeds);
   const operatorRuntime = world.spawn('operator', 'operator-machine').runtime;
-  world.at(restartMilliseconds, restartEnded);
+  world.at(restartMilliseconds, restartEndedCores);
 
-  async function until(condition: () => boolean, milliseconds: number): Promise<boolean> {
-    for (let spent = 0; spent < milliseconds; spent += 20) {
+  async function runUntil(condition: () => boolean, milliseconds: number): Promise<boolean> {
+    for (let elapsed = 0; elapsed < milliseconds; elapsed += 20) {
       if (condition()) return true;
       await world.run(20);
     }
     return condition();
   }
 
-  function everyFounded(): boolean {
-    return machines.every((machine) => machine.running?.isOpen() === true) && edge.coreCount() === founded;
+  function isFleetFounded(): boolean {
+    return machines.every((machine) => machine.running?.isOpen() === true) && edge.coreCount() === founderCount;
   }
 
-  if (!(await until(everyFounded, 10_000))) throw new Error('the cores did not found a fleet');
+  if (!(await runUntil(isFleetFounded, 10_000))) throw new Error('the cores did not found a fleet');
   const first = machines[0] as CoreMachine;
-  const opened = first.platformApi?.configure({ version: 0, source: '0' }, sheet);
+  const firstConfiguration = first.platformApi?.configure({ version: 0, source: '0' }, configuration);
   const register = first.process?.runtime.services.find(registerService);
-  const settled = register?.change(`epoch/${service}`, () =>
+  const epochEntry = register?.change(`epoch/${service}`, () =>
     Option.some({ epoch: 1, primary: `${service}-1`, wonBy: first.name, position: 0, settledAt: 0 }),
   );
   let done = false;
-  void Promise.all([opened, settled]).then(() => {
+  void Promise.all([firstConfiguration, epochEntry]).then(() => {
     done = true;
   });
-  if (!(await until(() => done && edge.leaseUntil(service) > edgeRuntime.clock.now(), 10_000)))
+  if (!(await runUntil(() => done && edge.leaseUntil(service) > edgeRuntime.clock.now(), 10_000)))
     throw new Error('the edge was granted no lease');
 
-  function lookAtLease(): void {
-    if (edge.leaseUntil(service) <= edgeRuntime.clock.now()) gaps += 1;
-    world.at(20, lookAtLease);
+  function sampleLease(): void {
+    if (edge.leaseUntil(service) <= edgeRuntime.clock.now()) leaseGapCount += 1;
+    world.at(20, sampleLease);
   }
-  lookAtLease();
+  sampleLease();
 
   return {
     world,
     machines,
     edge,
-    newEdge: (name, edgeSeeds) => startEdge(name, `${name}-machine`, edgeSeeds),
+    startEdge: (name, edgeSeeds) => startEdge(name, `${name}-machine`, edgeSeeds),
     service,
-    sheet,
+    configuration,
     operatorRuntime,
     startOperator,
-    readAt,
+    readVersion,
     violations,
     start,
-    spare,
+    startBlankCore,
     kill,
     slowDisks: function slowDisks(milliseconds) {
-      slow = milliseconds;
+      extraWriteMilliseconds = milliseconds;
       for (const machine of machines) machine.disk.faults.slowMilliseconds = milliseconds;
     },
-    cutOff,
-    until,
+    isolate,
+    runUntil,
     healAll: function healAll() {
-      cut.clear();
+      isolatedMachines.clear();
       world.healAll();
     },
-    acknowledged: () => acknowledged,
-    acknowledgedBy: (name) => byCore.get(name) ?? 0,
-    lastAcknowledger: () => last,
-    leaseGaps: () => gaps,
+    highestAcknowledgedVersion: () => highestAcknowledged,
+    acknowledgementsBy: (name) => acknowledgementCounts.get(name) ?? 0,
+    lastAcknowledger: () => lastAcknowledger,
+    leaseGapCount: () => leaseGapCount,
     machine: (name) => machines.find((one) => one.name === name) as CoreMachine,
-    setOf: function setOf(machine) {
+    coreSetOf: function coreSetOf(machine) {
       const membership = machine.running?.node.membership();
       return {
         number: membership?.version ?? 0,
--- a/packages/simulator/src/faults/disks.ts
+++ b/packages/simulator/src/faults/disks.ts
@@ -1,6 +1,6 @@
 /** Disks of cores that are slow, full, failing, hanging or lost. */
 import type { PooledFleet } from '../pooled-model.js';
-import type { DiskTrouble } from '../world.js';
+import type { DiskFaults } from '../world.js';
 import { startCoreLater, trouble, type CoreLoss, type LoseCores, type PooledStorm } from './common.js';
 import { between, pick } from '../draws.js';
 
@@ -8,7 +8,7 @@
 const mostMilliseconds = 9_000;
 const slowDiskMilliseconds = 75;
 
-function diskTrouble(change: Partial<DiskTrouble>, over: Partial<DiskTrouble>): LoseCores {
+function diskTrouble(change: Partial<DiskFaults>, over: Partial<DiskFaults>): LoseCores {
   return function spoil(fleet, storm, back) {
     const { disk } = pick(fleet, fleet.cores);
     const milliseconds = between(fleet, leastMilliseconds, mostMilliseconds);
--- a/packages/simulator/src/fleet-checks/placement-checks.ts
+++ b/packages/simulator/src/fleet-checks/placement-checks.ts
@@ -2,7 +2,7 @@
 import { type PlacementConfiguration, placements } from '@stallstall/placement';
 import type { Sent, Violation, Probe } from './check-records.js';
 import type { Fleet } from '../fleet.js';
-import { wallStart } from '../world.js';
+import { initialWallTime } from '../world.js';
 
 const obeyMilliseconds = 3_000;
 
@@ -129,7 +129,7 @@
       if (
         area === undefined ||
         !ran.readOnly ||
-        ledOf(slot.place.member, slot.place.service, wallStart + ran.at - heldMilliseconds, wallStart + ran.at)
+        ledOf(slot.place.member, slot.place.service, initialWallTime + ran.at - heldMilliseconds, initialWallTime + ran.at)
       )
         return [];
       const then = obeyable(known, ran.at, ran.at);
--- a/packages/simulator/src/pooled-checks.ts
+++ b/packages/simulator/src/pooled-checks.ts
@@ -3,7 +3,7 @@
 import { type DutyCall, type SessionAsk, type SessionCommit, type SessionRun, type SessionTry } from '@stallstall/fakes';
 import type { PooledFleet, PooledVersion } from './pooled-model.js';
 import type { Violation } from './fleet-checks/check-records.js';
-import { wallStart } from './world.js';
+import { initialWallTime } from './world.js';
 
 /** A span in which something is not in touch: an edge by its name, or `core`, `platform`, `member`. */
 export type Trouble = Readonly<{ who: string; from: number; to: number }>;
@@ -37,7 +37,7 @@
   troubles: readonly Trouble[];
 }>;
 
-function read(fleet: JudgedFleet, troubles: readonly Trouble[], wallOffset: number = wallStart): Read {
+function read(fleet: JudgedFleet, troubles: readonly Trouble[], wallOffset: number = initialWallTime): Read {
   const asks = new Map<string, { ask: SessionAsk; of: SessionTry }>();
   for (const of of fleet.ledger.tries) for (const ask of of.asks) asks.set(ask.identifier, { ask, of });
   const byTry = new Map<string, SessionRun[]>();
--- a/packages/simulator/src/storm.ts
+++ b/packages/simulator/src/storm.ts
@@ -11,7 +11,7 @@
 import { send } from './fleet-faults/configuration-changes.js';
 import { followHunt } from './fleet-faults/targeted-strike.js';
 import { fleet as fleets, type EdgeSlot, type Fleet } from './fleet.js';
-import { wallStart } from './world.js';
+import { initialWallTime } from './world.js';
 import { pick } from './draws.js';
 
 export type StormResult = Readonly<{
@@ -176,11 +176,11 @@
   sampling = false;
   // What is under way ends before the members' logs are read.
   await fleet.world.run(5_000);
-  const windowFrom = Math.floor((wallStart + startedAt) / windowMilliseconds) + 1;
+  const windowFrom = Math.floor((initialWallTime + startedAt) / windowMilliseconds) + 1;
   // The last of them have not come yet.
-  const windowUntil = Math.floor((wallStart + until - usageArrivesMilliseconds) / windowMilliseconds) - 1;
+  const windowUntil = Math.floor((initialWallTime + until - usageArrivesMilliseconds) / windowMilliseconds) - 1;
   function wallOf(moment: number): number {
-    return wallStart + moment;
+    return initialWallTime + moment;
   }
   const excused = checks.untellable(ability, wallOf, windowFrom, windowUntil);
   const crossings = storm.crossings + fleet.members.reduce((sum, slot) => sum + (slot.running?.crossings() ?? 0), 0);
--- a/packages/simulator/src/world.ts
+++ b/packages/simulator/src/world.ts
@@ -7,8 +7,8 @@
 import type { Process, SimulatedProcess } from './simulated-process.js';
 import { virtualTime } from './virtual-time.js';
 
-export type { DiskFaults as DiskTrouble, SimulatedDisk } from './simulated-disk.js';
-export { initialWallTime as wallStart, type LogLine } from './simulated-runtime.js';
+export type { DiskFaults, SimulatedDisk } from './simulated-disk.js';
+export { initialWallTime, type LogLine } from './simulated-runtime.js';
 export type { Process } from './simulated-process.js';
 
 /** A process that ended by itself. */
