--- a/packages/simulator/src/core-fleet.ts
+++ b/packages/simulator/src/core-fleet.ts
@@ -64,7 +64,7 @@
 const sendMilliseconds = 40;
 
 function unusedCall(): PlatformCall {
-  return { repeatable: 'unchanged', method: 'POST', path: '/none', body: {} };
+  return { retrySafety: 'deduplicated', method: 'POST', path: '/none', body: {} };
 }
 
 async function create(seed: number, founderCount: number): Promise<CoreFleet> {
--- a/packages/simulator/src/explore-losses.ts
+++ b/packages/simulator/src/explore-losses.ts
@@ -2,206 +2,219 @@
  * One loss at each moment in turn, while three cores repair or replace one: the course of each exploration is the same up to the
  * loss, and messages are lost and reordered by its seed (design 4.8, 10.4).
  */
-import { explore, type ExploredTable } from './explore.js';
+import { explore, type Exploration } from './explore.js';
 import type { Machine } from './explored-machines.js';
 
 /** What happens later in an exploration, by the happening at which it does. */
-type Plan = Array<Readonly<{ at: number; act: () => void }>>;
+type PlannedActions = Array<Readonly<{ atEvent: number; action: () => void }>>;
 
 type Scenario = Readonly<{
   name: string;
   /** The repair or replacement that is under way. */
-  begin: (table: ExploredTable, plan: Plan) => void;
+  begin: (exploration: Exploration, plan: PlannedActions) => void;
   /** Whether the loss comes only once all seats are level again, and within so many happenings after that. */
-  afterwards: boolean;
+  isLossAfterRecovery: boolean;
   /** The loss, struck at each moment in turn. */
-  strike: (table: ExploredTable, plan: Plan) => void;
+  loseMachine: (exploration: Exploration, plan: PlannedActions) => void;
 }>;
 
-export type Moments = Readonly<{ violation: string | undefined; moments: number; happenings: number; results: number }>;
+export type ScenarioResult = Readonly<{ violation: string | undefined; moments: number; events: number; results: number }>;
 
-const seats = 3;
-const beginAt = 40;
-const spanAfterwards = 40;
+const coreCount = 3;
+const scenarioStartEvent = 40;
+const momentsAfterRecovery = 40;
 /** No repair lasts longer, undisturbed. */
-const mostHappenings = 2_500;
-const settleHappenings = 150;
-const backAfter = 60;
-const leaveAt = 60;
+const maxRepairEvents = 2_500;
+const eventsAfterLoss = 150;
+const eventsUntilRestart = 60;
+const eventsUntilLeave = 60;
 
-function machine(table: ExploredTable, name: string): Machine {
-  return table.machines.all().find((one) => one.name === name) as Machine;
+function machineNamed(exploration: Exploration, name: string): Machine {
+  return exploration.machines.all().find((one) => one.name === name) as Machine;
 }
 
-function loseForGood(table: ExploredTable, name: string): void {
-  const lost = machine(table, name);
+function loseForGood(exploration: Exploration, name: string): void {
+  const lost = machineNamed(exploration, name);
   if (lost.isUp()) lost.crash(true);
-  explore.gone.add(lost);
+  explore.lostForGood.add(lost);
 }
 
-function startAgain(table: ExploredTable, plan: Plan, name: string): void {
-  plan.push({ at: table.now() + backAfter, act: () => machine(table, name).start() });
+function planRestart(exploration: Exploration, plan: PlannedActions, name: string): void {
+  plan.push({ atEvent: exploration.now() + eventsUntilRestart, action: () => machineNamed(exploration, name).start() });
 }
 
-function losePower(table: ExploredTable, plan: Plan, name: string): void {
-  machine(table, name).crash(false);
-  startAgain(table, plan, name);
+function losePower(exploration: Exploration, plan: PlannedActions, name: string): void {
+  machineNamed(exploration, name).crash(false);
+  planRestart(exploration, plan, name);
 }
 
-function loseDisk(table: ExploredTable, plan: Plan, name: string): void {
-  machine(table, name).crash(true);
-  startAgain(table, plan, name);
+function loseDisk(exploration: Exploration, plan: PlannedActions, name: string): void {
+  machineNamed(exploration, name).crash(true);
+  planRestart(exploration, plan, name);
 }
 
 /** The successor comes first, then the old machine is told to end; it ends by itself some time later. */
-function replaceAsPlanned(table: ExploredTable, plan: Plan): void {
-  table.machines.add([]);
-  plan.push({ at: table.now() + leaveAt, act: () => machine(table, 'm1').leave() });
-  plan.push({ at: table.now() + leaveAt + 2 * settleHappenings, act: () => loseForGood(table, 'm1') });
+function replaceAsPlanned(exploration: Exploration, plan: PlannedActions): void {
+  exploration.machines.add([]);
+  plan.push({ atEvent: exploration.now() + eventsUntilLeave, action: () => machineNamed(exploration, 'm1').leave() });
+  plan.push({ atEvent: exploration.now() + eventsUntilLeave + 2 * eventsAfterLoss, action: () => loseForGood(exploration, 'm1') });
 }
 
-function replaceUnplanned(table: ExploredTable): void {
-  loseForGood(table, 'm1');
-  table.machines.add([]);
+function replaceUnplanned(exploration: Exploration): void {
+  loseForGood(exploration, 'm1');
+  exploration.machines.add([]);
 }
 
-function newcomerLostForGood(table: ExploredTable): void {
-  loseForGood(table, 'm4');
-  table.machines.add([]);
+function replaceLostNewcomer(exploration: Exploration): void {
+  loseForGood(exploration, 'm4');
+  exploration.machines.add([]);
 }
 
 const scenarios: readonly Scenario[] = [
   {
     name: 'planned replacement, the leaver ends at once',
     begin: replaceAsPlanned,
-    afterwards: false,
-    strike: (table) => loseForGood(table, 'm1'),
+    isLossAfterRecovery: false,
+    loseMachine: (exploration) => loseForGood(exploration, 'm1'),
+  },
+  {
+    name: 'planned replacement, the newcomer is lost',
+    begin: replaceAsPlanned,
+    isLossAfterRecovery: false,
+    loseMachine: replaceLostNewcomer,
   },
-  { name: 'planned replacement, the newcomer is lost', begin: replaceAsPlanned, afterwards: false, strike: newcomerLostForGood },
   {
     name: 'planned replacement, the newcomer loses power',
     begin: replaceAsPlanned,
-    afterwards: false,
-    strike: (table, plan) => losePower(table, plan, 'm4'),
+    isLossAfterRecovery: false,
+    loseMachine: (exploration, plan) => losePower(exploration, plan, 'm4'),
   },
-  { name: 'replacement, the newcomer is lost', begin: replaceUnplanned, afterwards: false, strike: newcomerLostForGood },
+  { name: 'replacement, the newcomer is lost', begin: replaceUnplanned, isLossAfterRecovery: false, loseMachine: replaceLostNewcomer },
   {
     name: 'replacement, whoever may propose it loses power',
     begin: replaceUnplanned,
-    afterwards: false,
-    strike: (table, plan) => losePower(table, plan, 'm2'),
+    isLossAfterRecovery: false,
+    loseMachine: (exploration, plan) => losePower(exploration, plan, 'm2'),
   },
   {
     name: 'replacement with two newcomers, one is lost',
-    begin: function begin(table) {
-      replaceUnplanned(table);
-      table.machines.add([]);
+    begin: function begin(exploration) {
+      replaceUnplanned(exploration);
+      exploration.machines.add([]);
     },
-    afterwards: false,
-    strike: (table) => loseForGood(table, 'm4'),
+    isLossAfterRecovery: false,
+    loseMachine: (exploration) => loseForGood(exploration, 'm4'),
   },
   {
     // It stays until its seat is taken, which must not be before the first newcomer is level.
     name: 'replacement with two newcomers, another core leaves meanwhile',
-    begin: function begin(table) {
-      replaceUnplanned(table);
-      table.machines.add([]);
+    begin: function begin(exploration) {
+      replaceUnplanned(exploration);
+      exploration.machines.add([]);
     },
-    afterwards: false,
-    strike: (table) => machine(table, 'm2').leave(),
+    isLossAfterRecovery: false,
+    loseMachine: (exploration) => machineNamed(exploration, 'm2').leave(),
   },
   {
     name: 'lost disk, the same core loses power',
-    begin: (table, plan) => loseDisk(table, plan, 'm1'),
-    afterwards: false,
-    strike: function strike(table, plan) {
-      if (machine(table, 'm1').isUp()) losePower(table, plan, 'm1');
+    begin: (exploration, plan) => loseDisk(exploration, plan, 'm1'),
+    isLossAfterRecovery: false,
+    loseMachine: function loseMachine(exploration, plan) {
+      if (machineNamed(exploration, 'm1').isUp()) losePower(exploration, plan, 'm1');
     },
   },
   {
     name: 'lost disk, it is lost again',
-    begin: (table, plan) => loseDisk(table, plan, 'm1'),
-    afterwards: false,
-    strike: function strike(table, plan) {
-      if (machine(table, 'm1').isUp()) loseDisk(table, plan, 'm1');
+    begin: (exploration, plan) => loseDisk(exploration, plan, 'm1'),
+    isLossAfterRecovery: false,
+    loseMachine: function loseMachine(exploration, plan) {
+      if (machineNamed(exploration, 'm1').isUp()) loseDisk(exploration, plan, 'm1');
     },
   },
   {
     name: 'after a planned replacement, another disk is lost',
     begin: replaceAsPlanned,
-    afterwards: true,
-    strike: (table, plan) => loseDisk(table, plan, 'm2'),
+    isLossAfterRecovery: true,
+    loseMachine: (exploration, plan) => loseDisk(exploration, plan, 'm2'),
   },
   {
     name: 'after a replacement, another core is lost and replaced',
     begin: replaceUnplanned,
-    afterwards: true,
-    strike: function strike(table) {
-      loseForGood(table, 'm2');
-      table.machines.add([]);
+    isLossAfterRecovery: true,
+    loseMachine: function loseMachine(exploration) {
+      loseForGood(exploration, 'm2');
+      exploration.machines.add([]);
     },
   },
   {
     name: 'after a lost disk, another core loses power',
-    begin: (table, plan) => loseDisk(table, plan, 'm1'),
-    afterwards: true,
-    strike: (table, plan) => losePower(table, plan, 'm3'),
+    begin: (exploration, plan) => loseDisk(exploration, plan, 'm1'),
+    isLossAfterRecovery: true,
+    loseMachine: (exploration, plan) => losePower(exploration, plan, 'm3'),
   },
 ];
 
-async function advance(table: ExploredTable, plan: Plan): Promise<void> {
-  for (const due of plan.filter((one) => one.at <= table.now())) {
-    plan.splice(plan.indexOf(due), 1);
-    due.act();
+async function runEvent(exploration: Exploration, plan: PlannedActions): Promise<void> {
+  for (const dueAction of plan.filter((one) => one.atEvent <= exploration.now())) {
+    plan.splice(plan.indexOf(dueAction), 1);
+    dueAction.action();
   }
-  await table.tick();
+  await exploration.tick();
 }
 
-function isSettled(table: ExploredTable, plan: Plan): boolean {
-  return plan.length === 0 && table.machines.short() === 0 && !table.machines.isStepping();
+function isRecovered(exploration: Exploration, plan: PlannedActions): boolean {
+  return plan.length === 0 && exploration.machines.unavailableSeatCount() === 0 && !exploration.machines.isSetChangePending();
 }
 
-type Struck = Readonly<{ violation: string | undefined; happenings: number; results: number; moments: number }>;
+type ScenarioRun = Readonly<{ violation: string | undefined; events: number; results: number; moments: number }>;
 
 /** Plays a scenario with its loss at one moment; without a loss, until the repair is done, where none is given. */
-async function play(scenario: Scenario, seed: number, moment: number | undefined): Promise<Struck> {
-  const table = explore.tableOf(seed, seats, 1, { late: 0.1, lateSync: 0.2, lost: 0.03, lostSteps: 0.03 });
-  const plan: Plan = [];
-  for (const name of ['x0', 'x1']) void explore.writer(table, name, false);
-  while (table.now() < beginAt) await advance(table, plan);
-  const begun = table.moments();
-  scenario.begin(table, plan);
-  while ((moment === undefined || scenario.afterwards) && !isSettled(table, plan) && table.now() < mostHappenings)
-    await advance(table, plan);
-  const repaired = table.moments();
+async function runScenario(scenario: Scenario, seed: number, moment: number | undefined): Promise<ScenarioRun> {
+  const exploration = explore.createExploration(seed, coreCount, 1, {
+    delayed: 0.1,
+    delayedSyncs: 0.2,
+    lost: 0.03,
+    lostCoreSetMessages: 0.03,
+  });
+  const plan: PlannedActions = [];
+  for (const name of ['x0', 'x1']) void explore.runWriter(exploration, name, false);
+  while (exploration.now() < scenarioStartEvent) await runEvent(exploration, plan);
+  const momentAtStart = exploration.moments();
+  scenario.begin(exploration, plan);
+  while ((moment === undefined || scenario.isLossAfterRecovery) && !isRecovered(exploration, plan) && exploration.now() < maxRepairEvents)
+    await runEvent(exploration, plan);
+  const momentAtRecovery = exploration.moments();
   if (moment !== undefined) {
-    const strikeAt = (scenario.afterwards ? repaired : begun) + moment;
+    const lossMoment = (scenario.isLossAfterRecovery ? momentAtRecovery : momentAtStart) + moment;
     // Once all is calm nothing may happen any more; then the loss comes all the same.
-    for (const latest = table.now() + mostHappenings; table.moments() < strikeAt && table.now() < latest;) await advance(table, plan);
-    scenario.strike(table, plan);
-    for (const until = table.now() + settleHappenings; table.now() < until || plan.length > 0;) await advance(table, plan);
+    for (const latest = exploration.now() + maxRepairEvents; exploration.moments() < lossMoment && exploration.now() < latest;)
+      await runEvent(exploration, plan);
+    scenario.loseMachine(exploration, plan);
+    for (const until = exploration.now() + eventsAfterLoss; exploration.now() < until || plan.length > 0;)
+      await runEvent(exploration, plan);
   }
-  const unserved = await table.serves();
-  const violation = explore.judge(table.results)[0] ?? unserved;
-  return { violation, happenings: table.now(), results: table.results.length, moments: repaired - begun };
+  const recoveryViolation = await exploration.checkRecovery();
+  const violation = explore.findViolations(exploration.results)[0] ?? recoveryViolation;
+  return { violation, events: exploration.now(), results: exploration.results.length, moments: momentAtRecovery - momentAtStart };
 }
 
 /** Tries a scenario's loss at every moment of its repair, or of the time right after it; with a stride, at one of so many. */
-async function everyMoment(scenario: Scenario, seed: number, stride = 1): Promise<Moments> {
-  const undisturbed = await play(scenario, seed, undefined);
-  const last = scenario.afterwards ? spanAfterwards : undisturbed.moments;
-  let happenings = undisturbed.happenings;
+async function runAtEveryMoment(scenario: Scenario, seed: number, stride = 1): Promise<ScenarioResult> {
+  const undisturbed = await runScenario(scenario, seed, undefined);
+  const last = scenario.isLossAfterRecovery ? momentsAfterRecovery : undisturbed.moments;
+  let events = undisturbed.events;
   let results = undisturbed.results;
-  let tried = 0;
-  if (undisturbed.violation !== undefined) return { violation: `undisturbed: ${undisturbed.violation}`, moments: 0, happenings, results };
+  let momentsTried = 0;
+  if (undisturbed.violation !== undefined) return { violation: `undisturbed: ${undisturbed.violation}`, moments: 0, events, results };
   for (let moment = 0; moment <= last; moment += stride) {
-    const struck = await play(scenario, seed, moment);
-    tried += 1;
-    happenings += struck.happenings;
-    results += struck.results;
-    if (struck.violation !== undefined) return { violation: `moment ${moment}: ${struck.violation}`, moments: tried, happenings, results };
+    const runWithLoss = await runScenario(scenario, seed, moment);
+    momentsTried += 1;
+    events += runWithLoss.events;
+    results += runWithLoss.results;
+    if (runWithLoss.violation !== undefined)
+      return { violation: `moment ${moment}: ${runWithLoss.violation}`, moments: momentsTried, events, results };
   }
-  return { violation: undefined, moments: tried, happenings, results };
+  return { violation: undefined, moments: momentsTried, events, results };
 }
 
-export const exploreLosses = { scenarios, everyMoment } as const;
+export const exploreLosses = { scenarios, runAtEveryMoment } as const;
--- a/packages/simulator/src/explored-machines.ts
+++ b/packages/simulator/src/explored-machines.ts
@@ -27,13 +27,13 @@
 } from '@stallstall/register';
 
 /** What an exploration decides: when each thing that is under way happens, if it does, and who hears whom. */
-export type Course = Readonly<{
+export type ExplorationControl = Readonly<{
   random: () => number;
   now: () => number;
   /** Has this happen at some later moment; a step is a message that has to do with the set of cores. */
-  later: (act: () => void, what: 'message' | 'step' | 'sync' | 'pause') => void;
+  schedule: (act: () => void, eventType: 'message' | 'step' | 'sync' | 'pause') => void;
   /** Whether a message is lost on its way. */
-  loses: (from: string, to: string, kind: MessageKind) => boolean;
+  isLost: (from: string, to: string, kind: MessageKind) => boolean;
   /** Whether one machine has not heard another for long. */
   isSilent: (at: string, other: string) => boolean;
 }>;
@@ -42,12 +42,12 @@
   name: string;
   isUp: () => boolean;
   /** The set that it stands at; none while it answers nothing. */
-  level: () => Option.Option<CoreSet>;
-  /** Whether it holds what may decide the step after this set. */
-  holdsStep: (after: number) => boolean;
+  activeCoreSet: () => Option.Option<CoreSet>;
+  /** Whether it holds eventType may decide the step after this set. */
+  hasAcceptedStep: (after: number) => boolean;
   /** Whether it may be proposing a step for somebody who asked for a seat. */
-  isAsked: () => boolean;
-  hears: (set: CoreSet) => void;
+  isHandlingJoin: () => boolean;
+  observeCoreSet: (set: CoreSet) => void;
   leave: () => void;
   /** Ends without a word; with `wiped` its disk is lost as well. */
   crash: (wiped: boolean) => void;
@@ -61,44 +61,44 @@
   /** A register for somebody who is no core: it learns of sets as it goes on. */
   client: (name: string, first: CoreSet) => CoreSetRegister;
   /** Says one thing to one core, as a proposer would that ended right after. */
-  tell: <Kind extends 'prepare' | 'accept'>(seat: NodeRecord, kind: Kind, body: Request<Kind>) => Promise<Option.Option<Reply<Kind>>>;
-  newest: () => CoreSet;
+  sendOnce: <Kind extends 'prepare' | 'accept'>(seat: NodeRecord, kind: Kind, body: Request<Kind>) => Promise<Option.Option<Reply<Kind>>>;
+  newestCoreSet: () => CoreSet;
   /** Seats whose occupant is not up, not level, or behind. */
-  short: () => number;
+  unavailableSeatCount: () => number;
   /** A step is under way that may still be decided. */
-  isStepping: () => boolean;
+  isSetChangePending: () => boolean;
   seats: (names: readonly string[]) => readonly NodeRecord[];
 }>;
 
-type Running = { readonly cells: Acceptor; readonly cores: CoreSetManager; joins: number; fleet: Option.Option<FleetRecord> };
-type State = {
+type RunningCore = { readonly acceptor: Acceptor; readonly cores: CoreSetManager; pendingJoins: number; fleet: Option.Option<FleetRecord> };
+type MachineState = {
   readonly name: string;
   entries: Map<string, unknown>;
-  life: number;
-  running: Running | undefined;
-  readonly waiting: Set<() => void>;
+  incarnation: number;
+  running: RunningCore | undefined;
+  readonly pendingCalls: Set<() => void>;
 };
 
 /** Clocks of explorations: so that a call and its answer, or a few syncs, take some tenths of a second. */
-const millisecondsEach = 10;
+const millisecondsPerEvent = 10;
 
 /** The seat of a core that is known by its name alone. */
-export function seatOf(name: string): NodeRecord {
+export function createSeat(name: string): NodeRecord {
   return { node: name, role: 'core', area: 'north', address: `${name}:1`, outward: `${name}:2`, draining: false };
 }
 
-function isOfSteps(kind: MessageKind, body: unknown): boolean {
+function isCoreSetMessage(kind: MessageKind, body: unknown): boolean {
   return kind === 'adopt' || kind === 'join' || kind === 'copy' || (body as { key?: string }).key?.startsWith('cores/') === true;
 }
 
-function create(course: Course): Machines {
-  const states = new Map<string, State>();
+function create(control: ExplorationControl): Machines {
+  const states = new Map<string, MachineState>();
   const machines: Machine[] = [];
-  let tokens = 0;
-  let stepsUnderWay = 0;
+  let lastToken = 0;
+  let pendingStepAccepts = 0;
 
   function now(): Instant {
-    return identifiers.instant(course.now() * millisecondsEach);
+    return identifiers.instant(control.now() * millisecondsPerEvent);
   }
 
   /** What is under way in a process ends with it: whoever waits in an earlier life waits for ever. */
@@ -106,10 +106,10 @@
     const clock: Clock = {
       now,
       wall: () => identifiers.wallTime(now()),
-      sleep: () => new Promise((resolve) => course.later(() => (alive() ? resolve() : undefined), 'pause')),
+      sleep: () => new Promise((resolve) => control.schedule(() => (alive() ? resolve() : undefined), 'pause')),
       startTimer: function startTimer(_milliseconds, act) {
         let cancelled = false;
-        course.later(() => (alive() && !cancelled ? act() : undefined), 'pause');
+        control.schedule(() => (alive() && !cancelled ? act() : undefined), 'pause');
         return {
           cancel: function cancel() {
             cancelled = true;
@@ -120,22 +120,22 @@
     return {
       clock,
       randomness: {
-        fraction: course.random,
+        fraction: control.random,
         token: function token() {
-          tokens += 1;
-          return `${name}${tokens}`;
+          lastToken += 1;
+          return `${name}${lastToken}`;
         },
       },
       log: () => undefined,
     } as unknown as Runtime;
   }
 
-  function diskOf(state: State, alive: () => boolean): Disk {
+  function diskOf(state: MachineState, alive: () => boolean): Disk {
     return memoryDisk.create(
       () => state.entries,
       (key, value) =>
         new Promise((resolve) =>
-          course.later(function sync() {
+          control.schedule(function sync() {
             if (!alive()) return;
             state.entries.set(key, value);
             resolve(Either.right(null));
@@ -144,54 +144,54 @@
     );
   }
 
-  async function answer(state: State, kind: MessageKind, body: unknown): Promise<unknown> {
-    const running = state.running as Running;
-    if (kind === 'prepare') return running.cells.prepare(body as Request<'prepare'>);
-    if (kind === 'accept') return running.cells.accept(body as Request<'accept'>);
-    if (kind === 'look') return running.cells.look(body as Request<'look'>);
+  async function handleRequest(state: MachineState, kind: MessageKind, body: unknown): Promise<unknown> {
+    const running = state.running as RunningCore;
+    if (kind === 'prepare') return running.acceptor.prepare(body as Request<'prepare'>);
+    if (kind === 'accept') return running.acceptor.accept(body as Request<'accept'>);
+    if (kind === 'look') return running.acceptor.look(body as Request<'look'>);
     if (kind === 'adopt') return running.cores.adopt(body as Request<'adopt'>);
     if (kind === 'join') {
-      running.joins += 1;
+      running.pendingJoins += 1;
       const reply = await running.cores.join(body as Request<'join'>);
-      running.joins -= 1;
+      running.pendingJoins -= 1;
       return reply;
     }
-    return copied(running, body as Request<'copy'>);
+    return handleCopy(running, body as Request<'copy'>);
   }
 
-  async function copied(running: Running, ask: Request<'copy'>): Promise<Reply<'copy'>> {
-    const isFormed = running.cells.ready() && Option.isSome(running.fleet) && running.fleet.value.stage === 'formed';
+  async function handleCopy(running: RunningCore, request: Request<'copy'>): Promise<Reply<'copy'>> {
+    const isActive = running.acceptor.ready() && Option.isSome(running.fleet) && running.fleet.value.stage === 'formed';
     const set = Option.isSome(running.fleet) ? coreSetOf(running.fleet.value).number : 0;
-    const page = await running.cells.page(ask.after);
+    const page = await running.acceptor.page(request.after);
     const read = Either.isRight(page) ? page.right : { entries: [], next: '' };
-    const ready = isFormed && Either.isRight(page);
-    return { ready, ...(isFormed ? { set } : {}), votes: {}, notes: { floors: {}, reports: [], through: {} }, ...read };
+    const ready = isActive && Either.isRight(page);
+    return { ready, ...(isActive ? { set } : {}), votes: {}, notes: { floors: {}, reports: [], through: {} }, ...read };
   }
 
   /** A call is answered, lost, or, once its callee has ended, given up. */
   function callFrom(from: string, alive: () => boolean): CoreCall {
     function call(address: string, kind: MessageKind, body: unknown): Promise<Option.Option<unknown>> {
-      return new Promise(function carry(resolve) {
-        const what = isOfSteps(kind, body) ? 'step' : 'message';
-        const steps = kind === 'accept' && (body as Request<'accept'>).key.startsWith('cores/') ? 1 : 0;
-        stepsUnderWay += steps;
-        function settle(reply: Option.Option<unknown>): void {
-          stepsUnderWay -= steps;
-          course.later(() => (alive() ? resolve(reply) : undefined), what);
+      return new Promise(function send(resolve) {
+        const eventType = isCoreSetMessage(kind, body) ? 'step' : 'message';
+        const stepAccepts = kind === 'accept' && (body as Request<'accept'>).key.startsWith('cores/') ? 1 : 0;
+        pendingStepAccepts += stepAccepts;
+        function complete(reply: Option.Option<unknown>): void {
+          pendingStepAccepts -= stepAccepts;
+          control.schedule(() => (alive() ? resolve(reply) : undefined), eventType);
         }
         const state = states.get(address.split(':')[0] as string);
-        if (state === undefined || course.loses(from, state.name, kind)) return settle(Option.none);
-        course.later(function arrive() {
-          if (state.running === undefined) return settle(Option.none);
+        if (state === undefined || control.isLost(from, state.name, kind)) return complete(Option.none);
+        control.schedule(function arrive() {
+          if (state.running === undefined) return complete(Option.none);
           function giveUp(): void {
-            settle(Option.none);
+            complete(Option.none);
           }
-          state.waiting.add(giveUp);
-          void answer(state, kind, body).then(function replied(reply) {
-            if (!state.waiting.delete(giveUp)) return;
-            settle(course.loses(state.name, from, kind) ? Option.none : Option.some(reply));
+          state.pendingCalls.add(giveUp);
+          void handleRequest(state, kind, body).then(function onReply(reply) {
+            if (!state.pendingCalls.delete(giveUp)) return;
+            complete(control.isLost(state.name, from, kind) ? Option.none : Option.some(reply));
           });
-        }, what);
+        }, eventType);
         return undefined;
       });
     }
@@ -214,16 +214,16 @@
     });
   }
 
-  function begin(state: State): void {
-    const { life } = state;
+  function startCore(state: MachineState): void {
+    const { incarnation } = state;
     function alive(): boolean {
-      return state.life === life;
+      return state.incarnation === incarnation;
     }
     const runtime = runtimeOf(state.name, alive);
     const disk = diskOf(state, alive);
     const call = callFrom(state.name, alive);
-    let between = false;
-    const running = { joins: 0, fleet: Option.fromNullable(state.entries.get('fleet') as FleetRecord | undefined) } as Running;
+    let isInSetTransition = false;
+    const running = { pendingJoins: 0, fleet: Option.fromNullable(state.entries.get('fleet') as FleetRecord | undefined) } as RunningCore;
     const cells = acceptor.create({
       disk,
       stored: state.entries,
@@ -231,7 +231,7 @@
       onDamaged: () => undefined,
       coreSet: createCoreSetView(
         () => running.fleet,
-        () => between,
+        () => isInSetTransition,
       ),
     });
     const register = registerFrom(
@@ -241,7 +241,7 @@
       () => (Option.isSome(running.fleet) ? coreSetOf(running.fleet.value) : { number: 0, seats: [], epochs: {} }),
       (set) => running.cores.observe(set),
     );
-    const created = coreSetManager.create(runtime, {
+    const manager = coreSetManager.create(runtime, {
       node: {
         settings: {
           node: state.name,
@@ -251,8 +251,8 @@
           seeds: () => [],
           platform: () => '',
         },
-        ownRecord: () => seatOf(state.name),
-        lastHeartbeatAt: (other) => Option.some(course.isSilent(state.name, other) ? identifiers.instant(0) : now()),
+        ownRecord: () => createSeat(state.name),
+        lastHeartbeatAt: (other) => Option.some(control.isSilent(state.name, other) ? identifiers.instant(0) : now()),
         setFleet: () => undefined,
       },
       register,
@@ -266,7 +266,7 @@
         stopped: () => !alive(),
       }),
       record: () => running.fleet,
-      saveRecord: async function keepFleet(next) {
+      saveRecord: async function saveRecord(next) {
         await disk.put('fleet', next);
         running.fleet = Option.some(next);
         return true;
@@ -274,59 +274,66 @@
       open: cells.open,
       changeSet: () => undefined,
       close: cells.close,
-      onSetTransition: function onBetweenSets(isBetween) {
-        between = isBetween;
+      onSetTransition: function onSetTransition(inTransition) {
+        isInSetTransition = inTransition;
       },
     });
-    Object.assign(running, { cells, cores: created });
+    Object.assign(running, { acceptor: cells, cores: manager });
     state.running = running;
     if (Option.isSome(running.fleet) && running.fleet.value.stage === 'formed') cells.open();
-    created.start();
+    manager.start();
   }
 
-  function end(state: State, wiped: boolean): void {
-    state.life += 1;
+  function crash(state: MachineState, wiped: boolean): void {
+    state.incarnation += 1;
     state.running = undefined;
     if (wiped) state.entries = new Map();
-    for (const giveUp of state.waiting) giveUp();
-    state.waiting.clear();
+    for (const giveUp of state.pendingCalls) giveUp();
+    state.pendingCalls.clear();
   }
 
-  function machineOf(state: State): Machine {
-    function level(): Option.Option<CoreSet> {
+  function machineOf(state: MachineState): Machine {
+    function activeCoreSet(): Option.Option<CoreSet> {
       const { running } = state;
-      return running !== undefined && running.cells.ready() && Option.isSome(running.fleet) && running.fleet.value.stage === 'formed'
+      return running !== undefined && running.acceptor.ready() && Option.isSome(running.fleet) && running.fleet.value.stage === 'formed'
         ? Option.some(coreSetOf(running.fleet.value))
         : Option.none;
     }
     return {
       name: state.name,
       isUp: () => state.running !== undefined,
-      level,
-      isAsked: () => state.running !== undefined && state.running.joins > 0,
-      holdsStep: (after) => state.running !== undefined && Option.isSome(state.running.cells.accepted(coreSetKey(after))),
-      hears: function hears(set) {
+      activeCoreSet,
+      isHandlingJoin: () => state.running !== undefined && state.running.pendingJoins > 0,
+      hasAcceptedStep: (after) => state.running !== undefined && Option.isSome(state.running.acceptor.accepted(coreSetKey(after))),
+      observeCoreSet: function observeCoreSet(set) {
         if (state.running === undefined) return;
-        if (Option.isSome(level())) state.running.cores.observe(set);
+        if (Option.isSome(activeCoreSet())) state.running.cores.observe(set);
         else state.running.cores.onFleetFound('explored', set);
       },
       leave: function leave() {
         void state.running?.cores.handOverMembership(identifiers.instant(Number.POSITIVE_INFINITY));
       },
-      crash: (wiped) => end(state, wiped),
-      start: () => begin(state),
+      crash: (wiped) => crash(state, wiped),
+      start: () => startCore(state),
     };
   }
 
   function add(founders: readonly string[]): Machine {
     const name = `m${machines.length + 1}`;
-    const state: State = { name, entries: new Map(), life: 0, running: undefined, waiting: new Set() };
+    const state: MachineState = { name, entries: new Map(), incarnation: 0, running: undefined, pendingCalls: new Set() };
     states.set(name, state);
     if (founders.includes(name))
-      state.entries.set('fleet', { fleet: 'explored', node: name, cores: founders.map(seatOf), stage: 'formed', number: 1, epochs: {} });
+      state.entries.set('fleet', {
+        fleet: 'explored',
+        node: name,
+        cores: founders.map(createSeat),
+        stage: 'formed',
+        number: 1,
+        epochs: {},
+      });
     const machine = machineOf(state);
     machines.push(machine);
-    begin(state);
+    startCore(state);
     return machine;
   }
 
@@ -343,15 +350,15 @@
     );
   }
 
-  function isStanding(seat: NodeRecord, set: CoreSet): boolean {
+  function isAvailable(seat: NodeRecord, set: CoreSet): boolean {
     const machine = machines.find((one) => one.name === seat.node);
-    const level = machine === undefined ? Option.none : machine.level();
-    return Option.isSome(level) && level.value.number === set.number;
+    const activeSet = machine === undefined ? Option.none : machine.activeCoreSet();
+    return Option.isSome(activeSet) && activeSet.value.number === set.number;
   }
 
-  function newest(): CoreSet {
+  function newestCoreSet(): CoreSet {
     const sets = machines.flatMap((machine) => {
-      const set = machine.level();
+      const set = machine.activeCoreSet();
       return Option.isSome(set) ? [set.value] : [];
     });
     return sets.sort((left, right) => right.number - left.number)[0] ?? { number: 0, seats: [], epochs: {} };
@@ -361,17 +368,17 @@
     all: () => machines,
     add,
     client,
-    tell: (seat, kind, body) => callFrom('stranger', () => true)(seat.address, kind, body, 0),
-    newest,
-    short: function short() {
-      const set = newest();
-      return set.number === 0 ? Number.POSITIVE_INFINITY : set.seats.filter((seat) => !isStanding(seat, set)).length;
+    sendOnce: (seat, kind, body) => callFrom('stranger', () => true)(seat.address, kind, body, 0),
+    newestCoreSet,
+    unavailableSeatCount: function unavailableSeatCount() {
+      const currentSet = newestCoreSet();
+      return currentSet.number === 0 ? Number.POSITIVE_INFINITY : currentSet.seats.filter((seat) => !isAvailable(seat, currentSet)).length;
     },
-    isStepping: function isStepping() {
-      const set = newest();
-      return stepsUnderWay > 0 || machines.some((machine) => machine.holdsStep(set.number) || machine.isAsked());
+    isSetChangePending: function isSetChangePending() {
+      const set = newestCoreSet();
+      return pendingStepAccepts > 0 || machines.some((machine) => machine.hasAcceptedStep(set.number) || machine.isHandlingJoin());
     },
-    seats: (names) => names.map(seatOf),
+    seats: (names) => names.map(createSeat),
   };
 }
 
--- a/packages/simulator/src/exploring.ts
+++ b/packages/simulator/src/exploring.ts
@@ -11,69 +11,68 @@
 type Outcomes = TestOutcome[];
 
 /** Every second moment fits into a check; a night's run takes them all. */
-const usualStride = 2;
+const defaultStride = 2;
 
-function option(name: string, usual: number): number {
-  return Number(new RegExp(`--${name}=(\\d+)`).exec(process.argv.join(' '))?.[1] ?? usual);
+function numberOption(name: string, defaultValue: number): number {
+  return Number(new RegExp(`--${name}=(\\d+)`).exec(process.argv.join(' '))?.[1] ?? defaultValue);
 }
 
-function isNamed(test: string): boolean {
+function isKnownRed(test: string): boolean {
   return knownRed.entriesOf('exploration').some((entry) => entry.test === test);
 }
 
-function note(outcomes: Outcomes, test: string, violation: string | undefined): void {
+function recordOutcome(outcomes: Outcomes, test: string, violation: string | undefined): void {
   outcomes.push({ test, isFailed: violation !== undefined });
   if (violation !== undefined) console.log(`${test}: ${violation}`);
 }
 
-async function playSchedules(outcomes: Outcomes): Promise<void> {
-  for (const [name, schedule] of Object.entries(schedules)) note(outcomes, `schedule ${name}`, await schedule());
+async function runSchedules(outcomes: Outcomes): Promise<void> {
+  for (const [name, schedule] of Object.entries(schedules)) recordOutcome(outcomes, `schedule ${name}`, await schedule());
 }
 
-async function strikeLosses(seed: number, stride: number, outcomes: Outcomes): Promise<void> {
+async function runLossScenarios(seed: number, stride: number, outcomes: Outcomes): Promise<void> {
   let moments = 0;
-  let happenings = 0;
+  let events = 0;
   for (const scenario of exploreLosses.scenarios) {
-    const struck = await exploreLosses.everyMoment(scenario, seed, stride);
-    moments += struck.moments;
-    happenings += struck.happenings;
-    const isJudged = struck.moments > 0 && struck.results > 0;
+    const result = await exploreLosses.runAtEveryMoment(scenario, seed, stride);
+    moments += result.moments;
+    events += result.events;
+    const wasChecked = result.moments > 0 && result.results > 0;
     const test = `scenario ${scenario.name}`;
-    note(outcomes, test, struck.violation ?? (isJudged ? undefined : 'nothing was judged'));
-    if (outcomes.at(-1)?.isFailed === true && !isNamed(test)) return;
+    recordOutcome(outcomes, test, result.violation ?? (wasChecked ? undefined : 'nothing was judged'));
+    if (outcomes.at(-1)?.isFailed === true && !isKnownRed(test)) return;
   }
-  console.log(`${exploreLosses.scenarios.length} scenarios, a loss at each of ${moments} moments, ${happenings} happenings`);
+  console.log(`${exploreLosses.scenarios.length} scenarios, a loss at each of ${moments} moments, ${events} happenings`);
 }
 
 async function exploreSeeds(first: number, seconds: number, outcomes: Outcomes): Promise<void> {
   const until = Date.now() + seconds * 1_000;
-  const total = { happenings: 0, steps: 0, losses: 0, results: 0 };
-  async function play(seed: number): Promise<string | undefined> {
-    const explored = await explore.run(seed);
-    total.happenings += explored.happenings;
-    total.steps += explored.steps;
-    total.losses += explored.losses;
-    total.results += explored.results;
-    return explored.violations[0];
+  const total = { events: 0, steps: 0, losses: 0, results: 0 };
+  async function runSeed(seed: number): Promise<string | undefined> {
+    const result = await explore.run(seed);
+    total.events += result.events;
+    total.steps += result.steps;
+    total.losses += result.losses;
+    total.results += result.results;
+    return result.violations[0];
   }
-  for (const seed of knownRed.seedsOf('exploration')) note(outcomes, String(seed), await play(seed));
+  for (const seed of knownRed.seedsOf('exploration')) recordOutcome(outcomes, String(seed), await runSeed(seed));
   let seed = first;
   let violation: string | undefined;
-  for (; Date.now() < until && violation === undefined; seed += 1) violation = isNamed(String(seed)) ? undefined : await play(seed);
-  console.log(
-    `${seed - first} runs, ${total.happenings} happenings, ${total.losses} losses, ${total.steps} steps, ${total.results} results`,
-  );
-  const isJudged = total.steps > 0 && total.losses > 0 && total.results > 0;
-  if (violation === undefined) note(outcomes, 'seeds', isJudged ? undefined : 'nothing was judged');
-  else note(outcomes, String(seed - 1), violation);
+  for (; Date.now() < until && violation === undefined; seed += 1) violation = isKnownRed(String(seed)) ? undefined : await runSeed(seed);
+  console.log(`${seed - first} runs, ${total.events} happenings, ${total.losses} losses, ${total.steps} steps, ${total.results} results`);
+  const wasChecked = total.steps > 0 && total.losses > 0 && total.results > 0;
+  if (violation === undefined) recordOutcome(outcomes, 'seeds', wasChecked ? undefined : 'nothing was judged');
+  else recordOutcome(outcomes, String(seed - 1), violation);
 }
 
 async function main(): Promise<void> {
   const first = Number(process.argv[2] ?? 1);
   const outcomes: Outcomes = [];
-  await playSchedules(outcomes);
-  await strikeLosses(first, option('stride', usualStride), outcomes);
-  if (outcomes.every((outcome) => !outcome.isFailed || isNamed(outcome.test))) await exploreSeeds(first, option('seconds', 8), outcomes);
+  await runSchedules(outcomes);
+  await runLossScenarios(first, numberOption('stride', defaultStride), outcomes);
+  if (outcomes.every((outcome) => !outcome.isFailed || isKnownRed(outcome.test)))
+    await exploreSeeds(first, numberOption('seconds', 8), outcomes);
   const { passed, failed } = knownRed.report('exploration', outcomes);
   console.log(`exploration: ${passed} passed, ${failed} failed`);
   process.exit(failed > 0 ? 1 : 0);
--- a/packages/simulator/src/schedules.ts
+++ b/packages/simulator/src/schedules.ts
@@ -1,5 +1,5 @@
 /** Orders of events too rare to be drawn, written down: each shows a guard of design 4.8 at work (design 10.4). */
-import { seatOf } from './explored-machines.js';
+import { createSeat } from './explored-machines.js';
 import { memoryDisk } from './memory-disk.js';
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
@@ -111,7 +111,7 @@
     },
     level: async function level(name, sources) {
       const enough = await catchUp.copyFromEnough(
-        [...sources].map(seatOf),
+        [...sources].map(createSeat),
         catchUp.requiredSources(secondSeats.length),
         async function copy(source) {
           if (!catchUp.isEligibleSource(2, core(source.node).set)) return false;
