--- a/packages/acceptance/features/units.feature
+++ b/packages/acceptance/features/units.feature
@@ -1,15 +1,15 @@
-Feature: Small parts of the platform's path, each alone on virtual time
+Feature: Single components of pooled fleets, each on a virtual clock
 
   # -- The member registry (design 4.7).
 
-  Scenario: A late beat changes nothing
+  Scenario: A heartbeat that arrives late changes nothing
     Given a member registry
     When "member-1" sends a draining heartbeat with sequence number 7
     And "member-1" sends a serving heartbeat with sequence number 6
     Then the heartbeat with sequence number 6 was ignored, and "member-1" is draining
     And only the heartbeat with sequence number 7 is sent to other cores
 
-  Scenario: What has left is never back, whoever tells of it
+  Scenario: A member that has left never returns, whichever core reports it
     Given a member registry
     When "member-1" sends a serving heartbeat with sequence number 7
     And "member-1" announces its departure
@@ -17,14 +17,14 @@
     And another core forwards a heartbeat of "member-1" with sequence number 9
     Then "member-1" is gone, belongs to no service, and its departure is sent to other cores
 
-  Scenario: What left at another core is gone here too
+  Scenario: A departure announced at another core also applies here
     Given a member registry
     When "member-1" sends a serving heartbeat with sequence number 7
     And another core forwards the departure of "member-1"
     And "member-1" sends a serving heartbeat with sequence number 8
     Then "member-1" is gone and belongs to no service
 
-  Scenario: A silent member is down, and up again with its next beat
+  Scenario: A silent member is down, and up again with its next heartbeat
     Given a member registry
     When "member-1" sends a serving heartbeat with sequence number 7
     And 4.9 s pass and the registry sweeps
@@ -36,7 +36,7 @@
     When "member-1" sends a serving heartbeat with sequence number 9
     Then readers see no change
 
-  Scenario: A member that was silent for long is of no service, and is back with its next beat
+  Scenario: A member that was silent for a long time belongs to no service until its next heartbeat
     Given a member registry
     When "member-1" sends a serving heartbeat with sequence number 7
     And 61 s pass and the registry sweeps
@@ -45,7 +45,7 @@
     Then "member-1" is up
     And "member-1" belongs to its service
 
-  Scenario: Beats are spread once, with their age, and counted from when they were taken
+  Scenario: Heartbeats are forwarded once, with their age, and expire by the time they were received
     Given a member registry
     And the member registry of another core
     When "member-1" sends a serving heartbeat with sequence number 7
@@ -133,75 +133,75 @@
 
   # -- Freshness (design 8.11).
 
-  Scenario: A position covers what was acknowledged before it was asked for, in whatever order replies come
-    Then over 300 seeded histories no bound is covered by a position below what was acknowledged before it
-    And a moment after the newest question is covered by nothing
-    And of two commits the later stands
+  Scenario: A position covers commits acknowledged before it was requested, in any order of replies
+    Then in 300 seeded histories no read bound is covered by a position below an earlier acknowledged one
+    And no position covers a time after the newest request
+    And of two commits the later is kept
 
   # -- Connections to members (design 8.3, 8.12).
 
   Scenario: An edge opens no more connections to a member than its share
     Given connections to a member, with a share of 2
-    When tenant "a" wants 3
-    Then 2 are opened, and the third was told that there is no room
-    And 2 can be taken, and no third
+    When tenant "a" requests 3 connections
+    Then 2 are opened, and the third request was refused for lack of room
+    And 2 can be acquired, and no third
 
-  Scenario: Another tenant's idle connection makes room, a busy one does not
+  Scenario: Another tenant's idle connection is closed to make room, a busy one is not
     Given connections to a member, with a share of 1
-    When tenant "a" wants 1
-    And it is taken for session "s1"
-    Then tenant "b" finds no room
-    When it is given back
-    Then tenant "a" finds no room
-    When tenant "b" wants 1
-    Then the member heard that a's was closed, and "b" can take one while "a" cannot
-
-  Scenario: A session finds its own connection again, and what was not sound is broken off
+    When tenant "a" requests 1 connection
+    And it is acquired for session "s1"
+    Then a request of tenant "b" is refused
+    When it is released
+    Then a request of tenant "a" is refused
+    When tenant "b" requests 1 connection
+    Then the connection of "a" was closed, and "b" can acquire one while "a" cannot
+
+  Scenario: A session gets its own connection back, and a broken connection is closed
     Given connections to a member, with a share of 3
-    When tenant "a" wants 3
-    Then a session that gave one back is handed the same one again
-    And another session is handed one on which no values stand
-    And one that is given back as not sound is not handed out again
+    When tenant "a" requests 3 connections
+    Then a session that released a connection acquires the same one again
+    And another session acquires one without session values
+    And a connection that is released as broken is not reused
 
-  Scenario: A member that fails is left alone for longer each time, and is back once it opens again
+  Scenario: Failed connections to a member are retried with increasing delays until one succeeds
     Given connections to a member, with a share of 2
     When nothing listens there
-    And tenant "a" wants 1
-    Then it is failing, told as not listening, and left alone for 112 to 188 ms
-    And after 8 failures it is left alone for 1125 to 1875 ms
-    When it listens again and tenant "a" wants 1
-    Then it is neither failing nor told as not listening
+    And tenant "a" requests 1 connection
+    Then it is failing, reported as not listening, and retried after 112 to 188 ms
+    And after 8 failures it is retried after 1125 to 1875 ms
+    When it listens again and tenant "a" requests 1 connection
+    Then it is neither failing nor reported as not listening
 
-  Scenario: A member whose machine is dark, or that opens nothing, is failing but not told as not listening
+  Scenario: A member whose machine is down, or that opens no sessions, is failing but not reported as not listening
     Given connections to a member, with a share of 2
-    When its machine goes dark, and tenant "a" wants 1
-    Then it is failing, and not told as not listening
-    When its machine is lit and it replies "FAULT OVERLOAD" to every opening, and tenant "a" wants 1
-    Then it is failing, and not told as not listening
+    When its machine fails, and tenant "a" requests 1 connection
+    Then it is failing, and not reported as not listening
+    When its machine recovers and it replies "FAULT OVERLOAD" to every OPEN, and tenant "a" requests 1 connection
+    Then it is failing, and not reported as not listening
 
-  Scenario: A refusal is told for a second
+  Scenario: A refused connection is reported for one second
     Given connections to a member, with a share of 2
     When nothing listens there
-    And tenant "a" wants 1
-    And 1.2 s of connections pass
-    Then it is failing, and not told as not listening
+    And tenant "a" requests 1 connection
+    And 1.2 s pass at the proxy
+    Then it is failing, and not reported as not listening
 
-  Scenario: Connections that rested long, or whose member moved or left, are closed
+  Scenario: Connections that were idle for long, or whose member moved or left, are closed
     Given connections to a member, with a share of 2
-    When tenant "a" wants 1
-    Then after 19 s of rest it can still be had, and after 21 s not
-    And once its member moved or left it cannot be had
+    When tenant "a" requests 1 connection
+    Then after being idle for 19 s it can still be acquired, and after 21 s not
+    And once its member moved or left it cannot be acquired
 
-  # -- Whose reply it is (design 8.14).
+  # -- Matching replies to calls (design 8.14).
 
-  Scenario: A reply on a link that nobody waits for ends the link
-    Given a far end on a link that replies once more to each call
-    Then the link is dialled anew after the reply, and no call is given the reply to another
+  Scenario: A reply on a link without a pending call ends the link
+    Given a peer that sends each reply twice
+    Then the link is dialled again after the second reply, and no call receives the reply to another
 
-  Scenario: The tables of the design say what may be asked again as the types do
-    Then the design's tables name every call between own processes and every statement, each as its type
+  Scenario: The tables of repeatable calls in the design match the code
+    Then the design's tables list every call between processes and every statement with the same repeatability as the code
 
-  Scenario: Whoever asks a member while a line to it is being opened shares that line
-    Given a member that counts the lines that are open to it
-    When its line is held and it is asked for its STATE at once, and again later
-    Then one line was opened, and one is open
+  Scenario: A request to a member shares a connection that is being opened
+    Given a member that counts its open connections
+    When a connection to it is being opened and its STATE is requested at once, and again later
+    Then one connection was opened, and one is open
--- a/packages/acceptance/src/connections.ts
+++ b/packages/acceptance/src/connections.ts
@@ -13,7 +13,7 @@
 
 // -- Freshness.
 
-Then('over {int} seeded histories no bound is covered by a position below what was acknowledged before it', function then(count: number) {
+Then('in {int} seeded histories no read bound is covered by a position below an earlier acknowledged one', function then(count: number) {
   const random = worlds.create(47).fraction;
   for (let round = 0; round < count; round += 1) {
     const table = freshness.create(() => identifiers.instant(0));
@@ -40,7 +40,7 @@
   }
 });
 
-Then('a moment after the newest question is covered by nothing', function then() {
+Then('no position covers a time after the newest request', function then() {
   const table = freshness.create(() => identifiers.instant(0));
   table.recordLeaderPosition('ferries', identifiers.instant(100), { term: 3, number: 9 });
   table.recordLeaderPosition('ferries', identifiers.instant(60), { term: 3, number: 12 });
@@ -55,7 +55,7 @@
   );
 });
 
-Then('of two commits the later stands', function then() {
+Then('of two commits the later is kept', function then() {
   const table = freshness.create(() => identifiers.instant(0));
   const reported: readonly Position[] = [
     { term: 3, number: 9 },
@@ -79,8 +79,8 @@
       const piece = await stream.read();
       if (Option.isNone(piece)) return;
       for (const message of framer.push(piece.value).messages) {
-        story.heard.push(message);
-        stream.write(message.startsWith('OPEN') ? story.opening : 'DONE -\r\nIDLE I 3.1\r\n');
+        story.receivedMessages.push(message);
+        stream.write(message.startsWith('OPEN') ? story.openReply : 'DONE -\r\nIDLE I 3.1\r\n');
       }
     }
   }
@@ -92,8 +92,8 @@
 
 Given('connections to a member, with a share of {int}', async function given(this: UnitStory, share: number) {
   this.world = worlds.create(49);
-  this.heard = [];
-  this.opening = 'IDLE I 3.1\r\n';
+  this.receivedMessages = [];
+  this.openReply = 'IDLE I 3.1\r\n';
   this.member = this.world.spawn('member-1', 'member-machine');
   await listenAsMember(this);
   this.runtime = this.world.spawn('proxy', 'edge-machine').runtime;
@@ -105,8 +105,8 @@
   );
 });
 
-When('tenant {string} wants {int}', async function when(this: UnitStory, tenant: string, count: number) {
-  this.wanted = Array.from({ length: count }, () => this.connections.requestConnection(place, tenant));
+When('tenant {string} requests {int} connection(s)', async function when(this: UnitStory, tenant: string, count: number) {
+  this.requestResults = Array.from({ length: count }, () => this.connections.requestConnection(place, tenant));
   await this.world.run(50);
 });
 
@@ -116,44 +116,44 @@
   return taken.value;
 }
 
-Then('{int} are opened, and the third was told that there is no room', function then(this: UnitStory, count: number) {
-  assert.deepEqual(this.wanted, [true, true, false]);
+Then('{int} are opened, and the third request was refused for lack of room', function then(this: UnitStory, count: number) {
+  assert.deepEqual(this.requestResults, [true, true, false]);
   assert.deepEqual(
-    this.heard,
+    this.receivedMessages,
     Array.from({ length: count }, () => 'OPEN ferries a member-1'),
   );
 });
 
-Then('{int} can be taken, and no third', function then(this: UnitStory, count: number) {
+Then('{int} can be acquired, and no third', function then(this: UnitStory, count: number) {
   for (let index = 0; index < count; index += 1) take(this, 'a', `s${index}`);
   assert.equal(this.connections.busyCount('member-1'), count);
   assert.ok(Option.isNone(this.connections.acquire(place, 'a', 's9')));
   assert.equal(this.connections.requestConnection(place, 'a'), false);
 });
 
-When('it is taken for session {string}', function when(this: UnitStory, session: string) {
-  this.pooled = take(this, 'a', session);
+When('it is acquired for session {string}', function when(this: UnitStory, session: string) {
+  this.pooledConnection = take(this, 'a', session);
 });
 
-When('it is given back', function when(this: UnitStory) {
-  this.connections.release(this.pooled, true);
+When('it is released', function when(this: UnitStory) {
+  this.connections.release(this.pooledConnection, true);
 });
 
-Then('tenant {string} finds no room', function then(this: UnitStory, tenant: string) {
+Then('a request of tenant {string} is refused', function then(this: UnitStory, tenant: string) {
   assert.equal(this.connections.requestConnection(place, tenant), false);
 });
 
 Then(
-  "the member heard that a's was closed, and {string} can take one while {string} cannot",
+  'the connection of "a" was closed, and {string} can acquire one while {string} cannot',
   function then(this: UnitStory, taker: string, other: string) {
-    assert.deepEqual(this.wanted, [true]);
-    assert.deepEqual([...this.heard].sort(), ['CLOSE', 'OPEN ferries a member-1', 'OPEN ferries b member-1']);
+    assert.deepEqual(this.requestResults, [true]);
+    assert.deepEqual([...this.receivedMessages].sort(), ['CLOSE', 'OPEN ferries a member-1', 'OPEN ferries b member-1']);
     assert.ok(Option.isNone(this.connections.acquire(place, other, 's1')));
     assert.equal(take(this, taker, 's2').tenant, taker);
   },
 );
 
-Then('a session that gave one back is handed the same one again', function then(this: UnitStory) {
+Then('a session that released a connection acquires the same one again', function then(this: UnitStory) {
   const [first, second, third] = ['s1', 's2', 's3'].map((session) => take(this, 'a', session)) as [
     PooledConnection,
     PooledConnection,
@@ -170,17 +170,17 @@
     assert.equal(take(this, 'a', session), pooled);
     this.connections.release(pooled, true);
   }
-  this.pooled = first;
+  this.pooledConnection = first;
 });
 
-Then('another session is handed one on which no values stand', function then(this: UnitStory) {
-  assert.equal(take(this, 'a', 's9'), this.pooled);
+Then('another session acquires one without session values', function then(this: UnitStory) {
+  assert.equal(take(this, 'a', 's9'), this.pooledConnection);
 });
 
-Then('one that is given back as not sound is not handed out again', async function then(this: UnitStory) {
-  this.connections.release(this.pooled, false);
-  assert.ok(this.pooled.connection.isClosed());
-  for (const session of ['s1', 's9']) assert.notEqual(take(this, 'a', session), this.pooled);
+Then('a connection that is released as broken is not reused', async function then(this: UnitStory) {
+  this.connections.release(this.pooledConnection, false);
+  assert.ok(this.pooledConnection.connection.isClosed());
+  for (const session of ['s1', 's9']) assert.notEqual(take(this, 'a', session), this.pooledConnection);
   assert.ok(Option.isNone(this.connections.acquire(place, 'a', 's1')));
   await this.world.run(20);
 });
@@ -204,7 +204,7 @@
 }
 
 Then(
-  'it is failing, told as not listening, and left alone for {int} to {int} ms',
+  'it is failing, reported as not listening, and retried after {int} to {int} ms',
   async function then(this: UnitStory, least: number, most: number) {
     assert.deepEqual([this.connections.isFailing('member-1'), this.connections.notListening()], [true, ['member-1']]);
     // The opening failed within the 50 ms that have passed since it was wanted.
@@ -215,7 +215,7 @@
 );
 
 Then(
-  'after {int} failures it is left alone for {int} to {int} ms',
+  'after {int} failures it is retried after {int} to {int} ms',
   async function then(this: UnitStory, count: number, least: number, most: number) {
     let spent = 0;
     let before = 0;
@@ -232,42 +232,42 @@
   },
 );
 
-When('it listens again and tenant {string} wants 1', async function when(this: UnitStory, tenant: string) {
+When('it listens again and tenant {string} requests 1 connection', async function when(this: UnitStory, tenant: string) {
   await listenAsMember(this);
   await this.world.run(2_000);
   assert.equal(this.connections.requestConnection(place, tenant), true);
   await this.world.run(50);
 });
 
-Then('it is neither failing nor told as not listening', function then(this: UnitStory) {
+Then('it is neither failing nor reported as not listening', function then(this: UnitStory) {
   assert.deepEqual([this.connections.isFailing('member-1'), this.connections.notListening()], [false, []]);
   // Its failures are forgotten, also once this connection is lost.
   this.connections.release(take(this, 'a', 's1'), false);
   assert.equal(this.connections.isFailing('member-1'), false);
 });
 
-Then('it is failing, and not told as not listening', function then(this: UnitStory) {
+Then('it is failing, and not reported as not listening', function then(this: UnitStory) {
   assert.deepEqual([this.connections.isFailing('member-1'), this.connections.notListening()], [true, []]);
 });
 
-When('its machine goes dark, and tenant {string} wants 1', async function when(this: UnitStory, tenant: string) {
+When('its machine fails, and tenant {string} requests 1 connection', async function when(this: UnitStory, tenant: string) {
   this.world.darken('member-machine');
   assert.equal(this.connections.requestConnection(place, tenant), true);
   await this.world.run(1_100);
 });
 
 When(
-  'its machine is lit and it replies {string} to every opening, and tenant {string} wants 1',
+  'its machine recovers and it replies {string} to every OPEN, and tenant {string} requests 1 connection',
   async function when(this: UnitStory, opening: string, tenant: string) {
     this.world.light('member-machine');
-    this.opening = `${opening}\r\n`;
+    this.openReply = `${opening}\r\n`;
     await this.world.run(1_000);
     assert.equal(this.connections.requestConnection(place, tenant), true);
     await this.world.run(1_100);
   },
 );
 
-When('{float} s of connections pass', async function when(this: UnitStory, seconds: number) {
+When('{float} s pass at the proxy', async function when(this: UnitStory, seconds: number) {
   assert.deepEqual(this.connections.notListening(), ['member-1']);
   await this.world.run(seconds * 1_000);
 });
@@ -286,14 +286,14 @@
 
 const atItsPlace = new Map([[place.member, { address: place.address }]]);
 
-Then('after 19 s of rest it can still be had, and after 21 s not', async function then(this: UnitStory) {
+Then('after being idle for 19 s it can still be acquired, and after 21 s not', async function then(this: UnitStory) {
   assert.equal(await rested(this, 19_000, atItsPlace), true);
   assert.equal(await rested(this, 21_000, atItsPlace), false);
   await this.world.run(20);
-  assert.ok(this.heard.includes('CLOSE'));
+  assert.ok(this.receivedMessages.includes('CLOSE'));
 });
 
-Then('once its member moved or left it cannot be had', async function then(this: UnitStory) {
+Then('once its member moved or left it cannot be acquired', async function then(this: UnitStory) {
   for (const members of [new Map([[place.member, { address: '10.3.0.2:5000' }]]), new Map<string, Readonly<{ address: string }>>()]) {
     assert.equal(this.connections.requestConnection(place, 'a'), true);
     await this.world.run(50);
--- a/packages/acceptance/src/replies.ts
+++ b/packages/acceptance/src/replies.ts
@@ -14,7 +14,7 @@
 const address = identifiers.address('10.5.0.1:7000');
 const callMilliseconds = 200;
 
-Given('a far end on a link that replies once more to each call', async function given(this: ReplyStory) {
+Given('a peer that sends each reply twice', async function given(this: ReplyStory) {
   this.world = worlds.create(8);
   this.links = 0;
   const { runtime } = this.world.spawn('far', 'far-machine');
@@ -38,7 +38,7 @@
   });
 });
 
-Then('the link is dialled anew after the reply, and no call is given the reply to another', async function then(this: ReplyStory) {
+Then('the link is dialled again after the second reply, and no call receives the reply to another', async function then(this: ReplyStory) {
   const dialled = peer.dial(this.world.spawn('near', 'near-machine').runtime, address);
   const owners: unknown[] = [];
   for (const window of [1, 2, 3]) {
@@ -67,13 +67,13 @@
   return rows;
 }
 
-Then("the design's tables name every call between own processes and every statement, each as its type", function then() {
+Then("the design's tables list every call between processes and every statement with the same repeatability as the code", function then() {
   const design = fs.readFileSync(new URL('../../../docs/design.md', import.meta.url), 'utf8');
   assert.deepEqual(tableOf(design, 'call between own processes'), repeatableCalls);
   assert.deepEqual(tableOf(design, 'statement of a session'), repeatableCommands);
 });
 
-Given('a member that counts the lines that are open to it', async function given(this: ReplyStory) {
+Given('a member that counts its open connections', async function given(this: ReplyStory) {
   this.world = worlds.create(9);
   this.links = 0;
   this.openLines = 0;
@@ -100,7 +100,7 @@
   });
 });
 
-When('its line is held and it is asked for its STATE at once, and again later', async function when(this: ReplyStory) {
+When('a connection to it is being opened and its STATE is requested at once, and again later', async function when(this: ReplyStory) {
   const probes = memberProber.create(this.world.spawn('near', 'near-machine').runtime, plainDialect, 'tenant');
   void probes.ensureConnection('ferries', 'member-1', address, callMilliseconds);
   void probes.readStatus('ferries', 'member-1', address, callMilliseconds);
@@ -109,7 +109,7 @@
   await this.world.run(callMilliseconds);
 });
 
-Then('one line was opened, and one is open', function then(this: ReplyStory) {
+Then('one connection was opened, and one is open', function then(this: ReplyStory) {
   assert.equal(this.links, 1);
   assert.equal(this.openLines, 1);
 });
--- a/packages/acceptance/src/unit-story.ts
+++ b/packages/acceptance/src/unit-story.ts
@@ -1,4 +1,4 @@
-/** What a story of units.feature holds, and what its steps share. */
+/** The state that the steps of units.feature share. */
 import type { Runtime, Instant, Listener } from '@stallstall/kernel';
 import type { LeaseHolder, LeaseGrantor } from '@stallstall/lease';
 import type { MemberRegistry } from '@stallstall/member-registry';
@@ -38,8 +38,8 @@
   connections: Connections;
   member: Process;
   memberListening: Listener;
-  heard: string[];
-  opening: string;
-  wanted: boolean[];
-  pooled: PooledConnection;
+  receivedMessages: string[];
+  openReply: string;
+  requestResults: boolean[];
+  pooledConnection: PooledConnection;
 };
--- a/packages/agent/src/agent-routes.ts
+++ b/packages/agent/src/agent-routes.ts
@@ -12,14 +12,14 @@
 /** Services for which this edge holds no lease. */
 function servicesWithoutLease({ runtime, node }: AgentContext): readonly string[] {
   const configuration = node.configuration();
-  const services = Option.isSome(configuration) ? configuration.value.value.sheet.services.map(({ service }) => service) : [];
+  const services = Option.isSome(configuration) ? configuration.value.value.sheet.services.map((entry) => entry.service) : [];
   return services.filter((service) => node.serviceLeaseUntil(service) <= runtime.clock.now());
 }
 
 /** How many nodes sent a heartbeat within a lease term, including this one. */
 function countReachableNodes({ runtime, node }: AgentContext): number {
-  const reachable = node.membership().value.seats.filter(function isReachable(seat) {
-    const at = node.lastHeartbeatAt(seat.node);
+  const reachable = node.membership().value.seats.filter(function isReachable(record) {
+    const at = node.lastHeartbeatAt(record.node);
     return Option.isSome(at) && runtime.clock.now() - at.value < leaseTermMilliseconds;
   });
   return 1 + reachable.length;
--- a/packages/agent/src/connection-caps.ts
+++ b/packages/agent/src/connection-caps.ts
@@ -1,4 +1,4 @@
-/** This edge's share of each member's connections: it shrinks at once and grows only into connections that other edges leave free (design 8.3). */
+/** This edge's share of each member's connections: it shrinks at once and grows only into what other edges leave free (design 8.3). */
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Clock, Instant } from '@stallstall/kernel';
 import type { Node } from '@stallstall/node';
--- a/packages/agent/src/lease-agent.ts
+++ b/packages/agent/src/lease-agent.ts
@@ -1,4 +1,4 @@
-/** The agent of an edge that holds leases: it neither votes nor is in the membership table, and sends its proxy placement updates (design 7.12, 8.10). */
+/** The agent of an edge that holds leases: it has no vote or membership, and sends placement to its proxy (design 7.12, 8.10). */
 import * as Option from 'fp-ts/lib/Option.js';
 import { identifiers, type Runtime, type Listener } from '@stallstall/kernel';
 import { leaseHolder, type LeaseHolder } from '@stallstall/lease';
--- a/packages/agent/src/placement-updates.ts
+++ b/packages/agent/src/placement-updates.ts
@@ -1,4 +1,4 @@
-/** Numbers the changes of the placement that a proxy sees, so that held requests are answered on a change and only with new data (design 8.10). */
+/** Numbers the changes of the placement, so that held requests are answered on a change and only with new data (design 8.10). */
 import * as Option from 'fp-ts/lib/Option.js';
 import { waiters, type Clock } from '@stallstall/kernel';
 import type { LeaseHolder } from '@stallstall/lease';
--- a/packages/agent/src/proxy-feed.ts
+++ b/packages/agent/src/proxy-feed.ts
@@ -6,7 +6,7 @@
 import { leaseTermMilliseconds } from '@stallstall/quorum-lease';
 import type { AgentContext } from './agent-context.js';
 
-/** The remaining time of a lease, limited to the range from 0 to the lease term: JSON cannot represent an infinity. Unit: milliseconds. @internal */
+/** Limits the remaining time of a lease to 0 up to the term, since JSON has no infinity. Unit: milliseconds. @internal */
 export function clampToLeaseTerm(left: number): number {
   return Math.max(0, Math.min(left, leaseTermMilliseconds));
 }
@@ -33,14 +33,14 @@
   const configuration = node.configuration();
   const placement = Option.isSome(configuration) ? configuration.value.value.sheet : undefined;
   const version = Option.isSome(configuration) ? configuration.value.version : 0;
-  const seat = quorum.findNode(node.membership().value, settings.node);
+  const record = quorum.findNode(node.membership().value, settings.node);
   return {
     configuration: placement !== undefined && version !== request.configuration ? { version, sheet: placement } : null,
     configurationVersion: version,
     term: clampToLeaseTerm(node.configurationLeaseUntil() - runtime.clock.now()),
     services: (placement?.services ?? []).map((service) => serviceFeed(context, service)),
     shares: { ...caps.allowed() },
-    draining: seat?.draining ?? false,
+    draining: record?.draining ?? false,
     area: settings.area,
     node: settings.node,
   };
--- a/packages/message/src/lease-messages.ts
+++ b/packages/message/src/lease-messages.ts
@@ -6,7 +6,7 @@
 import { Count, Name, ServiceCounts } from './primitives.js';
 import { CommitWatermarks, LogPositions } from './watermarks.js';
 
-/** An edge requests its lease from each core; the core replies at once if it has an update, otherwise at the next one or after `hold` (design 7.12). */
+/** A lease request of an edge; the core replies at once if it has an update, else at the next one or after `hold` (design 7.12). */
 export const LeaseRequest = Type.Object({
   node: Name,
   area: Name,
@@ -18,7 +18,7 @@
   obeyed: Count,
   /** By service: the edge has nothing in flight below this epoch and obtains no lease below it again. */
   released: ServiceCounts,
-  /** How far each leader's log reached when this edge last saw it, with the age; `positions` are the commits acknowledged to its clients. */
+  /** How far each leader's log reached when last seen, with the age; `positions` are the commits acknowledged to this edge's clients. */
   marks: CommitWatermarks,
   positions: LogPositions,
   /** An upper bound on the time since `positions` was complete. Unit: milliseconds. */
--- a/packages/message/src/membership.ts
+++ b/packages/message/src/membership.ts
@@ -14,7 +14,7 @@
   /** The address for members and operators; `address` is the one for nodes. */
   outward: Name,
   draining: Type.Boolean(),
-  /** The id of a core's disk, in fleets that replace cores automatically; a core of the first set that never lost its disk has none (design 4.8). */
+  /** The id of a core's disk, where cores are replaced automatically; absent in the first set until the disk is lost (design 4.8). */
   disk: Type.Optional(Type.String({ maxLength: 100 })),
 });
 
--- a/packages/node/src/applied-state.ts
+++ b/packages/node/src/applied-state.ts
@@ -40,7 +40,7 @@
     },
     cores: {
       number: coreSets.number,
-      includes: (core) => Option.isNone(context.coreSet) || context.cores.some((seat) => seat.node === core),
+      includes: (core) => Option.isNone(context.coreSet) || context.cores.some((record) => record.node === core),
     },
   });
   // A core accepts nearly every configuration itself, so other cores push it without its content (design 5.6).
--- a/packages/node/src/core-watch.ts
+++ b/packages/node/src/core-watch.ts
@@ -36,7 +36,7 @@
   onSuperseded: () => void;
 }>;
 
-function create(context: NodeContext, { applied, incarnations, linkTo: linkOf, onSuperseded }: CoreWatchParts): CoreWatch {
+function create(context: NodeContext, { applied, incarnations, linkTo, onSuperseded }: CoreWatchParts): CoreWatch {
   const { runtime, settings, parts } = context;
   const acknowledgedChanges = new Map<string, number>();
   const confirmations = coreConfirmations.create(context, applied);
@@ -62,7 +62,7 @@
       },
       callTimeoutMilliseconds,
     );
-    if (Option.isNone(reply) || linkOf(core) !== link) return;
+    if (Option.isNone(reply) || linkTo(core) !== link) return;
     if (reply.value.superseded) return onSuperseded();
     putCounts.set(core, Math.max(reply.value.puts, putCounts.get(core) ?? 0));
     if (!reply.value.ready) return;
@@ -78,10 +78,10 @@
   }
 
   function onCoreSet(next: CoreSet): void {
-    for (const seat of next.seats) {
+    for (const record of next.seats) {
       // A core with a new disk counts its puts from zero.
-      const hasSameDisk = Option.isSome(context.coreSet) && quorum.findNode(context.coreSet.value, seat.node)?.disk === seat.disk;
-      if (Option.isSome(context.coreSet) && !hasSameDisk) putCounts.delete(seat.node);
+      const hasSameDisk = Option.isSome(context.coreSet) && quorum.findNode(context.coreSet.value, record.node)?.disk === record.disk;
+      if (Option.isSome(context.coreSet) && !hasSameDisk) putCounts.delete(record.node);
     }
     confirmations.retain(next);
   }
--- a/packages/node/src/heartbeats.ts
+++ b/packages/node/src/heartbeats.ts
@@ -42,7 +42,7 @@
 
 function create(context: NodeContext, parts: HeartbeatParts): Heartbeats {
   const { runtime, settings, registration } = context;
-  const { applied, incarnations, linkTo: linkOf } = parts;
+  const { applied, incarnations, linkTo } = parts;
   const reports = new Map<string, HeartbeatReport>();
 
   /** In fleets whose edges hold leases, cores hold none: they report epochs to edges only, and to each other only that they are alive. */
@@ -75,7 +75,7 @@
     const sentAt = runtime.clock.now();
     const request = { node: settings.node, incarnation: incarnations.own(), ...ownReport() };
     const reply = await link.call('beat', request, callTimeoutMilliseconds);
-    if (Option.isNone(reply) || linkOf(node) !== link) return;
+    if (Option.isNone(reply) || linkTo(node) !== link) return;
     if (reply.value.superseded) return parts.onSuperseded();
     parts.recordReply(node, sentAt);
     storeReport(node, reply.value);
--- a/packages/node/src/node.ts
+++ b/packages/node/src/node.ts
@@ -134,7 +134,7 @@
   // A core that was removed from the core set keeps running, since it may be added again (design 4.8).
   if (wasListed.current && !isListed && Option.isNone(context.coreSet)) return endProcess(assembly, departedFault(settings.node));
   wasListed.current = isListed;
-  for (const seat of table.seats) if (seat.node !== settings.node) links.ensure(seat);
+  for (const record of table.seats) if (record.node !== settings.node) links.ensure(record);
   const closed = links.retain((node) => quorum.findNode(table, node) !== undefined || context.cores.some((core) => core.node === node));
   for (const node of closed) {
     heartbeats.forget(node);
@@ -168,7 +168,7 @@
 }
 
 function otherNodes({ applied, context }: Assembly): readonly string[] {
-  const nodes = applied.membership().value.seats.map((seat) => seat.node);
+  const nodes = applied.membership().value.seats.map((record) => record.node);
   return nodes.filter((node) => node !== context.settings.node);
 }
 
@@ -193,8 +193,8 @@
 function connectionCapsOfOthers({ context, applied, heartbeats }: Assembly): ReadonlyArray<Option.Option<ConnectionCaps>> {
   return quorum
     .nodesWithRole(applied.membership().value, 'edge')
-    .filter((seat) => seat.node !== context.settings.node)
-    .map((seat) => Option.map((report: HeartbeatReport) => report.caps)(heartbeats.reportOf(seat.node)));
+    .filter((record) => record.node !== context.settings.node)
+    .map((record) => Option.map((report: HeartbeatReport) => report.caps)(heartbeats.reportOf(record.node)));
 }
 
 function reportedEpochs(assembly: Assembly): readonly ReportedEpochs[] {
--- a/packages/node/src/peer-links.ts
+++ b/packages/node/src/peer-links.ts
@@ -9,7 +9,7 @@
   /** The link to a node; undefined if there is none. */
   linkTo: (node: string) => Peer | undefined;
   /** Dials a node unless there is already a link to this address. */
-  ensure: (seat: NodeRecord) => void;
+  ensure: (record: NodeRecord) => void;
   /** Closes the links to unwanted nodes; returns those nodes. */
   retain: (isWanted: (node: string) => boolean) => readonly string[];
   closeAll: () => void;
@@ -45,17 +45,17 @@
     );
   }
 
-  function ensure(seat: NodeRecord): void {
-    const open = links.get(seat.node);
-    if (open !== undefined && open.address === seat.address) return;
+  function ensure(record: NodeRecord): void {
+    const open = links.get(record.node);
+    if (open !== undefined && open.address === record.address) return;
     open?.peer.close();
-    const dialled = peer.dial(runtime, identifiers.address(seat.address), {
-      onConnected: () => events.onConnected(seat.node),
-      onChange: (change) => events.onChange(seat.node, dialled, change),
+    const dialled = peer.dial(runtime, identifiers.address(record.address), {
+      onConnected: () => events.onConnected(record.node),
+      onChange: (change) => events.onChange(record.node, dialled, change),
     });
-    links.set(seat.node, { address: seat.address, peer: dialled });
-    repeat(seat.node, dialled, events.onHeartbeat);
-    if (seat.role === 'core') repeat(seat.node, dialled, events.onWatch);
+    links.set(record.node, { address: record.address, peer: dialled });
+    repeat(record.node, dialled, events.onHeartbeat);
+    if (record.role === 'core') repeat(record.node, dialled, events.onWatch);
   }
 
   function retain(isWanted: (node: string) => boolean): readonly string[] {
--- a/packages/simulator/pooled-mutations.mjs
+++ b/packages/simulator/pooled-mutations.mjs
@@ -199,7 +199,7 @@
   },
   {
     name: 'replies-of-nobody-taken',
-    story: 'A reply on a link that nobody waits for',
+    story: 'A reply on a link without a pending call',
     file: 'peer/build/pending-calls.js',
     from: 'return timedOut.delete(call);',
     to: 'return true;',
@@ -297,14 +297,14 @@
   },
   {
     name: 'late-beats-taken',
-    story: 'late beat',
+    story: 'heartbeat that arrives late',
     file: 'member-registry/build/member-registry.js',
     from: 'record.sequence < previous.record.sequence',
     to: 'false',
   },
   {
     name: 'whoever-left-comes-back',
-    story: 'late beat',
+    story: 'heartbeat that arrives late',
     file: 'member-registry/build/member-registry.js',
     from: '(previous.hasLeft && !record.gone)',
     to: 'false',
@@ -593,7 +593,7 @@
   },
   {
     name: 'lasting-step-denied',
-    story: 'is taken over only once',
+    story: 'is followed only after',
     file: 'kernel/build/wall-clock.js',
     from: 'now - step.since >= lastingStepMilliseconds',
     to: 'false',
@@ -666,7 +666,7 @@
   },
   {
     name: 'window-fixed-without-edges-out-of-reach',
-    story: 'while it is cut off from the cores is told',
+    story: 'while it is cut off from the cores is reported',
     file: 'core/build/usage-reporting.js',
     from: 'const sessionGraceMilliseconds = 6_000;',
     to: 'const sessionGraceMilliseconds = 2_500;',
