--- a/packages/pooler/src/admission.ts
+++ b/packages/pooler/src/admission.ts
@@ -1,4 +1,4 @@
-/** Whether a client's key gives access to a database. */
+/** Checks whether a client's key gives access to a database. */
 import type { DatabasePlacement } from '@stallstall/placement';
 import type { View } from './view.js';
 
@@ -6,7 +6,7 @@
   | Readonly<{ admitted: true; database: DatabasePlacement; tenant: string }>
   | Readonly<{ admitted: false; condition: 'no-database' | 'denied' }>;
 
-/** The tenant of clients without a key on a database that is open to all. */
+/** The tenant that usage is attributed to when a client without a known key uses an open database. */
 const openTenant = '-';
 
 function admit(view: View, databaseName: string, key: string): Admission {
--- a/packages/pooler/src/cached-replies.ts
+++ b/packages/pooler/src/cached-replies.ts
@@ -1,4 +1,4 @@
-/** Copies of reads that an edge holds through an announced outage of its site's uplink (design 8.13). */
+/** Caches replies to reads so that an edge can serve them during an announced outage of its site's uplink (design 8.13). */
 import * as Option from 'fp-ts/lib/Option.js';
 import { identifiers, type Runtime } from '@stallstall/kernel';
 import { placements, type AnnouncedOutage } from '@stallstall/placement';
@@ -9,13 +9,13 @@
 import type { View } from './view.js';
 
 export type CachedReplies = Readonly<{
-  /** The configuration may have changed. */
+  /** To be called after each placement update: the configuration may have changed. */
   applyConfiguration: () => void;
-  /** A session was replied to: its read is remembered while an outage is ahead. */
+  /** Records a read that was served to a session, if an outage lies ahead that its reply should be cached for. */
   recordRead: (request: StatementRequest, replied: StatementReply) => void;
-  /** Whether the window of an outage that covers the request is open. */
+  /** Whether an outage that covers the request is in progress. */
   isOutageOpen: (request: StatementRequest) => boolean;
-  /** The copy for a request, if one is cache and the window is open. */
+  /** The cached reply to a request, if there is one and an outage is in progress. */
   reply: (request: StatementRequest) => Option.Option<StatementReply>;
   describe: () => Readonly<{ recorded: number; cached: number; bytes: number }>;
   stop: () => void;
@@ -24,38 +24,44 @@
 type State = {
   readonly runtime: Runtime;
   readonly view: () => View;
-  /** Reads from a member like any statement: placed, paced and within the bounds of its tenant. */
+  /** Sends a read to a member through the same routing, limits and tenant rules as any client statement. */
   readonly readFromMember: (request: StatementRequest) => Promise<StatementReply>;
-  /** One for each window that is ahead or open. */
+  /** One for each outage window that is upcoming or open. */
   caches: readonly OutageCache[];
-  /** Those of the configuration that name this edge. */
+  /** The configured outages that name this edge. */
   outages: readonly AnnouncedOutage[];
-  /** The configuration that `outages` is of. */
+  /** The version of the configuration that `outages` was taken from. */
   configurationVersion: number;
   running: boolean;
   stopped: boolean;
 };
 
-/** Reads are remembered from so long before a window. */
+/** Reads are recorded for windows that begin within this time. */
 const recordAheadMilliseconds = 86_400_000;
 const refreshMilliseconds = 500;
-/** One read at a time, and a pause after each: members hardly feel it. */
+/** Pause after each read that fills the cache, to keep the load on members low. */
 const fillPauseMilliseconds = 20;
-/** Conditions that would be the same if the read was tried again. */
+/** Conditions that retrying the read would not change. */
 const permanentConditions: ReadonlySet<string> = new Set(['undefined', 'malformed', 'denied', 'no-database', 'oversize']);
 
 function logNotCached({ runtime }: State, cache: OutageCache, database: string, tenant: string, reason: string): void {
   runtime.log('copy.not-held', { site: cache.outage.site, database, tenant, reason });
 }
 
-/** Remembers the reads that the operators named themselves. */
+/** Records the reads that are listed in the configuration of the outage. */
 function recordConfiguredReads(state: State, cache: OutageCache): void {
   const view = state.view();
   for (const { database: databaseName, tenant, text } of cache.outage.things) {
     const database = view.databases.get(databaseName);
     const key = [...view.tenantsByKey].find(([, entry]) => entry.tenant === tenant)?.[0];
     if (database === undefined || key === undefined || database.reads === 'leader')
-      logNotCached(state, cache, databaseName, tenant, 'the tenant has no key, or its reads need the leader');
+      logNotCached(
+        state,
+        cache,
+        databaseName,
+        tenant,
+        'the database is unknown, the tenant has no key, or reads of the database require the leader',
+      );
     else {
       const session = sessions.create('copy', databaseName, key);
       outageCaches.recordRead(cache, outageCaches.cacheFillRequest(session, { text, prepared: Option.none, database, tenant }));
@@ -69,7 +75,7 @@
 
 type FillResult = 'attempted' | 'failed' | 'too-late';
 
-/** Reads once more what a session was served, and holds a copy of the reply. */
+/** Repeats a recorded read on a member and caches the reply. */
 async function fillOne(state: State, cache: OutageCache, key: string, recorded: RecordedRead): Promise<FillResult> {
   const { read } = recorded;
   const database = state.view().databases.get(read.database.database);
@@ -83,7 +89,8 @@
   const { rows, completion, position } = replied;
   if (completion.kind === 'done') {
     cache.replies.set(key, { rows, completion, position, service: database.service, cachedAt });
-    if (!cache.replies.has(key)) logNotCached(state, cache, read.database.database, read.tenant, 'it is larger than the bound');
+    if (!cache.replies.has(key))
+      logNotCached(state, cache, read.database.database, read.tenant, 'the reply exceeds the size limit of the cache');
     return 'attempted';
   }
   if (!permanentConditions.has(completion.condition)) return 'failed';
@@ -91,11 +98,11 @@
   return 'attempted';
 }
 
-/** Fills the copies of one window, one read after another. What failed is tried again at the next tick. */
+/** Fills the cache of one window, one read at a time. Failed reads are retried at the next refresh. */
 async function fill(state: State, cache: OutageCache): Promise<void> {
   cache.isFilling = true;
   let failures = 0;
-  // Those used last come last, so that the least used are the first to give way.
+  // Least recently used first, so that they are also the first to be evicted.
   for (const key of [...cache.reads.rkeys()]) {
     const recorded = cache.reads.peek(key);
     if (recorded === undefined || recorded.isAttempted) continue;
@@ -130,7 +137,7 @@
   });
 }
 
-/** The windows of an outage that are ahead or open; those known already keep what they hold. */
+/** The caches of an outage's windows that are upcoming or open; existing ones keep their replies. */
 function cachesOf(state: State, outage: AnnouncedOutage, previous: readonly OutageCache[]): readonly OutageCache[] {
   const wall = state.runtime.clock.wall();
   const configuredText = JSON.stringify(outage);
--- a/packages/pooler/src/client-connection.ts
+++ b/packages/pooler/src/client-connection.ts
@@ -1,4 +1,4 @@
-/** One task for each client's connection: opens its session, then replies to its queries one after another. */
+/** Serves one client connection in one task: opens its session, then answers its queries in order. */
 import * as Option from 'fp-ts/lib/Option.js';
 import { identifiers, type Stream } from '@stallstall/kernel';
 import type { ClientMessage } from '@stallstall/session-protocol';
@@ -13,10 +13,10 @@
 
 export type ClientConnections = Readonly<{ serve: (stream: Stream) => Promise<void> }>;
 
-/** A client that connects before the placement is known is held for so long: it gives up after two seconds. */
+/** How long a client that connects before the first placement update has to wait; clients time out after two seconds. */
 const placementWaitMilliseconds = 1_800;
 const placementPollMilliseconds = 25;
-/** The longest message while no configuration states one. */
+/** Message size limit before a configuration sets one. */
 const defaultMessageBytes = 1_048_576;
 
 async function awaitPlacement({ commands, stopped }: ClientParts): Promise<void> {
@@ -25,25 +25,25 @@
   while (!stopped() && Option.isNone(view().configuration) && clock.now() < deadline) await clock.sleep(placementPollMilliseconds);
 }
 
-/** A client's connection; its session is opened by the first message. */
+/** A client's connection; `client` is set once the first message has opened a session. */
 type Connection = { readonly stream: Stream; client: Client | undefined };
 
-/** The first message of a connection; false when the connection is to be closed. */
+/** Handles the first message of a connection; returns false when the connection must be closed. */
 async function open(parts: ClientParts, connection: Connection, incoming: ClientMessage, nextId: () => string): Promise<boolean> {
   const { dialect, view, connections } = parts.commands;
   const { stream } = connection;
   if (incoming.kind !== 'open') {
-    if (incoming.kind !== 'close') stream.write(dialect.fault('malformed', 'a session begins with its opening'));
+    if (incoming.kind !== 'close') stream.write(dialect.fault('malformed', 'the first message must open a session'));
     return false;
   }
   await awaitPlacement(parts);
   if (Option.isNone(view().configuration)) {
-    stream.write(dialect.fault('saturated', 'nothing is known yet; come back in 500 ms'));
+    stream.write(dialect.fault('saturated', 'the placement is not available yet; retry in 500 ms'));
     return false;
   }
   const admission = admissions.admit(view(), incoming.database, incoming.key);
   if (!admission.admitted) {
-    stream.write(dialect.fault(admission.condition, 'not let in'));
+    stream.write(dialect.fault(admission.condition, 'access denied'));
     return false;
   }
   connection.client = parts.clients.addSession(stream, sessions.create(nextId(), incoming.database, incoming.key));
@@ -52,12 +52,12 @@
   return true;
 }
 
-/** A message within a session; false when the connection is to be closed. */
+/** Handles a message within a session; returns false when the connection must be closed. */
 async function reply(parts: ClientParts, client: Client, incoming: ClientMessage): Promise<boolean> {
   const { dialect, clock } = parts.commands;
   if (incoming.kind === 'close') return false;
   if (incoming.kind !== 'query') {
-    client.stream.write(dialect.fault('malformed', 'it cannot be read'));
+    client.stream.write(dialect.fault('malformed', 'the message cannot be parsed'));
     return false;
   }
   client.awaitsReply = true;
@@ -68,24 +68,24 @@
   return true;
 }
 
-/** Reads until the client, or this side, ends the connection. */
+/** Reads messages until either side closes the connection. */
 async function read(parts: ClientParts, connection: Connection, nextId: () => string): Promise<void> {
   const { dialect, view } = parts.commands;
   const { stream } = connection;
   const { configuration } = view();
   const framer = dialect.framer(Option.isSome(configuration) ? configuration.value.bounds.messageBytes : defaultMessageBytes);
   for (;;) {
-    const piece = await stream.read();
-    if (Option.isNone(piece)) return;
-    const { messages, oversize } = framer.push(piece.value);
+    const chunk = await stream.read();
+    if (Option.isNone(chunk)) return;
+    const { messages, oversize } = framer.push(chunk.value);
     for (const message of messages) {
       const incoming = dialect.parseRequest(message);
       const { client } = connection;
-      const goesOn = client === undefined ? open(parts, connection, incoming, nextId) : reply(parts, client, incoming);
-      if (!(await goesOn)) return;
+      const shouldContinue = client === undefined ? open(parts, connection, incoming, nextId) : reply(parts, client, incoming);
+      if (!(await shouldContinue)) return;
     }
     if (oversize) {
-      stream.write(dialect.fault('oversize', 'the message is too long'));
+      stream.write(dialect.fault('oversize', 'the message exceeds the size limit'));
       return;
     }
   }
@@ -93,11 +93,11 @@
 
 function create(parts: ClientParts): ClientConnections {
   const { clients, commands } = parts;
-  let lastSession = 0;
+  let lastSessionNumber = 0;
 
   function nextId(): string {
-    lastSession += 1;
-    return `s${lastSession}`;
+    lastSessionNumber += 1;
+    return `s${lastSessionNumber}`;
   }
 
   async function serve(stream: Stream): Promise<void> {
--- a/packages/pooler/src/client-table.ts
+++ b/packages/pooler/src/client-table.ts
@@ -1,4 +1,4 @@
-/** The connections that clients have open to this pooler, and the sessions on them. */
+/** The open client connections of this pooler and their sessions. */
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Clock, Instant, Stream } from '@stallstall/kernel';
 import type { Session, Transaction } from './sessions.js';
@@ -6,29 +6,30 @@
 export type Client = {
   readonly session: Session;
   readonly stream: Stream;
-  /** Waits for a reply. */
+  /** A query of the client has not been answered yet. */
   awaitsReply: boolean;
-  /** When the session was opened or last replied to. */
+  /** When the session was opened or last received a reply. */
   idleSince: Instant;
 };
 
 export type Clients = Readonly<{
-  /** A connection that has not opened its session yet. */
+  /** Adds a connection that has not opened a session yet. */
   addConnection: (stream: Stream) => void;
+  /** Moves a connection to those with a session. */
   addSession: (stream: Stream, session: Session) => Client;
-  /** The connection, and its session if there was one, have ended. */
+  /** Removes a closed connection and its session, if it had one. */
   remove: (stream: Stream, client: Client | undefined) => void;
   sessions: () => IterableIterator<Session>;
   sessionCount: () => number;
   isEmpty: () => boolean;
-  /** Open transactions that began on a leader of the service under an epoch below this one. */
+  /** Open transactions that run on a leader of the service under an epoch below the given one. */
   transactionsBelow: (service: string, epoch: number) => readonly Transaction[];
-  /** Closes whoever has been idle for so long outside a transaction, and whoever connected and says nothing. */
+  /** Closes sessions that have been idle outside a transaction for at least this long, and connections that never opened a session. */
   closeIdle: (idleMilliseconds: number) => void;
   closeAll: () => void;
 }>;
 
-/** A connection that opens no session within this time is not waited for when the process ends. */
+/** During shutdown, a connection without a session is closed after this time. */
 const openingGraceMilliseconds = 400;
 
 function isPinnedBelow(transaction: Transaction, service: string, epoch: number): boolean {
@@ -38,7 +39,7 @@
 
 function create(clock: Clock): Clients {
   const clients = new Map<Session, Client>();
-  /** Connections without a session, and since when. */
+  /** Connections without a session, with the time at which each was accepted. */
   const unopened = new Map<Stream, Instant>();
 
   function addSession(stream: Stream, session: Session): Client {
--- a/packages/pooler/src/connection-limits.ts
+++ b/packages/pooler/src/connection-limits.ts
@@ -1,4 +1,4 @@
-/** This edge's part of the connections that a member admits, of all edges that hold leases (design 8.3). */
+/** Divides the connections that a member admits among all edges that hold leases (design 8.3). */
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Clock, Instant } from '@stallstall/kernel';
 import type { MemberAddress } from '@stallstall/session-protocol';
@@ -7,36 +7,39 @@
 
 export type ConnectionLimiter = Readonly<{
   limitsFor: (memberAddress: MemberAddress) => ConnectionLimits;
-  /** Statements a second that are asked of this edge, smoothed over some seconds. */
+  /** Statements per second sent by this edge, smoothed over a few seconds. */
   demand: () => number;
-  /** To be called at even intervals with the number of statements sent since the start. */
+  /** Must be called at regular intervals with the number of statements sent since the start. */
   recordSent: (sent: number) => void;
 }>;
 
-/** Connections of each member kept free for the cores' own queries. */
+/** Connections of each member reserved for the cores' own queries. */
 const reservedConnections = 6;
-/** Connections that an edge of another area may hold to a replica. */
+/** Connections that an edge in another area may open to a replica. */
 const otherAreaConnections = 2;
-/** Only this part of a member's limit is used, so that machines that come back find room beside the connections they had. */
+/** Only this share of a member's limit is used: a machine that reconnects needs room while its previous connections still count. */
 const usedShare = 0.75;
-/** This part of a member's connections is shared equally, the rest by demand. */
+/** This share of a member's connections is divided equally among the edges, the rest in proportion to demand. */
 const equalShare = 0.25;
 /** Weight of the newest sample in the smoothed demand. */
 const demandWeight = 0.05;
-/** Part of its share that an edge keeps without demand: members count the connections of an unreachable machine for some seconds more. */
+/**
+ * Part of its limit that an edge retains without demand. It is below 1 because members count an unreachable machine's connections for
+ * some seconds more.
+ */
 const retainedShare = 0.7;
 
 function sum(counts: Readonly<Record<string, number>>): number {
   return Object.values(counts).reduce((total, count) => total + count, 0);
 }
 
-/** A part of a share for each edge equally, the rest by this edge's part of the demand. */
+/** This edge's connections out of `limit`: an equal share plus a share in proportion to its demand. */
 function byDemand(limit: number, edges: number, ownDemand: number, totalDemand: number): number {
   const ownShare = totalDemand > 0 ? Math.min(1, ownDemand / totalDemand) : 1 / edges;
   return limit * (equalShare / edges + (1 - equalShare) * ownShare);
 }
 
-/** All edges need the leader; a replica is read in its own area, and from elsewhere only now and then. */
+/** All edges share the leader; a replica is read mostly by edges of its own area and only occasionally by others. */
 function shareOfMember(view: View, memberAddress: MemberAddress, limit: number, demand: number): number {
   const edges = Math.max(1, sum(view.edgesByArea));
   if (view.leaders.get(memberAddress.service)?.primary === memberAddress.member)
--- a/packages/pooler/src/connections.ts
+++ b/packages/pooler/src/connections.ts
@@ -1,4 +1,4 @@
-/** Connections to members, kept by member and tenant: few, costly, reused, within this edge's share (design 8.3, 8.12). */
+/** The pool of connections to members, by member and tenant, within this edge's connection limits (design 8.3, 8.12). */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { fault, type Fault, type Runtime } from '@stallstall/kernel';
@@ -8,48 +8,51 @@
 export type { ServerState, PooledConnection } from './member-connections.js';
 
 export type Connections = Readonly<{
-  /** An idle connection, the one the session used last if it can be had; none when there is none idle. */
+  /** Acquires an idle connection, preferably the one that the session used last; none when no connection is idle. */
   acquire: (memberAddress: MemberAddress, tenant: string, session: string) => Option.Option<PooledConnection>;
-  /** Has one more opened for whoever waits; false when the share of that member is used up. */
+  /** Starts opening a connection for a waiting statement; false when the connection limit of the member is reached. */
   requestConnection: (memberAddress: MemberAddress, tenant: string) => boolean;
-  /** Opens one ahead of need, unless one stands for the tenant. */
+  /** Opens a connection ahead of need unless the tenant already has one. */
   warmUp: (memberAddress: MemberAddress, tenant: string) => void;
-  /** Whether one is being opened for a tenant. */
+  /** Whether a connection is being opened for the tenant. */
   isOpening: (member: string, tenant: string) => boolean;
-  /** `reusable`: nothing is left open on it; else it is broken off, and the member rolls back what is open. */
+  /** Returns a connection to the pool if `reusable` (no transaction is open on it); otherwise resets it, so that the member rolls back. */
   release: (pooled: PooledConnection, reusable: boolean) => void;
-  /** The last opening failed and nothing is open: until then nobody waits for this member. */
+  /** Whether the last attempt to connect failed and no connection is open: statements must not wait for this member. */
   isFailing: (member: string) => boolean;
-  /** Members whose machines refused a connection lately. */
+  /** Members whose machines recently refused a connection. */
   notListening: () => readonly string[];
-  /** How many are in use. */
+  /** Number of connections in use. */
   busyCount: (member: string) => number;
-  /** Closes what members are gone for, and what has been idle for long. */
+  /** Closes connections to removed or moved members and those that have been idle too long. */
   closeStale: (members: ReadonlyMap<string, Readonly<{ address: string }>>) => void;
   describe: () => Readonly<{ idle: number; busy: number; opening: number; opened: number; failed: number }>;
   closeAll: () => void;
 }>;
 
-/** What an edge may hold of a member at once, and what it keeps without demand: room is left for machines that come back. */
+/**
+ * Connections that an edge may have to a member at once, and those it retains when idle; the difference leaves room for machines that
+ * reconnect.
+ */
 export type ConnectionLimits = Readonly<{ maximum: number; retained: number }>;
 
-type Table = {
+type ConnectionTable = {
   readonly runtime: Runtime;
   readonly dialect: Dialect;
   readonly limitsFor: (memberAddress: MemberAddress) => ConnectionLimits;
-  /** A connection is idle now, or an opening has failed. */
-  readonly onFreed: () => void;
+  /** Called when a connection has become idle or an attempt to open one has failed. */
+  readonly onAvailable: () => void;
   readonly members: Map<string, MemberConnections>;
-  /** Openings that were begun, and that failed, since the start. */
+  /** Connection attempts started and failed since the start of the process. */
   opened: number;
   failed: number;
 };
 
-const openMilliseconds = 1_000;
-/** A member counts as not listening for so long after its machine refused a connection. */
+const openTimeoutMilliseconds = 1_000;
+/** How long a member is reported as not listening after its machine refused a connection. */
 const notListeningMilliseconds = 1_000;
 
-function connectionsOf(table: Table, member: string): MemberConnections {
+function connectionsOf(table: ConnectionTable, member: string): MemberConnections {
   let group = table.members.get(member);
   if (group === undefined) {
     group = memberConnections.create();
@@ -58,22 +61,22 @@
   return group;
 }
 
-function isOpening(table: Table, member: string, tenant: string): boolean {
+function isOpening(table: ConnectionTable, member: string, tenant: string): boolean {
   return (table.members.get(member)?.openingFor.get(tenant) ?? 0) > 0;
 }
 
-/** The member rejected the connection because it has too many. */
+/** Whether the member rejected the connection because it has too many. */
 function isSaturated(error: Fault): boolean {
   const condition = memberConnection.conditionOf(error);
   return Option.isSome(condition) && condition.value === 'overloaded';
 }
 
-async function open(table: Table, memberAddress: MemberAddress, tenant: string, group: MemberConnections): Promise<void> {
-  const { runtime, dialect, onFreed } = table;
+async function open(table: ConnectionTable, memberAddress: MemberAddress, tenant: string, group: MemberConnections): Promise<void> {
+  const { runtime, dialect, onAvailable } = table;
   group.opening += 1;
   group.openingFor.set(tenant, (group.openingFor.get(tenant) ?? 0) + 1);
   table.opened += 1;
-  const connection = await memberConnection.open(runtime, dialect, memberAddress, tenant, openMilliseconds);
+  const connection = await memberConnection.open(runtime, dialect, memberAddress, tenant, openTimeoutMilliseconds);
   group.opening -= 1;
   group.openingFor.set(tenant, (group.openingFor.get(tenant) ?? 1) - 1);
   if (Either.isLeft(connection)) handleOpenFailure(table, memberAddress, tenant, group, connection.left);
@@ -83,17 +86,23 @@
     const serverState = { values: new Map(), prepared: new Map(), lastNameNumber: 0 };
     memberConnections.addIdle(group, { memberAddress, tenant, connection: connection.right, serverState }, '', runtime.clock.now());
   }
-  onFreed();
+  onAvailable();
 }
 
-function handleOpenFailure(table: Table, memberAddress: MemberAddress, tenant: string, group: MemberConnections, error: Fault): void {
-  const { runtime, onFreed } = table;
+function handleOpenFailure(
+  table: ConnectionTable,
+  memberAddress: MemberAddress,
+  tenant: string,
+  group: MemberConnections,
+  error: Fault,
+): void {
+  const { runtime, onAvailable } = table;
   const now = runtime.clock.now();
   table.failed += 1;
   if (isSaturated(error)) {
     group.lastRejection = Option.some({ admitted: Math.max(1, memberConnections.total(group)), since: now });
     if (memberConnections.makeRoom(group, tenant, now)) void open(table, memberAddress, tenant, group);
-    else runtime.clock.startTimer(saturationStepMilliseconds * (0.5 + runtime.randomness.fraction()), onFreed);
+    else runtime.clock.startTimer(saturationStepMilliseconds * (0.5 + runtime.randomness.fraction()), onAvailable);
     return;
   }
   memberConnections.recordFailure(group, now, runtime.randomness.fraction());
@@ -101,7 +110,7 @@
   runtime.log('member.not-opened', { member: memberAddress.member, reason: error.message });
 }
 
-function requestConnection(table: Table, memberAddress: MemberAddress, tenant: string): boolean {
+function requestConnection(table: ConnectionTable, memberAddress: MemberAddress, tenant: string): boolean {
   const group = connectionsOf(table, memberAddress.member);
   const now = table.runtime.clock.now();
   if (now < group.failingUntil) return false;
@@ -113,13 +122,13 @@
   return true;
 }
 
-function warmUp(table: Table, memberAddress: MemberAddress, tenant: string): void {
+function warmUp(table: ConnectionTable, memberAddress: MemberAddress, tenant: string): void {
   const group = connectionsOf(table, memberAddress.member);
   if (memberConnections.total(group) >= table.limitsFor(memberAddress).retained || isOpening(table, memberAddress.member, tenant)) return;
   if (!memberConnections.hasFor(group, tenant)) requestConnection(table, memberAddress, tenant);
 }
 
-function release(table: Table, pooled: PooledConnection, reusable: boolean): void {
+function release(table: ConnectionTable, pooled: PooledConnection, reusable: boolean): void {
   const group = connectionsOf(table, pooled.memberAddress.member);
   const session = group.inUse.get(pooled);
   if (session === undefined) return;
@@ -128,10 +137,10 @@
     memberConnections.addIdle(group, pooled, session, table.runtime.clock.now());
   else if (reusable) pooled.connection.close();
   else pooled.connection.reset();
-  table.onFreed();
+  table.onAvailable();
 }
 
-function closeStale(table: Table, members: ReadonlyMap<string, Readonly<{ address: string }>>): void {
+function closeStale(table: ConnectionTable, members: ReadonlyMap<string, Readonly<{ address: string }>>): void {
   const now = table.runtime.clock.now();
   for (const [member, group] of table.members) {
     const entry = members.get(member);
@@ -142,7 +151,7 @@
   }
 }
 
-function describe(table: Table): ReturnType<Connections['describe']> {
+function describe(table: ConnectionTable): ReturnType<Connections['describe']> {
   const { opened, failed } = table;
   const counts = { idle: 0, busy: 0, opening: 0, opened, failed };
   for (const group of table.members.values()) {
@@ -157,9 +166,9 @@
   runtime: Runtime,
   dialect: Dialect,
   limitsFor: (memberAddress: MemberAddress) => ConnectionLimits,
-  onFreed: () => void,
+  onAvailable: () => void,
 ): Connections {
-  const table: Table = { runtime, dialect, limitsFor, onFreed, members: new Map(), opened: 0, failed: 0 };
+  const table: ConnectionTable = { runtime, dialect, limitsFor, onAvailable, members: new Map(), opened: 0, failed: 0 };
 
   return {
     acquire: (memberAddress, tenant, session) =>
--- a/packages/pooler/src/draining.ts
+++ b/packages/pooler/src/draining.ts
@@ -1,22 +1,25 @@
-/** The planned end of the process: readiness fails first; whoever waits is served, whoever is idle is closed (design 7.10). */
+/** Graceful shutdown: readiness fails first, waiting clients are served, and idle sessions are closed (design 7.10). */
 import { identifiers, type Clock, type Instant, type Listening } from '@stallstall/kernel';
 import type { Clients } from './client-table.js';
 import { never } from './view.js';
 
 export type Draining = Readonly<{
   hasBegun: () => boolean;
-  /** Whether open transactions have had their part of the grace. */
+  /** Whether open transactions have used up their part of the grace period. */
   mustEndTransactions: () => boolean;
-  /** Resolves once no client is left, or the grace is over but for the time that stopping takes. */
+  /** Resolves once no client is left, or when the grace period is over except for the time reserved for stopping. */
   run: (listener: Listening) => Promise<void>;
 }>;
 
-/** New sessions still arrive for so long after SIGTERM; nobody is admitted later, so that clients can only become fewer. */
+/**
+ * New sessions are accepted for this long after SIGTERM, because clients may still be sent here; after that the number of clients can
+ * only fall.
+ */
 const acceptingMilliseconds = 2_300;
-/** Who was replied to a moment ago is about to go on; who has been idle for this long is not. */
+/** A session idle for less than this is probably about to send its next query and is not closed. */
 const idleMilliseconds = 150;
 const pollMilliseconds = 20;
-/** Kept of the grace for stopping, and of its half for rolling transactions back. */
+/** Reserved at the end of the grace period for stopping, and at the end of its first half for rolling back transactions. */
 const stoppingMilliseconds = 500;
 const rollbackMilliseconds = 200;
 
@@ -32,7 +35,7 @@
         accepting = false;
         listener.stopAccepting();
       }
-      // While new sessions are accepted nobody is closed: who is closed would only come back.
+      // No session is closed while new ones are accepted: its client would only reconnect here.
       if (!accepting) clients.closeIdle(idleMilliseconds);
       if (!accepting && clients.isEmpty()) return;
       await clock.sleep(pollMilliseconds);
--- a/packages/pooler/src/epoch-release.ts
+++ b/packages/pooler/src/epoch-release.ts
@@ -1,4 +1,7 @@
-/** Releases a leader's epoch when the cores ask for it: nothing new is sent under it, what is open ends, then they are told (design 7.12). */
+/**
+ * Releases a leader's epoch at the cores' request: no new statement is sent under it, open transactions end, then the release is reported
+ * (design 7.12).
+ */
 import type { Instant, Runtime } from '@stallstall/kernel';
 import type { Clients } from './client-table.js';
 import type { Connections } from './connections.js';
@@ -12,29 +15,29 @@
   clients: Clients;
   connections: Connections;
   countSentBelow: Requests['countSentBelow'];
-  /** An epoch was released: to be reported at once. */
+  /** Called when an epoch was released, so that it is reported at once. */
   onReleased: () => void;
 }>;
 
 export type EpochRelease = Readonly<{
-  /** By service: epochs below this are released. */
+  /** By service: all epochs below this number are released. */
   released: () => Readonly<Record<string, number>>;
-  /** The placement has changed. */
+  /** To be called after each placement update: starts the releases that it requests. */
   applyPlacement: () => void;
 }>;
 
-/** Open transactions go on for so long on a leader that is to release its epoch. */
+/** How long open transactions may continue under an epoch that is to be released. */
 const handoverMilliseconds = 300;
 const pollMilliseconds = 5;
 
 function create(parts: ReleaseParts): EpochRelease {
   const { runtime, view, clients, connections } = parts;
   const released: Record<string, number> = {};
-  /** By service: since when its epoch is being released. */
+  /** By service: when the release of its epoch began. */
   const releasing = new Map<string, Instant>();
 
-  /** True once nothing runs under the epochs below the service's release. */
-  function release(service: string, since: Instant): boolean {
+  /** Returns true, and records the release, once nothing runs under the service's epochs to be released. */
+  function tryRelease(service: string, since: Instant): boolean {
     const below = view().leaders.get(service)?.releaseBelow ?? 0;
     if (runtime.clock.now() - since >= handoverMilliseconds)
       for (const transaction of clients.transactionsBelow(service, below)) transactions.abandonIdle(connections, transaction);
@@ -47,12 +50,12 @@
 
   function releaseFinished(): void {
     let anyReleased = false;
-    for (const [service, since] of [...releasing]) if (release(service, since)) anyReleased = true;
+    for (const [service, since] of [...releasing]) if (tryRelease(service, since)) anyReleased = true;
     if (anyReleased) parts.onReleased();
     if (releasing.size > 0) runtime.clock.startTimer(pollMilliseconds, releaseFinished);
   }
 
-  function follow(): void {
+  function applyPlacement(): void {
     for (const [service, leader] of view().leaders) {
       if (leader.releaseBelow > leader.epoch && leader.releaseBelow > (released[service] ?? 0) && !releasing.has(service))
         releasing.set(service, runtime.clock.now());
@@ -60,7 +63,7 @@
     releaseFinished();
   }
 
-  return { released: () => released, applyPlacement: follow };
+  return { released: () => released, applyPlacement };
 }
 
 export const epochReleases = { create } as const;
--- a/packages/pooler/src/freshness.ts
+++ b/packages/pooler/src/freshness.ts
@@ -1,4 +1,7 @@
-/** How far a service's commits reach as of a moment: learnt from the leader's own replies, so that nobody polls (design 8.11). */
+/**
+ * Tracks the log position that covers a service's commits as of a point in time, learned from the leader's replies without polling
+ * (design 8.11).
+ */
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Instant } from '@stallstall/kernel';
 import { positions, type Position } from '@stallstall/session-protocol';
@@ -6,18 +9,24 @@
 type Sample = Readonly<{ at: Instant; position: Position }>;
 
 export type Freshness = Readonly<{
-  /** The leader, asked at a moment under a lease, replied at this position: whatever was acknowledged before is at or below it. */
+  /**
+   * Records that a query sent to the leader at `at`, under a valid lease, was answered at this position: all commits acknowledged before
+   * `at` are at or below it.
+   */
   recordLeaderPosition: (service: string, at: Instant, position: Position) => void;
-  /** The lowest known position that covers all that was acknowledged before a moment. */
+  /** The lowest recorded position that covers all commits acknowledged before the given moment. */
   positionCovering: (service: string, moment: Instant) => Option.Option<Position>;
-  /** A commit that a sender of this edge was told of. */
+  /** Records a commit that was acknowledged to a client of this edge. */
   recordCommit: (service: string, position: Position) => void;
+  /** The latest recorded commit position of each service. */
   commitPositions: () => Readonly<Record<string, Position>>;
-  /** The latest of each service, for the other edges. */
+  /** The latest leader position of each service and its age in milliseconds, to be shared with the other edges. */
   latestPositions: () => Readonly<Record<string, Readonly<{ term: number; number: number; ago: number }>>>;
 }>;
 
+/** Minimum distance between retained samples; closer ones replace the last. */
 const sampleSpacingMilliseconds = 25;
+/** How long samples are retained, measured from the newest. */
 const retentionMilliseconds = 6_000;
 
 function create(now: () => Instant): Freshness {
@@ -28,7 +37,7 @@
     const serviceSamples = samples.get(service) ?? [];
     samples.set(service, serviceSamples);
     const last = serviceSamples.at(-1);
-    // What was asked later may have been replied earlier; a later question covers more, whatever the order.
+    // Replies may arrive out of order; the query that was sent later covers more, so the earlier one is ignored.
     if (last !== undefined && at < last.at) return;
     const before = serviceSamples.at(-2);
     const next: Sample = { at, position: last === undefined ? position : positions.later(position, last.position) };
@@ -50,6 +59,7 @@
       const previous = commits.get(service);
       commits.set(service, previous === undefined ? position : positions.later(previous, position));
     },
+    /** The latest recorded commit position of each service. */
     commitPositions: () => Object.fromEntries(commits),
     latestPositions: () =>
       Object.fromEntries(
--- a/packages/pooler/src/member-connections.ts
+++ b/packages/pooler/src/member-connections.ts
@@ -1,9 +1,12 @@
-/** The connections of this edge to one member: those that are idle, those in use, and how openings have fared (design 8.3, 8.12). */
+/** The connections of this edge to one member: idle, in use and being opened, with the backoff after failed attempts (design 8.3, 8.12). */
 import * as Option from 'fp-ts/lib/Option.js';
 import { identifiers, type Instant } from '@stallstall/kernel';
 import type { MemberConnection, MemberAddress } from '@stallstall/session-protocol';
 
-/** What stands on a connection: session values, and prepared statements under names of the connection's own (`p1`, `p2`, ...). */
+/**
+ * The session state on the member's side of a connection: session values, and prepared statements with their names on it (`p1`, `p2`,
+ * ...).
+ */
 export type ServerState = { readonly values: Map<string, string>; readonly prepared: Map<string, string>; lastNameNumber: number };
 
 /** An open connection to a member, for one tenant. */
@@ -14,46 +17,46 @@
   serverState: ServerState;
 }>;
 
-/** `session`: who used it last; empty when it has not been used yet. */
+/** `session`: the id of the session that used it last; empty when it has not been used yet. */
 type IdleConnection = Readonly<{ pooled: PooledConnection; session: string; since: Instant }>;
 
-/** How many connections a member admitted when it last rejected one as too many, and when that was. */
+/** When the member last rejected a connection as one too many, and how many it had admitted then. */
 type SaturationRejection = Readonly<{ admitted: number; since: Instant }>;
 
 export type MemberConnections = {
-  /** Those that have been idle longest come first. */
+  /** Ordered by idle time, longest first. */
   idle: IdleConnection[];
-  /** With the session that uses each. */
+  /** The session that uses each connection. */
   readonly inUse: Map<PooledConnection, string>;
   opening: number;
-  /** Of those being opened, how many for each tenant. */
+  /** Number of connections being opened for each tenant. */
   readonly openingFor: Map<string, number>;
-  /** Openings that failed one after another. */
+  /** Consecutive failed connection attempts. */
   failures: number;
-  /** No opening is tried before. */
+  /** No connection attempt is made before this time. */
   failingUntil: Instant;
-  /** When the member's machine last refused a connection because nothing listens there. */
+  /** When the member's machine last refused a connection because no process listens on the port. */
   notListeningAt: Instant;
   lastRejection: Option.Option<SaturationRejection>;
 };
 
-/** When a connection is closed though it is sound. */
+/** The conditions under which a usable idle connection is closed. */
 export type Retention = Readonly<{
-  /** Where the member is now; undefined when it is gone. */
+  /** The current address of the member; undefined when it has been removed. */
   address: string | undefined;
   now: Instant;
-  /** How many idle connections are more than this edge keeps. */
+  /** Number of connections above the retained limit. */
   surplus: number;
 }>;
 
-/** A connection is closed when it has been idle for so long. */
+/** An idle connection is closed after this time. */
 const idleMilliseconds = 20_000;
-/** One beyond what the edge keeps is closed when it has been idle for so long. */
+/** An idle connection above the retained limit is closed after this time. */
 const surplusMilliseconds = 4_000;
-/** A saturated member is asked for one connection more after each such span. */
+/** A saturated member is asked for one more connection after each such interval. */
 export const saturationStepMilliseconds = 250;
-/** One that was opened no longer ago than this and not used yet is meant for somebody who waits. */
-const unusedMilliseconds = 300;
+/** A connection opened more recently than this and not used yet was opened for a waiting statement and is not closed to make room. */
+const unusedGraceMilliseconds = 300;
 const minimumBackoffMilliseconds = 150;
 const maximumBackoffMilliseconds = 1_500;
 const never = identifiers.instant(Number.NEGATIVE_INFINITY);
@@ -80,7 +83,10 @@
     group.idle = group.idle.filter((idle) => !idle.pooled.connection.isClosed());
 }
 
-/** The idle connection that suits the session best: its own last one, else one without values, else any; -1 when there is none. */
+/**
+ * Index of the best idle connection for a session: the one it used last, else one without session values, else any; -1 when there is
+ * none.
+ */
 function bestIdle(group: MemberConnections, memberAddress: MemberAddress, tenant: string, session: string): number {
   let best = -1;
   for (let index = group.idle.length - 1; index >= 0; index -= 1) {
@@ -93,7 +99,7 @@
   return best;
 }
 
-/** Takes an idle connection for a session and marks it busy. */
+/** Acquires an idle connection for a session and marks it as in use. */
 function acquire(group: MemberConnections, memberAddress: MemberAddress, tenant: string, session: string): Option.Option<PooledConnection> {
   dropClosed(group);
   const best = bestIdle(group, memberAddress, tenant, session);
@@ -108,10 +114,10 @@
   group.idle.push({ pooled, session, since });
 }
 
-/** Closes the connection of another tenant that has been idle longest; false when none can be spared. */
+/** Closes the longest-idle connection of another tenant; false when there is none to close. */
 function makeRoom(group: MemberConnections, tenant: string, now: Instant): boolean {
   const index = group.idle.findIndex(
-    (idle) => idle.pooled.tenant !== tenant && (idle.session !== '' || now - idle.since > unusedMilliseconds),
+    (idle) => idle.pooled.tenant !== tenant && (idle.session !== '' || now - idle.since > unusedGraceMilliseconds),
   );
   if (index < 0) return false;
   const [closed] = group.idle.splice(index, 1);
@@ -122,11 +128,11 @@
 /** Whether a connection for the tenant is idle or in use. */
 function hasFor(group: MemberConnections, tenant: string): boolean {
   if (group.idle.some((idle) => idle.pooled.tenant === tenant)) return true;
-  for (const busy of group.inUse.keys()) if (busy.tenant === tenant) return true;
+  for (const pooled of group.inUse.keys()) if (pooled.tenant === tenant) return true;
   return false;
 }
 
-/** How many connections the member may be asked for: `most`, or less while it is saturated. */
+/** Current connection limit of the member: `maximum`, or less after it rejected a connection as one too many. */
 function limit(group: MemberConnections, maximum: number, now: Instant): number {
   if (Option.isNone(group.lastRejection)) return maximum;
   const { admitted, since } = group.lastRejection.value;
@@ -135,7 +141,7 @@
   return Math.min(maximum, limited);
 }
 
-/** `fraction`: a random number from 0 to 1, so that edges do not try again all at once. */
+/** Sets the exponential backoff. `fraction` is a random number from 0 to 1: the jitter keeps edges from retrying at the same time. */
 function recordFailure(group: MemberConnections, now: Instant, fraction: number): void {
   group.failures += 1;
   const pause = Math.min(maximumBackoffMilliseconds, minimumBackoffMilliseconds * 2 ** (group.failures - 1));
@@ -148,7 +154,7 @@
   group.notListeningAt = never;
 }
 
-/** Closes idle connections that are not needed, or of no use, any more. */
+/** Closes idle connections that are broken, expired, above the retained limit or open to a former address. */
 function closeStale(group: MemberConnections, { address, now, surplus }: Retention): void {
   let remainingSurplus = surplus;
   const stale = group.idle.filter(function isStale({ pooled, since }) {
--- a/packages/pooler/src/member-selection.ts
+++ b/packages/pooler/src/member-selection.ts
@@ -1,4 +1,7 @@
-/** Chooses the member that a statement runs on: the leader under a valid lease, or for reads any member fresh enough (design 8.4, 8.11). */
+/**
+ * Selects the member that a statement runs on: the leader under a valid lease or, for reads, any sufficiently fresh member (design 8.4,
+ * 8.11).
+ */
 import * as Option from 'fp-ts/lib/Option.js';
 import { identifiers, type Instant } from '@stallstall/kernel';
 import type { MemberRecord } from '@stallstall/message';
@@ -8,23 +11,23 @@
 import type { View } from './view.js';
 
 export type MemberSelection = Readonly<{
-  /** None while no member may run it. */
+  /** The member to run the statement on; none while no member may run it. */
   selectTarget: (record: RequestRecord) => Option.Option<Target>;
-  /** A running leader was asked a moment ago to release its epoch: another follows soon. */
+  /** Whether a new leader is expected soon: a running leader was recently asked to release its epoch, or this process has just started. */
   isHandoverInProgress: (service: string) => boolean;
 }>;
 
 type SelectionParts = Pick<RequestParts, 'runtime' | 'view' | 'connections' | 'freshness'>;
 
-/** Part of the allowed staleness that is left for the statement to reach its member and be read there. */
+/** Part of the allowed staleness reserved for sending the statement to the member and reading there. */
 const stalenessMarginMilliseconds = 150;
-/** A planned change of leader is expected to end within this time. */
+/** A planned leader handover is expected to complete within this time. */
 const handoverMilliseconds = 2_000;
-/** A process that has just started will know its leaders within this time. */
+/** A newly started process is expected to learn its leaders within this time. */
 const startupMilliseconds = 1_500;
-/** A draining member takes nothing new later than this after the news (design 7.9). */
+/** A draining member receives no new statements after this time (design 7.9). */
 const drainingUseMilliseconds = 4_500;
-/** What a member of another area, and the leader, cost more than a replica of this area; in statements under way. */
+/** Extra cost of a member in another area, and of the leader, compared to a replica in this area; in units of statements in flight. */
 const otherAreaCost = 3;
 const leaderCost = 1;
 
@@ -53,7 +56,7 @@
   return Option.some({ memberAddress: addressOf(entry), epoch: leader.epoch, leader: true, minimumPosition: Option.none });
 }
 
-/** The lowest log position that satisfies the database's staleness bound and, where asked for, the session's own commits. */
+/** The lowest log position that satisfies the staleness bound of the database and, for `own` reads, includes the session's own commits. */
 function requiredPosition(parts: SelectionParts, record: RequestRecord): Option.Option<Position> {
   const { freshness } = parts;
   const { database, session } = record.request;
@@ -61,8 +64,8 @@
   const bound = identifiers.after(record.startedAt, stalenessMarginMilliseconds - database.staleMilliseconds);
   const covering = freshness.positionCovering(database.service, bound);
   if (Option.isNone(covering)) return Option.none;
-  const own = database.reads === 'own' ? session.commits.get(database.service) : undefined;
-  return own === undefined ? covering : Option.some(positions.later(covering.value, own));
+  const ownCommit = database.reads === 'own' ? session.commits.get(database.service) : undefined;
+  return ownCommit === undefined ? covering : Option.some(positions.later(covering.value, ownCommit));
 }
 
 function cost(parts: SelectionParts, entry: MemberRecord, primary: string, area: string): number {
@@ -88,7 +91,7 @@
   return cheapest?.entry;
 }
 
-/** A read goes to the cheapest member that can show the required position; to the leader when nobody can. */
+/** A read goes to the member with the lowest cost, with the log position it must have reached; to the leader when none qualifies. */
 function readTarget(parts: SelectionParts, record: RequestRecord): Option.Option<Target> {
   const { service } = record.request.database;
   const minimumPosition = requiredPosition(parts, record);
@@ -106,7 +109,7 @@
   return {
     selectTarget: (record) =>
       needsLeader(record.request) ? leaderTarget(parts, record.request.database.service) : readTarget(parts, record),
-    isHandoverInProgress: function isHandedOver(service) {
+    isHandoverInProgress: function isHandoverInProgress(service) {
       const now = runtime.clock.now();
       if (now - startedAt < startupMilliseconds) return true;
       const leader = view().leaders.get(service);
--- a/packages/pooler/src/outage-cache.ts
+++ b/packages/pooler/src/outage-cache.ts
@@ -1,4 +1,4 @@
-/** What an edge holds for one window of one announced outage: the reads its sessions ask, and a copy of each reply (design 8.13). */
+/** The cache for one window of one announced outage: the reads of this edge's sessions and a cached reply to each (design 8.13). */
 import * as Option from 'fp-ts/lib/Option.js';
 import { LRUCache } from 'lru-cache';
 import type { WallTime } from '@stallstall/kernel';
@@ -7,7 +7,10 @@
 import { sessions } from './sessions.js';
 import type { StatementRequest } from './statement-request.js';
 
-/** A read that a session was served, as it is asked again; `tried` once a member replied to that, whether or not the copy is still cache. */
+/**
+ * A recorded read as it is repeated to fill the cache. `isAttempted` is set once a member has replied to it, whether or not the reply is
+ * still cached.
+ */
 export type RecordedRead = { readonly read: StatementRequest; isAttempted: boolean };
 
 export type CachedReply = Readonly<{
@@ -20,21 +23,21 @@
 
 export type OutageCache = {
   readonly outage: AnnouncedOutage;
-  /** The outage as it was configured: another text is another outage. */
+  /** The outage's configuration as JSON text; an outage with another text is a different outage. */
   readonly configuredText: string;
   readonly window: OutageWindow;
   readonly reads: LRUCache<string, RecordedRead>;
   readonly replies: LRUCache<string, CachedReply>;
-  /** Everything remembered had been read again at some moment before the window. */
+  /** Every recorded read had been attempted before the window began. */
   isComplete: boolean;
   hasBegun: boolean;
   isFilling: boolean;
 };
 
-/** An uplink may come back so much later than announced. */
+/** Cached replies are served for this long after the announced end, because the uplink may come back late. */
 export const outageGraceMilliseconds = 30_000;
 const maximumRecordedReads = 5_000;
-/** Reckoned for each entry beside its texts. */
+/** Overhead counted for each entry in addition to its texts. */
 const entryOverheadBytes = 256;
 
 function create(outage: AnnouncedOutage, configuredText: string, window: OutageWindow): OutageCache {
@@ -57,14 +60,14 @@
   };
 }
 
-/** Requests with the same key read the same: same database, tenant, session values and text. */
+/** The cache key: requests with the same database, tenant, session values and text have the same reply. */
 function keyOf(request: StatementRequest): string {
   const values = [...request.session.values].sort(([left], [right]) => (left < right ? -1 : 1));
   const text = Option.isSome(request.prepared) ? [request.prepared.value.statement.text, request.prepared.value.parameters] : request.text;
   return JSON.stringify([request.database.database, request.tenant, values, text]);
 }
 
-/** Single reads alone: a transaction's would come from different moments, and its commit from none. */
+/** Only single reads are cached: the replies of a transaction would come from different moments, and a commit cannot be cached. */
 function covers({ outage }: OutageCache, request: StatementRequest): boolean {
   return (
     !request.writes &&
@@ -74,14 +77,14 @@
   );
 }
 
-/** A session sees its own commits, or no copy at all. */
+/** Whether a cached reply reflects all commits of the session; otherwise it must not be served to it. */
 function reflectsOwnCommits(request: StatementRequest, cached: CachedReply): boolean {
   if (request.session.hasUnknownOutcome) return false;
   const ownCommit = request.session.commits.get(cached.service);
   return ownCommit === undefined || (Option.isSome(cached.position) && positions.compare(cached.position.value, ownCommit) >= 0);
 }
 
-/** A read to be sent to a member to fill a copy. */
+/** The request that fills the cache with the reply to a read. */
 function cacheFillRequest(
   session: StatementRequest['session'],
   from: Pick<StatementRequest, 'text' | 'prepared' | 'database' | 'tenant'>,
@@ -101,7 +104,7 @@
   };
 }
 
-/** Remembers a read that a session was served. */
+/** Records a read that was served to a session, with its session values. */
 function recordRead(cache: OutageCache, request: StatementRequest): void {
   const key = keyOf(request);
   if (cache.reads.get(key) !== undefined) return;
@@ -110,17 +113,17 @@
   cache.reads.set(key, { read: cacheFillRequest(session, request), isAttempted: false });
 }
 
-/** Whether copies are served: from the window's beginning until the grace after its end; `wall` is the wall clock's time. */
+/** Whether cached replies are served: from the beginning of the window until the grace period after its end. */
 function isOpen({ window }: OutageCache, wall: WallTime): boolean {
   return wall >= window.from && wall < window.to + outageGraceMilliseconds;
 }
 
-/** Whether copies are made: for the configured time before the window, not in it. */
+/** Whether the cache may be filled: for the configured time before the window, not during it. */
 function isFillTime({ outage, window }: OutageCache, wall: WallTime): boolean {
   return wall >= window.from - outage.holdMilliseconds && wall < window.from;
 }
 
-/** The copy for a request, when all are complete and it satisfies the session. */
+/** The cached reply to a request, if the cache is complete and the reply reflects the session's own commits. */
 function reply(cache: OutageCache, request: StatementRequest, wall: WallTime): Option.Option<StatementReply> {
   if (!cache.isComplete || !isOpen(cache, wall) || !covers(cache, request)) return Option.none;
   const cached = cache.replies.get(keyOf(request));
--- a/packages/pooler/src/placement-feed.ts
+++ b/packages/pooler/src/placement-feed.ts
@@ -1,4 +1,7 @@
-/** Keeps the view of the placement up to date by asking the agent of this machine; leases count from this process's send time (design 7.3). */
+/**
+ * Keeps the placement view up to date by long polling the agent on this machine; leases count from the time this process sent its request
+ * (design 7.3).
+ */
 import * as Option from 'fp-ts/lib/Option.js';
 import { subtractClockDrift } from '@stallstall/quorum-lease';
 import { identifiers, type Instant, type Runtime } from '@stallstall/kernel';
@@ -8,11 +11,11 @@
 import type { Freshness } from './freshness.js';
 import { views, type View } from './view.js';
 
-/** What this edge reports with each request for news. */
+/** What this edge reports with each placement request. */
 export type FeedReport = Readonly<{
-  /** By service: epochs below this are released here. */
+  /** By service: all epochs below this number are released by this edge. */
   released: Readonly<Record<string, number>>;
-  /** Statements a second. */
+  /** Statements per second. */
   demand: number;
   metrics: Readonly<Record<string, number>>;
 }>;
@@ -23,28 +26,31 @@
   connections: Connections;
   freshness: Freshness;
   report: () => FeedReport;
-  /** The placement has changed. */
+  /** Called when the placement has changed. */
   onUpdate: (leadersChanged: boolean) => void;
-  /** The agent has replied, with news or without: leases may have been renewed. */
+  /** Called after each reply of the agent, even without a placement change: leases may have been renewed. */
   onReply: () => void;
   stopped: () => boolean;
 }>;
 
 export type PlacementFeed = Readonly<{
   view: () => View;
-  /** Asks once, held by the agent for so long while there is no news; false when no reply came. */
+  /** Sends one request, which the agent holds for up to the given time until the placement changes; false when no reply came. */
   refresh: (holdMilliseconds: number) => Promise<boolean>;
-  /** Asks until the process stops. */
+  /** Polls until the process stops. */
   run: () => Promise<void>;
 }>;
 
+/** How long the agent holds a request while the placement does not change. */
 const holdMilliseconds = 400;
-/** Held shorter while a leader is missing somewhere. */
+/** Shorter hold time while a service has no usable leader. */
 const leaderlessHoldMilliseconds = 100;
+/** Time allowed for the reply in addition to the hold time. */
 const replyTimeoutMilliseconds = 1_200;
+/** Pause after a failed request. */
 const retryMilliseconds = 50;
 
-function leadersOf(view: View): string {
+function leaderSummary(view: View): string {
   return [...view.leaders.values()].map((leader) => `${leader.primary} ${leader.epoch}`).join(' ');
 }
 
@@ -56,7 +62,7 @@
   );
 }
 
-/** The view, and how far this process has followed its agent: `token` names the agent's process, `seen` and `serial` its numbers. */
+/** The view and its version: `token` identifies the agent's process, `lastNumber` and `serial` its last update received. */
 type FeedState = { view: View; token: string; lastNumber: number; serial: number };
 
 function request(parts: FeedParts, state: FeedState, hold: number): Promise<Option.Option<Reply<'placement'>>> {
@@ -81,7 +87,7 @@
   );
 }
 
-/** Takes the reply to a request sent at `sentAt` into the state; returns whether the placement has changed. */
+/** Applies the reply to a request sent at `sentAt`; returns whether the placement has changed. */
 function accept(parts: FeedParts, state: FeedState, reply: Reply<'placement'>, sentAt: Instant): boolean {
   const { runtime, freshness } = parts;
   const isUpdate = reply.token !== state.token || reply.number > state.lastNumber;
@@ -103,11 +109,11 @@
     const sentAt = runtime.clock.now();
     const reply = await request(parts, state, hold);
     if (Option.isNone(reply)) return false;
-    // Overtaken by a later reply.
+    // A later reply has already been applied.
     if (reply.value.token === state.token && reply.value.number < state.lastNumber) return true;
-    const leadersBefore = leadersOf(state.view);
+    const leadersBefore = leaderSummary(state.view);
     const isUpdate = accept(parts, state, reply.value, sentAt);
-    if (isUpdate) parts.onUpdate(leadersBefore !== leadersOf(state.view));
+    if (isUpdate) parts.onUpdate(leadersBefore !== leaderSummary(state.view));
     parts.onReply();
     return true;
   }
@@ -115,8 +121,8 @@
   async function run(): Promise<void> {
     while (!parts.stopped()) {
       const hold = isLeaderMissing(state.view, runtime.clock.now(), connections) ? leaderlessHoldMilliseconds : holdMilliseconds;
-      const fed = agent.isConnected() && (await refresh(hold));
-      if (!fed) await runtime.clock.sleep(retryMilliseconds);
+      const isUpdated = agent.isConnected() && (await refresh(hold));
+      if (!isUpdated) await runtime.clock.sleep(retryMilliseconds);
     }
   }
 
--- a/packages/pooler/src/pooler.ts
+++ b/packages/pooler/src/pooler.ts
@@ -1,4 +1,4 @@
-/** The process that clients connect to: their sessions in, their statements placed on members, the members' replies out (design 8.10). */
+/** The pooler process: accepts client sessions, routes their statements to members and returns the members' replies (design 8.10). */
 import * as Option from 'fp-ts/lib/Option.js';
 import { identifiers, runtimeUtilities, type HttpRoute, type Instant, type Runtime, type Listening } from '@stallstall/kernel';
 import { peer, type Peer } from '@stallstall/peer';
@@ -20,37 +20,37 @@
 import { warmUps } from './warm-up.js';
 
 export type PoolerSettings = Readonly<{
-  /** Where clients connect. */
+  /** Listening address for clients. */
   clientAddress: string;
-  /** Where readiness is asked over HTTP. */
+  /** Listening address of the HTTP readiness probe. */
   readinessAddress: string;
-  /** Where the agent of this machine listens. */
+  /** Address of the agent on this machine. */
   agentAddress: string;
-  /** How long a process that is to end is given; the first half of it for open transactions. */
+  /** Time limit of a graceful shutdown; open transactions may run for the first half of it. */
   graceMilliseconds: number;
 }>;
 
 export type PoolerParts = Readonly<{
   dialect: Dialect;
-  /** The readiness pages, in the platform's words. */
+  /** The readiness routes in the format that the platform expects. */
   readinessRoutes: (ready: () => boolean) => readonly HttpRoute[];
 }>;
 
 export type Pooler = Readonly<{
-  /** Ends without losing a statement, within the grace of the settings. */
+  /** Shuts down within the configured grace period without losing a statement. */
   drain: () => Promise<void>;
-  /** Ends at once. */
+  /** Stops immediately. */
   stop: () => Promise<void>;
   view: () => View;
-  /** Whether clients should be sent here: some leader's lease is valid and the process does not end. */
+  /** Whether this process should receive clients: at least one leader's lease is valid and no shutdown is in progress. */
   ready: () => boolean;
-  /** Counters of what became of statements. */
+  /** Counters of statement outcomes. */
   totals: () => Readonly<Record<string, number>>;
-  /** What is held for announced outages. */
+  /** Counts of the reads recorded and replies cached for announced outages. */
   cachedReplies: () => ReturnType<CachedReplies['describe']>;
 }>;
 
-/** The parts of a running pooler. */
+/** The components of a running pooler. */
 type Assembly = Readonly<{
   runtime: Runtime;
   agent: Peer;
@@ -69,14 +69,14 @@
 type Lifecycle = { stopped: boolean };
 
 const maintenanceMilliseconds = 250;
-/** What an edge has counted since it reported last is lost with it. */
+/** Usage counted since the last report is lost when the process crashes. */
 const reportUsageMilliseconds = 300;
 const maximumReportUsageMilliseconds = 1_000;
-/** The pause between reports grows with the number of edges: all cores hear of each. */
+/** The pause between reports grows with the number of edges, because every report reaches all cores. */
 const reportUsageEdgeMilliseconds = 20;
-/** So often the log states this process's counters. */
+/** Interval at which the counters are logged. */
 const countsMilliseconds = 10_000;
-/** How long a transaction may be idle while no configuration states it. */
+/** Idle limit of transactions before a configuration sets one. */
 const defaultIdleMilliseconds = 1_800;
 
 function assemble(runtime: Runtime, settings: PoolerSettings, dialect: Dialect): Assembly {
@@ -107,7 +107,7 @@
       demand: limiter.demand(),
       metrics: { ...requests.totals(), ...connections.describe(), sessions: clients.sessionCount() },
     }),
-    onUpdate: function onNews(leadersChanged) {
+    onUpdate: function onUpdate(leadersChanged) {
       cachedReplies.applyConfiguration();
       release.applyPlacement();
       if (leadersChanged) warmUpSessions(clients, connections, feed.view());
@@ -118,16 +118,16 @@
   });
   const commands = { clock: runtime.clock, dialect, view, connections, requests, cachedReplies };
   const serving = clientConnections.create({ commands, clients, stopped: () => lifecycle.stopped });
-  const ending = draining.create(runtime.clock, settings.graceMilliseconds, clients);
+  const shutdown = draining.create(runtime.clock, settings.graceMilliseconds, clients);
 
   function view(): View {
     return feed.view();
   }
 
-  return { runtime, agent, clients, connections, limiter, cachedReplies, requests, feed, usage, draining: ending, serving, lifecycle };
+  return { runtime, agent, clients, connections, limiter, cachedReplies, requests, feed, usage, draining: shutdown, serving, lifecycle };
 }
 
-/** A leader has changed: every session will want its new one. */
+/** Opens connections to a new leader ahead of need: every session will soon use it. */
 function warmUpSessions(clients: Clients, connections: Connections, view: View): void {
   for (const session of clients.sessions()) {
     const admission = admissions.admit(view, session.database, session.key);
@@ -135,25 +135,25 @@
   }
 }
 
-/** Closes what is not needed any more, and ends transactions that are idle too long or stand in the way of the process's end. */
-function maintain({ runtime, clients, connections, limiter, requests, feed, draining: ending }: Assembly): void {
+/** Closes stale connections, and ends transactions that exceed the idle limit or would delay the shutdown. */
+function maintain({ runtime, clients, connections, limiter, requests, feed, draining: shutdown }: Assembly): void {
   limiter.recordSent(requests.totals()['sent'] ?? 0);
   const now: Instant = runtime.clock.now();
   const { members, configuration } = feed.view();
   connections.closeStale(members);
-  const mostIdle = Option.isSome(configuration) ? configuration.value.bounds.restMilliseconds : defaultIdleMilliseconds;
-  const endsTransactions = ending.mustEndTransactions();
+  const maximumIdle = Option.isSome(configuration) ? configuration.value.bounds.restMilliseconds : defaultIdleMilliseconds;
+  const endsTransactions = shutdown.mustEndTransactions();
   for (const session of clients.sessions()) {
     if (Option.isNone(session.transaction)) continue;
     const transaction = session.transaction.value;
-    const isIdleTooLong = Option.isSome(transaction.pinned) && now - transaction.idleSince >= mostIdle;
+    const isIdleTooLong = Option.isSome(transaction.pinned) && now - transaction.idleSince >= maximumIdle;
     if (isIdleTooLong || endsTransactions) transactions.abandonIdle(connections, transaction);
   }
 }
 
-function isReady({ runtime, feed, draining: ending, lifecycle }: Assembly): boolean {
+function isReady({ runtime, feed, draining: shutdown, lifecycle }: Assembly): boolean {
   const view = feed.view();
-  if (ending.hasBegun() || lifecycle.stopped || Option.isNone(view.configuration)) return false;
+  if (shutdown.hasBegun() || lifecycle.stopped || Option.isNone(view.configuration)) return false;
   const now = runtime.clock.now();
   return [...view.leaders.values()].some((leader) => leader.leaseEnd > now);
 }
@@ -196,17 +196,17 @@
 
 async function stopAll(
   { lifecycle, cachedReplies, connections, agent, clients }: Assembly,
-  listening: readonly Listening[],
+  listeners: readonly Listening[],
 ): Promise<void> {
   lifecycle.stopped = true;
   cachedReplies.stop();
   connections.closeAll();
   agent.close();
   clients.closeAll();
-  for (const entry of listening) await entry.stop();
+  for (const listener of listeners) await listener.stop();
 }
 
-/** Starts listening and following the agent; resolves once clients can connect. */
+/** Starts listening and polling the agent for placement updates; resolves once clients can connect. */
 async function start(runtime: Runtime, settings: PoolerSettings, parts: PoolerParts): Promise<Pooler> {
   const assembly = assemble(runtime, settings, parts.dialect);
 
@@ -215,7 +215,7 @@
   }
 
   function stop(): Promise<void> {
-    return stopAll(assembly, [clientListener, pages]);
+    return stopAll(assembly, [clientListener, readinessListener]);
   }
 
   async function drain(): Promise<void> {
@@ -228,7 +228,9 @@
     identifiers.address(settings.clientAddress),
     (stream) => void assembly.serving.serve(stream),
   );
-  const pages = await runtime.network.serve(identifiers.address(settings.readinessAddress), { routes: parts.readinessRoutes(ready) });
+  const readinessListener = await runtime.network.serve(identifiers.address(settings.readinessAddress), {
+    routes: parts.readinessRoutes(ready),
+  });
   startTasks(assembly);
   const { feed, requests, cachedReplies } = assembly;
   return { drain, stop, view: feed.view, ready, totals: requests.totals, cachedReplies: cachedReplies.describe };
--- a/packages/pooler/src/rejection.ts
+++ b/packages/pooler/src/rejection.ts
@@ -1,4 +1,4 @@
-/** Replies to statements that were not run, or whose outcome is told by the pooler. */
+/** Rejects statements that were not run; during an announced outage, a cached reply may be served instead. */
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Condition } from '@stallstall/session-protocol';
 import { replies } from './replies.js';
@@ -8,9 +8,12 @@
 import { transactions } from './transactions.js';
 
 export type Rejection = Readonly<{
-  /** The statement did not run. A rejection within a transaction ends the transaction. */
+  /** Rejects a statement that did not run. Within a transaction this also aborts the transaction. */
   reject: (record: RequestRecord, condition: Condition, text: string) => RequestRecord;
-  /** As `reject`, because no member can be reached: during an announced outage the reply is a copy, if one is held (design 8.13). */
+  /**
+   * Like `reject`, for a statement that no member can run now: during an announced outage, a cached reply is served if there is one
+   * (design 8.13).
+   */
   rejectUnreachable: (record: RequestRecord, condition: Condition, text: string) => RequestRecord;
 }>;
 
--- a/packages/pooler/src/request-parts.ts
+++ b/packages/pooler/src/request-parts.ts
@@ -1,4 +1,4 @@
-/** What the modules that handle a statement share. */
+/** The components shared by the modules that handle a statement. */
 import type { Runtime } from '@stallstall/kernel';
 import type { Dialect } from '@stallstall/session-protocol';
 import type { Connections } from './connections.js';
@@ -10,7 +10,7 @@
 export type RequestParts = Readonly<{
   runtime: Runtime;
   dialect: Dialect;
-  /** The placement as it is known now. */
+  /** The current view of the placement. */
   view: () => View;
   connections: Connections;
   freshness: Freshness;
--- a/packages/pooler/src/request-table.ts
+++ b/packages/pooler/src/request-table.ts
@@ -1,4 +1,4 @@
-/** The statements that have not been replied to, who waits for their replies, and counters of what became of them. */
+/** The statements that have not been answered, the callbacks for their replies, and counters of their outcomes. */
 import * as Option from 'fp-ts/lib/Option.js';
 import type { StatementReply } from '@stallstall/session-protocol';
 import type { RequestRecord } from './statement-request.js';
@@ -8,13 +8,13 @@
   add: (record: RequestRecord, resolve: (reply: StatementReply) => void) => void;
   /** Replaces the record of the same id. */
   update: (record: RequestRecord) => void;
-  /** Removes the record and passes the reply to whoever waits for it. */
+  /** Removes the record and delivers the reply to the caller that submitted it. */
   resolve: (record: RequestRecord, reply: StatementReply) => RequestRecord;
-  /** Waiting records in order of their database's rank and then of their arrival. */
+  /** Waiting records ordered by the rank of their database, then by arrival. */
   waiting: () => readonly RequestRecord[];
   isWaiting: (id: number) => boolean;
   inFlight: () => number;
-  /** Statements sent to the leader of a service under an epoch below this one. */
+  /** Number of statements in flight to the leader of a service under an epoch below the given one. */
   countSentBelow: (service: string, epoch: number) => number;
   count: (name: string) => void;
   totals: () => Readonly<Record<string, number>>;
@@ -54,7 +54,7 @@
         .sort((left, right) => left.request.database.rank - right.request.database.rank || left.arrivedAt - right.arrivedAt),
     isWaiting: (id) => records.get(id)?.stage === 'waiting',
     inFlight: () => resolvers.size,
-    countSentBelow: function sentBelow(service, epoch) {
+    countSentBelow: function countSentBelow(service, epoch) {
       let sum = 0;
       for (const record of records.values()) if (isSentBelow(record, service, epoch)) sum += 1;
       return sum;
--- a/packages/pooler/src/requests.ts
+++ b/packages/pooler/src/requests.ts
@@ -1,4 +1,4 @@
-/** Statements wait in a table until the passes find a member and a connection for them; then they are sent (design 8.5, 8.10). */
+/** Queues statements until the routing steps find a member and a connection for them, then sends them (design 8.5, 8.10). */
 import * as Option from 'fp-ts/lib/Option.js';
 import { identifiers, type Runtime } from '@stallstall/kernel';
 import type { StatementReply } from '@stallstall/session-protocol';
@@ -14,20 +14,20 @@
 export type Requests = Readonly<{
   /** Resolves once a member has replied, or the statement was rejected. */
   submit: (request: StatementRequest) => Promise<StatementReply>;
-  /** Something has changed: the passes run over whoever waits. */
+  /** Routes all waiting statements again; called when a connection, a lease or the placement has changed. */
   processWaiting: () => void;
   inFlight: () => number;
-  /** Statements sent to the leader of a service under an epoch below this one. */
+  /** Number of statements in flight to the leader of a service under an epoch below the given one. */
   countSentBelow: (service: string, epoch: number) => number;
   totals: () => Readonly<Record<string, number>>;
 }>;
 
-/** Those that wait are looked at so often when nothing else wakes them. */
+/** Interval at which waiting statements are routed again when nothing else triggers it. */
 const retryMilliseconds = 20;
-/** Share of the latency aim that a statement waits while nothing says that it can be placed soon. */
+/** Share of the target latency that a statement waits when no leader or connection is expected soon. */
 const waitShare = 0.24;
 const minimumWaitMilliseconds = 20;
-/** Share of its time limit that it waits for a connection that is being opened, or for a leader that is about to follow. */
+/** Share of the time limit that a statement waits for a connection being opened or for an expected new leader. */
 const extendedWaitShare = 0.2;
 
 function recordOf(runtime: Runtime, id: number, request: StatementRequest): RequestRecord {
@@ -52,16 +52,19 @@
 
 type Scheduler = Readonly<{ run: (record: RequestRecord) => void; processWaiting: () => void }>;
 
-/** Runs `process` over one record or over all that wait, one at a time: what frees a connection on the way asks for another sweep. */
+/**
+ * Runs `process` for one record or for all waiting ones, never nested: a call made meanwhile, such as for a released connection, starts
+ * another run afterwards.
+ */
 function createScheduler(runtime: Runtime, table: RequestTable, process: (record: RequestRecord) => void): Scheduler {
   let isProcessing = false;
-  let isRetryRequested = false;
+  let isRerunRequested = false;
   let isTimerSet = false;
 
   function setTimer(): void {
     if (isTimerSet) return;
     isTimerSet = true;
-    runtime.clock.startTimer(retryMilliseconds, function due() {
+    runtime.clock.startTimer(retryMilliseconds, function onTimer() {
       isTimerSet = false;
       processWaiting();
     });
@@ -78,13 +81,13 @@
 
   function exclusively(action: () => void): void {
     if (isProcessing) {
-      isRetryRequested = true;
+      isRerunRequested = true;
       return;
     }
     isProcessing = true;
     action();
-    while (isRetryRequested) {
-      isRetryRequested = false;
+    while (isRerunRequested) {
+      isRerunRequested = false;
       processAllWaiting();
     }
     isProcessing = false;
@@ -101,9 +104,9 @@
   const { runtime } = parts;
   const table = requestTables.create();
   const rejection = rejections.create(parts, table);
-  const pipeline = routingSteps.create({ parts, table, rejection, selection: memberSelections.create(parts) });
+  const steps = routingSteps.create({ parts, table, rejection, selection: memberSelections.create(parts) });
   const scheduler = createScheduler(runtime, table, process);
-  const exchange: ExecutionParts = {
+  const execution: ExecutionParts = {
     parts,
     table,
     rejection,
@@ -113,13 +116,13 @@
   };
 
   function process(record: RequestRecord): void {
-    let current: RequestRecord = { ...record, stage: 'arrived' };
-    for (const pass of pipeline) {
-      current = pass(current);
-      if (current.stage !== 'arrived') break;
+    let current: RequestRecord = { ...record, stage: 'routing' };
+    for (const step of steps) {
+      current = step(current);
+      if (current.stage !== 'routing') break;
     }
-    if (current.stage === 'arrived') dispatch(current);
-    // What was not sent keeps no target: it is looked up afresh at the next sweep.
+    if (current.stage === 'routing') dispatch(current);
+    // A waiting record keeps no target: it is selected again at the next attempt.
     else if (current.stage === 'waiting') table.update({ ...current, target: Option.none, connection: Option.none });
   }
 
@@ -127,14 +130,14 @@
     if (Option.isNone(record.connection)) return;
     const sent: RequestRecord = { ...record, stage: 'sent', attempts: record.attempts + 1 };
     table.update(sent);
-    void statementExecutions.run(exchange, sent, record.connection.value);
+    void statementExecutions.run(execution, sent, record.connection.value);
   }
 
-  function retry(record: RequestRecord, without: readonly string[]): void {
+  function retry(record: RequestRecord, excluded: readonly string[]): void {
     table.update({
       ...record,
       stage: 'waiting',
-      excludedMembers: new Set([...record.excludedMembers, ...without]),
+      excludedMembers: new Set([...record.excludedMembers, ...excluded]),
       target: Option.none,
       connection: Option.none,
       openingMember: '',
--- a/packages/pooler/src/response-times.ts
+++ b/packages/pooler/src/response-times.ts
@@ -1,4 +1,4 @@
-/** How long members take to reply, by service and kind of read, so that a lost reply is noticed early. */
+/** Estimates the response times of members, by service and read consistency, so that a lost reply is detected early. */
 import type { DatabasePlacement } from '@stallstall/placement';
 
 /** Both in milliseconds, smoothed as TCP smooths round-trip times (RFC 6298). */
@@ -6,15 +6,16 @@
 
 export type ResponseTimes = Readonly<{
   record: (database: DatabasePlacement, milliseconds: number) => void;
-  /** A statement that can be retried is given up after so many milliseconds of silence. */
+  /** How long to wait for the reply to a statement that can be retried elsewhere. */
   timeoutMilliseconds: (database: DatabasePlacement) => number;
 }>;
 
 const minimumTimeoutMilliseconds = 60;
-/** Share of a database's time limit after which an attempt is given up at the latest. */
+/** Upper limit of the timeout, as a share of the database's time limit for a statement. */
 const maximumTimeoutShare = 0.6;
 const meanGain = 1 / 8;
 const deviationGain = 1 / 4;
+/** The timeout is `meanFactor` means plus `deviationFactor` deviations. */
 const meanFactor = 4;
 const deviationFactor = 8;
 
--- a/packages/pooler/src/routing-steps.ts
+++ b/packages/pooler/src/routing-steps.ts
@@ -1,6 +1,6 @@
 /**
- * The passes that a request goes through before it is sent: expire, admit, choose a member, take a connection. Each returns the record to go
- * on with; a stage other than `arrived` ends the run (design 8.5).
+ * The steps that route a request before it is sent: check the deadline, check access, choose a member, acquire a connection. Each returns
+ * the record for the next step; a stage other than `routing` ends the routing attempt (design 8.5).
  */
 import * as Option from 'fp-ts/lib/Option.js';
 import type { MemberSelection } from './member-selection.js';
@@ -20,22 +20,26 @@
 
 function expire({ parts, rejection }: RoutingParts, record: RequestRecord): RequestRecord {
   if (parts.runtime.clock.now() < record.deadline) return record;
-  return rejection.reject(record, 'aborted', 'it did not run in its time; begin it again');
+  return rejection.reject(record, 'aborted', 'the statement did not run within its time limit; retry the transaction');
 }
 
-/** Keys and databases may be withdrawn while a statement waits; an open transaction keeps what it began with (design 6.4). */
+/**
+ * Checks access again, because keys and databases may be removed while a statement waits; an open transaction keeps the access it began
+ * with (design 6.4).
+ */
 function admit({ parts, rejection }: RoutingParts, record: RequestRecord): RequestRecord {
   const { request } = record;
   if (Option.isSome(request.transaction)) return record;
   const view = parts.view();
   const database = view.databases.get(request.session.database);
-  if (database === undefined) return rejection.reject(record, 'no-database', 'there is no such database');
+  if (database === undefined) return rejection.reject(record, 'no-database', 'the database does not exist');
   if (!database.open && view.tenantsByKey.get(request.session.key)?.tenant !== request.tenant)
-    return rejection.reject(record, 'denied', 'the key is not known');
-  // Moved, or with other bounds: what waits goes where the newest configuration sends it.
+    return rejection.reject(record, 'denied', 'the key does not give access to the database');
+  // The database was moved or its settings changed: a waiting statement follows the newest configuration.
   return database === request.database ? record : { ...record, request: { ...request, database } };
 }
 
+/** Whether the transaction of the statement is pinned to a connection. */
 function isPinned(record: RequestRecord): boolean {
   return Option.isSome(record.request.transaction) && Option.isSome(record.request.transaction.value.pinned);
 }
@@ -52,12 +56,12 @@
   return rejection.rejectUnreachable(record, 'read-only', replies.retryAfter(noLeaderRetryMilliseconds));
 }
 
-/** No idle connection stands: one is opened for it while its time lasts. */
+/** No connection is idle: requests a new one and lets the statement wait for it, within its time limits. */
 function awaitConnection({ parts, table, rejection }: RoutingParts, record: RequestRecord, target: Target): RequestRecord {
   const { connections } = parts;
   const { tenant } = record.request;
   const { member } = target.memberAddress;
-  // Asked for once, and again should the opening have come to nothing.
+  // Requested once, and again only if the attempt to open it failed.
   const isOpening = record.openingMember === member && connections.isOpening(member, tenant);
   const openingMember = isOpening || connections.requestConnection(target.memberAddress, tenant) ? member : '';
   const waiting: RequestRecord = { ...record, stage: 'waiting', openingMember };
@@ -66,12 +70,12 @@
   if (!connections.isFailing(member)) {
     if (now < record.extendedWaitUntil) return waiting;
     const text = replies.retryAfter(saturatedRetryMilliseconds);
-    // With nothing under way there the member is not saturated: it doesn't open.
+    // With no connection in use the member cannot be saturated: it does not accept connections.
     return connections.busyCount(member) === 0
       ? rejection.rejectUnreachable(record, 'saturated', text)
       : rejection.reject(record, 'saturated', text);
   }
-  // Nothing is open to it and the last opening failed: a read goes elsewhere, what needs the leader is not kept waiting.
+  // No connection is open and the last attempt failed: a read tries another member; a statement for the leader is rejected early.
   if (!target.leader && record.excludedMembers.size < maximumExcludedMembers)
     return { ...waiting, excludedMembers: new Set([...record.excludedMembers, member]) };
   if (now < record.waitUntil) return waiting;
@@ -87,7 +91,7 @@
   return Option.isSome(connection) ? { ...record, connection } : awaitConnection(routing, record, record.target.value);
 }
 
-/** The passes in their order. */
+/** The steps in the order in which they run. */
 function create(routing: RoutingParts): readonly RoutingStep[] {
   return [
     (record) => expire(routing, record),
--- a/packages/pooler/src/session-commands.ts
+++ b/packages/pooler/src/session-commands.ts
@@ -1,4 +1,6 @@
-/** Carries out what a client asks of its session: transaction control, session values and prepared names here, statements on a member. */
+/**
+ * Executes the commands of a session: transaction control, session values and prepared statements locally, other statements on a member.
+ */
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Clock } from '@stallstall/kernel';
 import type { Command, Dialect, ClientMessage, StatementReply } from '@stallstall/session-protocol';
@@ -23,14 +25,14 @@
 
 export type Query = Extract<ClientMessage, { kind: 'query' }>;
 
-/** A reply at once, or after a member has replied: no promise is made for what the pooler carries out itself. */
+/** The reply itself for a command that the pooler executes locally, a promise for one that a member executes. */
 type MaybePromisedReply = StatementReply | Promise<StatementReply>;
 
-const notAdmitted = 'not let in';
-const noSuchName = 'no such prepared name';
+const noAccess = 'access denied';
+const unknownStatement = 'no prepared statement has this name';
 const noTransaction = 'no transaction is open';
 
-/** A statement that cannot be run ends the session's open transaction. */
+/** Aborts the session's open transaction after a statement that cannot be executed. */
 function failTransaction(parts: CommandParts, session: Session): void {
   if (Option.isNone(session.transaction)) return;
   transactions.abandonIdle(parts.connections, session.transaction.value);
@@ -38,9 +40,9 @@
 }
 
 function begin(parts: CommandParts, session: Session, readOnly: boolean): StatementReply {
-  if (Option.isSome(session.transaction)) return replies.fault('malformed', 'a transaction is open already');
+  if (Option.isSome(session.transaction)) return replies.fault('malformed', 'a transaction is already open');
   const admission = admissions.admit(parts.view(), session.database, session.key);
-  if (!admission.admitted) return replies.fault(admission.condition, notAdmitted);
+  if (!admission.admitted) return replies.fault(admission.condition, noAccess);
   const now = parts.clock.now();
   session.transaction = Option.some({
     readOnly,
@@ -64,18 +66,18 @@
   return replies.done();
 }
 
-/** A transaction that has failed accepts only its end. One that the pooler ended is told of by the first statement after. */
+/** A failed transaction accepts only commit and rollback. If the pooler aborted it, the next statement reports that to the client. */
 function handleFailed(session: Session, transaction: Transaction, command: Command): StatementReply {
   if (command.kind !== 'rollback' && command.kind !== 'commit') {
-    if (transaction.isFailureReported) return replies.fault('malformed', 'the transaction has failed; end it');
+    if (transaction.isFailureReported) return replies.fault('malformed', 'the transaction has failed; roll it back');
     transaction.isFailureReported = true;
-    return replies.fault('aborted', 'the transaction was ended and nothing of it is kept; begin it again');
+    return replies.fault('aborted', 'the transaction was rolled back; retry it');
   }
   session.transaction = Option.none;
-  return command.kind === 'rollback' ? replies.done() : replies.fault('aborted', 'the transaction had failed; nothing of it is kept');
+  return command.kind === 'rollback' ? replies.done() : replies.fault('aborted', 'the transaction had failed and was rolled back');
 }
 
-/** Submits a statement for a member; `prepared` is present exactly for an execution. */
+/** Submits a statement to be run on a member; `prepared` is given only for the execution of a prepared statement. */
 async function submit(
   parts: CommandParts,
   session: Session,
@@ -85,7 +87,7 @@
 ): Promise<StatementReply> {
   const { transaction } = session;
   const admission = Option.isSome(transaction) ? undefined : admissions.admit(parts.view(), session.database, session.key);
-  if (admission?.admitted === false) return replies.fault(admission.condition, notAdmitted);
+  if (admission?.admitted === false) return replies.fault(admission.condition, noAccess);
   const { database, tenant } = admission ?? (transaction as Option.Some<Transaction>).value;
   if (Option.isSome(transaction)) transaction.value.busy = true;
   const request: StatementRequest = {
@@ -118,7 +120,7 @@
   const prepared = session.prepared.get(command.name);
   if (prepared !== undefined) return submit(parts, session, query, command, prepared);
   failTransaction(parts, session);
-  return replies.fault('undefined', noSuchName);
+  return replies.fault('undefined', unknownStatement);
 }
 
 function runCommand(parts: CommandParts, session: Session, query: Query, command: Command): MaybePromisedReply {
@@ -130,7 +132,7 @@
       session.prepared.set(command.name, { writes: command.writes, text: command.statement });
       return replies.done();
     case 'forget':
-      return session.prepared.delete(command.name) ? replies.done() : replies.fault('undefined', noSuchName);
+      return session.prepared.delete(command.name) ? replies.done() : replies.fault('undefined', unknownStatement);
     case 'begin':
       return begin(parts, session, command.readOnly);
     case 'rollback':
@@ -144,11 +146,11 @@
   }
 }
 
-/** Replies to one query of a session; queries of one session come one after another. */
+/** Executes one query of a session; a session's queries are executed one at a time. */
 function handle(parts: CommandParts, session: Session, query: Query): MaybePromisedReply {
   if (Option.isNone(query.command)) {
     failTransaction(parts, session);
-    return replies.fault('malformed', 'it cannot be read');
+    return replies.fault('malformed', 'the statement cannot be parsed');
   }
   const command = query.command.value;
   const { transaction } = session;
--- a/packages/pooler/src/sessions.ts
+++ b/packages/pooler/src/sessions.ts
@@ -1,14 +1,14 @@
-/** A client's session: its values and prepared names are its own until it ends (design 8.2, 8.10). */
+/** A client's session, with its own session values and prepared statements (design 8.2, 8.10). */
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Instant } from '@stallstall/kernel';
 import type { DatabasePlacement } from '@stallstall/placement';
 import { positions, type Dialect, type Position, type TransactionStatus } from '@stallstall/session-protocol';
 import type { ServerState, PooledConnection } from './connections.js';
 
-/** A statement that a session prepared under a name of its own. */
+/** A prepared statement of a session. */
 export type PreparedStatement = Readonly<{ writes: boolean; text: string }>;
 
-/** Where a transaction runs once its first statement has been placed: its connection, and the epoch it was placed under. */
+/** The connection that a transaction is pinned to from its first statement on, and the epoch it was routed under. */
 export type PinnedConnection = Readonly<{ pooled: PooledConnection; epoch: number; leader: boolean }>;
 
 export type Transaction = {
@@ -17,13 +17,13 @@
   readonly tenant: string;
   readonly startedAt: Instant;
   pinned: Option.Option<PinnedConnection>;
-  /** Only its end is accepted any more. */
+  /** Only commit and rollback are accepted. */
   failed: boolean;
   /** The client has been told that it failed. */
   isFailureReported: boolean;
-  /** A statement of it is under way. */
+  /** A statement of the transaction is in flight. */
   busy: boolean;
-  /** Since when no statement of it is under way. */
+  /** Since when no statement of the transaction has been in flight. */
   idleSince: Instant;
 };
 
@@ -34,14 +34,14 @@
   readonly key: string;
   readonly values: Map<string, string>;
   readonly prepared: Map<string, PreparedStatement>;
-  /** The latest commit of the session on each service. */
+  /** The log position of the session's latest commit on each service. */
   readonly commits: Map<string, Position>;
-  /** The outcome of a commit of it is not previous. */
+  /** The outcome of one of the session's commits is unknown. */
   hasUnknownOutcome: boolean;
   transaction: Option.Option<Transaction>;
 };
 
-/** When a connection has more prepared statements than this, its state is cleared before it is used again. */
+/** A connection with more prepared statements than this is cleared before its next use. */
 const maximumPreparedStatements = 200;
 
 function create(id: string, database: string, key: string): Session {
@@ -57,13 +57,13 @@
   };
 }
 
-/** The transaction status that the client is told after each statement. */
+/** The transaction status that is sent to the client with each reply. */
 function transactionStatus(session: Session): TransactionStatus {
   if (Option.isNone(session.transaction)) return 'idle';
   return session.transaction.value.failed ? 'failed' : 'open';
 }
 
-/** Notes a commit of the session, so that its later reads see it. */
+/** Records a commit of the session, so that its later reads see it. */
 function recordCommit(session: Session, service: string, position: Position): void {
   const previous = session.commits.get(service);
   session.commits.set(service, previous === undefined ? position : positions.later(previous, position));
@@ -74,8 +74,8 @@
 }
 
 /**
- * The statements to be sent on a connection before a statement of the session, so that exactly the session's values stand there, and the
- * needed prepared statement. The connection's serverState is changed at once: should they not be carried out, the connection must not be used.
+ * The statements to send on a connection before a statement of the session, so that the connection has exactly the session's values and
+ * the needed prepared statement. `serverState` is updated immediately: if sending them fails, the connection must not be reused.
  */
 function preparationStatements(
   dialect: Dialect,
@@ -104,7 +104,7 @@
   return statements;
 }
 
-/** The connection's name of a prepared statement; empty when it stands there under none. */
+/** The name of a prepared statement on the connection; empty when it is not prepared there. */
 function preparedName(serverState: ServerState, prepared: PreparedStatement): string {
   return serverState.prepared.get(preparedKey(prepared)) ?? '';
 }
--- a/packages/pooler/src/transactions.ts
+++ b/packages/pooler/src/transactions.ts
@@ -1,12 +1,12 @@
-/** How open transactions end on their members, other than by a commit. */
+/** Aborts and rolls back open transactions. */
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Dialect } from '@stallstall/session-protocol';
 import type { Connections } from './connections.js';
 import type { Transaction } from './sessions.js';
 
-const rollbackMilliseconds = 1_000;
+const rollbackTimeoutMilliseconds = 1_000;
 
-/** Breaks off the transaction's connection, so that its member rolls it back. Only its end is accepted from the client after this. */
+/** Aborts the transaction by resetting its connection, so that the member rolls it back. The client may then only commit or roll back. */
 function abandon(connections: Connections, transaction: Transaction): void {
   transaction.failed = true;
   if (Option.isNone(transaction.pinned)) return;
@@ -15,18 +15,24 @@
   connections.release(pooled, false);
 }
 
-/** Abandons a transaction unless a statement of it is under way. */
+/** Aborts the transaction unless one of its statements is in flight. */
 function abandonIdle(connections: Connections, transaction: Transaction): void {
   if (!transaction.busy) abandon(connections, transaction);
 }
 
-/** Rolls the transaction back on its member, so that its connection can be used again. One whose statement is under way is only marked. */
+/**
+ * Rolls the transaction back on its member, so that its connection can be reused. If a statement is in flight, it is only marked as
+ * failed.
+ */
 async function rollback(connections: Connections, dialect: Dialect, transaction: Transaction): Promise<void> {
   transaction.failed = true;
   if (Option.isNone(transaction.pinned) || transaction.busy) return;
   const { pooled } = transaction.pinned.value;
   transaction.pinned = Option.none;
-  const ran = await pooled.connection.run([dialect.query(dialect.internalIdentifier, dialect.statements.rollback)], rollbackMilliseconds);
+  const ran = await pooled.connection.run(
+    [dialect.query(dialect.internalIdentifier, dialect.statements.rollback)],
+    rollbackTimeoutMilliseconds,
+  );
   connections.release(pooled, ran.isComplete && ran.replies[0]?.transactionStatus === 'idle');
 }
 
--- a/packages/pooler/src/usage.ts
+++ b/packages/pooler/src/usage.ts
@@ -1,11 +1,14 @@
-/** What each tenant has been served, by windows of the wall clock, told to the cores in batches beside the path (design 8.6). */
+/**
+ * Counts the requests served to each tenant in wall-clock windows and reports them to the cores in batches, off the request path (design
+ * 8.6).
+ */
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Runtime } from '@stallstall/kernel';
 import type { Peer } from '@stallstall/peer';
 
 export type Usage = Readonly<{
   count: (tenant: string) => void;
-  /** Tells what was counted; true once a majority of core disks keeps it. */
+  /** Reports the changed counts; resolves to true when a majority of the cores has stored them on disk. */
   report: () => Promise<boolean>;
 }>;
 
@@ -16,7 +19,7 @@
 function create(runtime: Runtime, agent: Peer): Usage {
   const incarnation = runtime.randomness.token();
   const windows = new Map<number, Map<string, number>>();
-  /** Windows that were counted in since they were told. */
+  /** Windows whose counts have changed since they were last reported. */
   const unreportedWindows = new Set<number>();
   let reportNumber = 0;
 
@@ -32,20 +35,20 @@
     unreportedWindows.add(window);
   }
 
-  async function tell(): Promise<boolean> {
+  async function report(): Promise<boolean> {
     reportNumber += 1;
     const through = runtime.clock.wall();
-    const changed = [...windows].filter(([window]) => unreportedWindows.has(window));
-    const usage = changed.map(([window, counts]) => ({ window, counts: Object.fromEntries(counts) }));
+    const changedWindows = [...windows].filter(([window]) => unreportedWindows.has(window));
+    const usage = changedWindows.map(([window, counts]) => ({ window, counts: Object.fromEntries(counts) }));
     const sentWindows = [...unreportedWindows];
     unreportedWindows.clear();
     const reply = await agent.call('tell', { number: reportNumber, floors: {}, usage, through, incarnation }, reportTimeoutMilliseconds);
-    const kept = Option.isSome(reply) && reply.value.kept;
-    if (!kept) for (const window of sentWindows) unreportedWindows.add(window);
-    return kept;
+    const isStored = Option.isSome(reply) && reply.value.kept;
+    if (!isStored) for (const window of sentWindows) unreportedWindows.add(window);
+    return isStored;
   }
 
-  return { count, report: tell };
+  return { count, report };
 }
 
 export const usage = { create } as const;
--- a/packages/pooler/src/view.ts
+++ b/packages/pooler/src/view.ts
@@ -1,28 +1,32 @@
-/** What the pooler knows of placement, as its agent feeds it (design 8.10). */
+/** The pooler's view of the placement, built from the agent's updates (design 8.10). */
 import * as Option from 'fp-ts/lib/Option.js';
 import { identifiers, type Instant } from '@stallstall/kernel';
 import type { Reply, MemberRecord } from '@stallstall/message';
 import type { PlacementConfiguration, DatabasePlacement, Tenant } from '@stallstall/placement';
 
+/** Earlier than any other time. */
 export const never: Instant = identifiers.instant(Number.NEGATIVE_INFINITY);
 
-/** A service's leader as this edge may use it: `until` is when its lease ends, in this process's own moments. */
+/**
+ * A service's leader as this edge may use it. `leaseEnd` is measured on this process's own clock; epochs below `releaseBelow` are to be
+ * released.
+ */
 export type Leadership = Readonly<{ epoch: number; primary: string; leaseEnd: Instant; releaseBelow: number }>;
 
 export type View = Readonly<{
   configurationVersion: number;
   configuration: Option.Option<PlacementConfiguration>;
   databases: ReadonlyMap<string, DatabasePlacement>;
-  /** By key. */
+  /** The tenants by each of their keys. */
   tenantsByKey: ReadonlyMap<string, Tenant>;
   leaders: ReadonlyMap<string, Leadership>;
   members: ReadonlyMap<string, MemberRecord>;
   membersByService: ReadonlyMap<string, readonly MemberRecord[]>;
-  /** Since when each member is known to be draining; `never` where that may have been said at any time before. */
+  /** When each draining member was first reported as draining; `never` when that may have been any time ago. */
   drainingSince: ReadonlyMap<string, Instant>;
-  /** How many edges hold leases, by area. */
+  /** Number of edges that hold leases, by area. */
   edgesByArea: Readonly<Record<string, number>>;
-  /** Statements a second that are asked of all of them, by area. */
+  /** Statements per second sent by all edges, by area. */
   demandByArea: Readonly<Record<string, number>>;
   area: string;
   node: string;
@@ -43,7 +47,7 @@
   node: '',
 };
 
-function grouped(entries: readonly MemberRecord[]): ReadonlyMap<string, readonly MemberRecord[]> {
+function groupByService(entries: readonly MemberRecord[]): ReadonlyMap<string, readonly MemberRecord[]> {
   const groups = new Map<string, MemberRecord[]>();
   for (const entry of entries) {
     const group = groups.get(entry.service);
@@ -54,8 +58,9 @@
 }
 
 /**
- * When it was first reported that a member drains, at the latest. Whoever held a lease on it as the report came was in touch with a majority
- * of cores within a term, so that the report is no older than that; to anybody else it may be of any age, and its time is over.
+ * The latest time at which the member can first have been reported as draining. If this edge held a lease on the member when the report
+ * arrived, it was in contact with a majority of cores within the last lease term, so the report is no older than that term. Otherwise the
+ * report may be of any age, and the member must be treated as fully drained.
  */
 function drainingSinceOf(before: View, entry: MemberRecord, now: Instant): Instant {
   const since = before.drainingSince.get(entry.member);
@@ -64,7 +69,10 @@
   return leader?.primary === entry.member && leader.leaseEnd > now ? now : never;
 }
 
-/** Neither a configuration nor an epoch is taken back, and a lease that was told stays true to its end, whoever feeds (design 3.4). */
+/**
+ * Applies an update of the agent. The configuration version and the epochs never go backwards, and a lease stays valid until its end even
+ * if a later update, also from another agent process, doesn't include it (design 3.4).
+ */
 function update(before: View, reply: Reply<'placement'>, validFrom: Instant, now: Instant): View {
   const configuration =
     reply.configuration === null || reply.configuration.version <= before.configurationVersion
@@ -104,7 +112,7 @@
         : before.tenantsByKey,
     leaders,
     members: reply.roster === null ? before.members : new Map(members.map((entry) => [entry.member, entry])),
-    membersByService: reply.roster === null ? before.membersByService : grouped(members),
+    membersByService: reply.roster === null ? before.membersByService : groupByService(members),
     drainingSince,
     edgesByArea: reply.edges,
     demandByArea: reply.demand,
--- a/packages/session-protocol/src/dialect.ts
+++ b/packages/session-protocol/src/dialect.ts
@@ -1,12 +1,13 @@
-/** What a session says and hears, whatever the words on the wire: a dialect puts these into words and back (design 8.10). */
+/** The messages of a session, independent of the wire format: a dialect encodes and parses them (design 8.10). */
 import type * as Option from 'fp-ts/lib/Option.js';
 
 /** A position in a member's log: its term, and the number within it. */
 export type Position = Readonly<{ term: number; number: number }>;
 
-/** Whether a session rests, is within a transaction, or within one that failed. */
+/** Whether a session is outside a transaction, in an open one, or in a failed one. */
 export type TransactionStatus = 'idle' | 'open' | 'failed';
 
+/** Why a statement or a session was rejected or failed. */
 export type Condition =
   | 'saturated'
   | 'aborted'
@@ -23,6 +24,7 @@
   | 'oversize'
   | 'malformed';
 
+/** A parsed statement of a client. */
 export type Command =
   | Readonly<{ kind: 'begin'; readOnly: boolean }>
   | Readonly<{ kind: 'commit' }>
@@ -34,15 +36,17 @@
   | Readonly<{ kind: 'execute'; name: string; parameters: string }>
   | Readonly<{ kind: 'forget'; name: string }>;
 
+/** A parsed message of a client. */
 export type ClientMessage =
   | Readonly<{ kind: 'open'; database: string; key: string }>
   | Readonly<{ kind: 'query'; identifier: string; text: string; command: Option.Option<Command> }>
   | Readonly<{ kind: 'close' }>
   | Readonly<{ kind: 'unreadable' }>;
 
+/** The outcome of a statement; `stamp` is an opaque value that the member sends with success. */
 export type Completion = Readonly<{ kind: 'done'; stamp: string }> | Readonly<{ kind: 'fault'; condition: Condition; text: string }>;
 
-/** What a member's connection says, piece by piece; rows are handed on as they came. */
+/** One message of a member. Rows are passed on unparsed; `ready` ends each reply. */
 export type ReplyMessage =
   | Readonly<{ kind: 'row'; raw: string }>
   | Readonly<{ kind: 'completion'; completion: Completion }>
@@ -54,24 +58,27 @@
   completion: Completion;
   transactionStatus: TransactionStatus;
   position: Option.Option<Position>;
-  /** By the wall clock: it is no member's reply but a copy of one, held through an outage; a dialect may show it (design 8.13). */
+  /**
+   * Wall-clock time in milliseconds, set only for a cached reply served during an outage; a dialect may show it to the client (design
+   * 8.13).
+   */
   cachedAt?: number;
 }>;
 
-/** What a member says of itself when asked for its STATE. */
+/** A member's reply to a STATE query. */
 export type MemberStatus = Readonly<{ role: 'primary' | 'replica'; term: number; received: Position; lagMilliseconds: number }>;
 
-/** Cuts what arrives into messages; `oversize` once one is longer than may be. */
+/** Splits the received data into messages; `oversize` is set when a message exceeds the maximum. */
 export type Framer = Readonly<{ push: (chunk: string) => Readonly<{ messages: readonly string[]; oversize: boolean }> }>;
 
 export type Dialect = Readonly<{
   framer: (maximumBytes: number) => Framer;
-  // Towards senders.
+  // For connections to clients.
   parseRequest: (message: string) => ClientMessage;
   reply: (reply: StatementReply) => string;
   ready: (status: TransactionStatus, position: Option.Option<Position>) => string;
   fault: (condition: Condition, text: string) => string;
-  // Towards members.
+  // For connections to members.
   opening: (service: string, tenant: string, member: string) => string;
   query: (identifier: string, text: string) => string;
   closing: () => string;
@@ -82,13 +89,13 @@
     rollback: string;
     clear: string;
     state: string;
-    /** Runs the text only on a log that holds the position. */
+    /** The member runs the text only if its log has reached the position. */
     atPosition: (position: Position, text: string) => string;
     set: (name: string, value: string) => string;
     prepare: (name: string, writes: boolean, statement: string) => string;
     execute: (name: string, parameters: string) => string;
   }>;
-  /** Statements of the pooler's own carry this. */
+  /** The identifier of statements that the pooler itself sends. */
   internalIdentifier: string;
   memberStatus: (rows: readonly string[]) => Option.Option<MemberStatus>;
 }>;
--- a/packages/session-protocol/src/member-connection.ts
+++ b/packages/session-protocol/src/member-connection.ts
@@ -1,27 +1,27 @@
-/** One connection to a member, with one task that reads it: queries are answered in their order (design 8.10). */
+/** A connection to a member with one reading task; queries are answered in order (design 8.10). */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { fault, identifiers, type Fault, type Runtime, type Stream } from '@stallstall/kernel';
 import type { Condition, Dialect, StatementReply } from './dialect.js';
 import { replyAssembly, type ReplyAssembly } from './reply-assembly.js';
 
-/** Where a member is reached. */
+/** A member and the network address at which it can be reached. */
 export type MemberAddress = Readonly<{ service: string; member: string; address: string }>;
 
-/** What came of queries: `whole` when every one was answered, else the connection is broken behind the last reply. */
+/** The replies to a batch of queries; if not `isComplete`, the connection broke after the last reply. */
 export type QueryOutcome = Readonly<{ replies: readonly StatementReply[]; isComplete: boolean }>;
 
 export type MemberConnection = Readonly<{
-  /** Sends the queries in one piece and waits for as many replies, for so long at the most; after that the connection is of no use. */
+  /** Sends the queries in one batch and waits for all replies; after the timeout the connection is reset. */
   run: (queries: readonly string[], milliseconds: number) => Promise<QueryOutcome>;
-  /** Ends it in order, unless queries are in flight: then as `reset` does. */
+  /** Closes the connection gracefully; if queries are in flight, resets it instead. */
   close: () => void;
-  /** Breaks it off at once: the member rolls back what is open on it. */
+  /** Resets the connection immediately; the member rolls back an open transaction. */
   reset: () => void;
   isClosed: () => boolean;
 }>;
 
-/** What is in flight. */
+/** The queries in flight and the replies received so far. */
 type Exchange = Readonly<{
   kind: 'opening' | 'queries';
   replies: StatementReply[];
@@ -40,10 +40,10 @@
 
 const maximumMessageBytes = 2 * 1024 * 1024;
 
-/** The condition that a member's rejection of an opening names, for those who see the fault. */
+/** The condition with which the member rejected the opening of a connection, taken from the fault of `open`. */
 function conditionOf(error: Fault): Option.Option<Condition> {
-  const known = fault.details(error).details as Readonly<{ condition?: Condition }> | undefined;
-  return Option.fromNullable(known?.condition);
+  const details = fault.details(error).details as Readonly<{ condition?: Condition }> | undefined;
+  return Option.fromNullable(details?.condition);
 }
 
 function finishExchange(connection: ConnectionState, whole: boolean): void {
@@ -59,7 +59,7 @@
   finishExchange(connection, false);
 }
 
-/** False when a message fits nowhere. */
+/** Returns false when the message violates the protocol. */
 function handleMessage(connection: ConnectionState, message: string): boolean {
   const { exchange, assembly } = connection;
   if (exchange === undefined) return false;
@@ -74,9 +74,9 @@
 async function readMessages(connection: ConnectionState): Promise<void> {
   const framer = connection.dialect.framer(maximumMessageBytes);
   for (;;) {
-    const piece = await connection.stream.read();
-    if (Option.isNone(piece)) return;
-    const { messages, oversize } = framer.push(piece.value);
+    const chunk = await connection.stream.read();
+    if (Option.isNone(chunk)) return;
+    const { messages, oversize } = framer.push(chunk.value);
     if (oversize || !messages.every((message) => handleMessage(connection, message))) return;
   }
 }
@@ -113,7 +113,7 @@
 
 function close(connection: ConnectionState): void {
   if (connection.isBroken) return;
-  // With queries in flight it is no orderly end: whoever waits is told so, and the member rolls back.
+  // With queries in flight a graceful close is not possible: the caller gets an incomplete outcome and the member rolls back.
   if (connection.exchange !== undefined) return reset(connection);
   connection.stream.write(connection.dialect.closing());
   connection.isBroken = true;
@@ -123,15 +123,15 @@
 function openFailure(member: string, condition: Condition | undefined): Fault {
   return fault.create({
     kind: 'unreachable',
-    message: `${member} opened no connection${condition === undefined ? '' : `: ${condition}`}`,
-    remedy: 'see whether it runs and can be reached',
+    message: `${member} did not accept the connection${condition === undefined ? '' : `: ${condition}`}`,
+    remedy: 'check that the member is running and reachable',
     details: { condition },
   });
 }
 
 /**
- * Opens a connection for a tenant, naming the member that is expected: addresses are used again (design 8.10). Errors: `unreachable`, with
- * the member's condition in its details, and those of the network.
+ * Opens a connection for a tenant. The opening message names the expected member, because addresses are reused (design 8.10). Errors:
+ * `unreachable`, with the member's condition in its details, and network errors.
  */
 async function open(
   runtime: Runtime,
--- a/packages/session-protocol/src/member-prober.ts
+++ b/packages/session-protocol/src/member-prober.ts
@@ -1,4 +1,4 @@
-/** STATE of members, over one connection to each that stays open (design 7.1). */
+/** Queries the STATE of members over one persistent connection to each (design 7.1). */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { fault, type Fault, type Runtime } from '@stallstall/kernel';
@@ -7,11 +7,11 @@
 
 export type MemberProber = Readonly<{
   /**
-   * Keeps a connection open without asking anything: that it breaks, and that another is refused, tells of the member's end at once.
+   * Keeps a connection open without sending queries. When it breaks and a new one is refused, the member's crash is detected immediately.
    * Errors: those of `memberConnection.open`.
    */
   ensureConnection: (service: string, member: string, address: string, milliseconds: number) => Promise<Either.Either<Fault, null>>;
-  /** Errors: `reply-lost`, `overloaded` when the member gives no STATE, and those of `memberConnection.open`. */
+  /** Errors: `reply-lost`, `overloaded` when the member does not return a valid STATE, and those of `memberConnection.open`. */
   readStatus: (service: string, member: string, address: string, milliseconds: number) => Promise<Either.Either<Fault, MemberStatus>>;
 }>;
 
@@ -22,7 +22,7 @@
   dialect: Dialect;
   tenant: string;
   open: Map<string, Readonly<{ address: string; connection: MemberConnection }>>;
-  /** Callers that arrive while a connection is being opened share it: a second one would be kept by nobody. */
+  /** Connections being opened. Concurrent callers share one, because a second connection would never be closed. */
   opening: Map<string, Readonly<{ address: string; connection: PendingConnection }>>;
 }>;
 
@@ -33,16 +33,16 @@
 function stateReplyLost(member: string): Fault {
   return fault.create({
     kind: 'reply-lost',
-    message: `the STATE of ${member} was lost`,
-    remedy: 'see whether it runs and can be reached',
+    message: `the STATE reply of ${member} was lost`,
+    remedy: 'check that the member is running and reachable',
   });
 }
 
 function stateNotGiven(member: string, { completion }: StatementReply): Fault {
   return fault.create({
     kind: 'overloaded',
-    message: `${member} gave no STATE: ${completion.kind === 'fault' ? completion.condition : 'nothing that can be read'}`,
-    remedy: 'ask again shortly',
+    message: `${member} did not return its STATE: ${completion.kind === 'fault' ? completion.condition : 'the reply cannot be parsed'}`,
+    remedy: 'retry shortly',
     retryAfterSeconds: 1,
   });
 }
@@ -54,28 +54,28 @@
 ): PendingConnection {
   const { member, address } = place;
   const opened = await memberConnection.open(runtime, dialect, place, tenant, milliseconds);
-  const isWanted = opening.get(member)?.address === address;
-  if (isWanted) opening.delete(member);
+  const isStillNeeded = opening.get(member)?.address === address;
+  if (isStillNeeded) opening.delete(member);
   if (Either.isLeft(opened)) return opened;
-  if (!isWanted) {
+  if (!isStillNeeded) {
     opened.right.close();
-    return unreachable(`${member} has moved meanwhile`, 'ask again');
+    return unreachable(`the address of ${member} changed while connecting`, 'retry');
   }
   open.set(member, { address, connection: opened.right });
   return opened;
 }
 
-/** The open connection to a member, or one that is opened now. */
+/** The open connection to a member, or a new one. */
 async function connectionTo(prober: ProberState, place: MemberAddress, milliseconds: number): PendingConnection {
   const { open, opening } = prober;
   const { member, address } = place;
-  const known = open.get(member);
-  if (known !== undefined && known.address === address && !known.connection.isClosed()) return Either.right(known.connection);
-  known?.connection.close();
+  const existing = open.get(member);
+  if (existing !== undefined && existing.address === address && !existing.connection.isClosed()) return Either.right(existing.connection);
+  existing?.connection.close();
   open.delete(member);
-  if (address === '') return unreachable(`no beat has told where ${member} is`, 'wait for its beat');
-  const underWay = opening.get(member);
-  if (underWay !== undefined && underWay.address === address) return underWay.connection;
+  if (address === '') return unreachable(`no heartbeat has reported the address of ${member}`, 'wait for its next heartbeat');
+  const pending = opening.get(member);
+  if (pending !== undefined && pending.address === address) return pending.connection;
   const connection = openConnection(prober, place, milliseconds);
   opening.set(member, { address, connection });
   return connection;
@@ -95,7 +95,7 @@
   return Option.isSome(status) ? Either.right(status.value) : Either.left(stateNotGiven(place.member, reply));
 }
 
-/** @param tenant - who the product is to members when it asks for itself */
+/** @param tenant - the tenant name that identifies the pooler's own connections to members */
 function create(runtime: Runtime, dialect: Dialect, tenant: string): MemberProber {
   const prober: ProberState = { runtime, dialect, tenant, open: new Map(), opening: new Map() };
   return {
--- a/packages/session-protocol/src/repeatable-commands.ts
+++ b/packages/session-protocol/src/repeatable-commands.ts
@@ -1,8 +1,8 @@
-/** Which of a session's statements may be asked of a member again once a reply was lost (design 8.5, 8.14). */
+/** Which commands may be sent to a member again after their reply was lost (design 8.5, 8.14). */
 import type { Repeatable } from '@stallstall/kernel';
 import type { Command } from './dialect.js';
 
-/** Within a transaction nothing is asked again by itself: its connection is broken off and the whole is begun anew by its sender. */
+/** Commands in a transaction are never retried individually: the connection is reset and the client retries the whole transaction. */
 export const repeatableCommands: Readonly<Record<Command['kind'], Repeatable>> = {
   begin: 'freely',
   commit: 'never',
@@ -11,7 +11,7 @@
   write: 'never',
   set: 'freely',
   prepare: 'freely',
-  // One that writes is a write: which of the two it is, its shape says.
+  // Whether it writes depends on the prepared statement.
   execute: 'never',
   forget: 'freely',
 };
--- a/packages/session-protocol/src/reply-assembly.ts
+++ b/packages/session-protocol/src/reply-assembly.ts
@@ -1,20 +1,20 @@
-/** Puts the pieces that a member sends together to replies (design 8.10). */
+/** Assembles the messages of a member into replies (design 8.10). */
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Completion, Dialect, ReplyMessage, StatementReply } from './dialect.js';
 
 /** @internal */
 export type ReplyAssembly = Readonly<{
-  /** Takes one message. An opening is answered by rest alone, a query never. */
+  /** Adds one message. An opening is answered by `ready` alone, a query always by a completion first. */
   addMessage: (message: string, isOpening: boolean) => AssemblyStep;
-  /** A rejected opening is a fault and a close, with no rest behind it; none where nothing has arrived. */
+  /** The reply whose `ready` has not arrived, such as a rejected opening: a fault followed by a close; none when there is no completion. */
   unfinished: () => Option.Option<StatementReply>;
 }>;
 
-/** What came of one message. @internal */
+/** The result of adding one message. @internal */
 export type AssemblyStep =
   | Readonly<{ kind: 'partial' }>
   | Readonly<{ kind: 'reply'; reply: StatementReply }>
-  /** It fits nowhere: the connection is of no use any more. */
+  /** The message violates the protocol: the connection must be reset. */
   | Readonly<{ kind: 'violation' }>;
 
 const incomplete: AssemblyStep = { kind: 'partial' };
@@ -31,23 +31,23 @@
     return reply;
   }
 
-  function addCompletion(piece: Extract<ReplyMessage, { kind: 'completion' }>): AssemblyStep {
+  function addCompletion(parsed: Extract<ReplyMessage, { kind: 'completion' }>): AssemblyStep {
     if (completion !== undefined) return violation;
-    completion = piece.completion;
+    completion = parsed.completion;
     return incomplete;
   }
 
   function addMessage(message: string, isOpening: boolean): AssemblyStep {
-    const piece = dialect.parseReply(message);
-    if (piece.kind === 'unreadable') return violation;
-    if (piece.kind === 'completion') return addCompletion(piece);
-    if (piece.kind === 'row') {
-      rows.push(piece.raw);
+    const parsed = dialect.parseReply(message);
+    if (parsed.kind === 'unreadable') return violation;
+    if (parsed.kind === 'completion') return addCompletion(parsed);
+    if (parsed.kind === 'row') {
+      rows.push(parsed.raw);
       return incomplete;
     }
-    // Rest by itself is no reply to a query but a stray one.
+    // `ready` without a completion is not a reply to a query.
     if (isOpening !== (completion === undefined)) return violation;
-    return { kind: 'reply', reply: complete(piece) };
+    return { kind: 'reply', reply: complete(parsed) };
   }
 
   function unfinished(): Option.Option<StatementReply> {
@@ -55,7 +55,7 @@
     return Option.some({ rows, completion, transactionStatus: 'idle', position: Option.none });
   }
 
-  return { addMessage: addMessage, unfinished };
+  return { addMessage, unfinished };
 }
 
 /** @internal */
