--- a/packages/acceptance/features/clocks.feature
+++ b/packages/acceptance/features/clocks.feature
@@ -14,7 +14,7 @@
       | it is 8000 ms behind from second 5       | 36        | -8000      |
 
   Scenario Outline: Clocks that step on all machines but one, and back, leave the usage windows where they were
-    Given a pooled fleet at work
+    Given a running pooled fleet
     When gets are asked for 30 s, and the clocks of all machines but that of core-3 are <way> by 8 s from second 7 to second 13
     Then each window in between was told as it was served
 
@@ -24,6 +24,6 @@
       | behind |
 
   Scenario: What an edge serves while it is cut off from the cores is told once it is back
-    Given a pooled fleet at work
+    Given a running pooled fleet
     When gets are asked for 30 s, and edge-1 is cut off from the cores from second 7 to second 12
     Then each window in between was told as it was served
--- a/packages/acceptance/features/contents.feature
+++ b/packages/acceptance/features/contents.feature
@@ -5,7 +5,7 @@
     And differences that do not apply to a value yield no value
 
   Scenario: A core sends differences to a receiver that reports which content it has, and the complete content to others
-    Given a pooled fleet at work
+    Given a running pooled fleet
     When these receivers watch core-1, and a configuration that changes one database is accepted:
       | receiver                     | reports                          |
       | an edge                      | the ballot of its newest content |
--- a/packages/acceptance/features/dialect.feature
+++ b/packages/acceptance/features/dialect.feature
@@ -1,5 +1,5 @@
-Feature: The stand-ins' dialect of the session wire
+Feature: The plain dialect of the session protocol
 
-  Scenario: The plain dialect reads what it says
+  Scenario: The plain dialect parses what it writes
     Given a reply with a row at position 3.41
-    Then the plain dialect's pieces of it are the row, its ending and rest at 3.41
+    Then the plain dialect parses it into the row, its completion and ready at 3.41
--- a/packages/acceptance/features/outages.feature
+++ b/packages/acceptance/features/outages.feature
@@ -2,8 +2,8 @@
 
   Scenario: A cut edge replies through the whole window what its people read before, and settles nothing
     Given a pooled fleet with an outage of edge-1 ahead
-    And "x1" was put as "again" in "bookings-late" through edge-1
-    And "x1" was put as "old" in "bookings-lead" through edge-2
+    And "x1" was set to "again" in "bookings-late" through edge-1
+    And "x1" was set to "old" in "bookings-lead" through edge-2
     And edge-1 has served a get of "x1" in "bookings-late"
     And edge-1 has served a get of "x1" in "bookings-lead"
     And edge-1 has served a get of "x1" in "bookings-own"
@@ -12,24 +12,23 @@
     Then a get of "x1" in "bookings-late" through edge-1 gives "old" from the copy
     And a put of "x1" in "bookings-late" through edge-1 is denied as "read-only"
     And a commit in "bookings-late" through edge-1 is denied
-    And a get of "x1" in "bookings-lead" through edge-1 is denied as "read-only"
-    And a get of "x1" in "bookings-own" through edge-1 is denied as "read-only"
+    And a get of "x1" in "bookings-lead" through edge-1 fails with "read-only"
+    And a get of "x1" in "bookings-own" through edge-1 fails with "read-only"
     And a get of "x1" within a transaction in "bookings-late" through edge-1 is denied as "read-only"
-    And a get of "x2" in "bookings-late" through edge-1 is denied as "read-only"
-    When 40 s of the pooled fleet pass
+    And a get of "x2" in "bookings-late" through edge-1 fails with "read-only"
+    When 40 s pass in the pooled fleet
     Then a get of "x1" in "bookings-late" through edge-1 gives "old" from the copy
     And a put of "x1" in "bookings-late" through edge-1 is denied as "read-only"
     And edge-1 counted 2 copies served and 1 missed
 
   Scenario: What can be placed goes to a member, in the window as always
     Given a pooled fleet with an outage of edge-1 ahead
-    And "x1" was put as "old" in "bookings-lead" through edge-2
+    And "x1" was set to "old" in "bookings-lead" through edge-2
     And edge-1 has served a get of "x1" in "bookings-late"
     And the copy of edge-1 was made
-    And "x1" was put as "new" in "bookings-lead" through edge-2
+    And "x1" was set to "new" in "bookings-lead" through edge-2
     When the window begins
-    Then a get of "x1" in "bookings-late" through edge-1 gives "new"
-
+    Then a get of "x1" in "bookings-late" through edge-1 returns "new"
   Scenario: Another tenant's copy is never shown
     Given a pooled fleet with an outage of edge-1 ahead
     And edge-1 has served a get of "x1" in "bookings-late"
@@ -53,7 +52,7 @@
 
   Scenario: The first reads after the cut are replied from the copy too
     Given a pooled fleet with an outage of edge-1 ahead
-    And "x1" was put as "old" in "bookings-lead" through edge-2
+    And "x1" was set to "old" in "bookings-lead" through edge-2
     And edge-1 has served a get of "x1" in "bookings-late"
     And the copy of edge-1 was made
     When the window begins
@@ -63,30 +62,29 @@
 
   Scenario: A clock that steps and steps back moves no window; one that is set on for good ends it, and seen twice it is harmless
     Given a pooled fleet with an outage of edge-1 ahead
-    And "x1" was put as "old" in "bookings-lead" through edge-2
+    And "x1" was set to "old" in "bookings-lead" through edge-2
     And edge-1 has served a get of "x1" in "bookings-late"
     And the copy of edge-1 was made
     When edge-1 loses its uplink and the window begins
     And the clock of edge-1 is set on by 200 s
-    And 6 s of the pooled fleet pass
+    And 6 s pass in the pooled fleet
     Then a get of "x1" in "bookings-late" through edge-1 gives "old" from the copy
     When the clock of edge-1 is set back by 200 s
-    And 1 s of the pooled fleet pass
+    And 1 s pass in the pooled fleet
     Then a get of "x1" in "bookings-late" through edge-1 gives "old" from the copy
     When the clock of edge-1 is set on by 200 s
-    And 32 s of the pooled fleet pass
-    Then a get of "x1" in "bookings-late" through edge-1 is denied as "read-only"
+    And 32 s pass in the pooled fleet
+    Then a get of "x1" in "bookings-late" through edge-1 fails with "read-only"
     And edge-1 holds no copy
     When the clock of edge-1 is set back by 200 s
-    And 32 s of the pooled fleet pass
-    Then a get of "x1" in "bookings-late" through edge-1 is denied as "read-only"
-
+    And 32 s pass in the pooled fleet
+    Then a get of "x1" in "bookings-late" through edge-1 fails with "read-only"
   Scenario: A copy that is not ready when the window begins is not finished in it
     Given a pooled fleet with an outage of edge-1 ahead whose copy is made 1500 ms before
     And edge-1 has served 60 different gets in "bookings-late"
     When the window begins
     And edge-1 loses its uplink
-    And 4 s of the pooled fleet pass
+    And 4 s pass in the pooled fleet
     Then every one of the 60 gets in "bookings-late" through edge-1 is denied, though some were copied
 
   Scenario: A database that has moved since is not read from its copy
@@ -95,39 +93,36 @@
     And the copy of edge-1 was made
     When "bookings-late" moves to "maps"
     And edge-1 loses its uplink and the window begins
-    Then a get of "x1" in "bookings-late" through edge-1 is denied as "read-only"
-
+    Then a get of "x1" in "bookings-late" through edge-1 fails with "read-only"
   Scenario: A copy is never made from another copy
     Given a pooled fleet with an outage of edge-1 ahead, and one of another site soon after
-    And "x1" was put as "old" in "bookings-lead" through edge-2
+    And "x1" was set to "old" in "bookings-lead" through edge-2
     And edge-1 has served a get of "x1" in "bookings-late"
     And the copy of edge-1 was made
     When edge-1 loses its uplink and the window begins
     Then a get of "x1" in "bookings-late" through edge-1 gives "old" from the copy
     When the window and its grace are over
-    Then a get of "x1" in "bookings-late" through edge-1 is denied as "read-only"
-
+    Then a get of "x1" in "bookings-late" through edge-1 fails with "read-only"
   Scenario: Before its window a copy replies nothing
     Given a pooled fleet with an outage of edge-1 ahead
     And edge-1 has served a get of "x1" in "bookings-late"
     And the copy of edge-1 was made
     When edge-1 loses its uplink
-    Then a get of "x1" in "bookings-late" through edge-1 is denied as "read-only"
-
+    Then a get of "x1" in "bookings-late" through edge-1 fails with "read-only"
   Scenario: After the window the copy is gone, though the uplink is still away
     Given a pooled fleet with an outage of edge-1 ahead
-    And "x1" was put as "old" in "bookings-lead" through edge-2
+    And "x1" was set to "old" in "bookings-lead" through edge-2
     And edge-1 has served a get of "x1" in "bookings-late"
     And the copy of edge-1 was made
     When edge-1 loses its uplink and the window begins
     Then a get of "x1" in "bookings-late" through edge-1 gives "old" from the copy
     When the window and its grace are over
-    Then a get of "x1" in "bookings-late" through edge-1 is denied as "read-only"
+    Then a get of "x1" in "bookings-late" through edge-1 fails with "read-only"
     And edge-1 holds no copy
 
   Scenario: A session's own commit after the copy turns it away
     Given a pooled fleet with an outage of edge-1 ahead
-    And "x1" was put as "old" in "bookings-lead" through edge-2
+    And "x1" was set to "old" in "bookings-lead" through edge-2
     And edge-1 has served a get of "x1" in "bookings-late"
     And the copy of edge-1 was made
     And a session in "bookings-late" through edge-1 has put "x1" as "new"
@@ -153,7 +148,7 @@
 
   Scenario: Named reads are held although nobody asked them
     Given a pooled fleet with an outage of edge-1 ahead that names a get of "x1" in "bookings-late"
-    And "x1" was put as "old" in "bookings-lead" through edge-2
+    And "x1" was set to "old" in "bookings-lead" through edge-2
     And the copy of edge-1 was made
     When edge-1 loses its uplink and the window begins
     Then a get of "x1" in "bookings-late" through edge-1 gives "old" from the copy
@@ -163,8 +158,7 @@
     And edge-1 has served a get of "x1" in "bookings-late"
     And the copy of edge-1 was made
     When edge-1 restarts and loses its uplink within the window
-    Then a get of "x1" in "bookings-late" through edge-1 is denied as "read-only"
-
+    Then a get of "x1" in "bookings-late" through edge-1 fails with "read-only"
   Scenario: A prepared read is held by its shape, whatever its name
     Given a pooled fleet with an outage of edge-1 ahead
     And edge-1 has served a prepared get "s1" of "x1" under the value "v1" of "deep" in "bookings-late"
@@ -177,22 +171,21 @@
     Given a pooled fleet with an outage of edge-1 ahead
     And edge-1 has served a get of "x1" in "bookings-late"
     And the copy of edge-1 was made
-    When 15 s of the pooled fleet pass
+    When 15 s pass in the pooled fleet
     Then the usage of all tenants comes to 1
 
   Scenario: An edge that the outage doesn't name holds nothing
     Given a pooled fleet with an outage of edge-2 ahead
     And edge-1 has served a get of "x1" in "bookings-late"
     And the copy of edge-2 was made
-    And 2 s of the pooled fleet pass
+    And 2 s pass in the pooled fleet
     When edge-1 loses its uplink and the window begins
-    Then a get of "x1" in "bookings-late" through edge-1 is denied as "read-only"
-
+    Then a get of "x1" in "bookings-late" through edge-1 fails with "read-only"
   Scenario: With no outages named a cut edge denies as before
-    Given a pooled fleet at work
+    Given a running pooled fleet
     And edge-1 has served a get of "x1" in "bookings-late"
     When edge-1 loses its uplink
-    Then a get of "x1" in "bookings-late" through edge-1 is denied as "read-only"
+    Then a get of "x1" in "bookings-late" through edge-1 fails with "read-only"
     And edge-1 holds no copy
 
   Scenario: The sheet's outages are checked whole
--- a/packages/acceptance/features/pooled.feature
+++ b/packages/acceptance/features/pooled.feature
@@ -1,114 +1,102 @@
-Feature: Pooled sessions: what holds while members, edges and cores fail
-
-  Scenario: A deposed primary's plain reads never reach a sender
-    Given a pooled fleet at work
-    And "x1" was put as "old" in "bookings-lead" through edge-2
-    When edge-1 and the primary of "bookings" are cut off from everything but each other and senders
-    And another member of "bookings" leads
-    And "x1" was put as "new" in "bookings-lead" through edge-2
-    Then a get of "x1" in "bookings-lead" through edge-2 gives "new"
-    And a get of "x1" in "bookings-lead" through edge-1 is denied as "read-only"
-    And the deposed primary itself still replies "old" to who asks it directly
-
-  Scenario: A frozen edge wakes and sends nothing to the old leader
-    Given a pooled fleet at work
-    And "x1" was put as "old" in "bookings-lead" through edge-1
-    When edge-1 is frozen for 9 s and is sent a get and a put meanwhile
+Feature: Pooled sessions: guarantees while members, edges and cores fail
+
+  Scenario: Reads on a deposed primary never reach a client
+    Given a running pooled fleet
+    And "x1" was set to "old" in "bookings-lead" through edge-2
+    When edge-1 and the primary of "bookings" are cut off from everything except each other and clients
+    And another member of "bookings" becomes the leader
+    And "x1" was set to "new" in "bookings-lead" through edge-2
+    Then a get of "x1" in "bookings-lead" through edge-2 returns "new"
+    And a get of "x1" in "bookings-lead" through edge-1 fails with "read-only"
+    And the deposed primary still returns "old" when it is queried directly
+  Scenario: An edge that resumes after a freeze sends nothing to the old leader
+    Given a running pooled fleet
+    And "x1" was set to "old" in "bookings-lead" through edge-1
+    When edge-1 is frozen for 9 s while a get and a put are sent to it
     And the primary of "bookings" is cut off from the cores
-    And another member of "bookings" leads
-    And 6 s of the pooled fleet pass
-    Then the deposed primary has run nothing since edge-1 was frozen
-
-  Scenario: Edges that let go of an epoch shorten the hand-over
-    Given a pooled fleet at work
-    When the primary of "bookings" says that it drains
-    And another member of "bookings" leads
-    Then it was promoted less than 1000 ms after it was proposed
-
-  Scenario: An edge that is silent is waited out
-    Given a pooled fleet at work
+    And another member of "bookings" becomes the leader
+    And 6 s pass in the pooled fleet
+    Then the deposed primary has run no statement since edge-1 was frozen
+  Scenario: Edges that release an epoch shorten the handover
+    Given a running pooled fleet
+    When the primary of "bookings" reports that it is draining
+    And another member of "bookings" becomes the leader
+    Then the new leader was promoted less than 1000 ms after it was proposed
+  Scenario: A promotion waits until the leases of a silent edge have expired
+    Given a running pooled fleet
     When edge-3 is frozen for 9 s
-    And the primary of "bookings" says that it drains
-    And another member of "bookings" leads
-    Then it was promoted more than 1700 ms after edge-3 was frozen and nothing of edge-3 ran on the old one since
-
+    And the primary of "bookings" reports that it is draining
+    And another member of "bookings" becomes the leader
+    Then the new leader was promoted more than 1700 ms after edge-3 was frozen, and edge-3 is still running
   Scenario: No lease is granted for a member before its promotion has taken effect
-    Given a pooled fleet at work
+    Given a running pooled fleet
     And a platform whose promotions take effect 600 ms after its replies
     When the primary of "bookings" is cut off from the cores
     And gets of "x1" in "bookings-lead" through edge-2 are sent until another member of "bookings" serves them
-    Then the new primary ran none of them before it led
-
-  Scenario: An open transaction holds the hand-over up for a moment only
-    Given a pooled fleet whose transactions may rest for 9000 ms
-    And a session in "bookings-lead" through edge-1 has put "x1" as "open" within a transaction
-    When the primary of "bookings" says that it drains
-    And another member of "bookings" leads
-    Then it was promoted less than 1500 ms after it was proposed
-    And its commit is denied as "aborted", and nothing was kept of it
-
-  Scenario Outline: A reply lost on a commit is an outcome unknown, and nothing is repeated
-    Given a pooled fleet at work
-    When the primary of "bookings" loses its next <lost> replies to commits
-    And a <kind> puts "x1" as "once" in "bookings-lead" through edge-1
-    Then its sender is told "outcome-unknown"
-    And 5 s of the pooled fleet pass
-    And members kept it 1 time and ran it 1 time
-
+    Then the new primary ran none of them before its promotion took effect
+  Scenario: An open transaction delays the handover only briefly
+    Given a pooled fleet whose transactions may be idle for 9000 ms
+    And a session in "bookings-lead" through edge-1 has set "x1" to "open" in a transaction
+    When the primary of "bookings" reports that it is draining
+    And another member of "bookings" becomes the leader
+    Then the new leader was promoted less than 1500 ms after it was proposed
+    And its commit fails with "aborted", and none of its writes are committed
+  Scenario Outline: A commit whose reply is lost has an unknown outcome and is not retried
+    Given a running pooled fleet
+    When the primary of "bookings" drops its next <lost> replies to commits
+    And a <kind> sets "x1" to "once" in "bookings-lead" through edge-1
+    Then its client receives "outcome-unknown"
+    And 5 s pass in the pooled fleet
+    And members committed it 1 time and ran it 1 time
     Examples:
       | kind        | lost |
       | statement   | 1    |
       | transaction | 1    |
 
-  Scenario: A read whose reply is lost is asked again elsewhere
-    Given a pooled fleet at work
-    When every replica of "bookings" loses its next reply
+  Scenario: A read whose reply is lost is retried on another member
+    Given a running pooled fleet
+    When every replica of "bookings" drops its next reply
     Then a get of "x1" in "bookings-late" through edge-1 is served
 
-  Scenario: A read of bounded age misses nothing that is older than its bound, on however quiet a service
-    Given a pooled fleet at work
+  Scenario: A bounded read sees every write older than its staleness bound, even on an idle service
+    Given a running pooled fleet
     And a get of "x1" in "bookings-lead" through edge-2 is served
-    When every replica of "bookings" goes deaf
-    And "x1" was put as "new" in "bookings-lead" through edge-1
+    When every replica of "bookings" stops replicating
+    And "x1" was set to "new" in "bookings-lead" through edge-1
     And "x1" is read 40 times in "bookings-late" through edge-2, every 100 ms
-    Then those read later than 1500 ms after the put gave "new", and some before gave the old
-
-  Scenario: Values and prepared names never cross
-    Given a pooled fleet whose edges hold 1 connection to each member
-    When three sessions through edge-1 with clashing values and names take turns 12 times
-    Then every statement ran under the values and shapes of its own session
-
-  Scenario: A transaction that a member denied leaves nothing on its connection
-    Given a pooled fleet whose edges hold 1 connection to each member
-    When a transaction that only reads is asked to put, in "bookings-lead" through edge-1
-    Then it is denied as "read-only", and takes nothing but its end
+    Then reads sent later than 1500 ms after the put returned "new", and some earlier ones returned the old value
+  Scenario: Session values and prepared statements never leak into other sessions
+    Given a pooled fleet whose edges may open 1 connection to each member
+    When three sessions through edge-1 with conflicting session values and prepared statements take 12 turns each
+    Then every statement ran with the session values and prepared statements of its own session
+  Scenario: A transaction that a member rejected leaves no state on its connection
+    Given a pooled fleet whose edges may open 1 connection to each member
+    When a read-only transaction in "bookings-lead" through edge-1 tries to put
+    Then it fails with "read-only", and the transaction then accepts only its rollback
     And a get of "x1" in "bookings-lead" through edge-1 is served
 
-  Scenario: A transaction that rests too long is ended
-    Given a pooled fleet at work
-    And a session in "bookings-lead" through edge-1 has put "x1" as "open" within a transaction
-    When 3 s of the pooled fleet pass
-    Then its commit is denied as "aborted", and nothing was kept of it
-    And the primary of "bookings" holds no transaction
-
-  Scenario: A sender that leaves midway leaves nothing behind
-    Given a pooled fleet at work
-    And a session in "bookings-lead" through edge-1 has put "x1" as "open" within a transaction
-    When its sender leaves
-    And 1 s of the pooled fleet pass
-    Then nothing was kept of it
-    And the primary of "bookings" holds no transaction
-
-  Scenario: An edge that ends as planned replies to all
-    Given a pooled fleet whose members work for 400 ms
-    When edge-1 ends as planned with 8 statements and a transaction under way
-    Then each of them is replied, and the transaction is kept
-    And readiness failed before any session was let go
-    And no session is let in afterwards
-
-  Scenario: What cannot be let in gets a typed fault, and no process ends
-    Given a pooled fleet at work
-    Then these bytes to edge-1 get these faults
+  Scenario: A transaction that is idle too long is rolled back
+    Given a running pooled fleet
+    And a session in "bookings-lead" through edge-1 has set "x1" to "open" in a transaction
+    When 3 s pass in the pooled fleet
+    Then its commit fails with "aborted", and none of its writes are committed
+    And the primary of "bookings" has no open transaction
+  Scenario: A client that disconnects in a transaction leaves nothing behind
+    Given a running pooled fleet
+    And a session in "bookings-lead" through edge-1 has set "x1" to "open" in a transaction
+    When its client disconnects
+    And 1 s pass in the pooled fleet
+    Then none of its writes are committed
+    And the primary of "bookings" has no open transaction
+  Scenario: An edge that shuts down gracefully answers every statement
+    Given a pooled fleet whose members take 400 ms for each statement
+    When edge-1 is shut down gracefully with 8 statements and a transaction in progress
+    Then every statement that ran is answered, and the transaction is committed
+    And readiness failed before any session was closed
+    And no new session is accepted afterwards
+  Scenario: An invalid request gets a typed fault, and no process ends
+    Given a running pooled fleet
+    Then these bytes sent to edge-1 are answered with these faults
       | bytes                                                | fault       |
       | hello nowhere key-one                                | no-database |
       | hello bookings-lead key-none                         | denied      |
@@ -124,52 +112,48 @@
       | hello bookings-lead key-one / nonsense               | malformed   |
       | hello bookings-lead key-one / <one message of 2 MB>  | oversize    |
       | <one message of 2 MB>                                | oversize    |
-    And every process of the pooled fleet still runs
+    And every process of the pooled fleet is still running
     And a get of "x1" in "bookings-lead" through edge-1 is served
 
-  Scenario: Beats to a core of no fleet are turned away
-    Given a core that has met no other
-    Then a beat to it is turned away, and so is a leave
+  Scenario: A core without a fleet rejects heartbeats
+    Given a core that has not contacted any other core
+    Then a heartbeat sent to it is rejected, and so is a leave
     When the other cores start and the fleet is formed
-    Then a beat to it is taken
-
-  Scenario: A late beat takes nothing back, through whichever core it comes
-    Given a pooled fleet at work
-    When "maps-9" beats as draining with number 5 to core 1
-    And "maps-9" beats as serving with number 4 to core 2
-    Then every edge knows "maps-9" as draining
+    Then a heartbeat sent to it is accepted
+  Scenario: A late heartbeat reverts nothing, whichever core receives it
+    Given a running pooled fleet
+    When "maps-9" sends a heartbeat as draining with number 5 to core 1
+    And "maps-9" sends a heartbeat as serving with number 4 to core 2
+    Then every edge lists "maps-9" as draining
     When "maps-9" leaves through core 3
-    And "maps-9" beats as serving with number 6 to core 1
-    Then no edge knows "maps-9"
-
-  Scenario: A drained member is left in time
-    Given a pooled fleet at work
-    And senders with sessions are at work
-    When the primary of "bookings" says that it drains
-    And 12 s of the pooled fleet pass
-    Then nothing began on it later than 7 s after a core acknowledged that
-    And the checkers of the pooled mode find nothing
-
-  Scenario: An edge that starts while a primary drains takes that for old news
-    Given a pooled fleet at work
+    And "maps-9" sends a heartbeat as serving with number 6 to core 1
+    Then no edge lists "maps-9"
+  Scenario: A drained member receives no new statements after its time limit
+    Given a running pooled fleet
+    And clients with sessions are running
+    When the primary of "bookings" reports that it is draining
+    And 12 s pass in the pooled fleet
+    Then nothing new began on it later than 7 s after a core acknowledged the draining
+    And the checkers of the pooled mode find no violation
+  Scenario: An edge that starts while a primary drains treats it as fully drained
+    Given a running pooled fleet
     When every replica of "bookings" is killed
-    And the primary of "bookings" says that it drains
-    And 3 s of the pooled fleet pass
+    And the primary of "bookings" reports that it is draining
+    And 3 s pass in the pooled fleet
     Then a get of "x1" in "bookings-lead" through edge-2 is served
-    When edge-1 is killed and comes back at once
-    And 1 s of the pooled fleet pass
-    Then a get of "x1" in "bookings-lead" through edge-1 is denied as "read-only"
-
-  Scenario: A statement that waits while its database moves follows it
-    Given a pooled fleet whose edges hold 1 connection to each member
-    And a session in "bookings-lead" through edge-1 has put "x1" as "open" within a transaction
-    When a get of "x1" in "bookings-lead" waits at edge-1 while the database moves to "maps"
+    When edge-1 is killed and restarted immediately
+    And 1 s pass in the pooled fleet
+    Then a get of "x1" in "bookings-lead" through edge-1 fails with "read-only"
+  Scenario: A statement that waits while its database is moved follows it
+    Given a pooled fleet whose edges may open 1 connection to each member
+    And a session in "bookings-lead" through edge-1 has set "x1" to "open" in a transaction
+    When a get of "x1" in "bookings-lead" waits at edge-1 while the database is moved to "maps"
     Then it ran on a member of "maps"
 
-  Scenario: A key that was withdrawn is denied within its time, to whoever is connected
-    Given a pooled fleet at work
-    And a session in "bookings-lead" through edge-1 under the spare key
+  Scenario: A withdrawn key is denied in time, also to connected sessions
+    Given a running pooled fleet
+    And a session in "bookings-lead" through edge-1 opened with the spare key
     When the spare key is withdrawn
-    And 3 s of the pooled fleet pass
-    Then a get in that session is denied as "denied"
-    And its open transaction of before had its end
+    And 3 s pass in the pooled fleet
+    Then a get in that session fails with "denied"
+    And the transaction that was open before was committed
--- a/packages/acceptance/features/simulator.feature
+++ b/packages/acceptance/features/simulator.feature
@@ -26,7 +26,7 @@
     Then the lost core runs no more once its successor has come
 
   Scenario: A core's settings name cores that are there, also once every founder has been replaced
-    Given a pooled fleet at work
+    Given a running pooled fleet
     When each of its cores is replaced in turn by a blank one, 8 s apart
     Then the last one serves within 8 s
 
--- a/packages/acceptance/src/dialect-steps.ts
+++ b/packages/acceptance/src/dialect-steps.ts
@@ -17,7 +17,7 @@
 });
 
 Then(
-  "the plain dialect's pieces of it are the row, its ending and rest at {int}.{int}",
+  'the plain dialect parses it into the row, its completion and ready at {int}.{int}',
   function then(this: DialectStory, term: number, number: number) {
     const { messages } = plainDialect.framer(1_024).push(plainDialect.reply(this.reply));
     assert.deepEqual(messages.map(plainDialect.parseReply), [
--- a/packages/acceptance/src/outages.ts
+++ b/packages/acceptance/src/outages.ts
@@ -8,7 +8,7 @@
 import { firstKey, pooledFleet, wallStart, type PooledMember, type PooledSheet } from '@stallstall/simulator';
 import type { SessionLine } from '@stallstall/fakes';
 import type { StatementReply } from '@stallstall/session-protocol';
-import { edge, open, type WithPooledFleet } from './pooled-story.js';
+import { edge, openSession, type WithPooledFleet } from './pooled-story.js';
 
 type OutageStory = WithPooledFleet & {
   line: SessionLine;
@@ -41,7 +41,7 @@
 }
 
 async function once(story: OutageStory, database: string, name: string, texts: readonly string[], who: string = firstKey): Promise<string> {
-  const line = await open(story, database, name, who);
+  const line = await openSession(story, database, name, who);
   let last = '';
   for (const text of texts) last = outcome(await story.pooled.ask(line, text));
   line.close();
@@ -209,7 +209,7 @@
 Given(
   'a session in {string} through {word} has put {string} as {string}',
   async function given(this: OutageStory, database: string, name: string, thing: string, data: string) {
-    this.line = await open(this, database, name);
+    this.line = await openSession(this, database, name);
     assert.match(outcome(await this.pooled.ask(this.line, `put ${thing} ${data}`)), /^(row .*)?$/);
   },
 );
@@ -218,7 +218,7 @@
   'a session in {string} through {word} has put {string} as {string} and the reply was lost',
   async function given(this: OutageStory, database: string, name: string, thing: string, data: string) {
     (this.pooled.primaryOf('bookings') as PooledMember & { running: NonNullable<PooledMember['running']> }).running.knobs.loseCommits = 1;
-    this.line = await open(this, database, name);
+    this.line = await openSession(this, database, name);
     assert.equal(outcome(await this.pooled.ask(this.line, `put ${thing} ${data}`)), 'outcome-unknown');
   },
 );
@@ -340,7 +340,7 @@
   async function then(this: OutageStory, many: number, database: string, name: string) {
     const { cached } = copied(this, name);
     assert.ok(cached > 10 && cached < many, `${cached} were copied`);
-    const line = await open(this, database, name);
+    const line = await openSession(this, database, name);
     for (let index = 1; index <= many; index += 1) assert.equal(outcome(await this.pooled.ask(line, `get thing-${index}`)), 'read-only');
     line.close();
   },
--- a/packages/acceptance/src/pooled-story.ts
+++ b/packages/acceptance/src/pooled-story.ts
@@ -1,31 +1,31 @@
-/** What a story of pooled.feature holds, and what its steps share. */
+/** The state of the stories of pooled.feature, and helpers that their steps share. */
 import assert from 'node:assert/strict';
 import type { SessionLine } from '@stallstall/fakes';
 import type { StatementReply } from '@stallstall/session-protocol';
 import { type PooledFleet, type PooledMember, type PooledOptions, pooledFleet, type PooledEdge, firstKey } from '@stallstall/simulator';
 import * as Option from 'fp-ts/lib/Option.js';
 
-/** What the steps of every story on a pooled fleet share. */
+/** The state that every story with a pooled fleet has. */
 export type WithPooledFleet = { pooled: PooledFleet };
 
 export type PooledStory = WithPooledFleet & {
-  old: PooledMember;
-  line: SessionLine;
-  other: SessionLine;
+  formerPrimary: PooledMember;
+  session: SessionLine;
+  otherSession: SessionLine;
   frozenAt: number;
-  calledAt: number;
+  startedAt: number;
   identifier: string;
   reply: Option.Option<StatementReply>;
   replies: Array<Option.Option<StatementReply>>;
-  ready: boolean[];
-  stop: () => void;
-  read: Array<Readonly<{ sentAt: number; row: string }>>;
+  statusDuringShutdown: boolean[];
+  stopClients: () => void;
+  reads: Array<Readonly<{ sentAt: number; row: string }>>;
 };
 
-export async function bringUp(options: PooledOptions = {}): Promise<PooledFleet> {
+export async function startPooledFleet(options: PooledOptions = {}): Promise<PooledFleet> {
   const pooled = pooledFleet.create(11, options);
   await pooled.startAll();
-  assert.ok(await pooled.drive(pooled.configure(3, pooled.firstSheet(), 0)), 'the configuration was not taken');
+  assert.ok(await pooled.drive(pooled.configure(3, pooled.firstSheet(), 0)), 'the configuration was not accepted');
   assert.ok(
     await pooled.until(
       () =>
@@ -33,7 +33,7 @@
         pooled.services.every((service) => pooled.primaryOf(service) !== undefined),
       20_000,
     ),
-    'the edges were never ready',
+    'the edges did not become ready',
   );
   await pooled.world.run(2_000);
   return pooled;
@@ -47,21 +47,21 @@
   return story.pooled.primaryOf(service) as PooledMember;
 }
 
-export async function open(story: WithPooledFleet, database: string, name: string, who: string = firstKey): Promise<SessionLine> {
-  const line = await story.pooled.session(edge(story, name), database, who);
-  assert.ok(typeof line !== 'string', `the session was not let in: ${String(line)}`);
-  return line;
+export async function openSession(story: WithPooledFleet, database: string, name: string, key: string = firstKey): Promise<SessionLine> {
+  const session = await story.pooled.session(edge(story, name), database, key);
+  assert.ok(typeof session !== 'string', `the session was not accepted: ${String(session)}`);
+  return session;
 }
 
 export function conditionOf(reply: Option.Option<StatementReply>): string {
-  if (Option.isNone(reply)) return 'silence';
+  if (Option.isNone(reply)) return 'no reply';
   return reply.value.completion.kind === 'done' ? 'served' : reply.value.completion.condition;
 }
 
-export async function once(story: PooledStory, database: string, name: string, text: string): Promise<Option.Option<StatementReply>> {
-  const line = await open(story, database, name);
-  const reply = await story.pooled.ask(line, text);
-  line.close();
+export async function queryOnce(story: PooledStory, database: string, name: string, text: string): Promise<Option.Option<StatementReply>> {
+  const session = await openSession(story, database, name);
+  const reply = await story.pooled.ask(session, text);
+  session.close();
   return reply;
 }
 
@@ -72,6 +72,6 @@
   }
 }
 
-export function kept(story: PooledStory, data: string): number {
+export function commitsOf(story: PooledStory, data: string): number {
   return primary(story, 'bookings').store.log.filter((commit) => commit.writes.some((write) => write.data === data)).length;
 }
--- a/packages/simulator/pooled-mutations.mjs
+++ b/packages/simulator/pooled-mutations.mjs
@@ -28,7 +28,7 @@
   },
   {
     name: 'lost-commit-promised',
-    story: 'lost on a commit',
+    story: 'commit whose reply is lost has',
     expect: 'refused|twice',
     only: ['replies-lost'],
     file: statementExecution,
@@ -55,9 +55,9 @@
   { name: 'own-commit-forgotten', expect: 'stale', only: lag, file: memberSelection, from: "database.reads === 'own' ?", to: 'false ?' },
   {
     name: 'position-learnt-from-anyone',
-    story: 'bounded age',
+    story: 'its staleness bound',
     file: statementExecution,
-    from: 'if (leader && wasLeaseValid(exchange, record, sentAt) && Option.isSome(replied.position))',
+    from: 'if (isLeader && wasLeaseValid(execution, record, sentAt) && Option.isSome(replied.position))',
     to: 'if (Option.isSome(replied.position))',
   },
   {
@@ -69,7 +69,7 @@
   },
   {
     name: 'abandoned-transaction-given-on',
-    story: 'leaves nothing on its connection',
+    story: 'leaves no state on its connection',
     file: 'pooler/build/transactions.js',
     from: 'connections.release(pooled, false);',
     to: 'connections.release(pooled, true);',
@@ -79,7 +79,7 @@
     expect: 'usage',
     only: sends,
     file: statementExecution,
-    from: 'if (begins && record.attempts === 1 && !request.fillsCache)',
+    from: 'if (isNewRequest && record.attempts === 1 && !request.fillsCache)',
     to: 'if (true)',
   },
   {
@@ -93,21 +93,21 @@
   },
   {
     name: 'rest-not-ended',
-    story: 'rests too long',
+    story: 'is idle too long',
     file: 'pooler/build/pooler.js',
-    from: 'now - transaction.idleSince >= mostIdle',
+    from: 'now - transaction.idleSince >= maximumIdle',
     to: 'false',
   },
   {
     name: 'left-transaction-stays',
-    story: 'leaves midway',
+    story: 'disconnects in a transaction',
     file: 'pooler/build/client-connection.js',
     from: 'if (client !== undefined && Option.isSome(client.session.transaction))\n            void transactions.rollback(commands.connections, commands.dialect, client.session.transaction.value);',
     to: '',
   },
   {
     name: 'planned-end-cuts-whoever-asks',
-    story: 'ends as planned',
+    story: 'shuts down gracefully',
     expect: 'planned-end',
     only: ['edge-drained'],
     file: 'pooler/build/client-table.js',
@@ -116,7 +116,7 @@
   },
   {
     name: 'open-transactions-not-ended',
-    story: 'for a moment only',
+    story: 'handover only briefly',
     file: 'pooler/build/epoch-release.js',
     from: 'const handoverMilliseconds = 300;',
     to: 'const handoverMilliseconds = 60_000;',
@@ -138,7 +138,7 @@
   },
   {
     name: 'silent-edge-not-waited-out',
-    story: 'waited out',
+    story: 'of a silent edge have expired',
     expect: 'stale',
     only: ['primary-draining-edge-cut'],
     file: 'election/build/succession-wait.js',
@@ -155,7 +155,7 @@
   },
   {
     name: 'values-not-cleared',
-    story: 'never cross',
+    story: 'never leak into other',
     expect: 'pinned',
     only: sends,
     file: 'pooler/build/sessions.js',
@@ -164,7 +164,7 @@
   },
   {
     name: 'shapes-not-told-apart',
-    story: 'never cross',
+    story: 'never leak into other',
     expect: 'unasked',
     only: sends,
     file: 'pooler/build/sessions.js',
@@ -181,7 +181,7 @@
   },
   {
     name: 'beats-taken-by-no-fleet',
-    story: 'no fleet',
+    story: 'without a fleet',
     // Two guards in a row: a core that is not open yet, and one that no majority answers.
     file: 'core/build/platform-api.js',
     from: 'isOpen() && registration.value.heartbeat(report)',
