--- a/packages/pooler/src/draining.ts
+++ b/packages/pooler/src/draining.ts
@@ -26,7 +26,7 @@
 function create(clock: Clock, graceMilliseconds: number, clients: Clients): Draining {
   let beganAt: Instant = never;
 
-  async function run(listener: Listening): Promise<void> {
+  async function run(listener: Listener): Promise<void> {
     beganAt = clock.now();
     const deadline = identifiers.after(beganAt, graceMilliseconds - stoppingMilliseconds);
     let accepting = true;
--- a/packages/pooler/src/pooler.ts
+++ b/packages/pooler/src/pooler.ts
@@ -1,6 +1,6 @@
 /** The pooler process: accepts client sessions, routes their statements to members and returns the members' replies (design 8.10). */
 import * as Option from 'fp-ts/lib/Option.js';
-import { identifiers, runtimeUtilities, type HttpRoute, type Instant, type Runtime, type Listening } from '@stallstall/kernel';
+import { identifiers, runtimeUtilities, type HttpRoute, type Instant, type Runtime, type Listener } from '@stallstall/kernel';
 import { peer, type Peer } from '@stallstall/peer';
 import type { Dialect } from '@stallstall/session-protocol';
 import { admissions } from './admission.js';
--- a/packages/session-protocol/src/repeatable-commands.ts
+++ b/packages/session-protocol/src/repeatable-commands.ts
@@ -6,12 +6,12 @@
 export const repeatableCommands: Readonly<Record<Command['kind'], Repeatable>> = {
   begin: 'freely',
   commit: 'never',
-  rollback: 'freely',
-  read: 'freely',
+  rollback: 'idempotent',
+  read: 'idempotent',
   write: 'never',
   set: 'freely',
   prepare: 'freely',
   // Whether it writes depends on the prepared statement.
   execute: 'never',
-  forget: 'freely',
+  forget: 'idempotent',
 };
