--- a/packages/pooler/src/draining.ts
+++ b/packages/pooler/src/draining.ts
@@ -1,5 +1,5 @@
 /** Graceful shutdown: readiness fails first, waiting clients are served, and idle sessions are closed (design 7.10). */
-import { identifiers, type Clock, type Instant, type Listening } from '@stallstall/kernel';
+import { identifiers, type Clock, type Instant, type Listener } from '@stallstall/kernel';
 import type { Clients } from './client-table.js';
 import { never } from './view.js';
 
@@ -8,7 +8,7 @@
   /** Whether open transactions have used up their part of the grace period. */
   mustEndTransactions: () => boolean;
   /** Resolves once no client is left, or when the grace period is over except for the time reserved for stopping. */
-  run: (listener: Listening) => Promise<void>;
+  run: (listener: Listener) => Promise<void>;
 }>;
 
 /**
--- a/packages/pooler/src/pooler.ts
+++ b/packages/pooler/src/pooler.ts
@@ -20,9 +20,9 @@
 import { warmUps } from './warm-up.js';
 
 export type PoolerSettings = Readonly<{
-  /** Listening address for clients. */
+  /** Listener address for clients. */
   clientAddress: string;
-  /** Listening address of the HTTP readiness probe. */
+  /** Listener address of the HTTP readiness probe. */
   readinessAddress: string;
   /** Address of the agent on this machine. */
   agentAddress: string;
@@ -194,10 +194,7 @@
   void reportUsage(assembly);
 }
 
-async function stopAll(
-  { lifecycle, cachedReplies, connections, agent, clients }: Assembly,
-  listeners: readonly Listening[],
-): Promise<void> {
+async function stopAll({ lifecycle, cachedReplies, connections, agent, clients }: Assembly, listeners: readonly Listener[]): Promise<void> {
   lifecycle.stopped = true;
   cachedReplies.stop();
   connections.closeAll();
