--- a/packages/agent/src/proxy-feed.ts
+++ b/packages/agent/src/proxy-feed.ts
@@ -1,4 +1,4 @@
-/** What the agent feeds its proxy: the configuration, leases, members and connection shares (design 3.4). */
+/** The agent's replies to its proxy: the configuration, leases, members and connection shares (design 3.4). */
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Reply, Request, ServiceFeed } from '@stallstall/message';
 import type { ServicePlacement } from '@stallstall/placement';
@@ -6,8 +6,8 @@
 import { leaseTermMilliseconds } from '@stallstall/quorum-lease';
 import type { AgentContext } from './agent-context.js';
 
-/** What is left of a term, as JSON can carry it. Unit: milliseconds. @internal */
-export function withinTerm(left: number): number {
+/** The remaining time of a lease, limited to the range from 0 to the lease term: JSON cannot represent an infinity. Unit: milliseconds. @internal */
+export function clampToLeaseTerm(left: number): number {
   return Math.max(0, Math.min(left, leaseTermMilliseconds));
 }
 
@@ -18,17 +18,17 @@
     service,
     epoch,
     primary: Option.isSome(elected) ? elected.value.primary : '',
-    fence: withinTerm(node.serviceLeaseUntil(service) - runtime.clock.now()),
+    fence: clampToLeaseTerm(node.serviceLeaseUntil(service) - runtime.clock.now()),
     targets: members.map((member) => freshness.targetOf(service, epoch, member.member)),
   };
 }
 
-/** Takes what the proxy says of itself, and replies with what it is to act by. */
+/** Records the proxy's report and replies with the configuration and state that it is to apply. */
 function reply(context: AgentContext, request: Request<'feed'>): Reply<'feed'> {
   const { runtime, settings, node, caps } = context;
   caps.recordOpen(request.open);
   context.proxyMetrics = request.metrics;
-  context.proxyAskedAt = runtime.clock.now();
+  context.proxyRequestedAt = runtime.clock.now();
   caps.refresh();
   const configuration = node.configuration();
   const placement = Option.isSome(configuration) ? configuration.value.value.sheet : undefined;
@@ -37,7 +37,7 @@
   return {
     configuration: placement !== undefined && version !== request.configuration ? { version, sheet: placement } : null,
     configurationVersion: version,
-    term: withinTerm(node.configurationLeaseUntil() - runtime.clock.now()),
+    term: clampToLeaseTerm(node.configurationLeaseUntil() - runtime.clock.now()),
     services: (placement?.services ?? []).map((service) => serviceFeed(context, service)),
     shares: { ...caps.allowed() },
     draining: seat?.draining ?? false,
