--- a/packages/acceptance/features/outages.feature
+++ b/packages/acceptance/features/outages.feature
@@ -29,6 +29,7 @@
     And "x1" was set to "new" in "bookings-lead" through edge-2
     When the window begins
     Then a get of "x1" in "bookings-late" through edge-1 returns "new"
+
   Scenario: Another tenant's copy is never shown
     Given a pooled fleet with an outage of edge-1 ahead
     And edge-1 has served a get of "x1" in "bookings-late"
@@ -79,6 +80,7 @@
     When the clock of edge-1 is set back by 200 s
     And 32 s pass in the pooled fleet
     Then a get of "x1" in "bookings-late" through edge-1 fails with "read-only"
+
   Scenario: A copy that is not ready when the window begins is not finished in it
     Given a pooled fleet with an outage of edge-1 ahead whose copy is made 1500 ms before
     And edge-1 has served 60 different gets in "bookings-late"
@@ -94,6 +96,7 @@
     When "bookings-late" moves to "maps"
     And edge-1 loses its uplink and the window begins
     Then a get of "x1" in "bookings-late" through edge-1 fails with "read-only"
+
   Scenario: A copy is never made from another copy
     Given a pooled fleet with an outage of edge-1 ahead, and one of another site soon after
     And "x1" was set to "old" in "bookings-lead" through edge-2
@@ -103,12 +106,14 @@
     Then a get of "x1" in "bookings-late" through edge-1 gives "old" from the copy
     When the window and its grace are over
     Then a get of "x1" in "bookings-late" through edge-1 fails with "read-only"
+
   Scenario: Before its window a copy replies nothing
     Given a pooled fleet with an outage of edge-1 ahead
     And edge-1 has served a get of "x1" in "bookings-late"
     And the copy of edge-1 was made
     When edge-1 loses its uplink
     Then a get of "x1" in "bookings-late" through edge-1 fails with "read-only"
+
   Scenario: After the window the copy is gone, though the uplink is still away
     Given a pooled fleet with an outage of edge-1 ahead
     And "x1" was set to "old" in "bookings-lead" through edge-2
@@ -159,6 +164,7 @@
     And the copy of edge-1 was made
     When edge-1 restarts and loses its uplink within the window
     Then a get of "x1" in "bookings-late" through edge-1 fails with "read-only"
+
   Scenario: A prepared read is held by its shape, whatever its name
     Given a pooled fleet with an outage of edge-1 ahead
     And edge-1 has served a prepared get "s1" of "x1" under the value "v1" of "deep" in "bookings-late"
@@ -181,6 +187,7 @@
     And 2 s pass in the pooled fleet
     When edge-1 loses its uplink and the window begins
     Then a get of "x1" in "bookings-late" through edge-1 fails with "read-only"
+
   Scenario: With no outages named a cut edge denies as before
     Given a running pooled fleet
     And edge-1 has served a get of "x1" in "bookings-late"
--- a/packages/acceptance/features/pooled.feature
+++ b/packages/acceptance/features/pooled.feature
@@ -9,6 +9,7 @@
     Then a get of "x1" in "bookings-lead" through edge-2 returns "new"
     And a get of "x1" in "bookings-lead" through edge-1 fails with "read-only"
     And the deposed primary still returns "old" when it is queried directly
+
   Scenario: An edge that resumes after a freeze sends nothing to the old leader
     Given a running pooled fleet
     And "x1" was set to "old" in "bookings-lead" through edge-1
@@ -17,23 +18,27 @@
     And another member of "bookings" becomes the leader
     And 6 s pass in the pooled fleet
     Then the deposed primary has run no statement since edge-1 was frozen
+
   Scenario: Edges that release an epoch shorten the handover
     Given a running pooled fleet
     When the primary of "bookings" reports that it is draining
     And another member of "bookings" becomes the leader
     Then the new leader was promoted less than 1000 ms after it was proposed
+
   Scenario: A promotion waits until the leases of a silent edge have expired
     Given a running pooled fleet
     When edge-3 is frozen for 9 s
     And the primary of "bookings" reports that it is draining
     And another member of "bookings" becomes the leader
     Then the new leader was promoted more than 1700 ms after edge-3 was frozen, and edge-3 is still running
+
   Scenario: No lease is granted for a member before its promotion has taken effect
     Given a running pooled fleet
     And a platform whose promotions take effect 600 ms after its replies
     When the primary of "bookings" is cut off from the cores
     And gets of "x1" in "bookings-lead" through edge-2 are sent until another member of "bookings" serves them
     Then the new primary ran none of them before its promotion took effect
+
   Scenario: An open transaction delays the handover only briefly
     Given a pooled fleet whose transactions may be idle for 9000 ms
     And a session in "bookings-lead" through edge-1 has set "x1" to "open" in a transaction
@@ -41,6 +46,7 @@
     And another member of "bookings" becomes the leader
     Then the new leader was promoted less than 1500 ms after it was proposed
     And its commit fails with "aborted", and none of its writes are committed
+
   Scenario Outline: A commit whose reply is lost has an unknown outcome and is not retried
     Given a running pooled fleet
     When the primary of "bookings" drops its next <lost> replies to commits
@@ -48,6 +54,7 @@
     Then its client receives "outcome-unknown"
     And 5 s pass in the pooled fleet
     And members committed it 1 time and ran it 1 time
+
     Examples:
       | kind        | lost |
       | statement   | 1    |
@@ -65,10 +72,12 @@
     And "x1" was set to "new" in "bookings-lead" through edge-1
     And "x1" is read 40 times in "bookings-late" through edge-2, every 100 ms
     Then reads sent later than 1500 ms after the put returned "new", and some earlier ones returned the old value
+
   Scenario: Session values and prepared statements never leak into other sessions
     Given a pooled fleet whose edges may open 1 connection to each member
     When three sessions through edge-1 with conflicting session values and prepared statements take 12 turns each
     Then every statement ran with the session values and prepared statements of its own session
+
   Scenario: A transaction that a member rejected leaves no state on its connection
     Given a pooled fleet whose edges may open 1 connection to each member
     When a read-only transaction in "bookings-lead" through edge-1 tries to put
@@ -81,6 +90,7 @@
     When 3 s pass in the pooled fleet
     Then its commit fails with "aborted", and none of its writes are committed
     And the primary of "bookings" has no open transaction
+
   Scenario: A client that disconnects in a transaction leaves nothing behind
     Given a running pooled fleet
     And a session in "bookings-lead" through edge-1 has set "x1" to "open" in a transaction
@@ -88,12 +98,14 @@
     And 1 s pass in the pooled fleet
     Then none of its writes are committed
     And the primary of "bookings" has no open transaction
+
   Scenario: An edge that shuts down gracefully answers every statement
     Given a pooled fleet whose members take 400 ms for each statement
     When edge-1 is shut down gracefully with 8 statements and a transaction in progress
     Then every statement that ran is answered, and the transaction is committed
     And readiness failed before any session was closed
     And no new session is accepted afterwards
+
   Scenario: An invalid request gets a typed fault, and no process ends
     Given a running pooled fleet
     Then these bytes sent to edge-1 are answered with these faults
@@ -120,6 +132,7 @@
     Then a heartbeat sent to it is rejected, and so is a leave
     When the other cores start and the fleet is formed
     Then a heartbeat sent to it is accepted
+
   Scenario: A late heartbeat reverts nothing, whichever core receives it
     Given a running pooled fleet
     When "maps-9" sends a heartbeat as draining with number 5 to core 1
@@ -128,6 +141,7 @@
     When "maps-9" leaves through core 3
     And "maps-9" sends a heartbeat as serving with number 6 to core 1
     Then no edge lists "maps-9"
+
   Scenario: A drained member receives no new statements after its time limit
     Given a running pooled fleet
     And clients with sessions are running
@@ -135,6 +149,7 @@
     And 12 s pass in the pooled fleet
     Then nothing new began on it later than 7 s after a core acknowledged the draining
     And the checkers of the pooled mode find no violation
+
   Scenario: An edge that starts while a primary drains treats it as fully drained
     Given a running pooled fleet
     When every replica of "bookings" is killed
@@ -144,6 +159,7 @@
     When edge-1 is killed and restarted immediately
     And 1 s pass in the pooled fleet
     Then a get of "x1" in "bookings-lead" through edge-1 fails with "read-only"
+
   Scenario: A statement that waits while its database is moved follows it
     Given a pooled fleet whose edges may open 1 connection to each member
     And a session in "bookings-lead" through edge-1 has set "x1" to "open" in a transaction
@@ -156,4 +172,4 @@
     When the spare key is withdrawn
     And 3 s pass in the pooled fleet
     Then a get in that session fails with "denied"
-    And the transaction that was open before was committed
+    And the transaction that was open before was committed
--- a/packages/pooler/src/sessions.ts
+++ b/packages/pooler/src/sessions.ts
@@ -19,7 +19,7 @@
   pinned: Option.Option<PinnedConnection>;
   /** Only commit and rollback are accepted. */
   failed: boolean;
-  /** The client has been told that it failed. */
+  /** The failure has been reported to the client. */
   isFailureReported: boolean;
   /** A statement of the transaction is in flight. */
   busy: boolean;
--- a/packages/session-protocol/src/member-connection.ts
+++ b/packages/session-protocol/src/member-connection.ts
@@ -26,7 +26,7 @@
   kind: 'opening' | 'queries';
   replies: StatementReply[];
   expected: number;
-  finish: (whole: boolean) => void;
+  finish: (isComplete: boolean) => void;
 }>;
 
 type ConnectionState = {
@@ -46,10 +46,10 @@
   return Option.fromNullable(details?.condition);
 }
 
-function finishExchange(connection: ConnectionState, whole: boolean): void {
+function finishExchange(connection: ConnectionState, isComplete: boolean): void {
   const { exchange } = connection;
   connection.exchange = undefined;
-  exchange?.finish(whole);
+  exchange?.finish(isComplete);
 }
 
 function reset(connection: ConnectionState): void {
@@ -102,9 +102,9 @@
       kind,
       replies,
       expected: queries.length,
-      finish: function settleExchange(whole) {
+      finish: function finishWaiting(isComplete) {
         timer.cancel();
-        resolve({ replies, isComplete: whole });
+        resolve({ replies, isComplete });
       },
     };
     connection.stream.write(queries.join(''));
