--- a/packages/kernel/src/fault.ts
+++ b/packages/kernel/src/fault.ts
@@ -1,4 +1,4 @@
-/** Typed faults whose messages name the remedy (design 2.4). */
+/** Typed faults whose messages include a remedy (design 2.4). */
 import VError from 'verror';
 
 export type FaultKind =
@@ -95,47 +95,48 @@
   return statuses[kind(error)] ?? 500;
 }
 
-/** The outward shape of a fault; every boundary uses this one. */
+/** The JSON body of a fault, used by every HTTP API. */
 function body(error: Fault): Readonly<Record<string, unknown>> {
-  const known = details(error);
+  const faultDetails = details(error);
   return {
-    error: known.kind,
+    error: faultDetails.kind,
     message: error.message,
-    remedy: known.remedy,
-    ...(known.retryAfterSeconds === undefined ? {} : { retryAfterSeconds: known.retryAfterSeconds }),
-    ...(known.details === undefined ? {} : { details: known.details }),
+    remedy: faultDetails.remedy,
+    ...(faultDetails.retryAfterSeconds === undefined ? {} : { retryAfterSeconds: faultDetails.retryAfterSeconds }),
+    ...(faultDetails.details === undefined ? {} : { details: faultDetails.details }),
   };
 }
 
 function headers(error: Fault): Readonly<Record<string, string>> {
-  const wait = details(error).retryAfterSeconds;
-  return wait === undefined ? {} : { 'retry-after': String(wait) };
+  const retryAfterSeconds = details(error).retryAfterSeconds;
+  return retryAfterSeconds === undefined ? {} : { 'retry-after': String(retryAfterSeconds) };
 }
 
 function diskFailed(key: string, cause: Error): Fault {
   return create({
     kind: 'disk-failed',
     message: `${key} could not be synced to the data folder`,
-    remedy: 'see that the disk has room and works',
+    remedy: 'check that the disk has free space and works',
     cause,
   });
 }
 
-/** A sync that takes too long: nobody knows whether it will ever end. */
+/** A sync that takes too long and may never end. */
 function diskStalled(milliseconds: number): Fault {
   return create({
     kind: 'disk-failed',
     message: `the data folder has not synced for ${milliseconds} ms`,
-    remedy: 'see that the disk works',
+    remedy: 'check that the disk works',
   });
 }
 
-/** What is stored cannot be read: as good as lost. */
+/** Stored data that cannot be read and is treated as lost. */
 function diskDamaged(what: string, cause?: Error): Fault {
   return create({
     kind: 'disk-damaged',
     message: `${what} cannot be read`,
-    remedy: 'nothing to be done if most cores run: this core starts with an empty store and copies the others',
+    remedy:
+      'nothing needs to be done while a majority of the cores runs: this core starts with an empty store and copies the data from the others',
     ...(cause === undefined ? {} : { cause }),
   });
 }
--- a/packages/kernel/src/http.ts
+++ b/packages/kernel/src/http.ts
@@ -1,12 +1,12 @@
-/** What every HTTP boundary shares: matching a mapping, answering a fault (design 9.1). */
+/** HTTP helpers shared by every API: route matching and fault replies (design 9.1). */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { fault, type Fault } from './fault.js';
 import type { OutgoingHttpRequest, HttpReply, HttpRequest, HttpRoute, Runtime } from './runtime.js';
 import type { Address } from './identifiers.js';
 
-/** What no URI may hold matches nothing. */
-function decoded(segment: string): Option.Option<string> {
+/** Decodes a path segment; none if its percent-encoding is invalid, so that it matches no route. */
+function decodeSegment(segment: string): Option.Option<string> {
   try {
     return Option.some(decodeURIComponent(segment));
   } catch {
@@ -20,12 +20,12 @@
   if (expected.length !== actual.length) return Option.none;
   const parameters: Record<string, string> = {};
   for (const [index, segment] of expected.entries()) {
-    const given = actual[index] ?? '';
+    const actualSegment = actual[index] ?? '';
     if (segment.startsWith(':')) {
-      const parameter = decoded(given);
+      const parameter = decodeSegment(actualSegment);
       if (Option.isNone(parameter)) return Option.none;
       parameters[segment.slice(1)] = parameter.value;
-    } else if (segment !== given) return Option.none;
+    } else if (segment !== actualSegment) return Option.none;
   }
   return Option.some(parameters);
 }
@@ -38,9 +38,9 @@
   return Either.isLeft(result) ? faultReply(result.left) : { status, body: result.right };
 }
 
-/** Finds the mapping and runs it; a thrown error becomes an honest 500, never the end of the process. */
-async function dispatch(mappings: readonly HttpRoute[], request: HttpRequest): Promise<HttpReply> {
-  for (const candidate of mappings) {
+/** Runs the handler of the matching route; an error that it throws becomes a 500 reply instead of ending the process. */
+async function dispatch(routes: readonly HttpRoute[], request: HttpRequest): Promise<HttpReply> {
+  for (const candidate of routes) {
     if (candidate.method !== request.method) continue;
     const parameters = matchPath(candidate.path, request.path);
     if (Option.isNone(parameters)) continue;
@@ -51,7 +51,7 @@
         fault.create({
           kind: 'internal',
           message: `${request.method} ${request.path} failed: ${(error as Error).message}`,
-          remedy: 'report it with the log line of the same moment',
+          remedy: 'report this fault together with the log lines of the same time',
         }),
       );
     }
@@ -59,23 +59,23 @@
   return faultReply(
     fault.create({
       kind: 'not-found',
-      message: `there is no ${request.method} ${request.path}`,
-      remedy: 'see the list of pages in docs/operations.md',
+      message: `no route matches ${request.method} ${request.path}`,
+      remedy: 'see the list of routes in docs/operations.md',
     }),
   );
 }
 
-/** The same routes, and how many of their requests are without an answer. */
+/** Wraps the routes and counts their requests that have not been replied to yet. */
 function countInFlight(routes: readonly HttpRoute[]): Readonly<{ routes: readonly HttpRoute[]; inFlight: () => number }> {
   let count = 0;
   return {
     inFlight: () => count,
-    routes: routes.map((one) => ({
-      ...one,
+    routes: routes.map((route) => ({
+      ...route,
       handle: async function handle(request) {
         count += 1;
         try {
-          return await one.handle(request);
+          return await route.handle(request);
         } finally {
           count -= 1;
         }
@@ -84,15 +84,15 @@
   };
 }
 
-/** One exchange on a connection of its own. */
+/** Sends one request on a connection of its own, and closes the connection. */
 async function exchangeOnce(
   runtime: Runtime,
   address: Address,
-  ask: OutgoingHttpRequest,
-  milliseconds: number,
+  request: OutgoingHttpRequest,
+  timeoutMilliseconds: number,
 ): Promise<Either.Either<Fault, HttpReply>> {
   const connection = runtime.network.connect(address);
-  const reply = await connection.exchange(ask, milliseconds);
+  const reply = await connection.exchange(request, timeoutMilliseconds);
   connection.close();
   return reply;
 }
--- a/packages/kernel/src/identifiers.ts
+++ b/packages/kernel/src/identifiers.ts
@@ -1,4 +1,4 @@
-/** Small types of their own for ids, versions and times (design 2.3). */
+/** Branded types for ids, versions and times, so that the compiler keeps them apart (design 2.3). */
 declare const brand: unique symbol;
 type Branded<Base, Name extends string> = Base & { readonly [brand]: Name };
 
@@ -15,7 +15,7 @@
 export type Version = Branded<number, 'Version'>;
 export type Incarnation = Branded<number, 'Incarnation'>;
 export type Position = Branded<number, 'Position'>;
-/** Milliseconds on this process's own monotonic clock; never compared between processes. */
+/** Milliseconds on the monotonic clock of this process; never compared between processes. */
 export type Instant = Branded<number, 'Instant'>;
 /** Milliseconds since 1970, for logs, audit and usage windows only. */
 export type WallTime = Branded<number, 'WallTime'>;
--- a/packages/kernel/src/owner.ts
+++ b/packages/kernel/src/owner.ts
@@ -1,28 +1,28 @@
-/** One owner for each table, working through a queue of commands (design 2.5). */
+/** Serializes the access to a table: its owner runs queued commands one at a time (design 2.5). */
 import Denque from 'denque';
 
 export type Owner<Table> = Readonly<{
   name: string;
-  /** Queues a command; commands run one at a time, in the order they came. */
+  /** Queues a command. Commands run one at a time in the order of the calls. */
   run: <Reply>(command: (table: Table) => Reply | Promise<Reply>) => Promise<Reply>;
 }>;
 
-type Pending = () => Promise<void>;
+type QueuedCommand = () => Promise<void>;
 
 function create<Table>(name: string, table: Table): Owner<Table> {
-  const commands = new Denque<Pending>();
-  let working = false;
+  const commands = new Denque<QueuedCommand>();
+  let isDraining = false;
 
-  async function work(): Promise<void> {
-    if (working) return;
-    working = true;
+  async function drainQueue(): Promise<void> {
+    if (isDraining) return;
+    isDraining = true;
     for (let next = commands.shift(); next !== undefined; next = commands.shift()) await next();
-    working = false;
+    isDraining = false;
   }
 
-  function ask<Reply>(command: (owned: Table) => Reply | Promise<Reply>): Promise<Reply> {
-    return new Promise<Reply>(function queue(resolve, reject) {
-      commands.push(async function run() {
+  function run<Reply>(command: (owned: Table) => Reply | Promise<Reply>): Promise<Reply> {
+    return new Promise<Reply>(function enqueue(resolve, reject) {
+      commands.push(async function runNext() {
         try {
           resolve(await command(table));
         } catch (error) {
@@ -30,11 +30,11 @@
           reject(failure);
         }
       });
-      void work();
+      void drainQueue();
     });
   }
 
-  return { name, run: ask };
+  return { name, run };
 }
 
 export const owner = { create } as const;
--- a/packages/kernel/src/retry-safety.ts
+++ b/packages/kernel/src/retry-safety.ts
@@ -1,8 +1,8 @@
-/** Whether a call whose fate is not known may be made again (design 8.14). */
+/** Whether a call whose outcome is unknown may be retried (design 8.14). */
 
 /**
- * `freely`: it changes nothing, or what it changes is the same however often and however late it comes.
- * `unchanged`: again with the same content under the same number; the receiver takes it once.
- * `never`: it leaves once, and its sender says that the outcome is not known.
+ * `idempotent`: the call changes nothing, or has the same effect however often and however late it arrives.
+ * `deduplicated`: the call may be retried with the same content under the same number; the receiver applies it only once.
+ * `never`: the call is sent only once; if its reply is lost, the caller reports that the outcome is unknown.
  */
 export type RetrySafety = 'idempotent' | 'deduplicated' | 'never';
--- a/packages/kernel/src/runtime.ts
+++ b/packages/kernel/src/runtime.ts
@@ -1,4 +1,4 @@
-/** The runtime of a process: clock, network, disk, randomness and log are services (design 2.1, 2.2). */
+/** The runtime of a process: its clock, network, disk, randomness and log, passed in as services (design 2.1, 2.2). */
 import type * as Either from 'fp-ts/lib/Either.js';
 import type * as Option from 'fp-ts/lib/Option.js';
 import type { Address, Instant, WallTime } from './identifiers.js';
@@ -16,28 +16,28 @@
 export type Randomness = Readonly<{
   /** A number in [0, 1). */
   fraction: () => number;
-  /** An identifier nobody else has. */
+  /** A unique random identifier. */
   token: () => string;
 }>;
 
-/** A held connection that carries JSON messages in order, until either side closes it. */
+/** A persistent connection that carries JSON messages in order until either side closes it. */
 export type Link = Readonly<{
   send: (message: unknown) => void;
   receive: () => Promise<Option.Option<unknown>>;
-  /** Ends the connection after what was sent. */
+  /** Closes the connection after all messages sent so far have been delivered. */
   close: () => void;
-  /** Ends it at once: what has not arrived yet never does. */
+  /** Resets the connection at once; messages still in transit are lost. */
   reset: () => void;
 }>;
 
-/** A held connection that carries text both ways as it comes, one character for each byte; what it says is its users' own (design 2.2). */
+/** A persistent two-way byte stream, as text with one character for each byte; the protocol on it is up to its users (design 2.2). */
 export type Stream = Readonly<{
   write: (text: string) => void;
-  /** The next piece, of whatever length; none once the other side has ended or the connection is lost. */
+  /** The next chunk, of any length; none once the other side has closed the stream or the connection is lost. */
   read: () => Promise<Option.Option<string>>;
-  /** Ends the connection after what was written. */
+  /** Closes the connection after everything written so far has been sent. */
   close: () => void;
-  /** Ends it at once, without what has not left yet: whoever listens there sees it break. */
+  /** Resets the connection at once and drops unsent data; the other side sees a connection error. */
   reset: () => void;
   closed: () => boolean;
 }>;
@@ -59,7 +59,7 @@
 
 export type HttpRoute = Readonly<{
   method: 'GET' | 'POST' | 'PUT' | 'DELETE';
-  /** Segments that begin with a colon are parameters, handed over in the query. */
+  /** Segments that begin with a colon are parameters; their values are passed to the handler in the query. */
   path: string;
   handle: (request: HttpRequest) => Promise<HttpReply>;
 }>;
@@ -74,67 +74,67 @@
   path: string;
   headers?: Readonly<Record<string, string>>;
   body?: unknown;
-  /** No byte of the request leaves at this moment of the process's own clock or later, however long the connection took to open. */
+  /** No byte of the request is sent at or after this time on the process's own clock, however long the connection takes to open. */
   sendBefore?: Instant;
 }>;
 
 /**
- * One outward HTTP connection, one exchange at a time. A fault of kind `unreachable` promises that no byte of the
- * request left; `reply-lost` promises nothing.
+ * One outgoing HTTP connection, with one exchange at a time. A fault of kind `unreachable` guarantees that no byte of the request was sent;
+ * `reply-lost` guarantees nothing.
  */
 export type HttpConnection = Readonly<{
-  exchange: (ask: OutgoingHttpRequest, milliseconds: number) => Promise<Either.Either<Fault, HttpReply>>;
+  exchange: (request: OutgoingHttpRequest, timeoutMilliseconds: number) => Promise<Either.Either<Fault, HttpReply>>;
   close: () => void;
   closed: () => boolean;
 }>;
 
-/** `deafen`: nobody new is let in, what is open stays; `stop` ends that as well. */
+/** A listening socket. `stopAccepting` refuses new connections and keeps open ones; `stop` closes those as well. */
 export type Listener = Readonly<{ stopAccepting: () => void; stop: () => Promise<void> }>;
 
 export type Network = Readonly<{
-  listen: (address: Address, greet: (link: Link) => void) => Promise<Listener>;
+  listen: (address: Address, onConnect: (link: Link) => void) => Promise<Listener>;
   open: (address: Address) => Promise<Either.Either<Fault, Link>>;
-  listenStream: (address: Address, greet: (stream: Stream) => void) => Promise<Listener>;
-  /** A fault of kind `not-listening` says that the machine is there and nothing listens; `unreachable` says nothing of the kind. */
-  openStream: (address: Address, milliseconds: number) => Promise<Either.Either<Fault, Stream>>;
+  listenStream: (address: Address, onConnect: (stream: Stream) => void) => Promise<Listener>;
+  /** A fault of kind `not-listening` means that the machine replied and no process listens on the port; `unreachable` does not tell which. */
+  openStream: (address: Address, timeoutMilliseconds: number) => Promise<Either.Either<Fault, Stream>>;
   serve: (address: Address, server: HttpServer) => Promise<Listener>;
   connect: (address: Address) => HttpConnection;
 }>;
 
 export type Disk = Readonly<{
-  /** Every key and value, as last synced, but those under a prefix that is read only when asked for. */
-  load: (without: string) => Promise<Either.Either<Fault, ReadonlyMap<string, unknown>>>;
+  /** All entries as last synced, except those under the given prefix, which are read on demand only. */
+  load: (excludedPrefix: string) => Promise<Either.Either<Fault, ReadonlyMap<string, unknown>>>;
   read: (key: string) => Promise<Either.Either<Fault, Option.Option<unknown>>>;
-  /** Entries under a prefix in the order of their keys, after one of them, until so many bytes are reached. */
-  page: (prefix: string, after: string, bytes: number) => Promise<Either.Either<Fault, ReadonlyArray<readonly [string, unknown]>>>;
-  /** What the data folder takes up, in bytes. */
+  /** The entries under a prefix in key order, starting after the given key, up to about the given number of bytes. */
+  page: (prefix: string, after: string, maxBytes: number) => Promise<Either.Either<Fault, ReadonlyArray<readonly [string, unknown]>>>;
+  /** The size of the data folder in bytes. */
   size: () => number;
-  /** Right only once the value would survive the loss of power; after a left it may stand there or not. */
+  /** Returns right only once the value would survive a power loss; after a left the value may or may not have been stored. */
   put: (key: string, value: unknown) => Promise<Either.Either<Fault, null>>;
-  /** How many puts this disk has taken in its life; kept with each of them, so that an old copy tells itself. */
+  /** How many puts this disk has stored since it was created. The count is stored with each put, so that an outdated copy can be recognized. */
   puts: () => number;
-  /** Why this disk does not sync now; none while it does. Puts fail at once meanwhile. */
+  /** Why this disk currently does not sync; none while it does. Puts fail at once until it syncs again. */
   syncFault: () => Option.Option<Fault>;
-  /** Calls back at each change between a disk that syncs and one that does not. */
-  onSyncFaultChange: (listener: (trouble: Option.Option<Fault>) => void) => void;
-  /** Why an earlier store in this folder was given up for an empty one; none if this is the first, or if it stands. */
+  /** Calls the listener whenever the disk stops or resumes syncing. */
+  onSyncFaultChange: (listener: (syncFault: Option.Option<Fault>) => void) => void;
+  /** Why an earlier store in this folder was replaced by an empty one; none if no store was ever discarded. */
   discardedStoreReason: () => Option.Option<string>;
-  /** Gives up what is stored and starts an empty store that knows it is not the first (design 4.3). */
+  /** Discards the stored data and starts an empty store, which records that it replaced an earlier one (design 4.3). */
   discard: (reason: string) => Promise<Either.Either<Fault, null>>;
 }>;
 
 export type LogFields = Readonly<Record<string, string | number | boolean | undefined>>;
 export type Log = (event: string, fields?: LogFields) => void;
 
-declare const held: unique symbol;
-export type ServiceName<Service> = string & { readonly [held]: Service };
+declare const serviceType: unique symbol;
+export type ServiceName<Service> = string & { readonly [serviceType]: Service };
 
 export type ServiceDirectory = Readonly<{
   register: <Service>(name: ServiceName<Service>, service: Service) => void;
   find: <Service>(name: ServiceName<Service>) => Service;
 }>;
 
-/** The versions of what processes say to each other that this build speaks (design 3.5). */
+/** The range of versions of the protocol between processes that this build supports (design 3.5). */
 export type Protocols = Readonly<{ from: number; to: number }>;
 export const supportedProtocols: Protocols = { from: 2, to: 2 };
 
@@ -146,7 +146,7 @@
   randomness: Randomness;
   log: Log;
   services: ServiceDirectory;
-  /** Ends this process: the last act of one that must not go on. */
+  /** Ends this process, for a fault after which it must not continue. */
   stop: (reason: Fault) => void;
 }>;
 
@@ -159,7 +159,7 @@
 
   function find<Service>(name: ServiceName<Service>): Service {
     const service = services.get(name);
-    if (service === undefined) throw new Error(`no service is offered under the name ${name}; offer it before it is sought`);
+    if (service === undefined) throw new Error(`no service is registered under the name ${name}; register it before looking it up`);
     return service as Service;
   }
 
@@ -170,9 +170,9 @@
   return name as ServiceName<Service>;
 }
 
-/** Runs an action at once and then every so many milliseconds, never two at a time. */
-async function every(clock: Clock, milliseconds: number, action: () => void | Promise<void>, goesOn: () => boolean): Promise<void> {
-  while (goesOn()) {
+/** Runs an action at once and then repeatedly, with the given pause between runs; runs never overlap. */
+async function every(clock: Clock, milliseconds: number, action: () => void | Promise<void>, shouldContinue: () => boolean): Promise<void> {
+  while (shouldContinue()) {
     await action();
     await clock.sleep(milliseconds);
   }
--- a/packages/kernel/src/waiters.ts
+++ b/packages/kernel/src/waiters.ts
@@ -1,8 +1,8 @@
-/** Whoever asks for news and is held until there is some, or for so long at the most (design 7.12). */
+/** Long polling: requests wait until there is something new or until their time is up (design 7.12). */
 import type { Clock } from './runtime.js';
 
 export type Waiters = Readonly<{
-  /** Resolves at the next wake, or after so many milliseconds. */
+  /** Resolves at the next wake, or after the given time. */
   wait: (milliseconds: number) => Promise<void>;
   wake: () => void;
 }>;
@@ -12,13 +12,13 @@
 
   function wait(milliseconds: number): Promise<void> {
     return new Promise((resolve) => {
-      const timer = clock.startTimer(milliseconds, over);
-      function over(): void {
+      const timer = clock.startTimer(milliseconds, finish);
+      function finish(): void {
         timer.cancel();
-        waiting.delete(over);
+        waiting.delete(finish);
         resolve();
       }
-      waiting.add(over);
+      waiting.add(finish);
     });
   }
 
--- a/packages/kernel/src/wall-clock.ts
+++ b/packages/kernel/src/wall-clock.ts
@@ -1,31 +1,31 @@
-/** The time of day as this process goes by it: anchored to the steady clock, so that a step which does not last moves nothing (design 8.6). */
+/** The wall clock of this process, anchored to the monotonic clock so that a short-lived clock step has no effect (design 8.6). */
 import { identifiers, type Instant, type WallTime } from './identifiers.js';
 
-/** A difference within this is a correction, and followed at once. */
-const followMilliseconds = 100;
-/** Two clocks of one machine may drift so far apart between two looks. */
+/** A difference up to this is a clock correction and is applied at once. */
+const correctionMilliseconds = 100;
+/** The share of the elapsed time by which two clocks of one machine may drift apart between two readings. */
 const driftShare = 0.02;
-/** A step that has lasted for so long is the time of day from then on. */
+/** A clock step that has lasted this long is accepted as the time of day. */
 export const lastingStepMilliseconds = 30_000;
 
-/** The difference between the time of day and the steady clock, and since when it has been seen. */
+/** A changed difference between the time of day and the monotonic clock, and since when it has been observed. */
 type Step = Readonly<{ offset: number; since: Instant }>;
 
 /**
- * Creates a wall clock that follows the time of day, and takes over a step of it once the step has lasted.
- * @param steady - the steady clock
+ * Creates a wall clock that follows the time of day and accepts a step of it only once the step has lasted.
+ * @param monotonic - the monotonic clock
  * @param timeOfDay - the time of day as the machine reports it, which may jump and jump back
  */
-function create(steady: () => Instant, timeOfDay: () => WallTime): () => WallTime {
-  let offset = timeOfDay() - steady();
+function create(monotonic: () => Instant, timeOfDay: () => WallTime): () => WallTime {
+  let offset = timeOfDay() - monotonic();
   let step: Step | undefined;
-  let lookedAt = steady();
+  let lastReadAt = monotonic();
 
   return function wall() {
-    const now = steady();
+    const now = monotonic();
     const current = timeOfDay() - now;
-    const allowed = followMilliseconds + driftShare * (now - lookedAt);
-    lookedAt = now;
+    const allowed = correctionMilliseconds + driftShare * (now - lastReadAt);
+    lastReadAt = now;
     if (Math.abs(current - offset) <= allowed) {
       offset = current;
       step = undefined;
--- a/packages/simulator/pooled-mutations.mjs
+++ b/packages/simulator/pooled-mutations.mjs
@@ -588,8 +588,8 @@
     name: 'step-followed-at-once',
     story: 'Clocks that step',
     file: 'kernel/build/wall-clock.js',
-    from: 'const followMilliseconds = 100;',
-    to: 'const followMilliseconds = 1e9;',
+    from: 'const correctionMilliseconds = 100;',
+    to: 'const correctionMilliseconds = 1e9;',
   },
   {
     name: 'lasting-step-denied',
