--- a/packages/acceptance/src/platform-settings.ts
+++ b/packages/acceptance/src/platform-settings.ts
@@ -47,20 +47,20 @@
 const expectedSettings: PlatformSettings = {
   node: 'core-north-1',
   area: 'north',
-  peers: '10.1.0.26:7200',
-  administration: '10.1.0.26:7201',
-  feed: '127.0.0.1:7202',
-  senders: '10.1.0.26:8086',
-  readiness: '10.1.0.26:8082',
+  peerAddress: '10.1.0.26:7200',
+  administrationAddress: '10.1.0.26:7201',
+  feedAddress: '127.0.0.1:7202',
+  clientAddress: '10.1.0.26:8086',
+  readinessAddress: '10.1.0.26:8082',
   platformApiAddress: '10.1.0.26:8089',
   seeds: ['10.1.0.28:7200', '10.2.0.26:7200', '10.3.0.41:7200'],
-  founders: ['10.1.0.28:7200', '10.2.0.26:7200', '10.3.0.41:7200'],
-  founds: true,
+  founderAddresses: ['10.1.0.28:7200', '10.2.0.26:7200', '10.3.0.41:7200'],
+  mayFound: true,
   tolerance: 1,
-  data: '/var/lib/stallstall',
-  platform: '10.200.0.106:8080',
+  dataFolder: '/var/lib/stallstall',
+  platformAddress: '10.200.0.106:8080',
   graceMilliseconds: 7_000,
-  restMilliseconds: 2_800,
+  handoverDelayMilliseconds: 2_800,
 };
 
 function fileOf(story: PlatformStory): string {
@@ -178,7 +178,7 @@
 
 Then('the other seeds are obeyed', function then(this: PlatformStory) {
   assert.deepEqual(this.current().seeds, ['10.5.0.28:7200', '10.6.0.26:7200']);
-  assert.equal(this.current().platform, '10.200.0.107:8080');
+  assert.equal(this.current().platformAddress, '10.200.0.107:8080');
 });
 
 When('the file names its first seeds again and no signal comes', function when(this: PlatformStory) {
@@ -203,7 +203,7 @@
 
 Then('each time the seeds and the platform are wholly the old ones or wholly the new ones', function then(this: PlatformStory) {
   function followed(settings: PlatformSettings | undefined): string {
-    return JSON.stringify([settings?.seeds, settings?.platform]);
+    return JSON.stringify([settings?.seeds, settings?.platformAddress]);
   }
   const wholes = [followed(this.before), followed(this.later)];
   for (const [length, settings] of this.seen.entries())
@@ -213,7 +213,7 @@
 });
 
 Then('the log told of what was denied', function then(this: PlatformStory) {
-  assert.ok(this.world.logs.some((line) => line.event === 'settings.denied' && /mend/.test(String(line.fields['reason']))));
+  assert.ok(this.world.logs.some((line) => line.event === 'settings.denied' && /fix/.test(String(line.fields['reason']))));
 });
 
 type StartingStory = { output: string; signal: NodeJS.Signals | null };
--- a/packages/acceptance/src/platform.ts
+++ b/packages/acceptance/src/platform.ts
@@ -6,7 +6,7 @@
 import { core, type PlatformApi } from '@stallstall/core';
 import { fault, http, identifiers, type Fault, type HttpReply, type Runtime } from '@stallstall/kernel';
 import { message, MemberRecordSchema } from '@stallstall/message';
-import { configuration, pages, platformCalls, type PlatformSettings } from '@stallstall/platform';
+import { configuration, platformRoutes, platformCalls, type PlatformSettings } from '@stallstall/platform';
 import type { Registration } from '@stallstall/member-registry';
 import { placements } from '@stallstall/placement';
 import { world as worlds, type World } from '@stallstall/simulator';
@@ -25,7 +25,7 @@
   later: PlatformSettings;
   before: PlatformSettings;
   seen: ReadonlyArray<PlatformSettings>;
-  mappings: ReturnType<typeof pages.control>;
+  mappings: ReturnType<typeof platformRoutes.control>;
   beats: Registration[];
   left: string[];
 };
@@ -283,7 +283,7 @@
     Option.some({
       calls: platformCalls.calls(3_300),
       probe: platformCalls.memberProbe(spawned.runtime),
-      routes: pages.control,
+      routes: platformRoutes.control,
       platformApiAddress: `${host}:7003`,
       mayFound: !alone,
       founderAddresses: founders,
@@ -472,7 +472,7 @@
 Then('readiness is 200 when ready, and 503 when not', async function then() {
   for (const ready of [true, false]) {
     const reply = await http.dispatch(
-      pages.readiness(() => ready),
+      platformRoutes.readiness(() => ready),
       { method: 'GET', path: '/api/readiness', query: {}, headers: {}, body: undefined, connection: 'c' },
     );
     assert.equal(reply.status, ready ? 200 : 503);
@@ -492,7 +492,7 @@
     heartbeat: (registration) => Promise.resolve(this.beats.push(registration) > 0),
     leave: (member) => Promise.resolve(this.left.push(member) > 0),
   };
-  this.mappings = pages.control(platformApi);
+  this.mappings = platformRoutes.control(platformApi);
 });
 
 When('a member sends a beat in service and one that is draining, and leaves', async function when(this: PlatformStory) {
