--- a/packages/acceptance/src/administration.ts
+++ b/packages/acceptance/src/administration.ts
@@ -21,7 +21,7 @@
 );
 
 When('root creates an operator {string} for the service {string}', async function when(this: Story, operator: string, service: string) {
-  const reply = await this.fleet.operate(
+  const reply = await this.fleet.sendOperatorRequest(
     'PUT',
     `/v1/operators/${operator}`,
     { services: [service], nodes: false, operators: false },
@@ -32,10 +32,10 @@
 });
 
 async function sendChangedWeights(story: Story, service: string): Promise<HttpReply> {
-  const current = await story.fleet.operate('GET', '/v1/sheet', undefined, { 'x-stallstall-operator': story.key });
+  const current = await story.fleet.sendOperatorRequest('GET', '/v1/sheet', undefined, { 'x-stallstall-operator': story.key });
   const { sheet: configuration } = current.body as { sheet: { rows: Array<{ service: string; weights: Record<string, number> }> } };
   for (const row of configuration.rows) if (row.service === service) for (const member of Object.keys(row.weights)) row.weights[member] = 7;
-  return story.fleet.operate('PUT', '/v1/sheet', { sheet: configuration }, { 'x-stallstall-operator': story.key });
+  return story.fleet.sendOperatorRequest('PUT', '/v1/sheet', { sheet: configuration }, { 'x-stallstall-operator': story.key });
 }
 
 Then(
@@ -53,17 +53,19 @@
 );
 
 Then('{string} may not drain {word}', async function then(this: Story, _operator: string, edge: string) {
-  within(await this.fleet.operate('POST', `/v1/nodes/${edge}/drain`, {}, { 'x-stallstall-operator': this.key }), ['key-denied']);
+  within(await this.fleet.sendOperatorRequest('POST', `/v1/nodes/${edge}/drain`, {}, { 'x-stallstall-operator': this.key }), [
+    'key-denied',
+  ]);
 });
 
 Then('a caller without a key may not read the fleet status', async function then(this: Story) {
-  within(await this.fleet.operate('GET', '/v1/fleet'), ['key-denied']);
+  within(await this.fleet.sendOperatorRequest('GET', '/v1/fleet'), ['key-denied']);
 });
 
 Then(
   'the audit trail lists a configuration sent by {string} and an operator created by {string}',
   async function then(this: Story, author: string, creator: string) {
-    const reply = await this.fleet.operate('GET', '/v1/audit', undefined, { 'x-stallstall-operator': rootKey });
+    const reply = await this.fleet.sendOperatorRequest('GET', '/v1/audit', undefined, { 'x-stallstall-operator': rootKey });
     const rows = (reply.body as { rows: ReadonlyArray<{ by: string; action: string }> }).rows;
     assert.ok(rows.some((row) => row.by === author && row.action === 'sheet'));
     assert.ok(rows.some((row) => row.by === creator && row.action === 'operator-put'));
@@ -73,7 +75,7 @@
 When('an operator lists the members {int} at a time', async function when(this: Story, limit: number) {
   this.replies = [];
   for (let after: number | undefined = 0; after !== undefined;) {
-    const reply: HttpReply = await this.fleet.operate('GET', `/v1/members?limit=${limit}&after=${after}`);
+    const reply: HttpReply = await this.fleet.sendOperatorRequest('GET', `/v1/members?limit=${limit}&after=${after}`);
     this.replies.push(reply);
     after = (reply.body as { next?: number }).next;
   }
@@ -87,12 +89,12 @@
 });
 
 Then('all health checks pass', async function then(this: Story) {
-  const reply = await this.fleet.operate('GET', '/v1/liveness');
+  const reply = await this.fleet.sendOperatorRequest('GET', '/v1/liveness');
   assert.equal(reply.status, 200, JSON.stringify(reply.body));
 });
 
 Then('only the health check {string} fails, with a remedy', async function then(this: Story, check: string) {
-  const reply = await this.fleet.operate('GET', '/v1/liveness');
+  const reply = await this.fleet.sendOperatorRequest('GET', '/v1/liveness');
   assert.equal(reply.status, 503);
   const failed = (reply.body as { checks: ReadonlyArray<{ check: string; sound: boolean; remedy: string }> }).checks.filter(
     (result) => !result.sound,
@@ -106,7 +108,9 @@
 
 When('an operator imports mappings from {string} and sends the configuration', async function when(this: Story, file: string) {
   this.imported = await openapi.read(fileURLToPath(new URL(`../fixtures/${file}`, import.meta.url)));
-  const reply = await this.fleet.operate('PUT', '/v1/sheet', { sheet: { ...this.fleet.sheet(), mappings: this.imported.mappings } });
+  const reply = await this.fleet.sendOperatorRequest('PUT', '/v1/sheet', {
+    sheet: { ...this.fleet.defaultConfiguration(), mappings: this.imported.mappings },
+  });
   assert.equal(reply.status, 200, JSON.stringify(reply.body));
   await this.fleet.world.run(500);
 });
@@ -122,7 +126,9 @@
 Then(
   'a client that calls {string} with {string} and {int} succeeds',
   async function then(this: Story, mapping: string, seat: string, value: number) {
-    within(await this.fleet.ask(edgeOf(this, 'edge-1'), 'POST', `/v1/mappings/${mapping}`, { parameters: [seat, value] }), ['served']);
+    within(await this.fleet.sendRequest(edgeOf(this, 'edge-1'), 'POST', `/v1/mappings/${mapping}`, { parameters: [seat, value] }), [
+      'served',
+    ]);
   },
 );
 
@@ -130,7 +136,7 @@
   'a client that calls {string} with {string} after {int} s receives {int}',
   async function then(this: Story, mapping: string, seat: string, seconds: number, value: number) {
     await this.fleet.world.run(seconds * 1_000);
-    const reply = await this.fleet.ask(edgeOf(this, 'edge-2'), 'POST', `/v1/mappings/${mapping}`, { parameters: [seat] });
+    const reply = await this.fleet.sendRequest(edgeOf(this, 'edge-2'), 'POST', `/v1/mappings/${mapping}`, { parameters: [seat] });
     assert.deepEqual((reply.body as { results: unknown }).results, [value]);
   },
 );
@@ -225,7 +231,7 @@
   'the node that proposes for {string} is killed {int} s after its proposal',
   async function when(this: Story, service: string, seconds: number) {
     const since = this.fleet.world.now();
-    assert.ok(await this.fleet.until(() => proposerOf(this, service, since) !== undefined, 9_000), 'no node proposed an election');
+    assert.ok(await this.fleet.runUntil(() => proposerOf(this, service, since) !== undefined, 9_000), 'no node proposed an election');
     await this.fleet.world.run(seconds * 1_000);
     const proposer = proposerOf(this, service, since) as string;
     const slots = [
@@ -241,7 +247,7 @@
 When("the platform's replies are lost for {int} s from the first promotion on", async function when(this: Story, seconds: number) {
   const before = this.fleet.platformStore.promotions.length;
   this.fleet.platform().knobs.losesReplies = true;
-  assert.ok(await this.fleet.until(() => this.fleet.platformStore.promotions.length > before, 12_000), 'no promotion was called');
+  assert.ok(await this.fleet.runUntil(() => this.fleet.platformStore.promotions.length > before, 12_000), 'no promotion was called');
   const promotedAt = this.fleet.world.now();
   await this.fleet.world.run(seconds * 1_000);
   this.fleet.platform().knobs.losesReplies = false;
--- a/packages/acceptance/src/connections.ts
+++ b/packages/acceptance/src/connections.ts
@@ -251,7 +251,7 @@
 });
 
 When('its machine goes dark, and tenant {string} wants 1', async function when(this: UnitStory, tenant: string) {
-  this.world.darken('member-machine');
+  this.world.makeUnresponsive('member-machine');
   assert.equal(this.connections.requestConnection(place, tenant), true);
   await this.world.run(1_100);
 });
@@ -259,7 +259,7 @@
 When(
   'its machine is lit and it replies {string} to every opening, and tenant {string} wants 1',
   async function when(this: UnitStory, opening: string, tenant: string) {
-    this.world.light('member-machine');
+    this.world.restoreMachine('member-machine');
     this.opening = `${opening}\r\n`;
     await this.world.run(1_000);
     assert.equal(this.connections.requestConnection(place, tenant), true);
--- a/packages/acceptance/src/cut-core.ts
+++ b/packages/acceptance/src/cut-core.ts
@@ -300,9 +300,9 @@
   async function when(this: CutCoreStory, index: number, seconds: number, after: number) {
     const { process } = this.cores.machine(`core-${index}`);
     assert.ok(process !== undefined);
-    this.cores.world.stepWall(process, seconds * 1_000);
+    this.cores.world.stepWallClock(process, seconds * 1_000);
     await this.cores.world.run(after * 1_000);
-    this.cores.world.stepWall(process, -seconds * 1_000);
+    this.cores.world.stepWallClock(process, -seconds * 1_000);
   },
 );
 
--- a/packages/acceptance/src/disks.ts
+++ b/packages/acceptance/src/disks.ts
@@ -28,7 +28,7 @@
     const index = this.fleet.cores.indexOf(coreOf(this, core));
     for (let attempt = 0; attempt < times; attempt += 1) {
       const from = this.fleet.world.now();
-      const reply = await this.fleet.operate('PUT', '/v1/sheet', { sheet: this.fleet.sheet() }, {}, index);
+      const reply = await this.fleet.sendOperatorRequest('PUT', '/v1/sheet', { sheet: this.fleet.defaultConfiguration() }, {}, index);
       assert.equal(reply.status, 200, JSON.stringify(reply.body));
       assert.ok(this.fleet.world.now() - from < seconds * 1_000);
     }
@@ -38,8 +38,8 @@
 /** Opens a link to a core, as another node would. */
 async function dialCore(story: Story, core: string): Promise<ReturnType<typeof peer.dial>> {
   const { runtime } = story.fleet.world.spawn(`client of ${core}`, 'client-machine');
-  const link = peer.dial(runtime, identifiers.address(story.fleet.place(coreOf(story, core)).address));
-  assert.ok(await story.fleet.until(link.isConnected, timeoutMilliseconds));
+  const link = peer.dial(runtime, identifiers.address(story.fleet.coreAddresses(coreOf(story, core)).address));
+  assert.ok(await story.fleet.runUntil(link.isConnected, timeoutMilliseconds));
   return link;
 }
 
@@ -47,7 +47,7 @@
 async function replyTo<Reply>(story: Story, call: Promise<Option.Option<Reply>>): Promise<Reply> {
   let reply: Option.Option<Reply> = Option.none;
   void call.then((received) => (reply = received));
-  await story.fleet.until(() => Option.isSome(reply), timeoutMilliseconds);
+  await story.fleet.runUntil(() => Option.isSome(reply), timeoutMilliseconds);
   const received = reply as Option.Option<Reply>;
   assert.ok(Option.isSome(received), 'no reply was received');
   return received.value;
@@ -73,7 +73,7 @@
 });
 
 async function doesDiskSync(story: Story, core: string): Promise<boolean> {
-  const reply = await story.fleet.operate('GET', '/v1/liveness', undefined, {}, story.fleet.cores.indexOf(coreOf(story, core)));
+  const reply = await story.fleet.sendOperatorRequest('GET', '/v1/liveness', undefined, {}, story.fleet.cores.indexOf(coreOf(story, core)));
   const { checks } = reply.body as { checks: ReadonlyArray<Readonly<{ check: string; sound: boolean }>> };
   return checks.find((result) => result.check === 'disk-syncs')?.sound ?? false;
 }
@@ -136,7 +136,7 @@
   const slot = coreOf(story, core);
   const from = story.fleet.world.logs.length;
   await story.fleet.startCore(slot);
-  await story.fleet.until(() => slot.running?.isOpen() === true || slot.process?.alive() === false, timeoutMilliseconds);
+  await story.fleet.runUntil(() => slot.running?.isOpen() === true || slot.process?.alive() === false, timeoutMilliseconds);
   const stoppedBy = slot.process?.stopReason() ?? Option.none;
   if (Option.isSome(stoppedBy)) return fault.kind(stoppedBy.value) === 'foreign-disk' ? 'refused' : fault.kind(stoppedBy.value);
   assert.equal(slot.running?.isOpen(), true, 'the core did not open');
--- a/packages/acceptance/src/fleet-steps.ts
+++ b/packages/acceptance/src/fleet-steps.ts
@@ -32,10 +32,10 @@
   'a session on {string} through {word} with an open transaction that put {string} as {int}',
   async function given(this: Story, service: string, edge: string, name: string, value: number) {
     this.edge = edgeOf(this, edge);
-    const opened = await this.fleet.ask(this.edge, 'POST', `/v1/services/${service}/sessions`, {});
+    const opened = await this.fleet.sendRequest(this.edge, 'POST', `/v1/services/${service}/sessions`, {});
     assert.equal(opened.status, 201);
     this.session = (opened.body as { session: string }).session;
-    const begun = await this.fleet.ask(
+    const begun = await this.fleet.sendRequest(
       this.edge,
       'POST',
       `/v1/services/${service}/statements`,
@@ -49,7 +49,7 @@
 When(
   'a client puts {string} as {int} in {string} through {word}',
   async function when(this: Story, name: string, value: number, service: string, edge: string) {
-    const reply = await this.fleet.ask(edgeOf(this, edge), 'POST', `/v1/services/${service}/statements`, {
+    const reply = await this.fleet.sendRequest(edgeOf(this, edge), 'POST', `/v1/services/${service}/statements`, {
       kind: 'write',
       statements: [{ text: 'put', parameters: [name, value] }],
     });
@@ -61,9 +61,9 @@
   'a session on {string} through {word} puts {string} as {int}',
   async function when(this: Story, service: string, edge: string, name: string, value: number) {
     this.edge = edgeOf(this, edge);
-    const opened = await this.fleet.ask(this.edge, 'POST', `/v1/services/${service}/sessions`, {});
+    const opened = await this.fleet.sendRequest(this.edge, 'POST', `/v1/services/${service}/sessions`, {});
     this.session = (opened.body as { session: string }).session;
-    const reply = await this.fleet.ask(
+    const reply = await this.fleet.sendRequest(
       this.edge,
       'POST',
       `/v1/services/${service}/statements`,
@@ -84,7 +84,7 @@
   const slot = primary(this, service);
   const others = this.fleet.members.filter((member) => member.place.service === service && member !== slot);
   assert.ok(
-    await this.fleet.until(() => others.some((other) => other.store.log.length === slot.store.log.length), 5_000),
+    await this.fleet.runUntil(() => others.some((other) => other.store.log.length === slot.store.log.length), 5_000),
     'no replica caught up',
   );
   this.before = { member: slot.place.member, epoch: this.fleet.platformStore.leaders.get(service)?.epoch ?? 0 };
@@ -129,7 +129,7 @@
 });
 
 When('an operator drains {word}', async function when(this: Story, edge: string) {
-  assert.equal((await this.fleet.operate('POST', `/v1/nodes/${edge}/drain`, {})).status, 200);
+  assert.equal((await this.fleet.sendOperatorRequest('POST', `/v1/nodes/${edge}/drain`, {})).status, 200);
 });
 
 When('the agent of {word} is killed', async function when(this: Story, edge: string) {
@@ -139,39 +139,44 @@
 When(
   'an operator sends a configuration with an unknown service in a row and a weight for an unknown member',
   async function when(this: Story) {
-    const sheet = this.fleet.sheet() as { rows: Array<{ service: string; weights: Record<string, number> }> };
+    const sheet = this.fleet.defaultConfiguration() as { rows: Array<{ service: string; weights: Record<string, number> }> };
     (sheet.rows[0] as { service: string }).service = 'nowhere';
     (sheet.rows[4] as { weights: Record<string, number> }).weights['stranger'] = 2;
-    this.replies = [await this.fleet.operate('PUT', '/v1/sheet', { sheet })];
+    this.replies = [await this.fleet.sendOperatorRequest('PUT', '/v1/sheet', { sheet })];
   },
 );
 
 When('two operators send configurations through different cores at the same time', async function when(this: Story) {
-  const sends = [this.fleet.send(this.fleet.sheet(), 0), this.fleet.send(this.fleet.sheet(), 1)];
+  const sends = [
+    this.fleet.sendConfiguration(this.fleet.defaultConfiguration(), 0),
+    this.fleet.sendConfiguration(this.fleet.defaultConfiguration(), 1),
+  ];
   await this.fleet.world.run(5_000);
   this.replies = await Promise.all(sends);
 });
 
 When('an operator sends a configuration based on version {int}', async function when(this: Story, version: number) {
-  this.replies = [await this.fleet.operate('PUT', '/v1/sheet', { sheet: this.fleet.sheet() }, { 'if-match': String(version) })];
+  this.replies = [
+    await this.fleet.sendOperatorRequest('PUT', '/v1/sheet', { sheet: this.fleet.defaultConfiguration() }, { 'if-match': String(version) }),
+  ];
 });
 
 When("an operator removes the clients' key", async function when(this: Story) {
-  const sheet = this.fleet.sheet();
+  const sheet = this.fleet.defaultConfiguration();
   sheet['keys'] = [];
-  assert.equal((await this.fleet.operate('PUT', '/v1/sheet', { sheet })).status, 200);
+  assert.equal((await this.fleet.sendOperatorRequest('PUT', '/v1/sheet', { sheet })).status, 200);
 });
 
 When('an operator marks the primary of {string} draining', async function when(this: Story, service: string) {
   const slot = primary(this, service);
   this.before = { member: slot.place.member, epoch: this.fleet.platformStore.leaders.get(service)?.epoch ?? 0 };
-  const sheet = this.fleet.sheet() as { services: Array<{ members: Array<{ member: string; state: string }> }> };
+  const sheet = this.fleet.defaultConfiguration() as { services: Array<{ members: Array<{ member: string; state: string }> }> };
   for (const one of sheet.services) for (const member of one.members) if (member.member === slot.place.member) member.state = 'draining';
-  assert.equal((await this.fleet.operate('PUT', '/v1/sheet', { sheet })).status, 200);
+  assert.equal((await this.fleet.sendOperatorRequest('PUT', '/v1/sheet', { sheet })).status, 200);
 });
 
 Then('the membership table names {int} cores and {int} edges', async function then(this: Story, cores: number, edges: number) {
-  const nodes = ((await this.fleet.operate('GET', '/v1/fleet')).body as { nodes: ReadonlyArray<{ role: string }> }).nodes;
+  const nodes = ((await this.fleet.sendOperatorRequest('GET', '/v1/fleet')).body as { nodes: ReadonlyArray<{ role: string }> }).nodes;
   assert.equal(nodes.filter((node) => node.role === 'core').length, cores);
   assert.equal(nodes.filter((node) => node.role === 'edge').length, edges);
 });
@@ -185,7 +190,7 @@
   value: number,
   headers: Readonly<Record<string, string>> = {},
 ): Promise<void> {
-  const reply = await story.fleet.ask(edge, 'POST', `/v1/services/${service}/statements`, statement(kind, `get ${name}`), headers);
+  const reply = await story.fleet.sendRequest(edge, 'POST', `/v1/services/${service}/statements`, statement(kind, `get ${name}`), headers);
   assert.equal(reply.status, 200, JSON.stringify(reply.body));
   assert.deepEqual((reply.body as { results: unknown }).results, [value]);
 }
@@ -221,7 +226,7 @@
           return Option.isSome(current) && current.value.epoch > story.before.epoch && current.value.primary !== story.before.member;
         });
     }
-    assert.ok(await this.fleet.until(() => settled(this), seconds * 1_000), 'no other member was elected in time');
+    assert.ok(await this.fleet.runUntil(() => settled(this), seconds * 1_000), 'no other member was elected in time');
     await this.fleet.world.run(1_000);
   },
 );
@@ -252,7 +257,7 @@
 );
 
 Then('the current configuration version is {int}', async function then(this: Story, version: number) {
-  const reply = await this.fleet.operate('GET', '/v1/sheet');
+  const reply = await this.fleet.sendOperatorRequest('GET', '/v1/sheet');
   assert.equal(reply.status, 200, JSON.stringify(reply.body));
   assert.equal((reply.body as { version: number }).version, version);
 });
@@ -269,7 +274,7 @@
 Then('both can be read back by version', async function then(this: Story) {
   for (const reply of this.replies) {
     const version = (reply.body as { version: number }).version;
-    assert.equal((await this.fleet.operate('GET', `/v1/sheet?version=${version}`)).status, 200);
+    assert.equal((await this.fleet.sendOperatorRequest('GET', `/v1/sheet?version=${version}`)).status, 200);
   }
 });
 
@@ -277,7 +282,7 @@
   'within {int} s a commit in the session is rejected as {string} or {string}',
   async function then(this: Story, seconds: number, first: string, second: string) {
     await this.fleet.world.run(seconds * 1_000);
-    const reply = await this.fleet.ask(
+    const reply = await this.fleet.sendRequest(
       this.edge,
       'POST',
       '/v1/services/bookings/statements',
@@ -293,7 +298,7 @@
 });
 
 export async function write(story: Story, service: string, edge: string): Promise<HttpReply> {
-  return story.fleet.ask(edgeOf(story, edge), 'POST', `/v1/services/${service}/statements`, statement('write', 'put tried 1'));
+  return story.fleet.sendRequest(edgeOf(story, edge), 'POST', `/v1/services/${service}/statements`, statement('write', 'put tried 1'));
 }
 
 Then(
@@ -315,7 +320,7 @@
 });
 
 Then('{word} is not ready', async function then(this: Story, edge: string) {
-  assert.equal((await this.fleet.ask(edgeOf(this, edge), 'GET', '/ready')).status, 503);
+  assert.equal((await this.fleet.sendRequest(edgeOf(this, edge), 'GET', '/ready')).status, 503);
 });
 
 Given('members of {string} that take {int} ms for a statement', async function given(this: Story, _service: string, milliseconds: number) {
--- a/packages/acceptance/src/guarantees.ts
+++ b/packages/acceptance/src/guarantees.ts
@@ -23,7 +23,12 @@
   this.replies = [];
   for (let index = 0; index < count; index += 1) {
     this.replies.push(
-      await this.fleet.ask(edgeOf(this, edge), 'POST', `/v1/services/${service}/statements`, statement('write', `put garbled-${index} 1`)),
+      await this.fleet.sendRequest(
+        edgeOf(this, edge),
+        'POST',
+        `/v1/services/${service}/statements`,
+        statement('write', `put garbled-${index} 1`),
+      ),
     );
   }
 });
@@ -80,9 +85,9 @@
 When('an operator sends {int} sheets, each with a mark of its own', async function when(this: Story, count: number) {
   this.replies = [];
   for (let index = 0; index < count; index += 1) {
-    const sheet = this.fleet.sheet() as { keys: unknown[] };
+    const sheet = this.fleet.defaultConfiguration() as { keys: unknown[] };
     sheet.keys.push({ key: `mark-of-${index}`, services: ['maps'], kinds: ['leader-read'] });
-    const reply = await this.fleet.operate('PUT', '/v1/sheet', { sheet });
+    const reply = await this.fleet.sendOperatorRequest('PUT', '/v1/sheet', { sheet });
     assert.equal(reply.status, 200, JSON.stringify(reply.body));
     this.replies.push(reply);
   }
@@ -95,7 +100,7 @@
     for (const [index, sent] of this.replies.entries()) {
       for (const core of [first, second]) {
         const { version } = sent.body as { version: number };
-        const reply = await this.fleet.operate('GET', `/v1/sheet?version=${version}`, undefined, {}, core - 1);
+        const reply = await this.fleet.sendOperatorRequest('GET', `/v1/sheet?version=${version}`, undefined, {}, core - 1);
         assert.equal(reply.status, 200, JSON.stringify(reply.body));
         assert.equal((reply.body as { sheet: { keys: ReadonlyArray<{ key: string }> } }).sheet.keys.at(-1)?.key, `mark-of-${index}`);
       }
@@ -106,7 +111,7 @@
 Then('the versions are listed in pages', async function then(this: Story) {
   const numbers: number[] = [];
   for (let after: number | undefined = 0; after !== undefined;) {
-    const reply: HttpReply = await this.fleet.operate('GET', `/v1/sheet/versions?limit=15&after=${after}`, undefined, {}, 1);
+    const reply: HttpReply = await this.fleet.sendOperatorRequest('GET', `/v1/sheet/versions?limit=15&after=${after}`, undefined, {}, 1);
     const listed = reply.body as { rows: ReadonlyArray<{ version: number; sentBy: string }>; next?: number };
     for (const row of listed.rows) assert.ok(row.sentBy.length > 0);
     numbers.push(...listed.rows.map((row) => row.version));
@@ -141,7 +146,7 @@
     const began = this.fleet.world.now();
     this.crowd = [];
     while (this.fleet.world.now() - began < seconds * 1_000) {
-      const reply = await this.fleet.ask(
+      const reply = await this.fleet.sendRequest(
         this.edge,
         'POST',
         '/v1/services/bookings/statements',
@@ -181,7 +186,9 @@
     const reasons = new Set<string>();
     while (this.fleet.world.now() < until) {
       reasons.add(
-        errorOf(await this.fleet.ask(edgeOf(this, edge), 'POST', `/v1/services/${service}/statements`, statement('write', 'put tried 1'))),
+        errorOf(
+          await this.fleet.sendRequest(edgeOf(this, edge), 'POST', `/v1/services/${service}/statements`, statement('write', 'put tried 1')),
+        ),
       );
       await this.fleet.world.run(50);
     }
@@ -194,7 +201,7 @@
   async function when(this: Story, core: string) {
     const slot = coreOf(this, core);
     for (const one of this.fleet.cores) one.disk.faults.slowMilliseconds = 150;
-    const sent = this.fleet.send(this.fleet.sheet(), this.fleet.cores.indexOf(slot));
+    const sent = this.fleet.sendConfiguration(this.fleet.defaultConfiguration(), this.fleet.cores.indexOf(slot));
     await this.fleet.world.run(100);
     let ended = false;
     void slot.running?.drain().then(() => {
@@ -210,22 +217,30 @@
 Then('the sheet was acknowledged and reads back', async function then(this: Story) {
   const [reply] = this.replies;
   assert.equal(reply?.status, 200, JSON.stringify(reply?.body));
-  const read = await this.fleet.operate('GET', `/v1/sheet?version=${(reply?.body as { version: number }).version}`, undefined, {}, 1);
+  const read = await this.fleet.sendOperatorRequest(
+    'GET',
+    `/v1/sheet?version=${(reply?.body as { version: number }).version}`,
+    undefined,
+    {},
+    1,
+  );
   assert.equal(read.status, 200);
 });
 
 Then('an operator may not accept the loss of {string} while its primary is alive', async function then(this: Story, service: string) {
-  within(await this.fleet.operate('POST', `/v1/services/${service}/accept-loss`, {}), ['unsafe-step']);
+  within(await this.fleet.sendOperatorRequest('POST', `/v1/services/${service}/accept-loss`, {}), ['unsafe-step']);
 });
 
 When('an operator accepts the loss of {string}', async function when(this: Story, service: string) {
-  const reply = await this.fleet.operate('POST', `/v1/services/${service}/accept-loss`, {});
+  const reply = await this.fleet.sendOperatorRequest('POST', `/v1/services/${service}/accept-loss`, {});
   assert.equal(reply.status, 200, JSON.stringify(reply.body));
   assert.ok((reply.body as { floor: { position: number } }).floor.position > 0);
 });
 
 Then('the trail tells of the loss that was accepted', async function then(this: Story) {
-  const { rows } = (await this.fleet.operate('GET', '/v1/audit')).body as { rows: ReadonlyArray<{ action: string; detail: string }> };
+  const { rows } = (await this.fleet.sendOperatorRequest('GET', '/v1/audit')).body as {
+    rows: ReadonlyArray<{ action: string; detail: string }>;
+  };
   assert.ok(rows.some((row) => row.action === 'accept-loss' && row.detail.startsWith('bookings up to')));
 });
 
@@ -234,7 +249,7 @@
   async function when(this: Story, core: string, edge: string, seconds: number) {
     const slot = coreOf(this, core);
     const places = [
-      this.fleet.place(slot).address,
+      this.fleet.coreAddresses(slot).address,
       this.fleet.edgeAddresses(edgeOf(this, edge)).address,
       this.fleet.edgeAddresses(edgeOf(this, edge)).feed,
     ];
--- a/packages/acceptance/src/malformed-input-steps.ts
+++ b/packages/acceptance/src/malformed-input-steps.ts
@@ -12,14 +12,14 @@
 
 When('{int} spoilt statements, beats and sheets come in at every outward page', async function when(this: Story, shots: number) {
   const edge = this.fleet.edgeAddresses(this.fleet.edges[0] as EdgeSlot);
-  const core = this.fleet.place(this.fleet.cores[0] as CoreSlot);
+  const core = this.fleet.coreAddresses(this.fleet.cores[0] as CoreSlot);
   const work = Promise.all([
     fuzz.pages(this.fleet, edge.proxy, 'POST', '/v1/services/bookings/statements', fuzz.statement, shots),
     fuzz.pages(this.fleet, edge.proxy, 'POST', '/v1/services/bookings/sessions', {}, 20),
     fuzz.pages(this.fleet, edge.proxy, 'PUT', '/v1/sessions/none/values/x', { value: 1 }, 20),
     fuzz.pages(this.fleet, edge.outward, 'POST', '/v1/members/bookings-1/beat', fuzz.beat, shots),
     fuzz.pages(this.fleet, core.outward, 'POST', '/v1/members/bookings-1/beat', fuzz.beat, shots),
-    fuzz.pages(this.fleet, core.outward, 'POST', '/v1/sheet/check', { sheet: this.fleet.sheet() }, shots),
+    fuzz.pages(this.fleet, core.outward, 'POST', '/v1/sheet/check', { sheet: this.fleet.defaultConfiguration() }, shots),
   ]);
   await this.fleet.world.run(60_000);
   this.spoilt = await work;
@@ -27,7 +27,7 @@
 
 When('spoilt calls and frames come in at every node and feed', async function when(this: Story) {
   const addresses = [
-    ...this.fleet.cores.map((slot) => this.fleet.place(slot).address),
+    ...this.fleet.cores.map((slot) => this.fleet.coreAddresses(slot).address),
     ...this.fleet.edges.flatMap((slot) => [this.fleet.edgeAddresses(slot).address, this.fleet.edgeAddresses(slot).feed]),
   ];
   void Promise.all(addresses.map((address) => fuzz.peers(this.fleet, address)));
@@ -75,7 +75,7 @@
       ),
     );
     await this.fleet.startCore(slot);
-    const opened = await this.fleet.until(() => slot.running?.isOpen() === true || slot.process?.alive() === false, 10_000);
+    const opened = await this.fleet.runUntil(() => slot.running?.isOpen() === true || slot.process?.alive() === false, 10_000);
     const reason = slot.process?.stopReason() ?? Option.none;
     const spoiltFleet = sound[index]?.[0] === 'fleet';
     this.stops.push(Option.isSome(reason) ? `${fault.kind(reason.value)} ${spoiltFleet}` : opened ? 'opened' : 'not open');
@@ -123,7 +123,7 @@
   };
   this.checked = Array.from({ length: count }, (_, index) =>
     index % 2 === 0
-      ? placements.validate(fuzz.spoil(fleet.sheet(), this.world.fraction))
+      ? placements.validate(fuzz.spoil(fleet.defaultConfiguration(), this.world.fraction))
       : settings.read(coreSettings, undefined, (fuzz.spoil(example, this.world.fraction) ?? {}) as Record<string, unknown>),
   );
 });
--- a/packages/acceptance/src/outages.ts
+++ b/packages/acceptance/src/outages.ts
@@ -274,7 +274,7 @@
 When(/^the clock of (\S+) is set (on|back) by (\d+) s$/, function when(this: OutageStory, name: string, way: string, seconds: string) {
   const { proxyProcess } = edge(this, name);
   assert.ok(proxyProcess !== undefined);
-  this.pooled.world.stepWall(proxyProcess, (way === 'on' ? 1_000 : -1_000) * Number(seconds));
+  this.pooled.world.stepWallClock(proxyProcess, (way === 'on' ? 1_000 : -1_000) * Number(seconds));
 });
 
 Then(
--- a/packages/acceptance/src/planned-change-steps.ts
+++ b/packages/acceptance/src/planned-change-steps.ts
@@ -22,7 +22,7 @@
   this.edge = edgeOf(this, edge);
   this.process = this.edge.agent.process;
   await this.fleet.world.run(2_000);
-  assert.equal((await this.fleet.operate('DELETE', `/v1/nodes/${edge}`)).status, 200);
+  assert.equal((await this.fleet.sendOperatorRequest('DELETE', `/v1/nodes/${edge}`)).status, 200);
 });
 
 When('the proxy of {word} is shut down gracefully and started again', function when(this: Story, edge: string) {
--- a/packages/acceptance/src/pooled-session-steps.ts
+++ b/packages/acceptance/src/pooled-session-steps.ts
@@ -188,7 +188,7 @@
     const idle = await open(this, 'bookings-lead', name);
     // Some are read before the end begins, some after it.
     for (const [index, line] of lines.entries()) {
-      this.pooled.world.at(
+      this.pooled.world.schedule(
         index * 500,
         () =>
           void line
@@ -197,7 +197,7 @@
       );
     }
     let ended = false;
-    this.pooled.world.at(
+    this.pooled.world.schedule(
       100,
       () =>
         void this.pooled.drainEdge(slot).then(() => {
--- a/packages/acceptance/src/product.ts
+++ b/packages/acceptance/src/product.ts
@@ -95,7 +95,7 @@
 );
 
 When('its settings name the right seeds', function when(this: Story) {
-  this.edge.seeds = this.fleet.cores.map((slot) => this.fleet.place(slot).address);
+  this.edge.seeds = this.fleet.cores.map((slot) => this.fleet.coreAddresses(slot).address);
 });
 
 When(
@@ -110,7 +110,7 @@
       void slot.running?.drain().then(() => {
         ended = true;
       });
-      assert.ok(await fleet.until(() => ended, 10_000), 'a process did not end as planned');
+      assert.ok(await fleet.runUntil(() => ended, 10_000), 'a process did not end as planned');
       fleet.stopSlot(slot as never);
       await again();
       await fleet.world.run(1_500);
@@ -128,7 +128,7 @@
 );
 
 Then('every node is heard and speaks protocol {int} with the others', async function then(this: Story, protocol: number) {
-  const { nodes } = (await this.fleet.operate('GET', '/v1/fleet')).body as {
+  const { nodes } = (await this.fleet.sendOperatorRequest('GET', '/v1/fleet')).body as {
     nodes: ReadonlyArray<{ node: string; heardMilliseconds: number; protocol: number }>;
   };
   assert.equal(nodes.length, 9);
@@ -211,7 +211,7 @@
 
 Then('the versions of the history read back by their numbers', async function then(this: Story) {
   for (const version of [1, 2]) {
-    const reply = await this.fleet.operate('GET', `/v1/sheet?version=${version}`);
+    const reply = await this.fleet.sendOperatorRequest('GET', `/v1/sheet?version=${version}`);
     assert.equal(reply.status, 200, JSON.stringify(reply.body));
     assert.equal((reply.body as { sentBy: string }).sentBy, `writer-${version}`);
   }
--- a/packages/acceptance/src/replaced-core-steps.ts
+++ b/packages/acceptance/src/replaced-core-steps.ts
@@ -13,7 +13,7 @@
     await this.fleet.world.run(1_000);
     const copy = new Map(slot.disk.entries);
     for (let attempt = 0; attempt < 2; attempt += 1)
-      assert.equal((await this.fleet.operate('PUT', '/v1/sheet', { sheet: this.fleet.sheet() })).status, 200);
+      assert.equal((await this.fleet.sendOperatorRequest('PUT', '/v1/sheet', { sheet: this.fleet.defaultConfiguration() })).status, 200);
     await this.fleet.world.run(1_000);
     this.fleet.stopSlot(slot);
     slot.disk = this.fleet.world.disk();
@@ -25,7 +25,7 @@
 Then(
   '{word} logs {string} and serves ballots within {int} s',
   async function then(this: Story, core: string, event: string, seconds: number) {
-    assert.ok(await this.fleet.until(() => coreOf(this, core).running?.isOpen() === true, seconds * 1_000), 'the core did not open');
+    assert.ok(await this.fleet.runUntil(() => coreOf(this, core).running?.isOpen() === true, seconds * 1_000), 'the core did not open');
     assert.ok(
       this.fleet.world.logs.some((line) => line.process === core && line.event === event),
       `no ${event}`,
@@ -56,7 +56,7 @@
 
 When('every node votes for the primary of {string} at epoch {int}', async function when(this: Story, _service: string, epoch: number) {
   const addresses = [
-    ...this.fleet.cores.map((slot) => this.fleet.place(slot).address),
+    ...this.fleet.cores.map((slot) => this.fleet.coreAddresses(slot).address),
     ...this.fleet.edges.map((slot) => this.fleet.edgeAddresses(slot).address),
   ];
   for (const address of addresses) assert.ok(await proposeTo(this, address, 'edge-1', epoch), `${address} did not vote`);
@@ -64,17 +64,17 @@
 
 Then('{word} rejects another proposal for epoch {int}', async function then(this: Story, core: string, epoch: number) {
   const slot = coreOf(this, core);
-  assert.ok(await this.fleet.until(() => slot.running?.isOpen() === true, 2_000), 'the core did not open');
+  assert.ok(await this.fleet.runUntil(() => slot.running?.isOpen() === true, 2_000), 'the core did not open');
   // Long enough for the core to apply the membership table and the configuration again, so that only its vote can reject the proposal.
   await this.fleet.world.run(1_000);
-  assert.equal(await proposeTo(this, this.fleet.place(slot).address, 'edge-2', epoch), false);
+  assert.equal(await proposeTo(this, this.fleet.coreAddresses(slot).address, 'edge-2', epoch), false);
 });
 
 Then(
   'within {int} s a primary of {string} is elected at a later epoch than {int}',
   async function then(this: Story, seconds: number, service: string, epoch: number) {
     assert.ok(
-      await this.fleet.until(
+      await this.fleet.runUntil(
         () =>
           this.fleet.edges.every((slot) => {
             const elected = slot.agent.running?.node.electedPrimary(service) ?? Option.none;
@@ -98,10 +98,10 @@
 );
 
 Then('{word} accepts a configuration', async function then(this: Story, core: string) {
-  const reply = await this.fleet.operate(
+  const reply = await this.fleet.sendOperatorRequest(
     'PUT',
     '/v1/sheet',
-    { sheet: this.fleet.sheet() },
+    { sheet: this.fleet.defaultConfiguration() },
     {},
     this.fleet.cores.indexOf(coreOf(this, core)),
   );
@@ -119,5 +119,5 @@
 When('an operator tries to remove {word} after {word} is killed too', async function when(this: Story, edge: string, killed: string) {
   this.fleet.stopSlot(edgeOf(this, killed).agent);
   await this.fleet.world.run(3_000);
-  this.replies = [await this.fleet.operate('DELETE', `/v1/nodes/${edge}`)];
+  this.replies = [await this.fleet.sendOperatorRequest('DELETE', `/v1/nodes/${edge}`)];
 });
--- a/packages/acceptance/src/simulator.ts
+++ b/packages/acceptance/src/simulator.ts
@@ -72,7 +72,7 @@
     losses.take([
       function lose(back) {
         lostAt.push(world.now());
-        world.at(seconds * 1_000, () => back());
+        world.schedule(seconds * 1_000, () => back());
       },
     ]);
 });
@@ -86,7 +86,7 @@
     function loss(name: string): Loss {
       return function lose(back) {
         lost.push(name);
-        world.at(seconds * 1_000, () => back());
+        world.schedule(seconds * 1_000, () => back());
       };
     }
     losses.take([loss('drawn, its first'), loss('drawn, its second')]);
@@ -159,7 +159,7 @@
 When('its disk hangs for {int} s, with a put under way', function when(this: SimulatorStory, seconds: number) {
   const { world, disk } = this;
   disk.faults.hanging = true;
-  world.at(seconds * 1_000, function over() {
+  world.schedule(seconds * 1_000, function over() {
     disk.faults.hanging = false;
   });
   this.put = diskOf(this.process).put('key', 'value');
@@ -178,7 +178,7 @@
 When('its disk is full for {int} s', function when(this: SimulatorStory, seconds: number) {
   const { world, disk } = this;
   disk.faults.full = true;
-  world.at(seconds * 1_000, function over() {
+  world.schedule(seconds * 1_000, function over() {
     disk.faults.full = false;
   });
 });
--- a/packages/acceptance/src/story.ts
+++ b/packages/acceptance/src/story.ts
@@ -56,22 +56,22 @@
   const fleet = fleets.create(7, deployment === 'Brightpath' ? brightpath : redComun, options);
   await fleet.startAll();
   assert.ok(
-    await fleet.until(() => fleet.cores.every((slot) => slot.running?.node.membership().value.seats.length === 9), 10_000),
+    await fleet.runUntil(() => fleet.cores.every((slot) => slot.running?.node.membership().value.seats.length === 9), 10_000),
     'the fleet did not form',
   );
   assert.equal(
     (
-      await fleet.operate(
+      await fleet.sendOperatorRequest(
         'PUT',
         '/v1/sheet',
-        { sheet: fleet.sheet(), sentBy: 'story' },
+        { sheet: fleet.defaultConfiguration(), sentBy: 'story' },
         options.operatorKey === undefined ? {} : { 'x-stallstall-operator': options.operatorKey },
       )
     ).status,
     200,
   );
   assert.ok(
-    await fleet.until(() => fleet.deployment.services.every((service) => fleet.primaryOf(service) !== undefined), 20_000),
+    await fleet.runUntil(() => fleet.deployment.services.every((service) => fleet.primaryOf(service) !== undefined), 20_000),
     'no primaries were elected',
   );
   await fleet.world.run(4_000);
--- a/packages/acceptance/src/version-claims.ts
+++ b/packages/acceptance/src/version-claims.ts
@@ -114,7 +114,7 @@
     fleet.world.cut(machine, other);
     fleet.world.cut(other, machine);
   }
-  fleet.world.at(milliseconds, () => fleet.world.healAll());
+  fleet.world.schedule(milliseconds, () => fleet.world.healAll());
 }
 
 When(
@@ -126,7 +126,7 @@
       const version = 10 + pair * 2;
       const core = pair % fleet.cores.length;
       const first = fleet.configure(version, configurationOf(fleet, `${version}-first`), core);
-      fleet.world.at(pair * step, () => cutOff(fleet, fleet.cores[core]?.machine ?? '', 900));
+      fleet.world.schedule(pair * step, () => cutOff(fleet, fleet.cores[core]?.machine ?? '', 900));
       await fleet.world.run(pair * step + 1);
       const second = fleet.configure(version, configurationOf(fleet, `${version}-second`), core + 1);
       await fleet.drive(Promise.all([first, second]));
@@ -190,13 +190,13 @@
 const sendId = 'repeated-send-id';
 
 function configurationWithKey(story: ClaimStory, key: string): unknown {
-  const configuration = story.fleet.sheet() as { keys: readonly unknown[] };
+  const configuration = story.fleet.defaultConfiguration() as { keys: readonly unknown[] };
   return { ...configuration, keys: [...configuration.keys, { key, services: ['maps'], kinds: ['leader-read'] }] };
 }
 
 function sendConfiguration(story: ClaimStory, key: string, core: number, requestSendId?: string): Promise<HttpReply> {
   const body = { sheet: configurationWithKey(story, key), ...(requestSendId === undefined ? {} : { sendId: requestSendId }) };
-  return story.fleet.operate('PUT', '/v1/sheet', body, {}, core);
+  return story.fleet.sendOperatorRequest('PUT', '/v1/sheet', body, {}, core);
 }
 
 function versionOf(reply: HttpReply | undefined): number {
--- a/packages/acceptance/src/watcher-steps.ts
+++ b/packages/acceptance/src/watcher-steps.ts
@@ -49,8 +49,8 @@
     const { world, nodeWatcher, applied } = watchThreeCores();
     const lastVersion = 40;
     for (let version = 1; version <= lastVersion; version += 1) {
-      world.at(version * interval, () => nodeWatcher.receive('core-1', changeOf(version)));
-      world.at(version * interval + delay, () => nodeWatcher.receive('core-2', changeOf(version)));
+      world.schedule(version * interval, () => nodeWatcher.receive('core-1', changeOf(version)));
+      world.schedule(version * interval + delay, () => nodeWatcher.receive('core-2', changeOf(version)));
     }
     for (let version = 1; version <= lastVersion; version += 1) {
       await world.run(version * interval + bound - world.now());
--- a/packages/simulator/src/checks.ts
+++ b/packages/simulator/src/checks.ts
@@ -5,7 +5,7 @@
 import type { HttpReply } from '@stallstall/kernel';
 import type { Ledger } from '@stallstall/fakes';
 import type { CoreSlot, Fleet } from './fleet.js';
-import type { Sent, Violation } from './fleet-checks/check-records.js';
+import type { SentConfiguration, Violation } from './fleet-checks/check-records.js';
 import { draining, plannedEnds } from './fleet-checks/draining-checks.js';
 import { obeying, watch, weights } from './fleet-checks/placement-checks.js';
 import { promotions, uncertain, untellable, usage } from './fleet-checks/platform-call-checks.js';
@@ -24,14 +24,14 @@
 }
 
 /** Every acknowledged version, read through every core that runs, against the very sheet that was sent. */
-async function readBack(fleet: Fleet, sends: readonly Sent[]): Promise<readonly Violation[]> {
+async function readBack(fleet: Fleet, sends: readonly SentConfiguration[]): Promise<readonly Violation[]> {
   const violations: Violation[] = [];
   const cores = fleet.cores.flatMap((slot: CoreSlot, index) =>
     slot.process?.alive() === true && slot.running !== undefined ? [index] : [],
   );
   for (const sent of sends.filter((one) => one.version > 0)) {
     for (const index of cores) {
-      const reply: HttpReply = await fleet.operate('GET', `/v1/sheet?version=${sent.version}`, undefined, {}, index);
+      const reply: HttpReply = await fleet.sendOperatorRequest('GET', `/v1/sheet?version=${sent.version}`, undefined, {}, index);
       const sheet = (reply.body as { sheet?: unknown } | null)?.sheet;
       if (reply.status !== 200 || JSON.stringify(sheet) !== JSON.stringify(sent.sheet)) {
         violations.push({
--- a/packages/simulator/src/core-fleet.ts
+++ b/packages/simulator/src/core-fleet.ts
@@ -143,7 +143,7 @@
       if (machine.process !== undefined && !machine.process.alive() && Option.isSome(machine.process.stopReason()))
         void start(machine, false);
     }
-    world.at(restartMilliseconds, restartEnded);
+    world.schedule(restartMilliseconds, restartEnded);
   }
 
   async function spare(seeds: readonly string[]): Promise<CoreMachine> {
@@ -220,7 +220,7 @@
       sent += 1;
       void send(sent, machines[sent % machines.length] as CoreMachine);
       void check(machines[(sent * 7 + 3) % machines.length] as CoreMachine);
-      world.at(everyMilliseconds, next);
+      world.schedule(everyMilliseconds, next);
     }
     next();
     return {
@@ -256,7 +256,7 @@
   for (const machine of [...machines]) await start(machine, true);
   const { edge, runtime: edgeRuntime } = startEdge('edge-1', 'edge-machine', seeds);
   const operatorRuntime = world.spawn('operator', 'operator-machine').runtime;
-  world.at(restartMilliseconds, restartEnded);
+  world.schedule(restartMilliseconds, restartEnded);
 
   async function until(condition: () => boolean, milliseconds: number): Promise<boolean> {
     for (let spent = 0; spent < milliseconds; spent += 20) {
@@ -286,7 +286,7 @@
 
   function lookAtLease(): void {
     if (edge.leaseUntil(service) <= edgeRuntime.clock.now()) gaps += 1;
-    world.at(20, lookAtLease);
+    world.schedule(20, lookAtLease);
   }
   lookAtLease();
 
--- a/packages/simulator/src/faults.ts
+++ b/packages/simulator/src/faults.ts
@@ -37,7 +37,7 @@
         storm,
         pick(
           fleet,
-          fleet.members.filter((one) => one.gone !== true),
+          fleet.members.filter((one) => one.isRemoved !== true),
         ),
         between(fleet, 500, 8_000),
       ),
@@ -49,7 +49,7 @@
         fleet,
         pick(
           fleet,
-          fleet.members.filter((one) => one.gone !== true),
+          fleet.members.filter((one) => one.isRemoved !== true),
         ),
         'dark',
         between(fleet, 1_000, 9_000),
@@ -62,7 +62,7 @@
         fleet,
         pick(
           fleet,
-          fleet.members.filter((one) => one.gone !== true),
+          fleet.members.filter((one) => one.isRemoved !== true),
         ),
         'deaf',
         between(fleet, 500, 6_000),
@@ -82,7 +82,7 @@
         fleet,
         pick(
           fleet,
-          fleet.members.filter((one) => one.gone !== true),
+          fleet.members.filter((one) => one.isRemoved !== true),
         ).machine,
         pick(fleet, ['both', 'in', 'out'] as const),
         between(fleet, 500, 9_000),
@@ -93,7 +93,7 @@
     run: (fleet) => {
       const slot = pick(
         fleet,
-        fleet.members.filter((one) => one.gone !== true),
+        fleet.members.filter((one) => one.isRemoved !== true),
       );
       if (slot.process !== undefined) fleet.world.freeze(slot.process, between(fleet, 500, 8_000));
     },
@@ -108,7 +108,7 @@
       storm.blanking = true;
       fleet.stopSlot(slot);
       slot.disk = fleet.world.disk();
-      fleet.world.at(between(fleet, 200, 3_000), () => void fleet.startCore(slot));
+      fleet.world.schedule(between(fleet, 200, 3_000), () => void fleet.startCore(slot));
     },
   },
   {
@@ -116,7 +116,7 @@
     run: (fleet) => {
       const slot = pick(fleet, fleet.cores);
       slot.disk.faults.slowMilliseconds = between(fleet, 20, 700);
-      fleet.world.at(between(fleet, 1_000, 5_000), () => {
+      fleet.world.schedule(between(fleet, 1_000, 5_000), () => {
         slot.disk.faults.slowMilliseconds = 0;
       });
     },
@@ -126,7 +126,7 @@
     run: (fleet) => {
       const slot = pick(fleet, fleet.cores);
       slot.disk.faults.failing = true;
-      fleet.world.at(between(fleet, 1_000, 5_000), () => {
+      fleet.world.schedule(between(fleet, 1_000, 5_000), () => {
         slot.disk.faults.failing = false;
       });
     },
@@ -167,7 +167,7 @@
     name: 'platform-slow',
     run: (fleet) => {
       fleet.platform().knobs.slowMilliseconds = between(fleet, 100, 2_000);
-      fleet.world.at(between(fleet, 1_000, 5_000), () => {
+      fleet.world.schedule(between(fleet, 1_000, 5_000), () => {
         fleet.platform().knobs.slowMilliseconds = 0;
       });
     },
@@ -177,7 +177,7 @@
     run: (fleet) => {
       const knob = pick(fleet, ['down', 'losesReplies', 'denies', 'garbles'] as const);
       fleet.platform().knobs[knob] = true;
-      fleet.world.at(between(fleet, 500, 4_000), () => {
+      fleet.world.schedule(between(fleet, 500, 4_000), () => {
         fleet.platform().knobs[knob] = false;
       });
     },
@@ -187,7 +187,8 @@
     run: (fleet, storm) => {
       const area = pick(fleet, ['north', 'middle', 'south']);
       const milliseconds = between(fleet, 2_000, 9_000);
-      for (const slot of fleet.members) if (slot.place.area === area && slot.gone !== true) killMember(fleet, storm, slot, milliseconds);
+      for (const slot of fleet.members)
+        if (slot.place.area === area && slot.isRemoved !== true) killMember(fleet, storm, slot, milliseconds);
       for (const slot of fleet.edges) {
         if (slot.area !== area) continue;
         killEdge(fleet, slot, 'agent', milliseconds);
@@ -206,8 +207,9 @@
         fleet.world.cut(edge.machine, one.machine);
         fleet.world.cut(one.machine, edge.machine);
       }
-      if (slot !== undefined) fleet.world.at(between(fleet, 0, 2_000), () => killMember(fleet, storm, slot, between(fleet, 9_000, 12_000)));
-      fleet.world.at(between(fleet, 9_000, 13_000), () => {
+      if (slot !== undefined)
+        fleet.world.schedule(between(fleet, 0, 2_000), () => killMember(fleet, storm, slot, between(fleet, 9_000, 12_000)));
+      fleet.world.schedule(between(fleet, 9_000, 13_000), () => {
         for (const one of missed) {
           fleet.world.heal(edge.machine, one.machine);
           fleet.world.heal(one.machine, edge.machine);
@@ -229,7 +231,7 @@
       // Sessions and the transactions that are open in them are under this key.
       storm.keyless = true;
       void send(fleet, storm, 0);
-      fleet.world.at(between(fleet, 500, 3_500), () => {
+      fleet.world.schedule(between(fleet, 500, 3_500), () => {
         storm.keyless = false;
         void sendUntilTaken(fleet, storm);
       });
--- a/packages/simulator/src/faults/clocks.ts
+++ b/packages/simulator/src/faults/clocks.ts
@@ -21,9 +21,9 @@
   const milliseconds = between(fleet, 2_000, 7_000);
   // Windows of usage are told apart by the time of day: they are not judged while it is wrong.
   trouble(fleet, storm, 'platform', milliseconds);
-  for (const process of stepped.flat()) fleet.world.stepWall(process, step);
-  fleet.world.at(milliseconds, function right() {
-    for (const process of stepped.flat()) fleet.world.stepWall(process, -step);
+  for (const process of stepped.flat()) fleet.world.stepWallClock(process, step);
+  fleet.world.schedule(milliseconds, function right() {
+    for (const process of stepped.flat()) fleet.world.stepWallClock(process, -step);
   });
 }
 
--- a/packages/simulator/src/faults/common.ts
+++ b/packages/simulator/src/faults/common.ts
@@ -54,9 +54,9 @@
 
 /** Starts again whatever has ended meanwhile; one that another fault has started already stays. */
 export function startEdgeLater(fleet: PooledFleet, storm: PooledStorm, slot: PooledEdge, milliseconds: number): void {
-  fleet.world.at(milliseconds, function again() {
+  fleet.world.schedule(milliseconds, function again() {
     if (storm.retired.has(slot)) return;
-    fleet.world.light(slot.machine);
+    fleet.world.restoreMachine(slot.machine);
     if (slot.agent !== undefined || slot.proxy !== undefined) return;
     storm.lives.push({ edge: slot.name, life: slot.life + 1, from: fleet.world.now() });
     void fleet.startEdge(slot);
@@ -64,8 +64,8 @@
 }
 
 export function startCoreLater(fleet: PooledFleet, slot: PooledCore, milliseconds: number, started: () => void = () => undefined): void {
-  fleet.world.at(milliseconds, function again() {
-    fleet.world.light(slot.machine);
+  fleet.world.schedule(milliseconds, function again() {
+    fleet.world.restoreMachine(slot.machine);
     if (slot.process?.alive() !== true && fleet.cores.includes(slot)) void fleet.startCore(slot);
     started();
   });
@@ -74,8 +74,8 @@
 /** One that had said that it drains does not come back. */
 export function startMemberLater(fleet: PooledFleet, storm: PooledStorm, slot: PooledMember, milliseconds: number): void {
   slot.gone ||= storm.drains.some((note) => note.member === slot.member);
-  fleet.world.at(milliseconds, function again() {
-    fleet.world.light(slot.machine);
+  fleet.world.schedule(milliseconds, function again() {
+    fleet.world.restoreMachine(slot.machine);
     if (!slot.gone && slot.process?.alive() !== true) void fleet.startMember(slot);
   });
 }
@@ -121,7 +121,7 @@
   for (const other of others.filter((one) => one !== machine)) {
     if (ways !== 'coming') fleet.world.cut(machine, other);
     if (ways !== 'leaving') fleet.world.cut(other, machine);
-    fleet.world.at(milliseconds, function heal() {
+    fleet.world.schedule(milliseconds, function heal() {
       fleet.world.heal(machine, other);
       fleet.world.heal(other, machine);
     });
--- a/packages/simulator/src/faults/cores.ts
+++ b/packages/simulator/src/faults/cores.ts
@@ -34,7 +34,7 @@
 
 /** Nothing is told to whoever was connected. */
 export function cutPower(fleet: PooledFleet, slot: PooledCore): void {
-  fleet.world.darken(slot.machine);
+  fleet.world.makeUnresponsive(slot.machine);
   slot.running = undefined;
 }
 
@@ -57,7 +57,7 @@
   const milliseconds = between(fleet, leastDownMilliseconds, mostDownMilliseconds);
   moments(fleet, storm, 'core', milliseconds);
   if (process !== undefined) fleet.world.freeze(process, milliseconds);
-  fleet.world.at(milliseconds, back);
+  fleet.world.schedule(milliseconds, back);
 }
 
 /** It stands still for most of the time, in short turns. */
@@ -68,7 +68,7 @@
   function round(): void {
     if (fleet.world.now() >= until) return back();
     if (slot.process?.alive() === true) fleet.world.freeze(slot.process, slowHeldMilliseconds);
-    fleet.world.at(slowRoundMilliseconds, round);
+    fleet.world.schedule(slowRoundMilliseconds, round);
   }
   round();
 }
@@ -78,7 +78,7 @@
     const milliseconds = between(fleet, leastDownMilliseconds, mostDownMilliseconds);
     moments(fleet, storm, 'core', milliseconds);
     cutOff(fleet, pick(fleet, fleet.cores).machine, from(fleet), milliseconds, ways);
-    fleet.world.at(milliseconds, back);
+    fleet.world.schedule(milliseconds, back);
   };
 }
 
@@ -92,9 +92,9 @@
     const index = fleet.cores.indexOf(slot);
     if (index >= 0) void fleet.configure(nextVersion(fleet), lastSheet(fleet), index);
   }
-  fleet.world.at(between(fleet, 200, 1_500), order);
-  fleet.world.at(milliseconds + between(fleet, 0, 50), order);
-  fleet.world.at(milliseconds, back);
+  fleet.world.schedule(between(fleet, 200, 1_500), order);
+  fleet.world.schedule(milliseconds + between(fleet, 0, 50), order);
+  fleet.world.schedule(milliseconds, back);
 }
 
 /** An order is sent to the core while it is cut off from the others, and soon its disk is lost: nobody else has what it alone confirmed. */
@@ -103,7 +103,7 @@
   trouble(fleet, storm, 'core', wipedAfterMilliseconds);
   cutOff(fleet, slot.machine, coreMachines(fleet), wipedAfterMilliseconds);
   void fleet.configure(nextVersion(fleet), lastSheet(fleet), fleet.cores.indexOf(slot));
-  fleet.world.at(wipedAfterMilliseconds, () => loseDisk(fleet, storm, back, slot));
+  fleet.world.schedule(wipedAfterMilliseconds, () => loseDisk(fleet, storm, back, slot));
 }
 
 /** The settings name the core that is cut off first, and some edges are restarted with these seeds. */
@@ -120,7 +120,7 @@
     fleet.killEdge(edge);
     startEdgeLater(fleet, storm, edge, restartMilliseconds);
   }
-  fleet.world.at(milliseconds, back);
+  fleet.world.schedule(milliseconds, back);
 }
 
 /** The core that is cut off is restarted, and the others after it, while it cannot be reached. */
@@ -130,13 +130,13 @@
   trouble(fleet, storm, 'core', milliseconds);
   cutOff(fleet, slot.machine, coreMachines(fleet), milliseconds);
   [slot, ...fleet.cores.filter((one) => one !== slot)].forEach((one, index) =>
-    fleet.world.at((index + 1) * 1_000, function restart() {
+    fleet.world.schedule((index + 1) * 1_000, function restart() {
       if (storm.losses.closed()) return;
       fleet.stopCore(one);
       startCoreLater(fleet, one, restartMilliseconds);
     }),
   );
-  fleet.world.at(milliseconds, back);
+  fleet.world.schedule(milliseconds, back);
 }
 
 /** Ends as planned and starts again. */
@@ -152,7 +152,7 @@
   const { process } = slot;
   await Promise.race([
     slot.running?.drain(),
-    new Promise<void>((resolve) => fleet.world.at(slot.running === undefined ? 0 : coreGraceMilliseconds, resolve)),
+    new Promise<void>((resolve) => fleet.world.schedule(slot.running === undefined ? 0 : coreGraceMilliseconds, resolve)),
   ]);
   if (slot.process === process) fleet.stopCore(slot);
 }
@@ -188,8 +188,8 @@
       const sent = fleet.versions.find((one) => one.version === version);
       const slot = fleet.cores[index] as PooledCore;
       if (sent !== undefined && Number.isFinite(sent.acknowledgedAt))
-        fleet.world.at(between(fleet, 0, acknowledgedWithinMilliseconds), () => strike(fleet, storm, back, slot));
-      else if (fleet.world.now() < until) fleet.world.at(orderLookMilliseconds, look);
+        fleet.world.schedule(between(fleet, 0, acknowledgedWithinMilliseconds), () => strike(fleet, storm, back, slot));
+      else if (fleet.world.now() < until) fleet.world.schedule(orderLookMilliseconds, look);
       else back();
     }
     look();
@@ -201,7 +201,7 @@
   return function send(fleet, storm, back) {
     const index = anyCore(fleet);
     void fleet.configure(nextVersion(fleet), lastSheet(fleet), index);
-    fleet.world.at(between(fleet, 5, 400), function now() {
+    fleet.world.schedule(between(fleet, 5, 400), function now() {
       if (storm.losses.closed()) back();
       else strike(fleet, storm, back, fleet.cores[index] as PooledCore);
     });
--- a/packages/simulator/src/faults/disks.ts
+++ b/packages/simulator/src/faults/disks.ts
@@ -14,7 +14,7 @@
     const milliseconds = between(fleet, leastMilliseconds, mostMilliseconds);
     trouble(fleet, storm, 'core', milliseconds);
     Object.assign(disk.faults, change);
-    fleet.world.at(milliseconds, function mended() {
+    fleet.world.schedule(milliseconds, function mended() {
       Object.assign(disk.faults, over);
       back();
     });
@@ -25,7 +25,7 @@
 export function loseDisk(fleet: PooledFleet, storm: PooledStorm, back: () => void, slot = pick(fleet, fleet.cores)): void {
   const milliseconds = between(fleet, 500, 5_000);
   trouble(fleet, storm, 'core', milliseconds);
-  fleet.world.darken(slot.machine);
+  fleet.world.makeUnresponsive(slot.machine);
   slot.running = undefined;
   slot.disk = fleet.world.disk();
   startCoreLater(fleet, slot, milliseconds, back);
--- a/packages/simulator/src/faults/edges.ts
+++ b/packages/simulator/src/faults/edges.ts
@@ -40,7 +40,7 @@
 function losePower(fleet: PooledFleet, storm: PooledStorm, slot: PooledEdge): void {
   const milliseconds = between(fleet, 1_000, 8_000);
   trouble(fleet, storm, slot.name, milliseconds);
-  fleet.world.darken(slot.machine);
+  fleet.world.makeUnresponsive(slot.machine);
   fleet.killEdge(slot);
   startEdgeLater(fleet, storm, slot, milliseconds);
 }
@@ -76,7 +76,7 @@
   function round(): void {
     if (fleet.world.now() >= until) return;
     fleet.freezeEdge(slot, slowHeldMilliseconds);
-    fleet.world.at(slowRoundMilliseconds, round);
+    fleet.world.schedule(slowRoundMilliseconds, round);
   }
   round();
 }
@@ -114,7 +114,7 @@
 /** All edges end as planned and start again, one after the other. */
 function rollEdges(fleet: PooledFleet, storm: PooledStorm): void {
   fleet.edges.forEach((slot, index) =>
-    fleet.world.at(index * rollGapMilliseconds, function end() {
+    fleet.world.schedule(index * rollGapMilliseconds, function end() {
       if (!storm.losses.closed() && runningEdges(fleet).includes(slot)) void drain(fleet, storm, slot);
     }),
   );
@@ -139,7 +139,7 @@
       .find((of) => of.asks.some((ask) => ask.kind !== 'get' && ask.endedAt >= from && Option.isSome(ask.ending)));
     const slot = runningEdges(fleet).find((one) => one.name === committed?.edge);
     if (slot !== undefined) kill(fleet, storm, slot);
-    else if (fleet.world.now() < from + replyDeadlineMilliseconds) fleet.world.at(replyLookMilliseconds, look);
+    else if (fleet.world.now() < from + replyDeadlineMilliseconds) fleet.world.schedule(replyLookMilliseconds, look);
   }
   look();
 }
@@ -162,7 +162,7 @@
   const named = fleet.cores.map(fleet.coreAddress).sort(() => fleet.world.fraction() - 0.5);
   if (fleet.world.fraction() < staleSeedShare) named[0] = staleSeed;
   fleet.nameSeeds(named);
-  for (const slot of [...fleet.cores, ...fleet.edges]) fleet.world.at(between(fleet, 0, 1_000), () => fleet.readSettings(slot));
+  for (const slot of [...fleet.cores, ...fleet.edges]) fleet.world.schedule(between(fleet, 0, 1_000), () => fleet.readSettings(slot));
 }
 
 /** A share of the processes are told by a signal to read their settings, in which nothing or the seeds may have changed. */
@@ -207,7 +207,7 @@
       });
     }
     for (const slot of fleet.edges) {
-      if (how === 'power-lost') fleet.world.darken(slot.machine);
+      if (how === 'power-lost') fleet.world.makeUnresponsive(slot.machine);
       fleet.killEdge(slot);
       startEdgeLater(fleet, storm, slot, between(fleet, 300, 2_000));
     }
--- a/packages/simulator/src/faults/members.ts
+++ b/packages/simulator/src/faults/members.ts
@@ -35,7 +35,7 @@
   }
   storm.losses.take([
     function allowed(back) {
-      fleet.world.at(cutInside(fleet, storm, [pick(fleet, fleet.cores).machine]), () => back());
+      fleet.world.schedule(cutInside(fleet, storm, [pick(fleet, fleet.cores).machine]), () => back());
     },
   ]);
 }
@@ -64,7 +64,7 @@
   await drainMember(fleet, storm, slot);
   if (knobs !== undefined) {
     knobs.deaf = true;
-    fleet.world.at(milliseconds, function over() {
+    fleet.world.schedule(milliseconds, function over() {
       knobs.deaf = false;
     });
   }
@@ -88,7 +88,7 @@
   if (slot === undefined) return;
   const milliseconds = between(fleet, 2_000, 14_000);
   trouble(fleet, storm, 'member', milliseconds);
-  fleet.world.darken(slot.machine);
+  fleet.world.makeUnresponsive(slot.machine);
   slot.running = undefined;
   startMemberLater(fleet, storm, slot, milliseconds);
 }
@@ -136,7 +136,7 @@
   trouble(fleet, storm, 'member', milliseconds);
   if (fleet.world.fraction() < 0.5) knobs.deaf = true;
   else knobs.behindMilliseconds = between(fleet, 200, 4_000);
-  fleet.world.at(milliseconds, function over() {
+  fleet.world.schedule(milliseconds, function over() {
     knobs.deaf = false;
     knobs.behindMilliseconds = 0;
   });
@@ -156,7 +156,7 @@
 /** A replica that lacks the last commits, and then the primary is gone. */
 function crashBehindDeaf(fleet: PooledFleet, storm: PooledStorm): void {
   deafReplica(fleet, storm);
-  fleet.world.at(between(fleet, 200, 2_000), () => crashPrimary(fleet, storm));
+  fleet.world.schedule(between(fleet, 200, 2_000), () => crashPrimary(fleet, storm));
 }
 
 function runningReplica(fleet: PooledFleet): PooledMember | undefined {
@@ -186,7 +186,7 @@
   slot.gone = true;
   fleet.stopMember(slot);
   const fresh = fleet.addMember(slot.service, slot.area);
-  await new Promise<void>((resolve) => fleet.world.at(freshMemberMilliseconds, resolve));
+  await new Promise<void>((resolve) => fleet.world.schedule(freshMemberMilliseconds, resolve));
   await fleet.startMember(fresh);
   return undefined;
 }
@@ -216,7 +216,7 @@
     if (slot.running === undefined || slot.store.role !== 'replica' || fleet.world.fraction() < 0.5) continue;
     const { knobs } = slot.running;
     knobs.behindMilliseconds = between(fleet, 200, 4_000);
-    fleet.world.at(milliseconds, function over() {
+    fleet.world.schedule(milliseconds, function over() {
       knobs.behindMilliseconds = 0;
     });
   }
--- a/packages/simulator/src/faults/operators.ts
+++ b/packages/simulator/src/faults/operators.ts
@@ -32,18 +32,18 @@
 function loseAcknowledgements(fleet: PooledFleet): void {
   fleet.operatorTrouble.lostShare = lostShare;
   for (let order = 0; order < underWayMost; order += 1)
-    fleet.world.at(between(fleet, 0, 3_000), () => send(fleet, nextVersion(fleet), distinct(fleet, `lost-${fleet.versions.length}`)));
-  fleet.world.at(between(fleet, 3_000, 7_000), function over() {
+    fleet.world.schedule(between(fleet, 0, 3_000), () => send(fleet, nextVersion(fleet), distinct(fleet, `lost-${fleet.versions.length}`)));
+  fleet.world.schedule(between(fleet, 3_000, 7_000), function over() {
     fleet.operatorTrouble.lostShare = 0;
   });
-  fleet.world.at(resendMilliseconds / 2, () => reuseNumbers(fleet));
+  fleet.world.schedule(resendMilliseconds / 2, () => reuseNumbers(fleet));
 }
 
 /** What was sent before arrives again, to any core. */
 function resendOrders(fleet: PooledFleet): void {
   for (let count = 0; count < resentOrders; count += 1) {
     const sent = pick(fleet, fleet.versions);
-    fleet.world.at(between(fleet, 0, resendMilliseconds), () => void fleet.resend(sent, anyCore(fleet)));
+    fleet.world.schedule(between(fleet, 0, resendMilliseconds), () => void fleet.resend(sent, anyCore(fleet)));
   }
 }
 
@@ -61,17 +61,17 @@
 
 /** Orders are raced while a core crashes, or is cut off from all others, and what was sent comes again. */
 function raceThroughTrouble(fleet: PooledFleet, storm: PooledStorm, back: Back): void {
-  fleet.world.at(between(fleet, 0, 40), () =>
+  fleet.world.schedule(between(fleet, 0, 40), () =>
     fleet.world.fraction() < 0.5 ? kill(fleet, storm, back) : cut('both', everyMachine)(fleet, storm, back),
   );
   raceOnOneNumber(fleet);
-  fleet.world.at(resendMilliseconds, () => resendOrders(fleet));
+  fleet.world.schedule(resendMilliseconds, () => resendOrders(fleet));
 }
 
 /** Two operators send different configurations on top of the same one, at the same moment, under numbers next to each other. */
 function raceOrders(fleet: PooledFleet): void {
   for (let pair = 0; pair < racedPairs; pair += 1)
-    fleet.world.at(pair * between(fleet, 300, 1_200), function both() {
+    fleet.world.schedule(pair * between(fleet, 300, 1_200), function both() {
       const version = nextVersion(fleet);
       const [left, right] = [distinct(fleet, `left-${version}`), distinct(fleet, `right-${version}`)];
       send(fleet, version, left);
@@ -82,7 +82,7 @@
 /** Two operators send different configurations under one number, to two cores. */
 function raceOnOneNumber(fleet: PooledFleet): void {
   for (let pair = 0; pair < racedPairs; pair += 1)
-    fleet.world.at(pair * between(fleet, 300, 1_200), function both() {
+    fleet.world.schedule(pair * between(fleet, 300, 1_200), function both() {
       const version = nextVersion(fleet);
       const [left, right] = [distinct(fleet, `left-${version}`), distinct(fleet, `right-${version}`)];
       const core = anyCore(fleet);
@@ -93,7 +93,9 @@
 
 function stormOfOrders(fleet: PooledFleet): void {
   for (let order = 0; order < stormOrders; order += 1)
-    fleet.world.at(order * stormGapMilliseconds, () => send(fleet, nextVersion(fleet), distinct(fleet, `storm-${fleet.versions.length}`)));
+    fleet.world.schedule(order * stormGapMilliseconds, () =>
+      send(fleet, nextVersion(fleet), distinct(fleet, `storm-${fleet.versions.length}`)),
+    );
 }
 
 function largeConfiguration(fleet: PooledFleet): void {
@@ -105,7 +107,7 @@
     ...before,
     databases: [...before.databases.filter((one) => !one.database.startsWith('large-')), ...many],
   });
-  fleet.world.at(between(fleet, 3_000, 6_000), function smaller() {
+  fleet.world.schedule(between(fleet, 3_000, 6_000), function smaller() {
     const last = lastSheet(fleet);
     send(fleet, nextVersion(fleet), { ...last, databases: last.databases.filter((one) => !one.database.startsWith('large-')) });
   });
@@ -148,7 +150,10 @@
       const make = invalidOrders[variant];
       if (make === undefined) return false;
       for (let attempt = 0; attempt < 2; attempt += 1)
-        fleet.world.at(attempt * invalidAnswerMilliseconds, () => void sendInvalid(fleet, storm, variant, make(fleet, lastSheet(fleet))));
+        fleet.world.schedule(
+          attempt * invalidAnswerMilliseconds,
+          () => void sendInvalid(fleet, storm, variant, make(fleet, lastSheet(fleet))),
+        );
       return undefined;
     },
   };
--- a/packages/simulator/src/faults/platform.ts
+++ b/packages/simulator/src/faults/platform.ts
@@ -16,7 +16,7 @@
   const milliseconds = between(fleet, 2_000, 12_000);
   trouble(fleet, storm, 'platform', milliseconds);
   Object.assign(fleet.platform().knobs, knobs);
-  fleet.world.at(milliseconds, () => void Object.assign(fleet.platform().knobs, calmPlatform));
+  fleet.world.schedule(milliseconds, () => void Object.assign(fleet.platform().knobs, calmPlatform));
 }
 
 function anyTrouble(fleet: PooledFleet, storm: PooledStorm): void {
@@ -31,7 +31,7 @@
   function round(): void {
     if (fleet.world.now() >= until) return;
     fleet.world.resetConnections(fleet.platformProcess(), 1);
-    fleet.world.at(resetGapMilliseconds, round);
+    fleet.world.schedule(resetGapMilliseconds, round);
   }
   round();
 }
--- a/packages/simulator/src/faults/replacements.ts
+++ b/packages/simulator/src/faults/replacements.ts
@@ -16,7 +16,7 @@
   const startedAt = fleet.world.now();
   const successor = fleet.addCore(slot.area);
   await fleet.startCore(successor);
-  await new Promise<void>((resolve) => fleet.world.at(successorMilliseconds, resolve));
+  await new Promise<void>((resolve) => fleet.world.schedule(successorMilliseconds, resolve));
   await endAsPlanned(fleet, slot);
   fleet.removeCore(slot, successor);
   back(startedAt);
@@ -27,7 +27,7 @@
   const slot = pick(fleet, fleet.cores);
   trouble(fleet, storm, 'core', 5_000);
   cutPower(fleet, slot);
-  fleet.world.at(between(fleet, 500, 3_000), function come() {
+  fleet.world.schedule(between(fleet, 500, 3_000), function come() {
     const successor = fleet.addCore(slot.area);
     fleet.removeCore(slot, successor);
     void fleet.startCore(successor);
--- a/packages/simulator/src/faults/streams.ts
+++ b/packages/simulator/src/faults/streams.ts
@@ -30,10 +30,10 @@
 function streamOfOrders(fleet: PooledFleet, milliseconds: number, cores: readonly PooledCore[]): void {
   addDatabase(fleet, cores);
   for (let at = orderGapMilliseconds; at < milliseconds; at += orderGapMilliseconds)
-    fleet.world.at(at, function order() {
+    fleet.world.schedule(at, function order() {
       sendTo(fleet, distinct(fleet, `stream-${fleet.versions.length}`), cores);
     });
-  for (let at = keyGapMilliseconds / 2; at < milliseconds; at += keyGapMilliseconds) fleet.world.at(at, () => withdrawKey(fleet));
+  for (let at = keyGapMilliseconds / 2; at < milliseconds; at += keyGapMilliseconds) fleet.world.schedule(at, () => withdrawKey(fleet));
 }
 
 /** One core is cut off from its peers alone: operators, members and edges reach it, and it has nothing new for them. */
@@ -47,7 +47,7 @@
     milliseconds + tailMilliseconds,
     fleet.cores.filter((one) => one !== slot),
   );
-  fleet.world.at(milliseconds, back);
+  fleet.world.schedule(milliseconds, back);
 }
 
 function killUnderStream(fleet: PooledFleet, storm: PooledStorm, back: Back): void {
--- a/packages/simulator/src/fleet-checks/check-records.ts
+++ b/packages/simulator/src/fleet-checks/check-records.ts
@@ -4,7 +4,7 @@
 export type Violation = Readonly<{ check: string; detail: string }>;
 
 /** A sheet that an operator sent; version 0 and no moment until it is acknowledged. */
-export type Sent = {
+export type SentConfiguration = {
   readonly sentAt: number;
   readonly core: string;
   readonly sheet: PlacementConfiguration;
--- a/packages/simulator/src/fleet-checks/draining-checks.ts
+++ b/packages/simulator/src/fleet-checks/draining-checks.ts
@@ -1,7 +1,7 @@
 /** Checks of draining: no statement on a member or edge that is to go, and an answer for whoever was in flight. */
 import type { Ledger } from '@stallstall/fakes';
 import { placements } from '@stallstall/placement';
-import type { Sent, EdgeDrain, Violation, PlannedEnd } from './check-records.js';
+import type { SentConfiguration, EdgeDrain, Violation, PlannedEnd } from './check-records.js';
 import type { Fleet } from '../fleet.js';
 
 const goingMilliseconds = 7_000;
@@ -30,7 +30,7 @@
 }
 
 /** No statement, open transactions included, from an edge that learned seven seconds ago that the member, or the edge itself, is to go. */
-export function draining(fleet: Fleet, sends: readonly Sent[], drains: readonly EdgeDrain[]): readonly Violation[] {
+export function draining(fleet: Fleet, sends: readonly SentConfiguration[], drains: readonly EdgeDrain[]): readonly Violation[] {
   const byVersion = new Map(sends.filter((sent) => sent.version > 0).map((sent) => [sent.version, sent.sheet]));
   const everyEdge = fleet.spare === undefined ? fleet.edges : [...fleet.edges, fleet.spare];
   const edgesGone = drains.flatMap((drain) => {
@@ -75,7 +75,11 @@
 }
 
 /** Whoever was in flight at a planned end has an answer, and a transaction that was open could be ended within the grace. */
-export function plannedEnds(ledger: Pick<Ledger, 'exchanges'>, sends: readonly Sent[], ends: readonly PlannedEnd[]): readonly Violation[] {
+export function plannedEnds(
+  ledger: Pick<Ledger, 'exchanges'>,
+  sends: readonly SentConfiguration[],
+  ends: readonly PlannedEnd[],
+): readonly Violation[] {
   const dropped = new Set(['reply-lost', 'unreachable']);
   const turnedAway = new Set(['reply-lost', 'unreachable', 'session-lost', 'draining']);
   return ends
--- a/packages/simulator/src/fleet-checks/placement-checks.ts
+++ b/packages/simulator/src/fleet-checks/placement-checks.ts
@@ -1,13 +1,13 @@
 /** Checks of the placement configuration: applied in time, never an older one again, grants and read weights respected. */
 import { type PlacementConfiguration, placements } from '@stallstall/placement';
-import type { Sent, Violation, Probe } from './check-records.js';
+import type { SentConfiguration, Violation, Probe } from './check-records.js';
 import type { Fleet } from '../fleet.js';
 import { wallStart } from '../world.js';
 
 const obeyMilliseconds = 3_000;
 
 /** What the proxies hold at this moment: configuration obeyed in time, never back, and no two epochs open at once. */
-export function watch(fleet: Fleet, sends: readonly Sent[]): Readonly<{ sample: () => void; violations: Violation[] }> {
+export function watch(fleet: Fleet, sends: readonly SentConfiguration[]): Readonly<{ sample: () => void; violations: Violation[] }> {
   const violations: Violation[] = [];
   const last = new Map<object, number>();
   const opened = new Map<string, number>();
@@ -25,7 +25,7 @@
     const open = new Map<string, Map<number, string>>();
     for (const edge of fleet.edges) {
       const { running, process } = edge.proxy;
-      if (running === undefined || process?.alive() !== true || fleet.world.frozen(process)) continue;
+      if (running === undefined || process?.alive() !== true || fleet.world.isFrozen(process)) continue;
       const moment = process.runtime.clock.now();
       const placement = running.placement();
       const before = last.get(running) ?? 0;
@@ -61,7 +61,7 @@
 type Span = Readonly<{ sheet: PlacementConfiguration; from: number; until: number }>;
 
 /** When each sheet that was sent may have been obeyed somewhere: from its sending until three seconds after a later one was acknowledged. */
-function spans(sends: readonly Sent[]): readonly Span[] {
+function spans(sends: readonly SentConfiguration[]): readonly Span[] {
   return sends.map((sent) => ({
     sheet: sent.sheet,
     from: sent.sentAt,
@@ -78,7 +78,7 @@
   return known.filter((span) => span.from <= until && span.until >= from).map((span) => span.sheet);
 }
 
-function largestLimit(sends: readonly Sent[], now: number): ReadonlyMap<string, number> {
+function largestLimit(sends: readonly SentConfiguration[], now: number): ReadonlyMap<string, number> {
   const largest = new Map<string, number>();
   for (const sheet of obeyable(spans(sends), now, now))
     for (const service of sheet.services)
@@ -95,7 +95,7 @@
 }
 
 /** Nothing served that no sheet of the moment lets in; nothing called forbidden that every sheet of the moment lets in. */
-export function obeying(probes: readonly Probe[], sends: readonly Sent[]): readonly Violation[] {
+export function obeying(probes: readonly Probe[], sends: readonly SentConfiguration[]): readonly Violation[] {
   const known = spans(sends);
   return probes.flatMap((probe): readonly Violation[] => {
     const sheetsThen = obeyable(known, probe.startedAt, probe.endedAt);
@@ -113,7 +113,7 @@
 const heldMilliseconds = 10_000;
 
 /** A weight of nought keeps a member out of an area: no read but the leader's reaches it from there. */
-export function weights(fleet: Fleet, sends: readonly Sent[]): readonly Violation[] {
+export function weights(fleet: Fleet, sends: readonly SentConfiguration[]): readonly Violation[] {
   const known = spans(sends);
   const accepted = fleet.platformStore.promotions.filter((call) => call.accepted);
   function ledOf(member: string, service: string, from: number, until: number): boolean {
--- a/packages/simulator/src/fleet-faults/configuration-changes.ts
+++ b/packages/simulator/src/fleet-faults/configuration-changes.ts
@@ -1,14 +1,14 @@
 /** Placement configurations that an operator sends during a run, valid and invalid. */
 import { type PlacementConfiguration, placements, statementKinds } from '@stallstall/placement';
 import * as Either from 'fp-ts/lib/Either.js';
-import type { Sent } from '../fleet-checks/check-records.js';
+import type { SentConfiguration } from '../fleet-checks/check-records.js';
 import { type Storm, secondKey } from './fault-state.js';
 import type { Fleet } from '../fleet.js';
 import { between } from '../draws.js';
 
 /** The sheet as the storm now wants it: the second key in or out, members that go, weights, limits and rows drawn anew. */
 function wanted(fleet: Fleet, storm: Storm): Readonly<{ sheet: PlacementConfiguration; mark: string }> {
-  const sheet = fleet.sheet() as {
+  const sheet = fleet.defaultConfiguration() as {
     keys: unknown[];
     services: Array<{ connectionLimit: number; members: Array<{ member: string; state: string }> }>;
     rows: Array<{ service: string; area: string; serves: Record<string, unknown>; weights: Record<string, number> }>;
@@ -34,7 +34,7 @@
 
 export async function send(fleet: Fleet, storm: Storm, coreIndex: number): Promise<boolean> {
   const { sheet, mark } = wanted(fleet, storm);
-  const sent: Sent = {
+  const sent: SentConfiguration = {
     sentAt: fleet.world.now(),
     core: `core-${coreIndex + 1}`,
     sheet,
@@ -45,7 +45,7 @@
     replied: false,
   };
   storm.sends.push(sent);
-  const reply = await fleet.send(sheet, coreIndex);
+  const reply = await fleet.sendConfiguration(sheet, coreIndex);
   sent.endedAt = fleet.world.now();
   sent.replied = reply.status !== 0;
   if (reply.status !== 200) return false;
@@ -57,7 +57,7 @@
 /** An operator who goes on, through one core after another, until the sheet is taken. */
 export async function sendUntilTaken(fleet: Fleet, storm: Storm): Promise<void> {
   for (let attempt = 0; !(await send(fleet, storm, attempt % 3)); attempt += 1)
-    await new Promise<void>((resolve) => fleet.world.at(500, resolve));
+    await new Promise<void>((resolve) => fleet.world.schedule(500, resolve));
 }
 
 /** Draws anew what probes and members can see: who the second key may reach, own reads by row, weights of nought, the limit. */
@@ -78,6 +78,6 @@
 
 /** A junk sheet, and one against a version that never was: both are to change nothing. */
 export function spoiltSends(fleet: Fleet): void {
-  void fleet.command('PUT', '/v1/sheet', 0);
-  void fleet.send({ ...fleet.sheet(), rows: [{ service: 'nowhere', area: 'north', serves: {} }] }, 1);
+  void fleet.sendOperatorCommand('PUT', '/v1/sheet', 0);
+  void fleet.sendConfiguration({ ...fleet.defaultConfiguration(), rows: [{ service: 'nowhere', area: 'north', serves: {} }] }, 1);
 }
--- a/packages/simulator/src/fleet-faults/fault-state.ts
+++ b/packages/simulator/src/fleet-faults/fault-state.ts
@@ -1,6 +1,6 @@
 /** The state that the faults of one simulated run share, and the draws that they make. */
 import type { StatementKind } from '@stallstall/placement';
-import type { Sent, EdgeDrain, PlannedEnd } from '../fleet-checks/check-records.js';
+import type { SentConfiguration, EdgeDrain, PlannedEnd } from '../fleet-checks/check-records.js';
 import type { Fleet } from '../fleet.js';
 import type { Process } from '../world.js';
 
@@ -8,7 +8,7 @@
 export type Hunt = Readonly<{ duty: 'promotion' | 'usage'; how: 'kill' | 'freeze' | 'cut'; calls: number }>;
 
 export type Storm = {
-  readonly sends: Sent[];
+  readonly sends: SentConfiguration[];
   readonly reported: string[];
   readonly peaks: Map<string, number>;
   readonly drains: EdgeDrain[];
--- a/packages/simulator/src/fleet-faults/machine-faults.ts
+++ b/packages/simulator/src/fleet-faults/machine-faults.ts
@@ -8,8 +8,8 @@
   notePeaks(fleet, storm);
   storm.crossings += slot.running?.crossings() ?? 0;
   fleet.stopSlot(slot);
-  fleet.world.at(milliseconds, () => {
-    if (slot.gone !== true) void fleet.startMember(slot);
+  fleet.world.schedule(milliseconds, () => {
+    if (slot.isRemoved !== true) void fleet.startMember(slot);
   });
 }
 
@@ -17,7 +17,7 @@
   const running = slot.running;
   if (running === undefined) return;
   running.knobs[knob] = true;
-  fleet.world.at(milliseconds, () => {
+  fleet.world.schedule(milliseconds, () => {
     running.knobs[knob] = false;
   });
 }
@@ -28,7 +28,7 @@
     if (ways !== 'in') fleet.world.cut(machine, other);
     if (ways !== 'out') fleet.world.cut(other, machine);
   }
-  fleet.world.at(milliseconds, () => {
+  fleet.world.schedule(milliseconds, () => {
     for (const other of others) {
       fleet.world.heal(machine, other);
       fleet.world.heal(other, machine);
@@ -54,14 +54,14 @@
   if (slot[part].process?.alive() !== true) return;
   noteKill(fleet, slot.name);
   fleet.stopSlot(slot[part]);
-  fleet.world.at(milliseconds, () => void (part === 'agent' ? fleet.startAgent(slot) : fleet.startProxy(slot)));
+  fleet.world.schedule(milliseconds, () => void (part === 'agent' ? fleet.startAgent(slot) : fleet.startProxy(slot)));
 }
 
 export function restartCore(fleet: Fleet, index: number, milliseconds: number): void {
   const slot = fleet.cores[index];
   if (slot?.process?.alive() !== true) return;
   fleet.stopSlot(slot);
-  fleet.world.at(milliseconds, () => void fleet.startCore(slot));
+  fleet.world.schedule(milliseconds, () => void fleet.startCore(slot));
 }
 
 /** What a strike drops is heard this much later at the most. */
--- a/packages/simulator/src/fleet-faults/outages.ts
+++ b/packages/simulator/src/fleet-faults/outages.ts
@@ -14,9 +14,9 @@
 }
 
 export function inTurn(fleet: Fleet): void {
-  fleet.cores.forEach((_, index) => fleet.world.at(index * 2_500, () => restartCore(fleet, index, 1_000)));
+  fleet.cores.forEach((_, index) => fleet.world.schedule(index * 2_500, () => restartCore(fleet, index, 1_000)));
   fleet.edges.forEach((slot, index) =>
-    fleet.world.at(7_500 + index * 1_000, () => {
+    fleet.world.schedule(7_500 + index * 1_000, () => {
       killEdge(fleet, slot, 'agent', 700);
       killEdge(fleet, slot, 'proxy', 700);
     }),
@@ -29,7 +29,7 @@
   const milliseconds = between(fleet, 2_000, 9_000);
   const cores = fleet.cores.filter((_, index) => ['north', 'middle', 'south'][index] === area && !storm.blanking);
   const edges = fleet.edges.filter((slot) => slot.area === area);
-  const members = fleet.members.filter((slot) => slot.place.area === area && slot.gone !== true && slot.process?.alive() === true);
+  const members = fleet.members.filter((slot) => slot.place.area === area && slot.isRemoved !== true && slot.process?.alive() === true);
   notePeaks(fleet, storm);
   const slots: ReadonlyArray<Readonly<{ machine: string; lit: () => void }>> = [
     ...cores
@@ -48,9 +48,9 @@
   ];
   for (const slot of members) storm.crossings += slot.running?.crossings() ?? 0;
   for (const slot of slots) {
-    fleet.world.darken(slot.machine);
-    fleet.world.at(milliseconds * between(fleet, 0.9, 1.1), () => {
-      fleet.world.light(slot.machine);
+    fleet.world.makeUnresponsive(slot.machine);
+    fleet.world.schedule(milliseconds * between(fleet, 0.9, 1.1), () => {
+      fleet.world.restoreMachine(slot.machine);
       slot.lit();
     });
   }
@@ -60,5 +60,5 @@
 export function everythingStops(fleet: Fleet, storm: Storm): void {
   const milliseconds = between(fleet, 300, 3_000);
   everyMachineStops(fleet, storm, milliseconds);
-  for (const slot of fleet.members) if (slot.gone !== true) killMember(fleet, storm, slot, milliseconds * between(fleet, 0.8, 1.2));
+  for (const slot of fleet.members) if (slot.isRemoved !== true) killMember(fleet, storm, slot, milliseconds * between(fleet, 0.8, 1.2));
 }
--- a/packages/simulator/src/fleet-faults/planned-changes.ts
+++ b/packages/simulator/src/fleet-faults/planned-changes.ts
@@ -12,18 +12,18 @@
 /** A planned restart: the process drains, ends, and another takes its place. */
 function endAsPlanned(fleet: Fleet, storm: Storm, name: string, address: string, slot: Ending, again: () => Promise<void>): void {
   const process = slot.process;
-  if (process?.alive() !== true || slot.running === undefined || fleet.world.frozen(process)) return;
+  if (process?.alive() !== true || slot.running === undefined || fleet.world.isFrozen(process)) return;
   const end: PlannedEnd = { name, address, at: fleet.world.now(), endedAt: Number.POSITIVE_INFINITY, sound: false };
   storm.ends.push(end);
   void slot.running.drain().then(() => {
     if (slot.process !== process || !process.alive()) return;
     end.sound = (storm.struckAt.get(process) ?? Number.NEGATIVE_INFINITY) < end.at - sameMomentMilliseconds;
     end.endedAt = fleet.world.now();
-    fleet.world.at(sameMomentMilliseconds, function look() {
+    fleet.world.schedule(sameMomentMilliseconds, function look() {
       if (voidedByKill(fleet, name, end.at)) end.sound = false;
     });
     fleet.stopSlot(slot);
-    fleet.world.at(between(fleet, 50, 700), () => void again());
+    fleet.world.schedule(between(fleet, 50, 700), () => void again());
   });
 }
 
@@ -45,7 +45,7 @@
   if (slot === undefined || storm.draining.size > 0) return;
   storm.draining.add(slot.place.member);
   void send(fleet, storm, 0);
-  fleet.world.at(between(fleet, 6_000, 14_000), () => {
+  fleet.world.schedule(between(fleet, 6_000, 14_000), () => {
     storm.draining.delete(slot.place.member);
     void send(fleet, storm, 1);
   });
@@ -64,22 +64,22 @@
       ? fleet.primaryOf(service)
       : pick(
           fleet,
-          fleet.members.filter((slot) => slot.place.service === service && slot.gone !== true),
+          fleet.members.filter((slot) => slot.place.service === service && slot.isRemoved !== true),
         );
   if (old === undefined) return;
   const slot = fleet.addMember(service, old.place.area);
   void fleet.startMember(slot);
   void send(fleet, storm, 0);
-  fleet.world.at(between(fleet, 3_000, 6_000), () => {
+  fleet.world.schedule(between(fleet, 3_000, 6_000), () => {
     storm.draining.add(old.place.member);
     void send(fleet, storm, 1);
   });
-  fleet.world.at(between(fleet, 9_000, 14_000), () => {
+  fleet.world.schedule(between(fleet, 9_000, 14_000), () => {
     storm.draining.delete(old.place.member);
-    old.gone = true;
+    old.isRemoved = true;
     void send(fleet, storm, 2);
   });
-  fleet.world.at(between(fleet, 15_000, 25_000), () => fleet.stopSlot(old));
+  fleet.world.schedule(between(fleet, 15_000, 25_000), () => fleet.stopSlot(old));
 }
 
 async function drainAndNote(fleet: Fleet, storm: Storm, edge: string): Promise<EdgeDrain> {
@@ -90,19 +90,19 @@
     undoneAt: Number.POSITIVE_INFINITY,
   };
   storm.drains.push(drain);
-  if ((await fleet.command('POST', `/v1/nodes/${edge}/drain`, 0)).status === 200) drain.acknowledgedAt = fleet.world.now();
+  if ((await fleet.sendOperatorCommand('POST', `/v1/nodes/${edge}/drain`, 0)).status === 200) drain.acknowledgedAt = fleet.world.now();
   return drain;
 }
 
 export function drainEdge(fleet: Fleet, storm: Storm): void {
   const slot = pick(fleet, fleet.edges);
   const drained = drainAndNote(fleet, storm, slot.name);
-  fleet.world.at(
+  fleet.world.schedule(
     between(fleet, 2_000, 12_000),
     () =>
       void drained.then((drain) => {
         drain.undoneAt = fleet.world.now();
-        return fleet.command('DELETE', `/v1/nodes/${slot.name}/drain`, 1);
+        return fleet.sendOperatorCommand('DELETE', `/v1/nodes/${slot.name}/drain`, 1);
       }),
   );
 }
@@ -114,6 +114,6 @@
   storm.busy = true;
   void fleet.startAgent(slot);
   void fleet.startProxy(slot);
-  fleet.world.at(between(fleet, 5_000, 9_000), () => void drainAndNote(fleet, storm, slot.name));
-  fleet.world.at(between(fleet, 9_500, 11_000), () => void fleet.command('DELETE', `/v1/nodes/${slot.name}`, 0));
+  fleet.world.schedule(between(fleet, 5_000, 9_000), () => void drainAndNote(fleet, storm, slot.name));
+  fleet.world.schedule(between(fleet, 9_500, 11_000), () => void fleet.sendOperatorCommand('DELETE', `/v1/nodes/${slot.name}`, 0));
 }
--- a/packages/simulator/src/fleet.ts
+++ b/packages/simulator/src/fleet.ts
@@ -35,10 +35,10 @@
   readonly proxy: Slot<Proxy>;
 };
 /** `gone`: taken out for good. */
-export type MemberSlot = Slot<Member> & { readonly place: MemberPlace; readonly machine: string; store: MemberStore; gone?: boolean };
+export type MemberSlot = Slot<Member> & { readonly place: MemberPlace; readonly machine: string; store: MemberStore; isRemoved?: boolean };
 
 /** `factor` times the deployment's sessions and rate; `crowded`: the share of sessions that all go to one edge. */
-export type ClientWishes = Readonly<{ hastyShare?: number; factor?: number; crowded?: number }>;
+export type ClientOptions = Readonly<{ hastyShare?: number; factor?: number; crowded?: number }>;
 
 export type FleetOptions = Readonly<{
   edges?: number;
@@ -72,9 +72,9 @@
   startProxy: (slot: EdgeSlot) => Promise<void>;
   startMember: (slot: MemberSlot) => Promise<void>;
   stopSlot: (slot: Slot<unknown>) => void;
-  sheet: () => Record<string, unknown>;
+  defaultConfiguration: () => Record<string, unknown>;
   /** Steps as an operator would, against any core that answers. */
-  operate: (
+  sendOperatorRequest: (
     method: string,
     path: string,
     body?: unknown,
@@ -82,21 +82,27 @@
     coreIndex?: number,
   ) => Promise<HttpReply>;
   /** Sends a sheet without waiting for virtual time to pass. */
-  send: (sheet: unknown, coreIndex: number) => Promise<HttpReply>;
+  sendConfiguration: (sheet: unknown, coreIndex: number) => Promise<HttpReply>;
   /** An operator's step without waiting for virtual time to pass. */
-  command: (method: string, path: string, coreIndex: number) => Promise<HttpReply>;
+  sendOperatorCommand: (method: string, path: string, coreIndex: number) => Promise<HttpReply>;
   /** Two cores and the platform work and hear each other: so much the brief lets a fleet count on. */
-  able: () => boolean;
+  canOperate: () => boolean;
   /** Everything runs again as it should: no process is dead or frozen, no knob turned. */
-  sound: () => boolean;
+  isHealthy: () => boolean;
   /** A sender's POST without waiting for virtual time to pass. */
   post: (edge: EdgeSlot, path: string, body: unknown) => Promise<HttpReply>;
-  ask: (edge: EdgeSlot, method: string, path: string, body?: unknown, headers?: Readonly<Record<string, string>>) => Promise<HttpReply>;
-  startClients: (wishes?: ClientWishes) => Readonly<{ stop: () => void }>;
+  sendRequest: (
+    edge: EdgeSlot,
+    method: string,
+    path: string,
+    body?: unknown,
+    headers?: Readonly<Record<string, string>>,
+  ) => Promise<HttpReply>;
+  startClients: (wishes?: ClientOptions) => Readonly<{ stop: () => void }>;
   primaryOf: (service: string) => MemberSlot | undefined;
   /** Runs until a condition holds; false when it has not within so many virtual milliseconds. */
-  until: (condition: () => boolean, milliseconds: number) => Promise<boolean>;
-  place: (slot: CoreSlot) => { address: string; outward: string };
+  runUntil: (condition: () => boolean, milliseconds: number) => Promise<boolean>;
+  coreAddresses: (slot: CoreSlot) => { address: string; outward: string };
   edgeAddresses: (slot: EdgeSlot) => { address: string; outward: string; feed: string; proxy: string };
 }>;
 
@@ -341,7 +347,7 @@
     else ready.delete(edge);
   }
 
-  function startClients(wishes: ClientWishes = {}): Readonly<{ stop: () => void }> {
+  function startClients(wishes: ClientOptions = {}): Readonly<{ stop: () => void }> {
     for (const edge of everyEdge)
       void runtimeUtilities.every(
         chooser.runtime.clock,
@@ -378,7 +384,7 @@
     const sane = cores.filter(
       (slot) =>
         slot.process?.alive() === true &&
-        !world.frozen(slot.process) &&
+        !world.isFrozen(slot.process) &&
         slot.running?.isOpen() === true &&
         !slot.disk.faults.failing &&
         slot.disk.faults.slowMilliseconds < 300,
@@ -391,8 +397,8 @@
           .slice(index + 1)
           .some(
             (other) =>
-              world.joined(one.machine, other.machine) &&
-              (world.joined(one.machine, platformMachine) || world.joined(other.machine, platformMachine)),
+              world.isConnected(one.machine, other.machine) &&
+              (world.isConnected(one.machine, platformMachine) || world.isConnected(other.machine, platformMachine)),
           ),
       )
     );
@@ -402,18 +408,18 @@
     const processes = [
       ...cores.map((slot) => slot.process),
       ...edges.flatMap((slot) => [slot.agent.process, slot.proxy.process]),
-      ...members.filter((slot) => !slot.gone).map((slot) => slot.process),
+      ...members.filter((slot) => !slot.isRemoved).map((slot) => slot.process),
     ];
     const running = platformSlot;
     return (
-      processes.every((one) => one?.alive() === true && !world.frozen(one)) &&
+      processes.every((one) => one?.alive() === true && !world.isFrozen(one)) &&
       cores.every((slot) => slot.running !== undefined && !slot.disk.faults.failing && slot.disk.faults.slowMilliseconds === 0) &&
       running !== undefined &&
       !running.knobs.down &&
       !running.knobs.denies &&
       !running.knobs.losesReplies &&
       !running.knobs.garbles &&
-      members.every((slot) => slot.gone || Object.values(slot.running?.knobs ?? {}).every((knob) => !knob))
+      members.every((slot) => slot.isRemoved || Object.values(slot.running?.knobs ?? {}).every((knob) => !knob))
     );
   }
 
@@ -433,8 +439,8 @@
     spare,
     members,
     addMember,
-    able,
-    sound,
+    canOperate: able,
+    isHealthy: sound,
     platformStore,
     platform: () => platformSlot as Platform,
     ledger,
@@ -445,21 +451,21 @@
     startProxy,
     startMember,
     stopSlot,
-    operate,
-    send,
-    command,
+    sendOperatorRequest: operate,
+    sendConfiguration: send,
+    sendOperatorCommand: command,
     post,
-    ask,
+    sendRequest: ask,
     startClients,
     primaryOf,
-    until,
-    place,
+    runUntil: until,
+    coreAddresses: place,
     edgeAddresses,
-    sheet: () =>
+    defaultConfiguration: () =>
       structuredClone(
         deployments.sheet(
           deployment,
-          members.filter((slot) => slot.gone !== true).map((slot) => slot.place),
+          members.filter((slot) => slot.isRemoved !== true).map((slot) => slot.place),
           clientKey,
         ),
       ) as Record<string, unknown>,
--- a/packages/simulator/src/load.ts
+++ b/packages/simulator/src/load.ts
@@ -1,6 +1,6 @@
 /** Load beyond normal: `load.js`, counts in virtual time of what is served, denied, and how soon (design 8.8). */
 import { brightpath, redComun, type Deployment } from '@stallstall/fakes';
-import { fleet as fleets, type ClientWishes } from './fleet.js';
+import { fleet as fleets, type ClientOptions } from './fleet.js';
 
 const warmMilliseconds = 6_000;
 const countMilliseconds = 10_000;
@@ -10,12 +10,12 @@
   return (sorted[Math.min(sorted.length - 1, Math.floor(share * sorted.length))] ?? 0).toFixed(0);
 }
 
-async function measure(deployment: Deployment, title: string, wishes: ClientWishes): Promise<string> {
+async function measure(deployment: Deployment, title: string, wishes: ClientOptions): Promise<string> {
   const fleet = fleets.create(5, deployment, { runMilliseconds: 30 });
   await fleet.startAll();
-  await fleet.until(() => fleet.cores.every((slot) => slot.running?.node.membership().value.seats.length === 9), 20_000);
-  await fleet.operate('PUT', '/v1/sheet', { sheet: fleet.sheet() });
-  await fleet.until(() => deployment.services.every((service) => fleet.primaryOf(service) !== undefined), 20_000);
+  await fleet.runUntil(() => fleet.cores.every((slot) => slot.running?.node.membership().value.seats.length === 9), 20_000);
+  await fleet.sendOperatorRequest('PUT', '/v1/sheet', { sheet: fleet.defaultConfiguration() });
+  await fleet.runUntil(() => deployment.services.every((service) => fleet.primaryOf(service) !== undefined), 20_000);
   await fleet.world.run(4_000);
   const clients = fleet.startClients(wishes);
   await fleet.world.run(warmMilliseconds);
--- a/packages/simulator/src/loss-budget.ts
+++ b/packages/simulator/src/loss-budget.ts
@@ -52,7 +52,7 @@
       ended = true;
       underWay -= 1;
       moments.push(world.now());
-      world.at(Math.max(0, since + settleMilliseconds - world.now()), function settled() {
+      world.schedule(Math.max(0, since + settleMilliseconds - world.now()), function settled() {
         busy = false;
         next();
       });
--- a/packages/simulator/src/pooled-availability.ts
+++ b/packages/simulator/src/pooled-availability.ts
@@ -46,7 +46,7 @@
   let seen = 0;
 
   function pause(milliseconds: number): Promise<void> {
-    return new Promise((resolve) => fleet.world.at(milliseconds, resolve));
+    return new Promise((resolve) => fleet.world.schedule(milliseconds, resolve));
   }
 
   function goesOn(probe: Probe, moments: number): boolean {
@@ -97,7 +97,7 @@
       seen = moments.length;
       void sendProbe(seen);
     }
-    fleet.world.at(lookMilliseconds, look);
+    fleet.world.schedule(lookMilliseconds, look);
   }
   look();
 
--- a/packages/simulator/src/pooled-closing.ts
+++ b/packages/simulator/src/pooled-closing.ts
@@ -66,14 +66,14 @@
 function stopEdges(fleet: PooledFleet, closing: Closing): void {
   if (!closing.withEdges) return;
   for (const slot of fleet.edges) {
-    if (closing.name === 'closing-all-power-lost') fleet.world.darken(slot.machine);
+    if (closing.name === 'closing-all-power-lost') fleet.world.makeUnresponsive(slot.machine);
     fleet.killEdge(slot);
   }
 }
 
 async function startEdges(fleet: PooledFleet, storm: PooledStorm): Promise<void> {
   for (const slot of fleet.edges.filter((one) => one.agent === undefined)) {
-    fleet.world.light(slot.machine);
+    fleet.world.restoreMachine(slot.machine);
     storm.lives.push({ edge: slot.name, life: slot.life + 1, from: fleet.world.now() });
     await fleet.startEdge(slot);
   }
@@ -101,7 +101,7 @@
   stopEdges(fleet, closing);
   await fleet.world.run(between(fleet, leastDownMilliseconds, mostDownMilliseconds));
   for (const slot of struck) {
-    fleet.world.light(slot.machine);
+    fleet.world.restoreMachine(slot.machine);
     if (slot.process?.alive() !== true) await fleet.startCore(slot);
   }
   await startEdges(fleet, storm);
--- a/packages/simulator/src/pooled-faults.ts
+++ b/packages/simulator/src/pooled-faults.ts
@@ -72,11 +72,11 @@
   Object.assign(fleet.platform().knobs, calmPlatform);
   for (const slot of fleet.cores) {
     Object.assign(slot.disk.faults, { failing: false, full: false, hanging: false, slowMilliseconds: 0 });
-    fleet.world.light(slot.machine);
+    fleet.world.restoreMachine(slot.machine);
     if (slot.process?.alive() !== true) await fleet.startCore(slot);
   }
   for (const slot of fleet.edges) {
-    fleet.world.light(slot.machine);
+    fleet.world.restoreMachine(slot.machine);
     if (slot.agent !== undefined && slot.proxy !== undefined) continue;
     fleet.killEdge(slot);
     storm.lives.push({ edge: slot.name, life: slot.life + 1, from: fleet.world.now() });
@@ -86,7 +86,7 @@
     if (slot.running !== undefined)
       Object.assign(slot.running.knobs, { deaf: false, behindMilliseconds: 0, loseReplies: 0, loseCommits: 0, silent: false });
     if (slot.gone || slot.process?.alive() === true) continue;
-    fleet.world.light(slot.machine);
+    fleet.world.restoreMachine(slot.machine);
     await fleet.startMember(slot);
   }
 }
--- a/packages/simulator/src/pooled-fleet.ts
+++ b/packages/simulator/src/pooled-fleet.ts
@@ -138,13 +138,13 @@
   /** The machine is gone for good, also where the end of the day had all machines started again meanwhile. */
   function removeCore(slot: PooledCore, successor: PooledCore): void {
     if (slot.process?.alive() === true) {
-      world.darken(slot.machine);
+      world.makeUnresponsive(slot.machine);
       slot.running = undefined;
     }
     cores.splice(cores.indexOf(slot), 1);
     const [gone, come] = [coreAddresses(slot), coreAddresses(successor)];
     platformApiAddresses[platformApiAddresses.indexOf(gone.platformApiAddress)] = come.platformApiAddress;
-    world.at(seedLagMilliseconds, function follow() {
+    world.schedule(seedLagMilliseconds, function follow() {
       namedSeeds = namedSeeds.map((seed) => (seed === gone.address ? come.address : seed));
     });
   }
--- a/packages/simulator/src/pooled-storm.ts
+++ b/packages/simulator/src/pooled-storm.ts
@@ -88,7 +88,7 @@
     const latest = mustStrike ? (latestByTurn[index] as number) : milliseconds - 4_000;
     // One in four strikes at the very moment of the one before it.
     if (index < faultsByTurn || fleet.world.fraction() > 0.25) together = pooledFaults.between(fleet, 3_000, latest);
-    fleet.world.at(together, () => void pooledFaults.strike(fleet, storm, fault, mustStrike));
+    fleet.world.schedule(together, () => void pooledFaults.strike(fleet, storm, fault, mustStrike));
   }
 }
 
@@ -110,7 +110,7 @@
   function look(): void {
     if (!looking) return;
     pooledFaults.noteDrains(fleet, storm);
-    fleet.world.at(lookMilliseconds, look);
+    fleet.world.schedule(lookMilliseconds, look);
   }
   look();
   return function stop() {
@@ -152,7 +152,7 @@
     ...(recovered.served < recovered.asked * leastServedShare || recovered.asked === 0
       ? [{ check: 'recovery', detail: `${recovered.served} of ${recovered.asked} tries were served after everything was back` }]
       : []),
-    ...fleet.world.ended.map(({ process, at, reason }) => ({
+    ...fleet.world.endedProcesses.map(({ process, at, reason }) => ({
       check: 'process-ended',
       detail: `${process} ended by itself at ${Math.round(at)}: ${reason.message}`,
     })),
--- a/packages/simulator/src/storm.ts
+++ b/packages/simulator/src/storm.ts
@@ -86,7 +86,7 @@
   let backAt = fleet.world.now();
   while (fleet.world.now() - backAt < settleMilliseconds && fleet.world.now() < deadline) {
     await fleet.world.run(100);
-    if (!fleet.sound()) backAt = fleet.world.now();
+    if (!fleet.isHealthy()) backAt = fleet.world.now();
   }
   return backAt;
 }
@@ -130,12 +130,12 @@
   const probes: Probe[] = [];
   const milliseconds = options.milliseconds ?? (options.long === true ? 60_000 + fleet.world.fraction() * 180_000 : 40_000);
   await fleet.startAll();
-  await fleet.until(() => fleet.cores.every((slot) => slot.running?.node.membership().value.seats.length === 9), 10_000);
+  await fleet.runUntil(() => fleet.cores.every((slot) => slot.running?.node.membership().value.seats.length === 9), 10_000);
   const first = send(fleet, storm, 0);
-  await fleet.until(() => (storm.sends[0]?.version ?? 0) > 0, 8_000);
+  await fleet.runUntil(() => (storm.sends[0]?.version ?? 0) > 0, 8_000);
   await first;
   if (seed % 5 === 0) fleet.platform().knobs.slowMilliseconds = 1_000 + fleet.world.fraction() * 1_500;
-  await fleet.until(() => fleet.deployment.services.every((service) => fleet.primaryOf(service) !== undefined), 20_000);
+  await fleet.runUntil(() => fleet.deployment.services.every((service) => fleet.primaryOf(service) !== undefined), 20_000);
   await fleet.world.run(3_000);
   const clients = fleet.startClients({ hastyShare });
   const startedAt = fleet.world.now();
@@ -147,7 +147,7 @@
     const chosen = pick(fleet, drawn);
     // One in four strikes at the very moment of the one before it.
     if (index === 0 || fleet.world.fraction() > 0.25) together = 3_000 + fleet.world.fraction() * (milliseconds - 12_000);
-    fleet.world.at(together, () => {
+    fleet.world.schedule(together, () => {
       storm.reported.push(`${Math.round(fleet.world.now())} ${chosen.name}`);
       chosen.run(fleet, storm);
     });
@@ -156,12 +156,12 @@
   const ability: Array<{ at: number; able: boolean }> = [];
   function sample(): void {
     if (!sampling) return;
-    ability.push({ at: fleet.world.now(), able: fleet.able() });
+    ability.push({ at: fleet.world.now(), able: fleet.canOperate() });
     watch.sample();
     notePeaks(fleet, storm);
     clearBlanking(fleet, storm);
     followHunt(fleet, storm);
-    fleet.world.at(sampleMilliseconds, sample);
+    fleet.world.schedule(sampleMilliseconds, sample);
   }
   sample();
   for (const edge of fleet.edges) void probeEdge(fleet, storm, edge, probes, () => sampling);
--- a/packages/simulator/src/world.ts
+++ b/packages/simulator/src/world.ts
@@ -21,28 +21,28 @@
   spawn: (name: string, machine: string, disk?: SimulatedDisk, protocols?: Protocols) => Process;
   kill: (process: Process) => void;
   /** A machine that goes dark: whoever was connected to its processes hears nothing, until it is lit and closes them. */
-  darken: (machine: string) => void;
-  light: (machine: string) => void;
+  makeUnresponsive: (machine: string) => void;
+  restoreMachine: (machine: string) => void;
   /** The machine from which an HTTP connection came. */
   machineOf: (connection: string) => string;
   freeze: (process: Process, milliseconds: number) => void;
   /** Breaks a share of the connections of a process at both ends; how many. */
   resetConnections: (process: Process, share: number) => number;
   /** Sets the wall clock of a process on, or back. */
-  stepWall: (process: Process, milliseconds: number) => void;
-  frozen: (process: Process) => boolean;
+  stepWallClock: (process: Process, milliseconds: number) => void;
+  isFrozen: (process: Process) => boolean;
   /** Messages from one machine to another are held until the cut is healed. */
   cut: (from: string, to: string) => void;
   heal: (from: string, to: string) => void;
   /** Whether messages pass between two machines, both ways. */
-  joined: (left: string, right: string) => boolean;
+  isConnected: (left: string, right: string) => boolean;
   healAll: () => void;
   disk: () => SimulatedDisk;
   run: (milliseconds: number) => Promise<void>;
-  at: (milliseconds: number, action: () => void) => void;
+  schedule: (milliseconds: number, action: () => void) => void;
   logs: LogLine[];
   /** Processes that ended by themselves. */
-  ended: readonly EndedProcess[];
+  endedProcesses: readonly EndedProcess[];
   events: () => number;
   /** Frames and bytes that each process has sent over links between nodes. */
   sent: ReadonlyMap<string, Traffic>;
@@ -147,22 +147,22 @@
       for (const reset of chosen) reset();
       return chosen.length;
     },
-    stepWall: function stepWall(process, milliseconds) {
+    stepWallClock: function stepWall(process, milliseconds) {
       kept(process).wallOffset += milliseconds;
     },
-    darken,
-    light,
+    makeUnresponsive: darken,
+    restoreMachine: light,
     machineOf: (connection) => network.connectionMachines.get(connection) ?? '',
-    frozen: (process) => kept(process).frozenUntil > time.now(),
+    isFrozen: (process) => kept(process).frozenUntil > time.now(),
     cut: network.cut,
     heal: network.heal,
-    joined: network.isConnected,
+    isConnected: network.isConnected,
     healAll: network.healAll,
     disk: () => ({ entries: new Map(), faults: { failing: false, full: false, hanging: false, slowMilliseconds: 0 } }),
     run: time.run,
-    at: time.schedule,
+    schedule: time.schedule,
     logs,
-    ended,
+    endedProcesses: ended,
     sent: network.sent,
     events: time.eventCount,
   };
