--- a/packages/agent/src/proxy-reports.ts
+++ b/packages/agent/src/proxy-reports.ts
@@ -1,4 +1,4 @@
-/** What a proxy must have on a majority of core disks before it replies: watermarks and usage (design 7.5, 8.6). */
+/** Stores the watermarks and usage that a proxy must have on a majority of core disks before it replies to clients (design 7.5, 8.6). */
 import * as Either from 'fp-ts/lib/Either.js';
 import type { Reply, Request } from '@stallstall/message';
 import type { DurableReports } from '@stallstall/register';
@@ -6,12 +6,12 @@
 /** @internal */
 export type ProxyReports = Readonly<{
   /** The reply says whether a majority of disks has synced the report. */
-  tell: (request: Request<'tell'>) => Promise<Reply<'tell'>>;
-  /** How many reports are under way. */
-  underWay: () => number;
+  store: (request: Request<'tell'>) => Promise<Reply<'tell'>>;
+  /** The number of reports being stored. */
+  pendingCount: () => number;
 }>;
 
-function reportOf(node: string, { floors, through, usage, incarnation, number }: Request<'tell'>): Request<'note'> {
+function noteRequest(node: string, { floors, through, usage, incarnation, number }: Request<'tell'>): Request<'note'> {
   return {
     floors,
     through: { [node]: through },
@@ -21,15 +21,15 @@
 
 /** @param node - this node's id */
 function create(node: string, reports: DurableReports): ProxyReports {
-  let underWay = 0;
+  let pendingCount = 0;
   return {
-    tell: async function tell(request) {
-      underWay += 1;
-      const stored = await reports.report(reportOf(node, request));
-      underWay -= 1;
+    store: async function tell(request) {
+      pendingCount += 1;
+      const stored = await reports.report(noteRequest(node, request));
+      pendingCount -= 1;
       return { kept: Either.isRight(stored) };
     },
-    underWay: () => underWay,
+    pendingCount: () => pendingCount,
   };
 }
 
--- a/packages/node/src/core-watch.ts
+++ b/packages/node/src/core-watch.ts
@@ -1,4 +1,4 @@
-/** What each core confirms to this node: that nothing newer is acknowledged than what is applied here (design 5.2, 7.14). */
+/** Acknowledges the changes that cores push and records the cores' confirmations that nothing newer exists (design 5.2, 7.14). */
 import * as Option from 'fp-ts/lib/Option.js';
 import { identifiers, type Instant } from '@stallstall/kernel';
 import type { Change, CoreSet } from '@stallstall/message';
@@ -7,24 +7,24 @@
 import type { AppliedState } from './applied-state.js';
 import { coreConfirmations } from './core-confirmations.js';
 import type { Incarnations } from './incarnations.js';
-import { callMilliseconds, type NodeContext } from './node-context.js';
+import { callTimeoutMilliseconds, type NodeContext } from './node-context.js';
 
 /** @internal */
 export type CoreWatch = Readonly<{
-  /** A new connection begins to count its changes anew. */
+  /** The numbers of pushed changes start again on a new connection. */
   onConnected: (core: string) => void;
   onChange: (core: string, link: Peer, change: Change) => void;
-  /** Acknowledges what a core pushed, and takes its confirmation. */
+  /** Acknowledges a core's pushed changes and records its confirmation. */
   watch: (core: string, link: Peer) => Promise<void>;
-  /** A node replied to a call that was sent then. */
+  /** Records that a node replied to a call sent at this time. */
   recordReply: (node: string, sentAt: Instant) => void;
-  /** The latest moment after which a majority of cores, this node included where it is one, was asked and has replied (design 7.14). */
+  /** The latest time such that a majority of cores, including this node if it is one, replied to calls sent since (design 7.14). */
   majorityContactAt: () => Instant;
-  /** When a majority of cores last confirmed that nothing newer than what is applied here is acknowledged, plus a term. */
+  /** One lease term after a majority of cores last confirmed that nothing newer than the applied versions is acknowledged. */
   configurationLeaseUntil: () => Instant;
-  /** The most puts that a core's disk is known to have taken; 0 when nothing is known. */
+  /** The highest put count that a core's disk has reported; 0 if it has reported none. */
   knownPuts: (core: string) => number;
-  /** Forgets what does not hold of the cores of a new set. */
+  /** Drops the state of cores that are not in the new set or have another disk there. */
   onCoreSet: (next: CoreSet) => void;
 }>;
 
@@ -32,16 +32,16 @@
 export type CoreWatchParts = Readonly<{
   applied: AppliedState;
   incarnations: Incarnations;
-  linkOf: (node: string) => Peer | undefined;
+  linkTo: (node: string) => Peer | undefined;
   onSuperseded: () => void;
 }>;
 
-function create(context: NodeContext, { applied, incarnations, linkOf, onSuperseded }: CoreWatchParts): CoreWatch {
+function create(context: NodeContext, { applied, incarnations, linkTo: linkOf, onSuperseded }: CoreWatchParts): CoreWatch {
   const { runtime, settings, parts } = context;
-  const acknowledged = new Map<string, number>();
+  const acknowledgedChanges = new Map<string, number>();
   const confirmations = coreConfirmations.create(context, applied);
-  const puts = new Map<string, number>();
-  /** When the newest call that a node replied to was sent. */
+  const putCounts = new Map<string, number>();
+  /** By node: when the newest call that it replied to was sent. */
   const repliedAt = new Map<string, Instant>();
 
   function recordReply(node: string, sentAt: Instant): void {
@@ -56,15 +56,15 @@
       {
         node: settings.node,
         incarnation: incarnations.own(),
-        acknowledged: acknowledged.get(core) ?? 0,
+        acknowledged: acknowledgedChanges.get(core) ?? 0,
         obeyed: applied.configurationVersion(),
         ...(Option.isSome(parts.localReplica) ? { content: false } : { holds: applied.contentBallot() }),
       },
-      callMilliseconds,
+      callTimeoutMilliseconds,
     );
     if (Option.isNone(reply) || linkOf(core) !== link) return;
     if (reply.value.superseded) return onSuperseded();
-    puts.set(core, Math.max(reply.value.puts, puts.get(core) ?? 0));
+    putCounts.set(core, Math.max(reply.value.puts, putCounts.get(core) ?? 0));
     if (!reply.value.ready) return;
     recordReply(core, sentAt);
     confirmations.record(core, { sentAt, configuration: reply.value.configuration, membership: reply.value.membership });
@@ -72,31 +72,31 @@
 
   function majorityContactAt(): Instant {
     const others = context.cores.filter((core) => core.node !== settings.node);
-    const moments = others.map((core) => repliedAt.get(core.node) ?? Number.NEGATIVE_INFINITY);
-    const newest = quorum.latestReachedByMajority(moments, context.cores.length, Option.isSome(parts.localReplica));
+    const replyTimes = others.map((core) => repliedAt.get(core.node) ?? Number.NEGATIVE_INFINITY);
+    const newest = quorum.latestReachedByMajority(replyTimes, context.cores.length, Option.isSome(parts.localReplica));
     return identifiers.instant(Math.min(newest, runtime.clock.now()));
   }
 
   function onCoreSet(next: CoreSet): void {
     for (const seat of next.seats) {
-      // A core with another disk than before counts its puts anew.
-      const isKnown = Option.isSome(context.coreSet) && quorum.findNode(context.coreSet.value, seat.node)?.disk === seat.disk;
-      if (Option.isSome(context.coreSet) && !isKnown) puts.delete(seat.node);
+      // A core with a new disk counts its puts from zero.
+      const hasSameDisk = Option.isSome(context.coreSet) && quorum.findNode(context.coreSet.value, seat.node)?.disk === seat.disk;
+      if (Option.isSome(context.coreSet) && !hasSameDisk) putCounts.delete(seat.node);
     }
     confirmations.retain(next);
   }
 
   return {
-    onConnected: (core) => void acknowledged.delete(core),
+    onConnected: (core) => void acknowledgedChanges.delete(core),
     onChange: function onChange(core, link, change) {
-      acknowledged.set(core, change.number);
+      acknowledgedChanges.set(core, change.number);
       applied.receive(core, Option.some(link), change);
     },
     watch,
     recordReply,
     majorityContactAt,
     configurationLeaseUntil: confirmations.leaseUntil,
-    knownPuts: (core) => puts.get(core) ?? 0,
+    knownPuts: (core) => putCounts.get(core) ?? 0,
     onCoreSet,
   };
 }
