--- a/packages/simulator/src/core-fleet.ts
+++ b/packages/simulator/src/core-fleet.ts
@@ -143,7 +143,7 @@
       if (machine.process !== undefined && !machine.process.alive() && Option.isSome(machine.process.stopReason()))
         void start(machine, false);
     }
-    world.at(restartMilliseconds, restartEndedCores);
+    world.schedule(restartMilliseconds, restartEndedCores);
   }
 
   async function startBlankCore(seeds: readonly string[]): Promise<CoreMachine> {
@@ -220,7 +220,7 @@
       lastSentVersion += 1;
       void send(lastSentVersion, machines[lastSentVersion % machines.length] as CoreMachine);
       void checkRead(machines[(lastSentVersion * 7 + 3) % machines.length] as CoreMachine);
-      world.at(everyMilliseconds, sendNext);
+      world.schedule(everyMilliseconds, sendNext);
     }
     sendNext();
     return {
@@ -256,7 +256,7 @@
   for (const machine of [...machines]) await start(machine, true);
   const { edge, runtime: edgeRuntime } = startEdge('edge-1', 'edge-machine', seeds);
   const operatorRuntime = world.spawn('operator', 'operator-machine').runtime;
-  world.at(restartMilliseconds, restartEndedCores);
+  world.schedule(restartMilliseconds, restartEndedCores);
 
   async function runUntil(condition: () => boolean, milliseconds: number): Promise<boolean> {
     for (let elapsed = 0; elapsed < milliseconds; elapsed += 20) {
@@ -286,7 +286,7 @@
 
   function sampleLease(): void {
     if (edge.leaseUntil(service) <= edgeRuntime.clock.now()) leaseGapCount += 1;
-    world.at(20, sampleLease);
+    world.schedule(20, sampleLease);
   }
   sampleLease();
 
