--- a/packages/acceptance/src/pooled-session-steps.ts
+++ b/packages/acceptance/src/pooled-session-steps.ts
@@ -191,7 +191,7 @@
     const idle = await openSession(this, 'bookings-lead', name);
     // Some statements are sent before the shutdown begins, some after it.
     for (const [index, session] of sessions.entries()) {
-      this.pooled.world.at(
+      this.pooled.world.schedule(
         index * 500,
         () =>
           void session
