--- a/packages/simulator/src/checks.ts
+++ b/packages/simulator/src/checks.ts
@@ -33,7 +33,7 @@
     for (const index of cores) {
       const reply: HttpReply = await fleet.sendOperatorRequest('GET', `/v1/sheet?version=${sent.version}`, undefined, {}, index);
       const sheet = (reply.body as { sheet?: unknown } | null)?.sheet;
-      if (reply.status !== 200 || JSON.stringify(sheet) !== JSON.stringify(sent.sheet)) {
+      if (reply.status !== 200 || JSON.stringify(sheet) !== JSON.stringify(sent.configuration)) {
         violations.push({
           check: 'configuration-missing',
           detail: `version ${sent.version} read back through core-${index + 1} as ${reply.status} ${JSON.stringify(reply.body).slice(0, 120)}`,
--- a/packages/simulator/src/faults.ts
+++ b/packages/simulator/src/faults.ts
@@ -1,17 +1,17 @@
-/** The faults that can strike a simulated fleet, by name (design 10.4). */
+/** The faults that can occur in a simulated fleet, by name (design 10.4). */
 import type { Fleet } from './fleet.js';
-import { freeze, callsOf } from './fleet-faults/targeted-strike.js';
-import { areaDark, everyMachineStops, everythingStops, inTurn } from './fleet-faults/outages.js';
-import { plannedRestart, retirePrimary, replaceMember, drainEdge, spareEdge } from './fleet-faults/planned-changes.js';
-import { redraw, send, spoiltSends, sendUntilTaken } from './fleet-faults/configuration-changes.js';
-import { killMember, turnKnob, cutMachine, restartCore, killEdge } from './fleet-faults/machine-faults.js';
+import { freeze, callCount } from './fleet-faults/targeted-strike.js';
+import { loseArea, stopCoresAndEdges, stopEverything, restartInTurn } from './fleet-faults/outages.js';
+import { plannedRestart, retirePrimary, replaceMember, drainEdge, addSpareEdge } from './fleet-faults/planned-changes.js';
+import { redrawSettings, send, sendInvalidConfigurations, sendUntilAccepted } from './fleet-faults/configuration-changes.js';
+import { killMember, enableKnob, cutMachine, restartCore, killEdge } from './fleet-faults/machine-faults.js';
 import { create, type Storm } from './fleet-faults/fault-state.js';
 import { between, pick } from './draws.js';
 
-/** One fault that can strike at a drawn moment. */
+/** A fault that occurs at a drawn moment. */
 type Fault = Readonly<{ name: string; run: (fleet: Fleet, storm: Storm) => void }>;
 
-const everyFault: readonly Fault[] = [
+const allFaults: readonly Fault[] = [
   {
     name: 'kill-primary',
     run: (fleet, storm) => {
@@ -22,7 +22,7 @@
   {
     name: 'primary-blinks',
     run: (fleet, storm) => {
-      // Replies are lost by broken connections, and the member is there again for whoever would ask twice.
+      // Broken connections lose replies, and the member is back at once, so that a request sent again would run twice.
       for (const service of fleet.deployment.services) {
         const slot = fleet.primaryOf(service);
         if (slot !== undefined) killMember(fleet, storm, slot, between(fleet, 5, 60));
@@ -37,7 +37,7 @@
         storm,
         pick(
           fleet,
-          fleet.members.filter((one) => one.isRemoved !== true),
+          fleet.members.filter((member) => member.isRemoved !== true),
         ),
         between(fleet, 500, 8_000),
       ),
@@ -45,11 +45,11 @@
   {
     name: 'member-dark',
     run: (fleet) =>
-      turnKnob(
+      enableKnob(
         fleet,
         pick(
           fleet,
-          fleet.members.filter((one) => one.isRemoved !== true),
+          fleet.members.filter((member) => member.isRemoved !== true),
         ),
         'dark',
         between(fleet, 1_000, 9_000),
@@ -58,11 +58,11 @@
   {
     name: 'member-deaf',
     run: (fleet) =>
-      turnKnob(
+      enableKnob(
         fleet,
         pick(
           fleet,
-          fleet.members.filter((one) => one.isRemoved !== true),
+          fleet.members.filter((member) => member.isRemoved !== true),
         ),
         'deaf',
         between(fleet, 500, 6_000),
@@ -72,7 +72,7 @@
     name: 'replies-lost',
     run: (fleet) => {
       const slot = fleet.primaryOf(pick(fleet, fleet.deployment.services));
-      if (slot !== undefined) turnKnob(fleet, slot, 'loseReplies', between(fleet, 100, 1_500));
+      if (slot !== undefined) enableKnob(fleet, slot, 'loseReplies', between(fleet, 100, 1_500));
     },
   },
   {
@@ -82,7 +82,7 @@
         fleet,
         pick(
           fleet,
-          fleet.members.filter((one) => one.isRemoved !== true),
+          fleet.members.filter((member) => member.isRemoved !== true),
         ).machine,
         pick(fleet, ['both', 'in', 'out'] as const),
         between(fleet, 500, 9_000),
@@ -93,7 +93,7 @@
     run: (fleet) => {
       const slot = pick(
         fleet,
-        fleet.members.filter((one) => one.isRemoved !== true),
+        fleet.members.filter((member) => member.isRemoved !== true),
       );
       if (slot.process !== undefined) fleet.world.freeze(slot.process, between(fleet, 500, 8_000));
     },
@@ -102,10 +102,10 @@
   {
     name: 'blank-core',
     run: (fleet, storm) => {
-      // One disk at a time: the fleet survives the loss of one core machine, and of the next once the first has copied.
-      if (storm.blanking || fleet.cores.some((one) => one.process?.alive() !== true)) return;
+      // One disk at a time: the fleet survives the loss of one core machine, and of another once the first has copied its data again.
+      if (storm.isDiskLost || fleet.cores.some((core) => core.process?.alive() !== true)) return;
       const slot = pick(fleet, fleet.cores);
-      storm.blanking = true;
+      storm.isDiskLost = true;
       fleet.stopSlot(slot);
       slot.disk = fleet.world.disk();
       fleet.world.schedule(between(fleet, 200, 3_000), () => void fleet.startCore(slot));
@@ -156,13 +156,13 @@
   {
     name: 'operators-race',
     run: (fleet, storm) => {
-      redraw(fleet, storm);
+      redrawSettings(fleet, storm);
       void send(fleet, storm, 0);
-      redraw(fleet, storm);
+      redrawSettings(fleet, storm);
       void send(fleet, storm, 1);
     },
   },
-  { name: 'spoilt-sheets', run: (fleet) => spoiltSends(fleet) },
+  { name: 'spoilt-sheets', run: (fleet) => sendInvalidConfigurations(fleet) },
   {
     name: 'platform-slow',
     run: (fleet) => {
@@ -199,20 +199,20 @@
   {
     name: 'primary-dies-half-seen',
     run: (fleet, storm) => {
-      // One edge misses the likely proposer and three other edges, and still hears a majority with itself, and two cores.
+      // One edge cannot reach the likely proposer and three other edges, but still reaches two cores and, counting itself, a majority.
       const edge = pick(fleet, fleet.edges);
       const slot = fleet.primaryOf(pick(fleet, fleet.deployment.services));
-      const missed = [...fleet.cores.slice(0, 1), ...fleet.edges.filter((one) => one !== edge).slice(0, 3)];
-      for (const one of missed) {
-        fleet.world.cut(edge.machine, one.machine);
-        fleet.world.cut(one.machine, edge.machine);
+      const unreachable = [...fleet.cores.slice(0, 1), ...fleet.edges.filter((other) => other !== edge).slice(0, 3)];
+      for (const node of unreachable) {
+        fleet.world.cut(edge.machine, node.machine);
+        fleet.world.cut(node.machine, edge.machine);
       }
       if (slot !== undefined)
         fleet.world.schedule(between(fleet, 0, 2_000), () => killMember(fleet, storm, slot, between(fleet, 9_000, 12_000)));
       fleet.world.schedule(between(fleet, 9_000, 13_000), () => {
-        for (const one of missed) {
-          fleet.world.heal(edge.machine, one.machine);
-          fleet.world.heal(one.machine, edge.machine);
+        for (const node of unreachable) {
+          fleet.world.heal(edge.machine, node.machine);
+          fleet.world.heal(node.machine, edge.machine);
         }
       });
     },
@@ -220,20 +220,20 @@
   {
     name: 'key-withdrawn',
     run: (fleet, storm) => {
-      if (storm.second === undefined) redraw(fleet, storm);
-      else storm.second = undefined;
+      if (storm.secondKeyGrant === undefined) redrawSettings(fleet, storm);
+      else storm.secondKeyGrant = undefined;
       void send(fleet, storm, 0);
     },
   },
   {
     name: 'senders-key-withdrawn',
     run: (fleet, storm) => {
-      // Sessions and the transactions that are open in them are under this key.
-      storm.keyless = true;
+      // All client sessions and their open transactions use this key.
+      storm.isClientKeyRemoved = true;
       void send(fleet, storm, 0);
       fleet.world.schedule(between(fleet, 500, 3_500), () => {
-        storm.keyless = false;
-        void sendUntilTaken(fleet, storm);
+        storm.isClientKeyRemoved = false;
+        void sendUntilAccepted(fleet, storm);
       });
     },
   },
@@ -241,27 +241,27 @@
     name: 'replies-garbled',
     run: (fleet) => {
       const slot = fleet.primaryOf(pick(fleet, fleet.deployment.services));
-      if (slot !== undefined) turnKnob(fleet, slot, 'garbles', between(fleet, 100, 1_500));
+      if (slot !== undefined) enableKnob(fleet, slot, 'garbles', between(fleet, 100, 1_500));
     },
   },
   {
     name: 'actor-struck',
     run: (fleet, storm) => {
-      const duty = pick(fleet, ['promotion', 'usage'] as const);
-      storm.hunt = { duty, how: pick(fleet, ['kill', 'freeze', 'cut'] as const), calls: callsOf(fleet, duty) };
+      const role = pick(fleet, ['promotion', 'usage'] as const);
+      storm.pendingStrike = { role, how: pick(fleet, ['kill', 'freeze', 'cut'] as const), calls: callCount(fleet, role) };
       const slot = fleet.primaryOf(pick(fleet, fleet.deployment.services));
-      if (duty === 'promotion' && slot !== undefined) killMember(fleet, storm, slot, between(fleet, 9_000, 15_000));
+      if (role === 'promotion' && slot !== undefined) killMember(fleet, storm, slot, between(fleet, 9_000, 15_000));
     },
   },
   { name: 'planned-restart', run: plannedRestart },
   { name: 'retire-primary', run: retirePrimary },
   { name: 'replace-member', run: replaceMember },
   { name: 'drain-edge', run: drainEdge },
-  { name: 'area-dark', run: areaDark },
-  { name: 'everything-stops', run: everythingStops },
-  { name: 'spare-edge', run: spareEdge },
-  { name: 'all-stop', run: (fleet, storm) => everyMachineStops(fleet, storm, between(fleet, 300, 4_000)) },
-  { name: 'in-turn', run: (fleet) => inTurn(fleet) },
+  { name: 'area-dark', run: loseArea },
+  { name: 'everything-stops', run: stopEverything },
+  { name: 'spare-edge', run: addSpareEdge },
+  { name: 'all-stop', run: (fleet, storm) => stopCoresAndEdges(fleet, storm, between(fleet, 300, 4_000)) },
+  { name: 'in-turn', run: (fleet) => restartInTurn(fleet) },
 ];
 
-export const faults = { every: everyFault, create } as const;
+export const faults = { all: allFaults, create } as const;
--- a/packages/simulator/src/fleet-checks/draining-checks.ts
+++ b/packages/simulator/src/fleet-checks/draining-checks.ts
@@ -1,72 +1,78 @@
-/** Checks of draining: no statement on a member or edge that is to go, and an answer for whoever was in flight. */
+/** Checks of draining: a draining member or edge receives no statements, and requests in flight at a planned end get a reply. */
 import type { Ledger } from '@stallstall/fakes';
 import { placements } from '@stallstall/placement';
 import type { SentConfiguration, EdgeDrain, Violation, PlannedEnd } from './check-records.js';
 import type { Fleet } from '../fleet.js';
 
-const goingMilliseconds = 7_000;
+/** How long after an edge learned of a drain statements may still follow from it. */
+const drainingMilliseconds = 7_000;
 const graceMilliseconds = 5_000;
 
-/** What each edge had learned, and when: (moment, version) of every configuration its agents obeyed. */
-function learned(fleet: Fleet, edge: string, key: string): ReadonlyArray<Readonly<{ at: number; version: number }>> {
+/** When the agent of an edge applied each version of a key, such as the configuration or the membership. */
+function appliedVersions(fleet: Fleet, edge: string, key: string): ReadonlyArray<Readonly<{ at: number; version: number }>> {
   return fleet.world.logs
     .filter((line) => line.process === `${edge}/agent` && line.event === 'node.applied' && line.fields['key'] === key)
     .map((line) => ({ at: line.at, version: Number(line.fields['version']) }));
 }
 
-/** Spans of an edge's knowledge in which a member was to go: draining, or in no sheet any more. */
-function goingSpans(
-  known: ReadonlyArray<Readonly<{ at: number; version: number }>>,
-  goes: (version: number) => boolean,
+/** The spans in which an edge had applied a configuration that drains a member or no longer contains it. */
+function drainingSpans(
+  applied: ReadonlyArray<Readonly<{ at: number; version: number }>>,
+  isDraining: (version: number) => boolean,
 ): ReadonlyArray<Readonly<{ from: number; until: number }>> {
-  const found: Array<{ from: number; until: number }> = [];
-  for (const one of known) {
-    const last = found.at(-1);
-    const running = last !== undefined && last.until === Number.POSITIVE_INFINITY;
-    if (goes(one.version) && !running) found.push({ from: one.at, until: Number.POSITIVE_INFINITY });
-    if (!goes(one.version) && running) last.until = one.at;
+  const spans: Array<{ from: number; until: number }> = [];
+  for (const { at, version } of applied) {
+    const last = spans.at(-1);
+    const isOpen = last !== undefined && last.until === Number.POSITIVE_INFINITY;
+    if (isDraining(version) && !isOpen) spans.push({ from: at, until: Number.POSITIVE_INFINITY });
+    if (!isDraining(version) && isOpen) last.until = at;
   }
-  return found;
+  return spans;
 }
 
-/** No statement, open transactions included, from an edge that learned seven seconds ago that the member, or the edge itself, is to go. */
+/**
+ * An edge sends no statement, not even in an open transaction, more than seven seconds after it learned that the member or the edge
+ * itself is draining.
+ */
 export function draining(fleet: Fleet, sends: readonly SentConfiguration[], drains: readonly EdgeDrain[]): readonly Violation[] {
-  const byVersion = new Map(sends.filter((sent) => sent.version > 0).map((sent) => [sent.version, sent.sheet]));
-  const everyEdge = fleet.spare === undefined ? fleet.edges : [...fleet.edges, fleet.spare];
-  const edgesGone = drains.flatMap((drain) => {
+  const configurationByVersion = new Map(sends.filter((sent) => sent.version > 0).map((sent) => [sent.version, sent.configuration]));
+  const allEdges = fleet.spare === undefined ? fleet.edges : [...fleet.edges, fleet.spare];
+  const drainedEdges = drains.flatMap((drain) => {
     if (!Number.isFinite(drain.acknowledgedAt)) return [];
-    const known = learned(fleet, drain.edge, 'membership')
-      .map((one) => one.at)
+    const appliedAt = appliedVersions(fleet, drain.edge, 'membership')
+      .map((applied) => applied.at)
       .filter((at) => at >= drain.sentAt);
-    const since = known.filter((at) => at <= drain.acknowledgedAt).at(-1) ?? known[0];
+    const since = appliedAt.filter((at) => at <= drain.acknowledgedAt).at(-1) ?? appliedAt[0];
     return since === undefined ? [] : [{ edge: drain.edge, from: since, until: drain.undoneAt }];
   });
   return fleet.members.flatMap((slot) =>
-    everyEdge.flatMap((edge): readonly Violation[] => {
-      const arrived = slot.store.ran.filter((ran) => fleet.world.machineOf(ran.connection) === edge.machine);
-      const going = goingSpans(learned(fleet, edge.name, 'configuration'), function goes(version) {
-        const sheet = byVersion.get(version);
-        return sheet !== undefined && placements.findMember(sheet, slot.place.member)?.state !== 'serving';
+    allEdges.flatMap((edge): readonly Violation[] => {
+      const statements = slot.store.ran.filter((ran) => fleet.world.machineOf(ran.connection) === edge.machine);
+      const draining = drainingSpans(appliedVersions(fleet, edge.name, 'configuration'), function isDraining(version) {
+        const configuration = configurationByVersion.get(version);
+        return configuration !== undefined && placements.findMember(configuration, slot.place.member)?.state !== 'serving';
       });
-      const late = arrived.find((ran) => going.some((span) => ran.at > span.from + goingMilliseconds && ran.at < span.until));
-      const lateEdge = arrived.find((ran) =>
-        edgesGone.some((span) => span.edge === edge.name && ran.at > span.from + goingMilliseconds && ran.at < span.until),
+      const lateForMember = statements.find((ran) =>
+        draining.some((span) => ran.at > span.from + drainingMilliseconds && ran.at < span.until),
+      );
+      const lateFromEdge = statements.find((ran) =>
+        drainedEdges.some((span) => span.edge === edge.name && ran.at > span.from + drainingMilliseconds && ran.at < span.until),
       );
       return [
-        ...(late === undefined
+        ...(lateForMember === undefined
           ? []
           : [
               {
                 check: 'draining-fed',
-                detail: `${slot.place.member} got ${late.opens ? 'new work' : 'more of a transaction'} from ${edge.name} at ${Math.round(late.at)} ms`,
+                detail: `${slot.place.member} got ${lateForMember.opens ? 'a new transaction' : 'a statement of an open transaction'} from ${edge.name} at ${Math.round(lateForMember.at)} ms`,
               },
             ]),
-        ...(lateEdge === undefined
+        ...(lateFromEdge === undefined
           ? []
           : [
               {
                 check: 'draining-fed',
-                detail: `${edge.name}, drained, still sent to ${slot.place.member} at ${Math.round(lateEdge.at)} ms`,
+                detail: `${edge.name}, drained, still sent to ${slot.place.member} at ${Math.round(lateFromEdge.at)} ms`,
               },
             ]),
       ];
@@ -74,37 +80,37 @@
   );
 }
 
-/** Whoever was in flight at a planned end has an answer, and a transaction that was open could be ended within the grace. */
+/** Requests in flight at a planned end get a reply, and an open transaction can be finished within the grace period. */
 export function plannedEnds(
   ledger: Pick<Ledger, 'exchanges'>,
   sends: readonly SentConfiguration[],
   ends: readonly PlannedEnd[],
 ): readonly Violation[] {
-  const dropped = new Set(['reply-lost', 'unreachable']);
-  const turnedAway = new Set(['reply-lost', 'unreachable', 'session-lost', 'draining']);
+  const droppedReasons = new Set(['reply-lost', 'unreachable']);
+  const refusedReasons = new Set(['reply-lost', 'unreachable', 'session-lost', 'draining']);
   return ends
-    .filter((end) => end.sound)
+    .filter((end) => end.isUndisturbed)
     .flatMap((end) => [
       ...ledger.exchanges
         .filter(
-          (one) =>
-            one.edge === end.address &&
-            ((one.startedAt <= end.at && one.endedAt > end.at && dropped.has(one.reason)) ||
-              (one.startedAt > end.at && one.startedAt <= end.endedAt && one.reason === 'reply-lost') ||
-              (one.openSince <= end.at &&
-                one.startedAt > end.at &&
-                one.startedAt <= end.at + graceMilliseconds &&
-                turnedAway.has(one.reason))),
+          (exchange) =>
+            exchange.edge === end.address &&
+            ((exchange.startedAt <= end.at && exchange.endedAt > end.at && droppedReasons.has(exchange.reason)) ||
+              (exchange.startedAt > end.at && exchange.startedAt <= end.endedAt && exchange.reason === 'reply-lost') ||
+              (exchange.openSince <= end.at &&
+                exchange.startedAt > end.at &&
+                exchange.startedAt <= end.at + graceMilliseconds &&
+                refusedReasons.has(exchange.reason))),
         )
-        .map((one) => ({
+        .map((exchange) => ({
           check: 'request-dropped',
-          detail: `${end.name} ended as planned at ${Math.round(end.at)} ms: ${one.reason}, ${Math.round(one.startedAt)}-${Math.round(one.endedAt)} ms`,
+          detail: `${end.name} ended as planned at ${Math.round(end.at)} ms: ${exchange.reason}, ${Math.round(exchange.startedAt)}-${Math.round(exchange.endedAt)} ms`,
         })),
       ...sends
         .filter((sent) => sent.core === end.name && sent.sentAt <= end.at && sent.endedAt > end.at && !sent.replied)
         .map((sent) => ({
           check: 'request-dropped',
-          detail: `${end.name} ended as planned at ${Math.round(end.at)} ms with a sheet in flight since ${Math.round(sent.sentAt)} ms`,
+          detail: `${end.name} ended as planned at ${Math.round(end.at)} ms with a configuration in flight since ${Math.round(sent.sentAt)} ms`,
         })),
     ]);
 }
--- a/packages/simulator/src/fleet-faults/fault-state.ts
+++ b/packages/simulator/src/fleet-faults/fault-state.ts
@@ -1,33 +1,39 @@
-/** The state that the faults of one simulated run share, and the draws that they make. */
+/** The state that the faults of one simulated run share. */
 import type { StatementKind } from '@stallstall/placement';
 import type { SentConfiguration, EdgeDrain, PlannedEnd } from '../fleet-checks/check-records.js';
 import type { Fleet } from '../fleet.js';
 import type { Process } from '../world.js';
 
-/** Who acts for a duty is struck as its next call reaches the platform. */
-export type Hunt = Readonly<{ duty: 'promotion' | 'usage'; how: 'kill' | 'freeze' | 'cut'; calls: number }>;
+/** A pending fault: the node that acts in a singleton role is struck as soon as its next call reaches the platform. */
+export type PendingStrike = Readonly<{ role: 'promotion' | 'usage'; how: 'kill' | 'freeze' | 'cut'; calls: number }>;
 
 export type Storm = {
   readonly sends: SentConfiguration[];
   readonly reported: string[];
+  /** The greatest number of connections of each member. */
   readonly peaks: Map<string, number>;
   readonly drains: EdgeDrain[];
   readonly ends: PlannedEnd[];
-  /** When something else than a planned end last struck a process. */
+  /** When a fault last froze a process. */
   readonly struckAt: Map<Process, number>;
-  blanking: boolean;
-  /** Members that are to go, by name, until they are taken back or out. */
+  /** A core restarted with an empty disk has not yet opened again. */
+  isDiskLost: boolean;
+  /** Names of the draining members, until they serve again or are removed. */
   readonly draining: Set<string>;
   crossings: number;
-  second: Readonly<{ services: readonly string[]; kinds: readonly StatementKind[] }> | undefined;
+  /** The permissions of the second key; undefined while the configuration does not contain it. */
+  secondKeyGrant: Readonly<{ services: readonly string[]; kinds: readonly StatementKind[] }> | undefined;
+  /** The connection limit in the configuration. */
   limit: number;
+  /** `service|area` of each row that serves own reads. */
   readonly ownReads: Set<string>;
-  readonly weightless: Set<string>;
-  /** The senders' own key is out of the sheet. */
-  keyless: boolean;
-  hunt: Hunt | undefined;
-  busy: boolean;
-  replacing: boolean;
+  /** `member|area` of each read weight that is 0. */
+  readonly zeroWeights: Set<string>;
+  /** The configuration does not contain the key of the load-generating clients. */
+  isClientKeyRemoved: boolean;
+  pendingStrike: PendingStrike | undefined;
+  isSpareEdgeUsed: boolean;
+  isReplacing: boolean;
 };
 
 export const secondKey = 'second-key-0002';
@@ -40,21 +46,21 @@
     drains: [],
     ends: [],
     struckAt: new Map(),
-    blanking: false,
+    isDiskLost: false,
     draining: new Set(),
     crossings: 0,
-    second: undefined,
+    secondKeyGrant: undefined,
     limit: fleet.deployment.connectionLimit,
     ownReads: new Set(),
-    weightless: new Set(),
-    keyless: false,
-    hunt: undefined,
-    busy: false,
-    replacing: false,
+    zeroWeights: new Set(),
+    isClientKeyRemoved: false,
+    pendingStrike: undefined,
+    isSpareEdgeUsed: false,
+    isReplacing: false,
   };
 }
 
-export function everyMachine(fleet: Fleet): readonly string[] {
+export function allMachines(fleet: Fleet): readonly string[] {
   return [
     ...fleet.cores.map((slot) => slot.machine),
     ...fleet.edges.map((slot) => slot.machine),
@@ -63,7 +69,7 @@
   ];
 }
 
-export function notePeaks(fleet: Fleet, storm: Storm): void {
+export function recordPeakConnections(fleet: Fleet, storm: Storm): void {
   for (const slot of fleet.members) {
     if (slot.running !== undefined)
       storm.peaks.set(slot.place.member, Math.max(slot.running.peakConnections(), storm.peaks.get(slot.place.member) ?? 0));
--- a/packages/simulator/src/fleet-faults/machine-faults.ts
+++ b/packages/simulator/src/fleet-faults/machine-faults.ts
@@ -1,11 +1,11 @@
-/** Faults of one machine or process: killed, restarted, cut off, or with a member that behaves otherwise. */
+/** Faults of one machine or process: a kill, a restart, a network partition, or a member that misbehaves. */
 import type { MemberKnobs } from '@stallstall/fakes';
-import { type Storm, notePeaks, everyMachine } from './fault-state.js';
+import { type Storm, recordPeakConnections, allMachines } from './fault-state.js';
 import type { Fleet, MemberSlot, EdgeSlot } from '../fleet.js';
 
 export function killMember(fleet: Fleet, storm: Storm, slot: MemberSlot, milliseconds: number): void {
   if (slot.process?.alive() !== true) return;
-  notePeaks(fleet, storm);
+  recordPeakConnections(fleet, storm);
   storm.crossings += slot.running?.crossings() ?? 0;
   fleet.stopSlot(slot);
   fleet.world.schedule(milliseconds, () => {
@@ -13,7 +13,7 @@
   });
 }
 
-export function turnKnob(fleet: Fleet, slot: MemberSlot, knob: keyof MemberKnobs, milliseconds: number): void {
+export function enableKnob(fleet: Fleet, slot: MemberSlot, knob: keyof MemberKnobs, milliseconds: number): void {
   const running = slot.running;
   if (running === undefined) return;
   running.knobs[knob] = true;
@@ -22,11 +22,11 @@
   });
 }
 
-export function cutMachine(fleet: Fleet, machine: string, ways: 'both' | 'in' | 'out', milliseconds: number): void {
-  const others = everyMachine(fleet).filter((one) => one !== machine);
+export function cutMachine(fleet: Fleet, machine: string, directions: 'both' | 'in' | 'out', milliseconds: number): void {
+  const others = allMachines(fleet).filter((other) => other !== machine);
   for (const other of others) {
-    if (ways !== 'in') fleet.world.cut(machine, other);
-    if (ways !== 'out') fleet.world.cut(other, machine);
+    if (directions !== 'in') fleet.world.cut(machine, other);
+    if (directions !== 'out') fleet.world.cut(other, machine);
   }
   fleet.world.schedule(milliseconds, () => {
     for (const other of others) {
@@ -39,20 +39,20 @@
 /** When the processes of each edge were killed. */
 const edgeKills = new WeakMap<Fleet, Array<Readonly<{ edge: string; at: number }>>>();
 
-function noteKill(fleet: Fleet, edge: string): void {
+function recordKill(fleet: Fleet, edge: string): void {
   const kills = edgeKills.get(fleet) ?? [];
   kills.push({ edge, at: fleet.world.now() });
   edgeKills.set(fleet, kills);
 }
 
-/** A kill drops requests whatever else ends: a planned end of the same edge at the very moment of one is not judged. */
-export function voidedByKill(fleet: Fleet, name: string, at: number): boolean {
+/** Whether a process of the same edge was killed at the moment of its planned end. A kill always drops requests, so such an end is not checked. */
+export function coincidesWithKill(fleet: Fleet, name: string, at: number): boolean {
   return (edgeKills.get(fleet) ?? []).some((kill) => name.startsWith(`${kill.edge}/`) && Math.abs(kill.at - at) <= sameMomentMilliseconds);
 }
 
 export function killEdge(fleet: Fleet, slot: EdgeSlot, part: 'agent' | 'proxy', milliseconds: number): void {
   if (slot[part].process?.alive() !== true) return;
-  noteKill(fleet, slot.name);
+  recordKill(fleet, slot.name);
   fleet.stopSlot(slot[part]);
   fleet.world.schedule(milliseconds, () => void (part === 'agent' ? fleet.startAgent(slot) : fleet.startProxy(slot)));
 }
@@ -64,5 +64,5 @@
   fleet.world.schedule(milliseconds, () => void fleet.startCore(slot));
 }
 
-/** What a strike drops is heard this much later at the most. */
+/** Events this close together count as simultaneous: the effect of a kill is seen at most this much later. */
 export const sameMomentMilliseconds = 5;
--- a/packages/simulator/src/fleet-faults/outages.ts
+++ b/packages/simulator/src/fleet-faults/outages.ts
@@ -1,19 +1,19 @@
-/** Outages of many machines: every core and edge, each core in turn, or a whole area. */
-import { type Storm, notePeaks } from './fault-state.js';
+/** Outages of many machines: all cores and edges at once or in turn, a whole area, or all machines. */
+import { type Storm, recordPeakConnections } from './fault-state.js';
 import { killEdge, killMember, restartCore } from './machine-faults.js';
 import type { Fleet, CoreSlot } from '../fleet.js';
 import { between, pick } from '../draws.js';
 
-export function everyMachineStops(fleet: Fleet, storm: Storm, milliseconds: number): void {
+export function stopCoresAndEdges(fleet: Fleet, storm: Storm, milliseconds: number): void {
   fleet.cores.forEach((_, index) => restartCore(fleet, index, milliseconds * between(fleet, 0.8, 1.2)));
   for (const slot of fleet.edges) {
     killEdge(fleet, slot, 'agent', milliseconds * between(fleet, 0.8, 1.2));
     killEdge(fleet, slot, 'proxy', milliseconds * between(fleet, 0.8, 1.2));
   }
-  notePeaks(fleet, storm);
+  recordPeakConnections(fleet, storm);
 }
 
-export function inTurn(fleet: Fleet): void {
+export function restartInTurn(fleet: Fleet): void {
   fleet.cores.forEach((_, index) => fleet.world.schedule(index * 2_500, () => restartCore(fleet, index, 1_000)));
   fleet.edges.forEach((slot, index) =>
     fleet.world.schedule(7_500 + index * 1_000, () => {
@@ -23,42 +23,42 @@
   );
 }
 
-/** An area lost whole, by machines that go dark: nobody is told, there is only silence. */
-export function areaDark(fleet: Fleet, storm: Storm): void {
+/** Loses a whole area without closing its connections: its peers are not notified, they only stop receiving. */
+export function loseArea(fleet: Fleet, storm: Storm): void {
   const area = pick(fleet, ['north', 'middle', 'south']);
   const milliseconds = between(fleet, 2_000, 9_000);
-  const cores = fleet.cores.filter((_, index) => ['north', 'middle', 'south'][index] === area && !storm.blanking);
+  const cores = fleet.cores.filter((_, index) => ['north', 'middle', 'south'][index] === area && !storm.isDiskLost);
   const edges = fleet.edges.filter((slot) => slot.area === area);
   const members = fleet.members.filter((slot) => slot.place.area === area && slot.isRemoved !== true && slot.process?.alive() === true);
-  notePeaks(fleet, storm);
-  const slots: ReadonlyArray<Readonly<{ machine: string; lit: () => void }>> = [
+  recordPeakConnections(fleet, storm);
+  const slots: ReadonlyArray<Readonly<{ machine: string; restart: () => void }>> = [
     ...cores
       .filter((slot) => slot.process?.alive() === true)
-      .map((slot: CoreSlot) => ({ machine: slot.machine, lit: () => void fleet.startCore(slot) })),
+      .map((slot: CoreSlot) => ({ machine: slot.machine, restart: () => void fleet.startCore(slot) })),
     ...edges
       .filter((slot) => slot.agent.process?.alive() === true && slot.proxy.process?.alive() === true)
       .map((slot) => ({
         machine: slot.machine,
-        lit: function lit(): void {
+        restart: function restart(): void {
           void fleet.startAgent(slot);
           void fleet.startProxy(slot);
         },
       })),
-    ...members.map((slot) => ({ machine: slot.machine, lit: () => void fleet.startMember(slot) })),
+    ...members.map((slot) => ({ machine: slot.machine, restart: () => void fleet.startMember(slot) })),
   ];
   for (const slot of members) storm.crossings += slot.running?.crossings() ?? 0;
   for (const slot of slots) {
     fleet.world.makeUnresponsive(slot.machine);
     fleet.world.schedule(milliseconds * between(fleet, 0.9, 1.1), () => {
       fleet.world.restoreMachine(slot.machine);
-      slot.lit();
+      slot.restart();
     });
   }
 }
 
-/** Every member machine among them, so that nothing but disks and stores is left. */
-export function everythingStops(fleet: Fleet, storm: Storm): void {
+/** Stops the members too, so that only disks and the members' stores survive. */
+export function stopEverything(fleet: Fleet, storm: Storm): void {
   const milliseconds = between(fleet, 300, 3_000);
-  everyMachineStops(fleet, storm, milliseconds);
+  stopCoresAndEdges(fleet, storm, milliseconds);
   for (const slot of fleet.members) if (slot.isRemoved !== true) killMember(fleet, storm, slot, milliseconds * between(fleet, 0.8, 1.2));
 }
--- a/packages/simulator/src/fleet-faults/planned-changes.ts
+++ b/packages/simulator/src/fleet-faults/planned-changes.ts
@@ -1,29 +1,36 @@
-/** Planned work during a run: restarts, drains, a retired primary, a replaced member, an edge for a short time. */
+/** Planned operations during a run: restarts, drains, retiring a primary, replacing a member, a temporary additional edge. */
 import type { PlannedEnd, EdgeDrain } from '../fleet-checks/check-records.js';
 import type { Storm } from './fault-state.js';
-import { sameMomentMilliseconds, voidedByKill } from './machine-faults.js';
+import { sameMomentMilliseconds, coincidesWithKill } from './machine-faults.js';
 import { send } from './configuration-changes.js';
 import type { Fleet } from '../fleet.js';
 import type { Process } from '../world.js';
 import { between, pick } from '../draws.js';
 
-type Ending = { process: Process | undefined; running: Readonly<{ drain: () => Promise<void> }> | undefined };
+type StoppableSlot = { process: Process | undefined; running: Readonly<{ drain: () => Promise<void> }> | undefined };
 
-/** A planned restart: the process drains, ends, and another takes its place. */
-function endAsPlanned(fleet: Fleet, storm: Storm, name: string, address: string, slot: Ending, again: () => Promise<void>): void {
+/** A planned restart: the process drains and ends, and a new one starts in its place. */
+function drainAndRestart(
+  fleet: Fleet,
+  storm: Storm,
+  name: string,
+  address: string,
+  slot: StoppableSlot,
+  restart: () => Promise<void>,
+): void {
   const process = slot.process;
   if (process?.alive() !== true || slot.running === undefined || fleet.world.isFrozen(process)) return;
-  const end: PlannedEnd = { name, address, at: fleet.world.now(), endedAt: Number.POSITIVE_INFINITY, sound: false };
+  const end: PlannedEnd = { name, address, at: fleet.world.now(), endedAt: Number.POSITIVE_INFINITY, isUndisturbed: false };
   storm.ends.push(end);
   void slot.running.drain().then(() => {
     if (slot.process !== process || !process.alive()) return;
-    end.sound = (storm.struckAt.get(process) ?? Number.NEGATIVE_INFINITY) < end.at - sameMomentMilliseconds;
+    end.isUndisturbed = (storm.struckAt.get(process) ?? Number.NEGATIVE_INFINITY) < end.at - sameMomentMilliseconds;
     end.endedAt = fleet.world.now();
-    fleet.world.schedule(sameMomentMilliseconds, function look() {
-      if (voidedByKill(fleet, name, end.at)) end.sound = false;
+    fleet.world.schedule(sameMomentMilliseconds, function checkForKill() {
+      if (coincidesWithKill(fleet, name, end.at)) end.isUndisturbed = false;
     });
     fleet.stopSlot(slot);
-    fleet.world.schedule(between(fleet, 50, 700), () => void again());
+    fleet.world.schedule(between(fleet, 50, 700), () => void restart());
   });
 }
 
@@ -31,11 +38,11 @@
   const part = pick(fleet, ['proxy', 'proxy', 'agent', 'core'] as const);
   if (part === 'core') {
     const slot = pick(fleet, fleet.cores);
-    endAsPlanned(fleet, storm, slot.name, '', slot, () => fleet.startCore(slot));
+    drainAndRestart(fleet, storm, slot.name, '', slot, () => fleet.startCore(slot));
     return;
   }
   const slot = pick(fleet, fleet.edges);
-  endAsPlanned(fleet, storm, `${slot.name}/${part}`, fleet.edgeAddresses(slot).proxy, slot[part], () =>
+  drainAndRestart(fleet, storm, `${slot.name}/${part}`, fleet.edgeAddresses(slot).proxy, slot[part], () =>
     part === 'agent' ? fleet.startAgent(slot) : fleet.startProxy(slot),
   );
 }
@@ -52,12 +59,12 @@
 }
 
 /**
- * A member is replaced: another joins with an empty store and takes reads, the old one is retired, taken out of the sheet, and
- * stopped some time after.
+ * Replaces a member: a new one joins with an empty store and serves reads; the old one drains, is removed from the configuration, and is
+ * stopped some time later.
  */
 export function replaceMember(fleet: Fleet, storm: Storm): void {
-  if (storm.replacing || storm.draining.size > 0) return;
-  storm.replacing = true;
+  if (storm.isReplacing || storm.draining.size > 0) return;
+  storm.isReplacing = true;
   const service = pick(fleet, fleet.deployment.services);
   const old =
     fleet.world.fraction() < 0.5
@@ -82,7 +89,7 @@
   fleet.world.schedule(between(fleet, 15_000, 25_000), () => fleet.stopSlot(old));
 }
 
-async function drainAndNote(fleet: Fleet, storm: Storm, edge: string): Promise<EdgeDrain> {
+async function drainAndRecord(fleet: Fleet, storm: Storm, edge: string): Promise<EdgeDrain> {
   const drain: EdgeDrain = {
     edge,
     sentAt: fleet.world.now(),
@@ -96,7 +103,7 @@
 
 export function drainEdge(fleet: Fleet, storm: Storm): void {
   const slot = pick(fleet, fleet.edges);
-  const drained = drainAndNote(fleet, storm, slot.name);
+  const drained = drainAndRecord(fleet, storm, slot.name);
   fleet.world.schedule(
     between(fleet, 2_000, 12_000),
     () =>
@@ -107,13 +114,13 @@
   );
 }
 
-/** A seventh edge joins under load, works, drains and is removed. */
-export function spareEdge(fleet: Fleet, storm: Storm): void {
+/** Adds a seventh edge under load, drains it and removes it. */
+export function addSpareEdge(fleet: Fleet, storm: Storm): void {
   const slot = fleet.spare;
-  if (slot === undefined || storm.busy) return;
-  storm.busy = true;
+  if (slot === undefined || storm.isSpareEdgeUsed) return;
+  storm.isSpareEdgeUsed = true;
   void fleet.startAgent(slot);
   void fleet.startProxy(slot);
-  fleet.world.schedule(between(fleet, 5_000, 9_000), () => void drainAndNote(fleet, storm, slot.name));
+  fleet.world.schedule(between(fleet, 5_000, 9_000), () => void drainAndRecord(fleet, storm, slot.name));
   fleet.world.schedule(between(fleet, 9_500, 11_000), () => void fleet.sendOperatorCommand('DELETE', `/v1/nodes/${slot.name}`, 0));
 }
--- a/packages/simulator/src/fleet-faults/targeted-strike.ts
+++ b/packages/simulator/src/fleet-faults/targeted-strike.ts
@@ -1,18 +1,18 @@
-/** A fault that strikes the node that acted last for the fleet. */
-import type { Hunt, Storm } from './fault-state.js';
+/** A fault that strikes the node that last acted in a singleton role. */
+import type { PendingStrike, Storm } from './fault-state.js';
 import { cutMachine, killEdge, restartCore } from './machine-faults.js';
 import type { Fleet, CoreSlot, EdgeSlot } from '../fleet.js';
 import type { Process } from '../world.js';
 import { between } from '../draws.js';
 
-export function callsOf(fleet: Fleet, duty: Hunt['duty']): number {
-  return duty === 'usage' ? fleet.platformStore.usage.length : fleet.platformStore.promotions.length;
+export function callCount(fleet: Fleet, role: PendingStrike['role']): number {
+  return role === 'usage' ? fleet.platformStore.usage.length : fleet.platformStore.promotions.length;
 }
 
-/** The process that made the last call for a duty: the holder, or whoever proposed last for the service. */
-function lastActor(fleet: Fleet, duty: Hunt['duty']): CoreSlot | EdgeSlot | undefined {
+/** The node that made the last call of a role: the lease holder for usage, or the node that last proposed a candidate for the service. */
+function lastActor(fleet: Fleet, role: PendingStrike['role']): CoreSlot | EdgeSlot | undefined {
   const name =
-    duty === 'usage'
+    role === 'usage'
       ? fleet.platformStore.usage.at(-1)?.holder
       : fleet.world.logs
           .findLast(
@@ -23,17 +23,17 @@
 }
 
 /** Strikes the node that acted last as soon as its call has reached the platform. */
-export function followHunt(fleet: Fleet, storm: Storm): void {
-  const hunt = storm.hunt;
-  if (hunt === undefined || callsOf(fleet, hunt.duty) <= hunt.calls) return;
-  storm.hunt = undefined;
-  const actor = lastActor(fleet, hunt.duty);
+export function applyPendingStrike(fleet: Fleet, storm: Storm): void {
+  const strike = storm.pendingStrike;
+  if (strike === undefined || callCount(fleet, strike.role) <= strike.calls) return;
+  storm.pendingStrike = undefined;
+  const actor = lastActor(fleet, strike.role);
   if (actor === undefined) return;
   const process = 'agent' in actor ? actor.agent.process : actor.process;
   const milliseconds = between(fleet, 500, 6_000);
-  storm.reported.push(`${Math.round(fleet.world.now())} ${hunt.how} of ${actor.name}, which acted last for ${hunt.duty}`);
-  if (hunt.how === 'cut') cutMachine(fleet, actor.machine, 'both', milliseconds);
-  else if (hunt.how === 'freeze' && process?.alive() === true) freeze(fleet, storm, process, milliseconds);
+  storm.reported.push(`${Math.round(fleet.world.now())} ${strike.how} of ${actor.name}, which acted last in role ${strike.role}`);
+  if (strike.how === 'cut') cutMachine(fleet, actor.machine, 'both', milliseconds);
+  else if (strike.how === 'freeze' && process?.alive() === true) freeze(fleet, storm, process, milliseconds);
   else if ('agent' in actor) killEdge(fleet, actor, 'agent', milliseconds);
   else restartCore(fleet, fleet.cores.indexOf(actor), milliseconds);
 }
--- a/packages/simulator/src/storm.ts
+++ b/packages/simulator/src/storm.ts
@@ -1,4 +1,4 @@
-/** One seeded run: the brief's loads, its failures mixed from the seed, and every checker at the end (design 10.4). */
+/** One seeded run: the specified client loads, faults drawn from the seed, and all checks at the end (design 10.4). */
 import { http, identifiers } from '@stallstall/kernel';
 import * as Either from 'fp-ts/lib/Either.js';
 import { statementKinds } from '@stallstall/placement';
@@ -7,9 +7,9 @@
 import type { Probe, Violation } from './fleet-checks/check-records.js';
 import { windowMilliseconds } from './fleet-checks/platform-call-checks.js';
 import { faults } from './faults.js';
-import { notePeaks, secondKey, type Storm } from './fleet-faults/fault-state.js';
+import { recordPeakConnections, secondKey, type Storm } from './fleet-faults/fault-state.js';
 import { send } from './fleet-faults/configuration-changes.js';
-import { followHunt } from './fleet-faults/targeted-strike.js';
+import { applyPendingStrike } from './fleet-faults/targeted-strike.js';
 import { fleet as fleets, type EdgeSlot, type Fleet } from './fleet.js';
 import { initialWallTime } from './world.js';
 import { pick } from './draws.js';
@@ -24,32 +24,41 @@
   events: number;
   elections: number;
   longestRejection: number;
-  /** What the checkers had to look at: a check with nothing to judge shows as nought. */
+  /** How much each check had to judge: 0 shows a check that judged nothing. */
   judged: Readonly<Record<string, number>>;
 }>;
 
-/** `milliseconds` of failures, `faults` of them; drawn for a long day when `long` is set; `only` names the faults to draw from. */
+/**
+ * `milliseconds`: how long faults occur; `faults`: how many. `long` draws both for a longer run. `only`: the names of the faults to draw
+ * from. `trace` prints the log of the run.
+ */
 export type StormOptions = Readonly<{ milliseconds?: number; faults?: number; trace?: boolean; long?: boolean; only?: readonly string[] }>;
 
-const settleMilliseconds = 16_000;
-const longestReturnMilliseconds = 40_000;
-const usageArrivesMilliseconds = 11_000;
+/** How long all processes must have run again before the checks. */
+const recoveryMilliseconds = 16_000;
+const longestRecoveryMilliseconds = 40_000;
+const usageDelayMilliseconds = 11_000;
 const hastyShare = 0.02;
 const sampleMilliseconds = 10;
 
-function clearBlanking(fleet: Fleet, storm: Storm): void {
-  if (storm.blanking && fleet.cores.every((slot) => slot.process?.alive() === true && slot.running !== undefined && slot.running.isOpen()))
-    storm.blanking = false;
+function clearDiskLoss(fleet: Fleet, storm: Storm): void {
+  if (
+    storm.isDiskLost &&
+    fleet.cores.every((slot) => slot.process?.alive() === true && slot.running !== undefined && slot.running.isOpen())
+  )
+    storm.isDiskLost = false;
 }
 
-/** Asks now and then at one edge under a key, for a service and a kind that it may or may not have been given. */
-async function probeEdge(fleet: Fleet, storm: Storm, edge: EdgeSlot, probes: Probe[], goesOn: () => boolean): Promise<void> {
+/** Sends statements to one edge at intervals, with keys that may or may not permit the service and the kind of statement. */
+async function probeEdge(fleet: Fleet, storm: Storm, edge: EdgeSlot, probes: Probe[], isActive: () => boolean): Promise<void> {
   const prober = fleet.world.spawn('prober', 'prober-machine').runtime;
-  for (let attempt = 0; goesOn(); attempt += 1) {
-    const marks = storm.sends.map((sent) => sent.mark);
-    const key = [marks.at(-1) ?? secondKey, secondKey, pick(fleet, [...marks, 'never-given-key', fleet.key])][attempt % 3] as string;
-    const service = key === marks.at(-1) ? (fleet.deployment.services[0] as string) : pick(fleet, fleet.deployment.services);
-    const kind = key === marks.at(-1) ? 'leader-read' : pick(fleet, statementKinds);
+  for (let attempt = 0; isActive(); attempt += 1) {
+    const markerKeys = storm.sends.map((sent) => sent.markerKey);
+    const key = [markerKeys.at(-1) ?? secondKey, secondKey, pick(fleet, [...markerKeys, 'never-given-key', fleet.key])][
+      attempt % 3
+    ] as string;
+    const service = key === markerKeys.at(-1) ? (fleet.deployment.services[0] as string) : pick(fleet, fleet.deployment.services);
+    const kind = key === markerKeys.at(-1) ? 'leader-read' : pick(fleet, statementKinds);
     const startedAt = fleet.world.now();
     const reply = await http.exchangeOnce(
       prober,
@@ -80,18 +89,18 @@
   }
 }
 
-/** Until everything is back and has been for so long as the checks need; how long ago the last came back is what they count from. */
-async function settle(fleet: Fleet): Promise<number> {
-  const deadline = fleet.world.now() + longestReturnMilliseconds;
+/** Waits until all processes have run again for as long as the checks need, or the deadline. Returns the moment at which the last came back. */
+async function waitForRecovery(fleet: Fleet): Promise<number> {
+  const deadline = fleet.world.now() + longestRecoveryMilliseconds;
   let backAt = fleet.world.now();
-  while (fleet.world.now() - backAt < settleMilliseconds && fleet.world.now() < deadline) {
+  while (fleet.world.now() - backAt < recoveryMilliseconds && fleet.world.now() < deadline) {
     await fleet.world.run(100);
     if (!fleet.isHealthy()) backAt = fleet.world.now();
   }
   return backAt;
 }
 
-/** The day's last fault, after which every acknowledged version is read. */
+/** The last fault of a run, after which every acknowledged version is read back. */
 async function closingFault(fleet: Fleet, storm: Storm): Promise<void> {
   const kind = pick(fleet, ['disk', 'core', 'all', 'cut', 'none'] as const);
   storm.reported.push(`${Math.round(fleet.world.now())} closing ${kind}`);
@@ -101,7 +110,7 @@
     slot.disk = fleet.world.disk();
     await fleet.startCore(slot);
     await fleet.world.run(2_000);
-    // What the blank disk has copied must do when another is gone.
+    // What was copied to the empty disk must be enough when another core is lost.
     fleet.stopSlot(
       pick(
         fleet,
@@ -114,7 +123,7 @@
     await fleet.world.run(300);
     for (const core of fleet.cores) await fleet.startCore(core);
   } else if (kind === 'cut') {
-    for (const other of [...fleet.cores, ...fleet.edges].filter((one) => one.machine !== slot.machine)) {
+    for (const other of [...fleet.cores, ...fleet.edges].filter((node) => node.machine !== slot.machine)) {
       fleet.world.cut(slot.machine, other.machine);
       fleet.world.cut(other.machine, slot.machine);
     }
@@ -124,7 +133,7 @@
 }
 
 async function run(seed: number, options: StormOptions = {}): Promise<StormResult> {
-  // Every third fleet replicates without waiting (design 7.5); in every fifth the platform takes its time over every call, all day.
+  // In every third fleet replication is asynchronous (design 7.5); in every fifth the platform is slow to answer throughout the run.
   const fleet = fleets.create(seed, seed % 2 === 0 ? brightpath : redComun, { synchronous: seed % 3 === 0 ? 0 : 1, spareEdge: true });
   const storm = faults.create(fleet);
   const probes: Probe[] = [];
@@ -141,13 +150,13 @@
   const startedAt = fleet.world.now();
   const watch = checks.watch(fleet, storm.sends);
   const count = options.faults ?? (options.long === true ? 2 + Math.floor(fleet.world.fraction() * 24) : 8);
-  const drawn = faults.every.filter((one) => options.only === undefined || options.only.includes(one.name));
-  let together = 0;
+  const candidates = faults.all.filter((fault) => options.only === undefined || options.only.includes(fault.name));
+  let moment = 0;
   for (let index = 0; index < count; index += 1) {
-    const chosen = pick(fleet, drawn);
-    // One in four strikes at the very moment of the one before it.
-    if (index === 0 || fleet.world.fraction() > 0.25) together = 3_000 + fleet.world.fraction() * (milliseconds - 12_000);
-    fleet.world.schedule(together, () => {
+    const chosen = pick(fleet, candidates);
+    // One in four faults occurs at the same moment as the one before it.
+    if (index === 0 || fleet.world.fraction() > 0.25) moment = 3_000 + fleet.world.fraction() * (milliseconds - 12_000);
+    fleet.world.schedule(moment, () => {
       storm.reported.push(`${Math.round(fleet.world.now())} ${chosen.name}`);
       chosen.run(fleet, storm);
     });
@@ -158,27 +167,27 @@
     if (!sampling) return;
     ability.push({ at: fleet.world.now(), able: fleet.canOperate() });
     watch.sample();
-    notePeaks(fleet, storm);
-    clearBlanking(fleet, storm);
-    followHunt(fleet, storm);
+    recordPeakConnections(fleet, storm);
+    clearDiskLoss(fleet, storm);
+    applyPendingStrike(fleet, storm);
     fleet.world.schedule(sampleMilliseconds, sample);
   }
   sample();
   for (const edge of fleet.edges) void probeEdge(fleet, storm, edge, probes, () => sampling);
   await fleet.world.run(milliseconds);
 
-  // Every cut is healed; the clock of the recovery starts when the last machine is back.
+  // All partitions heal; the recovery is measured from when the last machine is back.
   fleet.world.healAll();
-  storm.hunt = undefined;
-  const backAt = await settle(fleet);
+  storm.pendingStrike = undefined;
+  const backAt = await waitForRecovery(fleet);
   const until = fleet.world.now();
   clients.stop();
   sampling = false;
-  // What is under way ends before the members' logs are read.
+  // Requests in flight end before the members' logs are read.
   await fleet.world.run(5_000);
   const windowFrom = Math.floor((initialWallTime + startedAt) / windowMilliseconds) + 1;
-  // The last of them have not come yet.
-  const windowUntil = Math.floor((initialWallTime + until - usageArrivesMilliseconds) / windowMilliseconds) - 1;
+  // The reports of the last windows have not arrived yet.
+  const windowUntil = Math.floor((initialWallTime + until - usageDelayMilliseconds) / windowMilliseconds) - 1;
   function wallOf(moment: number): number {
     return initialWallTime + moment;
   }
@@ -200,7 +209,7 @@
     ...checks.plannedEnds(fleet.ledger, storm.sends, storm.ends),
     ...checks.limits(fleet, storm.peaks),
     ...checks.recovery(fleet.ledger, fleet.deployment.services, backAt, until, fleet.deployment.requestsPerSecond),
-    ...(until - backAt < settleMilliseconds ? [{ check: 'run-broke', detail: 'the machines were not all back in time' }] : []),
+    ...(until - backAt < recoveryMilliseconds ? [{ check: 'run-broke', detail: 'not all processes recovered in time' }] : []),
     ...(await checks.readBack(fleet, storm.sends)),
   ];
   if (options.trace === true) {
@@ -225,12 +234,12 @@
       probes: probes.length,
       sheets: storm.sends.filter((sent) => sent.version > 0).length,
       going:
-        storm.sends.filter((sent) => sent.sheet.services.some((service) => service.members.some((one) => one.state === 'draining')))
+        storm.sends.filter((sent) => sent.configuration.services.some((service) => service.members.some((one) => one.state === 'draining')))
           .length + storm.drains.length,
-      ends: storm.ends.filter((end) => end.sound).length,
+      ends: storm.ends.filter((end) => end.isUndisturbed).length,
       promotions: fleet.platformStore.promotions.length,
     },
   };
 }
 
-export const storm = { run, faults: faults.every.map((fault) => fault.name) } as const;
+export const storm = { run, faults: faults.all.map((fault) => fault.name) } as const;
