--- a/packages/simulator/exploring-mutations.mjs
+++ b/packages/simulator/exploring-mutations.mjs
@@ -1,5 +1,6 @@
-// Shows that the exploration can fail: takes one guard of design 4.8 at a time out of a copy of the build and explores until it speaks.
-// `npm run exploring-mutations [-- name]`; works in a temporary copy, never in this tree.
+// Shows that the exploration detects faults: removes one guard of design 4.8 at a time from a copy of the build and explores until a
+// violation is reported.
+// `npm run exploring-mutations [-- name]`; works in a temporary copy, never in this source tree.
 import { spawnSync } from 'node:child_process';
 import fs from 'node:fs';
 import path from 'node:path';
@@ -8,8 +9,8 @@
 
 const root = path.resolve(path.dirname(fileURLToPath(import.meta.url)), '../..');
 const seconds = 30;
-// One with a story is a guard that the exploration does not judge: who may take a seat, and what leases lean on. `equivalent` says why
-// no test can tell the mutated code from the sound one.
+// `story`: the exploration does not cover this guard (which core may take a seat, or what leases rely on), so this scenario is run instead.
+// `equivalent`: why no test can distinguish the mutated code from the original.
 const mutations = [
   { name: 'any-set-is-answered', file: 'register/build/core-set-view.js', from: 'if (proposerNumber === view.number())', to: 'if (true)' },
   {
@@ -55,9 +56,9 @@
     file: 'register/build/ballot-round.js',
     from: 'const complete = { key, entry, ...setField };',
     to: 'const complete = { key, entry, ...currentSet(context).setField };',
-    // Every core whose accept counts has itself promised this ballot and stands at the later set. As many cores as a majority of either
-    // set have then promised, so that whatever a lower ballot chose under either set was seen or can be chosen no more.
-    equivalent: 'the accepts that count are a majority of cores that promised, whichever of the two sets they name',
+    // Every core whose accept counts has itself promised this ballot and is in the later set. The cores that promised are then as many as a
+    // majority of either set, so a value that a lower ballot chose in either set was seen, or can no longer be chosen.
+    equivalent: 'the accepts that count come from a majority of cores that promised, whichever of the two sets they name',
   },
   {
     name: 'former-occupant-goes-on',
@@ -88,15 +89,15 @@
 checkGuards(root, mutations);
 const wanted = process.argv.slice(2);
 const copy = copyOf(root, 'exploring');
-let blind = 0;
+let uncaught = 0;
 for (const mutation of mutations) {
   if (wanted.length > 0 && !wanted.includes(mutation.name)) continue;
   if (mutation.equivalent !== undefined) {
-    console.log(`${mutation.name}: not run, it changes nothing that can be seen: ${mutation.equivalent}`);
+    console.log(`${mutation.name}: not run, the mutation has no observable effect: ${mutation.equivalent}`);
     continue;
   }
   const putBack = takeOut(copy, mutation);
-  if (putBack === undefined) throw new Error(`${mutation.name}: the guard is not where it was`);
+  if (putBack === undefined) throw new Error(`${mutation.name}: the guard text was not found in the build`);
   const command =
     mutation.story === undefined
       ? [path.join(copy, 'packages/simulator/build/exploring.js'), '1', `--seconds=${seconds}`]
@@ -104,9 +105,9 @@
   const run = spawnSync(process.execPath, command, { encoding: 'utf8' });
   putBack();
   const caughtBy = /^(seed|schedule|scenario) .{0,150}|AssertionError.{0,110}/m.exec(run.stdout)?.[0];
-  if (caughtBy === undefined) blind += 1;
+  if (caughtBy === undefined) uncaught += 1;
   console.log(`${mutation.name}: ${caughtBy === undefined ? `NOT CAUGHT ${run.stderr.slice(0, 300)}` : `caught by ${caughtBy}`}`);
 }
 fs.rmSync(copy, { recursive: true, force: true });
-console.log(`exploring-mutations: ${blind} not caught`);
-process.exitCode = blind === 0 ? 0 : 1;
+console.log(`exploring-mutations: ${uncaught} not caught`);
+process.exitCode = uncaught === 0 ? 0 : 1;
--- a/packages/simulator/src/core-fleet.ts
+++ b/packages/simulator/src/core-fleet.ts
@@ -1,4 +1,4 @@
-/** Cores alone, of a set that changes by itself, and one edge that follows them (design 4.8). */
+/** A simulated fleet of cores whose core set changes without an operator, and one edge that holds leases from them (design 4.8). */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { core, type Core, type PlatformApi } from '@stallstall/core';
@@ -26,32 +26,32 @@
   world: World;
   machines: CoreMachine[];
   edge: LeaseHolder;
-  /** One more edge, on a machine of its own. */
+  /** Starts another edge on its own machine. */
   startEdge: (name: string, seeds: readonly string[]) => FleetEdge;
-  /** The service whose epoch is settled, and the sheet that every version here holds. */
+  /** The service that has an epoch, and the configuration content that every version has here. */
   service: string;
   configuration: unknown;
-  /** Of a machine that every core can reach. */
+  /** The runtime of a machine that can reach every core. */
   operatorRuntime: Runtime;
-  /** Sends configurations one after the other, each to the next core that is there, until told to stop. */
+  /** Sends configuration versions one after the other, each to the next core in turn, until stopped. */
   startOperator: (everyMilliseconds?: number) => Readonly<{ stop: () => void }>;
-  /** The highest version that any core acknowledged. */
+  /** The highest configuration version that any core has acknowledged. */
   highestAcknowledgedVersion: () => number;
   acknowledgementsBy: (name: string) => number;
   lastAcknowledger: () => string;
-  /** The version that a core reads back as the newest; none when it cannot. */
+  /** The newest version according to a core; none if it cannot be read. */
   readVersion: (machine: CoreMachine) => Promise<Option.Option<number>>;
-  /** An acknowledged version was not read back, or none was obeyed by the edge's lease. */
+  /** Reads that returned an older version than one already acknowledged. */
   violations: readonly string[];
-  /** How often the edge's lease was found to have run out while a majority could have granted it. */
+  /** How many samples found the lease of the first edge expired. Expected to be 0 while a majority of cores could grant it. */
   leaseGapCount: () => number;
   start: (machine: CoreMachine, mayFound: boolean) => Promise<void>;
-  /** A machine that nobody has met, with an empty disk; its seeds may be any. */
+  /** Starts a core with an empty disk on a machine unknown to the others, with the given seed addresses. */
   startBlankCore: (seeds: readonly string[]) => Promise<CoreMachine>;
   kill: (machine: CoreMachine) => void;
-  /** From now on each put takes so much longer, also on machines that come later. */
+  /** Makes each disk write take so much longer, also on machines that are added later. */
   slowDisks: (milliseconds: number) => void;
-  /** From every other machine, also from those that come later, until all are healed. */
+  /** Cuts a machine off from all others, also from those added later, until `healAll`. */
   isolate: (machine: CoreMachine) => void;
   healAll: () => void;
   machine: (name: string) => CoreMachine;
@@ -121,7 +121,11 @@
         calls: { promotion: unusedCall, usage: unusedCall, handoverDelayMilliseconds: 3_000 },
         probe: {
           readState: () =>
-            Promise.resolve(Either.left(fault.create({ kind: 'unreachable', message: 'no member runs here', remedy: 'none is needed' }))),
+            Promise.resolve(
+              Either.left(
+                fault.create({ kind: 'unreachable', message: 'there are no members in this simulation', remedy: 'none is needed' }),
+              ),
+            ),
           ensureConnection: () => Promise.resolve(Either.right(null)),
         },
         routes: function capture(platformApi) {
@@ -137,7 +141,7 @@
     else spawned.runtime.stop(started.left);
   }
 
-  /** What ended by itself is started again, as the platform does. */
+  /** Restarts processes that ended by themselves, as the platform does. */
   function restartEndedCores(): void {
     for (const machine of machines) {
       if (machine.process !== undefined && !machine.process.alive() && Option.isSome(machine.process.stopReason()))
@@ -163,7 +167,7 @@
 
   function isolate(machine: CoreMachine): void {
     isolatedMachines.add(machine);
-    for (const other of [...machines.map((one) => one.machine), 'edge-machine']) {
+    for (const other of [...machines.map((other) => other.machine), 'edge-machine']) {
       if (other === machine.machine) continue;
       world.cut(other, machine.machine);
       world.cut(machine.machine, other);
@@ -271,18 +275,18 @@
   }
 
   if (!(await runUntil(isFleetFounded, 10_000))) throw new Error('the cores did not found a fleet');
-  const first = machines[0] as CoreMachine;
-  const firstConfiguration = first.platformApi?.configure({ version: 0, source: '0' }, configuration);
-  const register = first.process?.runtime.services.find(registerService);
+  const firstCore = machines[0] as CoreMachine;
+  const firstConfiguration = firstCore.platformApi?.configure({ version: 0, source: '0' }, configuration);
+  const register = firstCore.process?.runtime.services.find(registerService);
   const epochEntry = register?.change(`epoch/${service}`, () =>
-    Option.some({ epoch: 1, primary: `${service}-1`, wonBy: first.name, position: 0, settledAt: 0 }),
+    Option.some({ epoch: 1, primary: `${service}-1`, wonBy: firstCore.name, position: 0, settledAt: 0 }),
   );
   let done = false;
   void Promise.all([firstConfiguration, epochEntry]).then(() => {
     done = true;
   });
   if (!(await runUntil(() => done && edge.leaseUntil(service) > edgeRuntime.clock.now(), 10_000)))
-    throw new Error('the edge was granted no lease');
+    throw new Error('the edge did not obtain a lease');
 
   function sampleLease(): void {
     if (edge.leaseUntil(service) <= edgeRuntime.clock.now()) leaseGapCount += 1;
@@ -318,7 +322,7 @@
     acknowledgementsBy: (name) => acknowledgementCounts.get(name) ?? 0,
     lastAcknowledger: () => lastAcknowledger,
     leaseGapCount: () => leaseGapCount,
-    machine: (name) => machines.find((one) => one.name === name) as CoreMachine,
+    machine: (name) => machines.find((candidate) => candidate.name === name) as CoreMachine,
     coreSetOf: function coreSetOf(machine) {
       const membership = machine.running?.node.membership();
       return {
--- a/packages/simulator/src/event-queue.ts
+++ b/packages/simulator/src/event-queue.ts
@@ -1,9 +1,9 @@
-/** The events of a simulated world in the order of their time, and the generator that a seed stands for. */
+/** The event queue of a simulation, ordered by time, and the seeded pseudorandom generator. */
 
-/** An event that nobody waits for any more (an timer that was cancelled, a horizon that was met) is passed over. */
+/** An event is skipped if `isNeeded` returns false at its time, for example because a timer was cancelled or a timeout no longer applies. */
 export type Event = Readonly<{ time: number; lastOrder: number; action: () => void; isNeeded: (() => boolean) | undefined }>;
 
-/** A small generator with a good spread; the seed is the whole of its state. */
+/** A small pseudorandom generator (mulberry32) with a good distribution, whose only state is derived from the seed. */
 export function randomGenerator(seed: number): () => number {
   let state = (seed * 2_654_435_761 + 1) >>> 0;
   return function next() {
@@ -19,7 +19,7 @@
   return left.time !== right.time ? left.time < right.time : left.lastOrder < right.lastOrder;
 }
 
-/** A binary heap: the earliest event first, and of two at one time the one pushed first. */
+/** A binary heap: the earliest event comes first, and of two events at the same time the one pushed first. */
 export function eventQueue(): Readonly<{ push: (event: Event) => void; pop: () => Event | undefined; peek: () => Event | undefined }> {
   const heap: Event[] = [];
 
--- a/packages/simulator/src/explore-losses.ts
+++ b/packages/simulator/src/explore-losses.ts
@@ -1,20 +1,20 @@
 /**
- * One loss at each moment in turn, while three cores repair or replace one: the course of each exploration is the same up to the
- * loss, and messages are lost and reordered by its seed (design 4.8, 10.4).
+ * Injects one more loss at each moment in turn while three cores repair or replace one of them. All runs of a seed are identical up to
+ * the injected loss; the seed also determines which messages are lost and reordered (design 4.8, 10.4).
  */
 import { explore, type Exploration } from './explore.js';
 import type { Machine } from './explored-machines.js';
 
-/** What happens later in an exploration, by the happening at which it does. */
+/** Actions planned for later in an exploration, with the event number at which each is due. */
 type PlannedActions = Array<Readonly<{ atEvent: number; action: () => void }>>;
 
 type Scenario = Readonly<{
   name: string;
-  /** The repair or replacement that is under way. */
+  /** Starts the repair or replacement. */
   begin: (exploration: Exploration, plan: PlannedActions) => void;
-  /** Whether the loss comes only once all seats are level again, and within so many happenings after that. */
+  /** Whether the loss is injected only after all seats are up to date again, within `momentsAfterRecovery` moments. */
   isLossAfterRecovery: boolean;
-  /** The loss, struck at each moment in turn. */
+  /** The loss that is injected at each moment in turn. */
   loseMachine: (exploration: Exploration, plan: PlannedActions) => void;
 }>;
 
@@ -23,14 +23,14 @@
 const coreCount = 3;
 const scenarioStartEvent = 40;
 const momentsAfterRecovery = 40;
-/** No repair lasts longer, undisturbed. */
+/** No repair takes longer without a further loss. */
 const maxRepairEvents = 2_500;
 const eventsAfterLoss = 150;
 const eventsUntilRestart = 60;
 const eventsUntilLeave = 60;
 
 function machineNamed(exploration: Exploration, name: string): Machine {
-  return exploration.machines.all().find((one) => one.name === name) as Machine;
+  return exploration.machines.all().find((candidate) => candidate.name === name) as Machine;
 }
 
 function loseForGood(exploration: Exploration, name: string): void {
@@ -53,7 +53,7 @@
   planRestart(exploration, plan, name);
 }
 
-/** The successor comes first, then the old machine is told to end; it ends by itself some time later. */
+/** The successor starts first, then the old machine is told to leave; it ends some time later. */
 function replaceAsPlanned(exploration: Exploration, plan: PlannedActions): void {
   exploration.machines.add([]);
   plan.push({ atEvent: exploration.now() + eventsUntilLeave, action: () => machineNamed(exploration, 'm1').leave() });
@@ -106,7 +106,7 @@
     loseMachine: (exploration) => loseForGood(exploration, 'm4'),
   },
   {
-    // It stays until its seat is taken, which must not be before the first newcomer is level.
+    // The leaving core stays until its seat is taken, which must not happen before the first newcomer is up to date.
     name: 'replacement with two newcomers, another core leaves meanwhile',
     begin: function begin(exploration) {
       replaceUnplanned(exploration);
@@ -155,7 +155,7 @@
 ];
 
 async function runEvent(exploration: Exploration, plan: PlannedActions): Promise<void> {
-  for (const dueAction of plan.filter((one) => one.atEvent <= exploration.now())) {
+  for (const dueAction of plan.filter((planned) => planned.atEvent <= exploration.now())) {
     plan.splice(plan.indexOf(dueAction), 1);
     dueAction.action();
   }
@@ -168,7 +168,7 @@
 
 type ScenarioRun = Readonly<{ violation: string | undefined; events: number; results: number; moments: number }>;
 
-/** Plays a scenario with its loss at one moment; without a loss, until the repair is done, where none is given. */
+/** Runs a scenario with its loss at the given moment, or without the loss until the repair is done if no moment is given. */
 async function runScenario(scenario: Scenario, seed: number, moment: number | undefined): Promise<ScenarioRun> {
   const exploration = explore.createExploration(seed, coreCount, 1, {
     delayed: 0.1,
@@ -186,7 +186,7 @@
   const momentAtRecovery = exploration.moments();
   if (moment !== undefined) {
     const lossMoment = (scenario.isLossAfterRecovery ? momentAtRecovery : momentAtStart) + moment;
-    // Once all is calm nothing may happen any more; then the loss comes all the same.
+    // After recovery there may be no more counted events; the loss is then injected all the same.
     for (const latest = exploration.now() + maxRepairEvents; exploration.moments() < lossMoment && exploration.now() < latest;)
       await runEvent(exploration, plan);
     scenario.loseMachine(exploration, plan);
@@ -198,14 +198,14 @@
   return { violation, events: exploration.now(), results: exploration.results.length, moments: momentAtRecovery - momentAtStart };
 }
 
-/** Tries a scenario's loss at every moment of its repair, or of the time right after it; with a stride, at one of so many. */
+/** Runs a scenario once per moment of its repair, or of the time right after it, with the loss at that moment; `stride` skips moments. */
 async function runAtEveryMoment(scenario: Scenario, seed: number, stride = 1): Promise<ScenarioResult> {
   const undisturbed = await runScenario(scenario, seed, undefined);
   const last = scenario.isLossAfterRecovery ? momentsAfterRecovery : undisturbed.moments;
   let events = undisturbed.events;
   let results = undisturbed.results;
   let momentsTried = 0;
-  if (undisturbed.violation !== undefined) return { violation: `undisturbed: ${undisturbed.violation}`, moments: 0, events, results };
+  if (undisturbed.violation !== undefined) return { violation: `without a loss: ${undisturbed.violation}`, moments: 0, events, results };
   for (let moment = 0; moment <= last; moment += stride) {
     const runWithLoss = await runScenario(scenario, seed, moment);
     momentsTried += 1;
--- a/packages/simulator/src/explore.ts
+++ b/packages/simulator/src/explore.ts
@@ -1,6 +1,7 @@
 /**
- * Orders of all that happens to a register while its cores are lost, replaced and lose their disks: drawn from a seed, or one loss at
- * each moment in turn. Judged by what clients were told, and by whether the register serves once all is calm (design 4.8, 10.4).
+ * Explores interleavings of messages, disk syncs and losses of cores while a register is in use and its cores are lost, replaced or lose
+ * their disks. Checks that the results seen by clients form one history, and that the register serves again once the losses end
+ * (design 4.8, 10.4).
  */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
@@ -18,9 +19,9 @@
 const writerCount = 3;
 const operationsPerWriter = 8;
 const maxEvents = 6_000;
-/** Once all is calm the register must serve within so many happenings. */
+/** Once no more faults occur the register must serve within so many events. */
 const recoveryEvents = 8_000;
-/** Four seconds: the shortest time in which machines are said to settle. */
+/** Four seconds of virtual time: the shortest time within which machines are specified to recover from a loss. */
 const stabilizationEvents = 400;
 const deadlineMilliseconds = 3_000;
 
@@ -32,7 +33,7 @@
   return shorter.every((token, index) => longer[index] === token);
 }
 
-/** What was read or acknowledged is one history, and whoever begins later sees all of it. */
+/** Checks that all values read or acknowledged form one history, and that an operation sees everything that ended before it began. */
 function findViolations(results: readonly OperationResult[]): readonly string[] {
   const violations: string[] = [];
   for (const first of results) {
@@ -46,7 +47,7 @@
   return violations;
 }
 
-/** One exploration: machines, what is under way between them, and what clients were told. */
+/** Creates the state of one exploration: machines, pending events, and the results seen by clients. */
 function createExploration(seed: number, coreCount: number, keyCount: number, rates: FaultRates) {
   const random = randomGenerator(seed);
   const pending: PendingEvent[] = [];
@@ -54,12 +55,12 @@
   const isolatedMachines = new Set<string>();
   const waiters: Array<Readonly<{ until: number; resolve: () => void }>> = [];
   const keys = Array.from({ length: keyCount }, (_, index) => `cell-${index}`);
-  /** One that hears next to nothing of new sets, though proposers reach it. */
+  /** A machine that learns almost nothing of new core sets, although proposers reach it. */
   const uninformedMachine = random() < 0.5 ? `m${1 + Math.floor(random() * (coreCount + 1))}` : undefined;
   let now = 0;
   let recovering = false;
   let countedEvents = 0;
-  /** How many seats were short, and when a step was under way, at each of the latest happenings. */
+  /** For each of the latest events: the number of unavailable seats, plus one if a change of the core set was pending. */
   const recentUnavailability: number[] = [];
 
   const machines: Machines = exploredMachines.create({
@@ -95,7 +96,7 @@
     }
   }
 
-  /** Machines hear of each other now and then: who is behind, or of no set, hears of the newest in the end. */
+  /** Lets a random machine learn the core set of another, so that machines that are behind or in no set eventually learn the newest. */
   function gossip(): void {
     const all = machines.all();
     const receiver = all[Math.floor(random() * all.length)] as Machine;
@@ -106,14 +107,14 @@
       receiver.observeCoreSet(senderSet.value);
   }
 
-  /** Settles once so many happenings have gone by. */
+  /** Resolves after so many events. */
   function waitForEvents(eventCount: number): Promise<void> {
     return new Promise((resolve) => waiters.push({ until: now + eventCount, resolve }));
   }
 
   async function tick(): Promise<void> {
     now += 1;
-    for (const waiter of waiters.filter((one) => one.until <= now)) {
+    for (const waiter of waiters.filter((candidate) => candidate.until <= now)) {
       waiters.splice(waiters.indexOf(waiter), 1);
       waiter.resolve();
     }
@@ -144,12 +145,15 @@
     );
     if (Either.isLeft(changed)) return false;
     const list = listOf(changed.right.entry);
-    // Others may have added theirs between two of its shots: what it knows is the history up to its own.
+    // Other writers may have appended between two attempts of this change: what its result proves is the history up to its own token.
     results.push({ key, operation: `${token} put`, startedAt, endedAt: now, list: list.slice(0, list.indexOf(token) + 1) });
     return true;
   }
 
-  /** All that was lost is back or replaced, messages arrive, and every key is written and read back: else the register serves no more. */
+  /**
+   * Ends all faults and runs until every key was written and read back and no seat is unavailable. Returns a violation if that does not
+   * happen in time. All lost machines must have been restarted or replaced.
+   */
   async function checkRecovery(): Promise<string | undefined> {
     recovering = true;
     isolatedMachines.clear();
@@ -165,15 +169,15 @@
     void writeAndReadAllKeys();
     const until = now + recoveryEvents;
     while (now < until && !(hasServed && machines.unavailableSeatCount() === 0)) await tick();
-    if (!hasServed) return `serves no more: ${describeState()}`;
-    return machines.unavailableSeatCount() === 0 ? undefined : `a seat stays short: ${describeState()}`;
+    if (!hasServed) return `the register no longer serves: ${describeState()}`;
+    return machines.unavailableSeatCount() === 0 ? undefined : `a seat stays unavailable: ${describeState()}`;
   }
 
   function describeState(): string {
     const set = machines.newestCoreSet();
     const states = machines.all().map((machine) => {
-      const level = machine.activeCoreSet();
-      return `${machine.name} ${!machine.isUp() ? 'down' : Option.isSome(level) ? `at ${level.value.number}` : 'learns'}`;
+      const activeSet = machine.activeCoreSet();
+      return `${machine.name} ${!machine.isUp() ? 'down' : Option.isSome(activeSet) ? `in set ${activeSet.value.number}` : 'catching up'}`;
     });
     return `set ${set.number} of ${set.seats.map((seat) => seat.node).join(' ')}; ${states.join(', ')}`;
   }
@@ -191,9 +195,9 @@
     appendToken,
     checkRecovery,
     now: () => now,
-    /** The most seats that were short at once within the time in which machines settle. */
+    /** The maximum of `recentUnavailability`, within the time that machines may take to recover, and of the seats unavailable now. */
     maxRecentUnavailability: () => Math.max(machines.unavailableSeatCount(), ...recentUnavailability),
-    /** How many syncs and messages of the set of cores there were. */
+    /** How many disk syncs and messages about the core set there have been. */
     moments: () => countedEvents,
   };
 }
@@ -205,8 +209,8 @@
 }
 
 /**
- * What may be lost next: never more at once than the seats tolerate, where a loss counts until all seats have been level for the time
- * in which machines settle. A step whose vacancy is over may be under way that long.
+ * Whether another machine may be lost: never more at once than the set tolerates, where a loss counts until all seats have been up to
+ * date for the time that machines may take to recover. A change of the set may stay pending that long after its vacancy has ended.
  */
 function mayLoseAnother(exploration: Exploration, toleratedLosses: number, leavingCount: number): boolean {
   return exploration.maxRecentUnavailability() + leavingCount + exploration.isolatedMachines.size < toleratedLosses;
@@ -217,7 +221,7 @@
   const register = machines.client(name, exploration.initialSet);
   const maxIdleEvents = sparse ? 300 : 10 + random() * 120;
   const readShare = random() * 0.6;
-  // Ballots far beyond those of the others: what this one leaves on a minority may outlast a set.
+  // Ballots far above those of the other writers: what this writer leaves on a minority may outlast a core set.
   const extraBallots = random() < 0.5 ? Math.floor(random() * 8) : 0;
   for (let attempt = 0; attempt < extraBallots; attempt += 1)
     await register.change(`own-${name}`, () => Option.some([String(attempt)]), deadlineMilliseconds);
@@ -229,7 +233,7 @@
   }
 }
 
-/** Some runs begin with a round that broke off under the first set: promised by a majority far ahead of all others, accepted by one. */
+/** Leaves an unfinished round in the first set: a ballot far above all others, promised by a majority and accepted by one core. */
 async function leaveUnfinishedRound(exploration: Exploration, coreCount: number): Promise<void> {
   const { machines, keys, random } = exploration;
   const shuffledSeats = machines.seats(exploration.initialSet.seats.map((seat) => seat.node).sort(() => random() - 0.5));
@@ -238,7 +242,7 @@
   const promises = await Promise.all(
     shuffledSeats.slice(0, quorum.majority(coreCount)).map((seat) => machines.sendOnce(seat, 'prepare', { key, ballot, set: 1 })),
   );
-  if (!promises.every((one) => Option.isSome(one) && one.value.agreed)) return;
+  if (!promises.every((reply) => Option.isSome(reply) && reply.value.agreed)) return;
   await machines.sendOnce(shuffledSeats[0] as (typeof shuffledSeats)[number], 'accept', {
     key,
     entry: { ballot, version: 1, value: ['broken'] },
@@ -246,7 +250,7 @@
   });
 }
 
-/** One of the ways in which a core is lost, and comes back or is replaced. */
+/** Loses a core in a random way: restart, lost disk, network isolation, permanent loss or planned departure; the last two add a successor. */
 function loseMachine(exploration: Exploration, victim: Machine, leavingMachines: Map<Machine, number>): void {
   const { random, machines } = exploration;
   const lossKind = Math.floor(random() * 5);
@@ -266,7 +270,7 @@
   }
 }
 
-/** Machines that never come back. */
+/** Machines that are never restarted. */
 const lostForGood = new WeakSet<Machine>();
 
 async function run(seed: number): Promise<ExplorationResult> {
@@ -290,7 +294,7 @@
   if (sparse) await Promise.race([leaveUnfinishedRound(exploration, coreCount), runEvents(exploration, 60)]);
   for (let index = 0; index < writerCount; index += 1) void runWriter(exploration, `x${index}`, sparse).then(() => (activeWriters -= 1));
 
-  /** A machine that was lost comes back, unless it was lost for good. */
+  /** Randomly restarts or reconnects lost machines, except those lost for good, and ends departing machines whose time has come. */
   function recoverMachines(): void {
     for (const machine of machines.all()) if (!machine.isUp() && !lostForGood.has(machine) && random() < 0.01) machine.start();
     for (const name of exploration.isolatedMachines) if (random() < 0.005) exploration.isolatedMachines.delete(name);
@@ -315,7 +319,7 @@
         losses += 1;
       }
     }
-    // Nobody's process ever lasts: one may end and begin again without being missed by anybody, before it is level as well.
+    // Any process may restart unnoticed, also one that is not in the set yet because it is still catching up.
     if (random() < 0.001) {
       const joiningMachine = machines
         .all()
--- a/packages/simulator/src/explored-machines.ts
+++ b/packages/simulator/src/explored-machines.ts
@@ -1,6 +1,6 @@
 /**
- * Cores that hold a register while their seats change hands, for explorations: acceptors, proposers, steps, learners and copying are
- * the product's own; messages, syncs and losses happen when and as the exploration says (design 4.8, 10.4).
+ * Simulated cores of a register whose core set changes, for explorations. Acceptors, proposers, core set changes, learners and state
+ * transfer are production code; the exploration decides when messages, disk syncs and losses happen (design 4.8, 10.4).
  */
 import { memoryDisk } from './memory-disk.js';
 import * as Either from 'fp-ts/lib/Either.js';
@@ -26,46 +26,46 @@
   type RegisterReplica,
 } from '@stallstall/register';
 
-/** What an exploration decides: when each thing that is under way happens, if it does, and who hears whom. */
+/** What an exploration decides: when each pending event happens, which messages are lost, and which machines hear each other. */
 export type ExplorationControl = Readonly<{
   random: () => number;
   now: () => number;
-  /** Has this happen at some later moment; a step is a message that has to do with the set of cores. */
+  /** Schedules an event for some later moment. A `step` is a message about the core set. */
   schedule: (act: () => void, eventType: 'message' | 'step' | 'sync' | 'pause') => void;
-  /** Whether a message is lost on its way. */
+  /** Whether a message is lost in transit. */
   isLost: (from: string, to: string, kind: MessageKind) => boolean;
-  /** Whether one machine has not heard another for long. */
+  /** Whether a machine has received no heartbeat from another for long. */
   isSilent: (at: string, other: string) => boolean;
 }>;
 
 export type Machine = Readonly<{
   name: string;
   isUp: () => boolean;
-  /** The set that it stands at; none while it answers nothing. */
+  /** The core set in which it is active; none while it answers no ballots. */
   activeCoreSet: () => Option.Option<CoreSet>;
   /** Whether it holds eventType may decide the step after this set. */
   hasAcceptedStep: (after: number) => boolean;
-  /** Whether it may be proposing a step for somebody who asked for a seat. */
+  /** Whether it is handling a join request, and so may be proposing a change of the core set. */
   isHandlingJoin: () => boolean;
   observeCoreSet: (set: CoreSet) => void;
   leave: () => void;
-  /** Ends without a word; with `wiped` its disk is lost as well. */
+  /** Ends the process without notice to others; with `wiped` its disk is lost as well. */
   crash: (wiped: boolean) => void;
   start: () => void;
 }>;
 
 export type Machines = Readonly<{
   all: () => readonly Machine[];
-  /** A machine that was founded with the first set, or one that is blank. */
+  /** Adds a machine: a founder if its name is listed, otherwise one with an empty disk. */
   add: (founders: readonly string[]) => Machine;
-  /** A register for somebody who is no core: it learns of sets as it goes on. */
+  /** A register client that is not a core; it learns of newer core sets from replies. */
   client: (name: string, first: CoreSet) => CoreSetRegister;
-  /** Says one thing to one core, as a proposer would that ended right after. */
+  /** Sends one message to one core, like a proposer that ends right afterwards. */
   sendOnce: <Kind extends 'prepare' | 'accept'>(seat: NodeRecord, kind: Kind, body: Request<Kind>) => Promise<Option.Option<Reply<Kind>>>;
   newestCoreSet: () => CoreSet;
-  /** Seats whose occupant is not up, not level, or behind. */
+  /** The number of seats of the newest set whose core is down, still catching up, or in an earlier set. */
   unavailableSeatCount: () => number;
-  /** A step is under way that may still be decided. */
+  /** Whether a change of the core set is pending that may still be decided. */
   isSetChangePending: () => boolean;
   seats: (names: readonly string[]) => readonly NodeRecord[];
 }>;
@@ -79,10 +79,10 @@
   readonly pendingCalls: Set<() => void>;
 };
 
-/** Clocks of explorations: so that a call and its answer, or a few syncs, take some tenths of a second. */
+/** Clock advance per event, chosen so that a call with its reply, or a few disk syncs, takes some tenths of a second. */
 const millisecondsPerEvent = 10;
 
-/** The seat of a core that is known by its name alone. */
+/** The node record of a core, derived from its name. */
 export function createSeat(name: string): NodeRecord {
   return { node: name, role: 'core', area: 'north', address: `${name}:1`, outward: `${name}:2`, draining: false };
 }
@@ -101,7 +101,7 @@
     return identifiers.instant(control.now() * millisecondsPerEvent);
   }
 
-  /** What is under way in a process ends with it: whoever waits in an earlier life waits for ever. */
+  /** Creates the runtime of one incarnation of a process. Its timers and waits never complete once that incarnation has ended. */
   function runtimeOf(name: string, alive: () => boolean): Runtime {
     const clock: Clock = {
       now,
@@ -168,7 +168,7 @@
     return { ready, ...(isActive ? { set } : {}), votes: {}, notes: { floors: {}, reports: [], through: {} }, ...read };
   }
 
-  /** A call is answered, lost, or, once its callee has ended, given up. */
+  /** A call is answered, lost, or ended without a reply when its callee ends. */
   function callFrom(from: string, alive: () => boolean): CoreCall {
     function call(address: string, kind: MessageKind, body: unknown): Promise<Option.Option<unknown>> {
       return new Promise(function send(resolve) {
--- a/packages/simulator/src/exploring.ts
+++ b/packages/simulator/src/exploring.ts
@@ -1,16 +1,16 @@
 /**
- * `node build/exploring.js [first seed] [--seconds=N] [--stride=N]`: plays the written schedules, strikes one loss at one of so many
- * moments of each repair in turn, and explores seed after seed for so many seconds; ends at the first violation.
+ * `node build/exploring.js [first seed] [--seconds=N] [--stride=N]`: runs the fixed schedules, then each loss scenario with the loss at
+ * every Nth moment of the repair, then random explorations seed after seed for N seconds. Stops at the first violation.
  */
 import { exploreLosses } from './explore-losses.js';
 import { explore } from './explore.js';
 import { knownRed, type TestOutcome } from './known-red.js';
 import { schedules } from './schedules.js';
 
-/** Each schedule, scenario and explored seed by its name. */
+/** One outcome per schedule, scenario and explored seed. */
 type Outcomes = TestOutcome[];
 
-/** Every second moment fits into a check; a night's run takes them all. */
+/** Every second moment is what fits into a CI check; nightly runs take every moment. */
 const defaultStride = 2;
 
 function numberOption(name: string, defaultValue: number): number {
@@ -39,10 +39,10 @@
     events += result.events;
     const wasChecked = result.moments > 0 && result.results > 0;
     const test = `scenario ${scenario.name}`;
-    recordOutcome(outcomes, test, result.violation ?? (wasChecked ? undefined : 'nothing was judged'));
+    recordOutcome(outcomes, test, result.violation ?? (wasChecked ? undefined : 'no results were checked'));
     if (outcomes.at(-1)?.isFailed === true && !isKnownRed(test)) return;
   }
-  console.log(`${exploreLosses.scenarios.length} scenarios, a loss at each of ${moments} moments, ${events} happenings`);
+  console.log(`${exploreLosses.scenarios.length} scenarios, a loss at each of ${moments} moments, ${events} events`);
 }
 
 async function exploreSeeds(first: number, seconds: number, outcomes: Outcomes): Promise<void> {
@@ -60,9 +60,11 @@
   let seed = first;
   let violation: string | undefined;
   for (; Date.now() < until && violation === undefined; seed += 1) violation = isKnownRed(String(seed)) ? undefined : await runSeed(seed);
-  console.log(`${seed - first} runs, ${total.events} happenings, ${total.losses} losses, ${total.steps} steps, ${total.results} results`);
+  console.log(
+    `${seed - first} runs, ${total.events} events, ${total.losses} losses, ${total.steps} core set changes, ${total.results} results`,
+  );
   const wasChecked = total.steps > 0 && total.losses > 0 && total.results > 0;
-  if (violation === undefined) recordOutcome(outcomes, 'seeds', wasChecked ? undefined : 'nothing was judged');
+  if (violation === undefined) recordOutcome(outcomes, 'seeds', wasChecked ? undefined : 'no results were checked');
   else recordOutcome(outcomes, String(seed - 1), violation);
 }
 
--- a/packages/simulator/src/frames.ts
+++ b/packages/simulator/src/frames.ts
@@ -1,8 +1,8 @@
-/** What the simulated network hands over: values copied as a wire would, and streams of text over links. */
+/** Copies of messages as JSON serialization would make them, and text streams over links. */
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Link, Stream } from '@stallstall/kernel';
 
-/** What JSON would make of a value, without the text between; nobody shares what was sent. */
+/** Copies a value as a JSON round trip would, without producing the text, so that sender and receiver share no object. */
 export function jsonCopy(value: unknown): unknown {
   if (typeof value === 'number') return Number.isFinite(value) ? value : null;
   if (typeof value !== 'object' || value === null) return value;
@@ -12,7 +12,7 @@
   return result;
 }
 
-/** A stream carries text over a link, so that order, cuts and darkness hold for it as well. */
+/** Wraps a link as a text stream, so that ordering, network cuts and unresponsive machines apply to it as well. */
 export function streamFromLink(link: Link): Stream {
   let closed = false;
   return {
--- a/packages/simulator/src/link-end.ts
+++ b/packages/simulator/src/link-end.ts
@@ -1,15 +1,15 @@
-/** One end of a simulated link: a queue of arrived messages and at most one receiver that waits. */
+/** One end of a simulated link: a queue of received messages, and at most one pending `receive`. */
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Link } from '@stallstall/kernel';
 
-/** One end of a link: its public side, and what the other end does to it. */
+/** One end of a link: the public `Link`, and the operations by which the other end delivers messages and disconnects it. */
 export type LinkEnd = { readonly link: Link; readonly deliver: (message: unknown) => void; readonly disconnect: () => void };
 
 /**
  * Creates one end of a link.
- * @param send - hands a message to the other end
- * @param onClose - called once, when this end closes
- * @param onReset - called on a reset: what was sent and has not arrived never does
+ * @param send - sends a message to the other end
+ * @param onClose - called once, when this end is closed or reset
+ * @param onReset - called on a reset, before `onClose`: messages that are still in transit must be dropped
  */
 export function linkEnd(send: (message: unknown) => void, onClose: () => void, onReset: () => void): LinkEnd {
   const receivedMessages: unknown[] = [];
--- a/packages/simulator/src/memory-disk.ts
+++ b/packages/simulator/src/memory-disk.ts
@@ -1,9 +1,9 @@
-/** A disk in memory that never fails, for explorations that bring no trouble of disks about. */
+/** An in-memory disk that never fails, for explorations without disk faults. */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Disk } from '@stallstall/kernel';
 
-/** `entries` is asked for at each read, so that a disk may be exchanged; `put` decides when a value stands. */
+/** `entries` is called at each read, so that the contents can be replaced; `put` decides when a value is stored. */
 function create(entries: () => ReadonlyMap<string, unknown>, put: Disk['put']): Disk {
   return {
     load: () => Promise.resolve(Either.right(entries())),
--- a/packages/simulator/src/simulated-disk.ts
+++ b/packages/simulator/src/simulated-disk.ts
@@ -1,26 +1,26 @@
-/** The disk of a simulated machine: what lies on it, what troubles it, and how a process sees it (design 10.4). */
+/** The disk of a simulated machine: its contents, its faults, and the `Disk` interface that a process uses (design 10.4). */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { diskHealth, fault, type Clock, type Disk, type Fault } from '@stallstall/kernel';
 
-/** `failing`: takes no bytes. `full`: has no room for them. `hanging`: answers nothing until it no longer hangs. */
+/** `failing`: every write fails. `full`: every write fails for lack of space. `hanging`: writes complete only once it no longer hangs. */
 export type DiskFaults = { failing: boolean; full: boolean; hanging: boolean; slowMilliseconds: number };
 export type SimulatedDisk = { readonly entries: Map<string, string>; readonly faults: DiskFaults };
 
-/** Has a write reach the disk when its trouble allows. */
+/** Schedules a write: it completes, fails or is delayed as the faults of the disk require. */
 export type ScheduleWrite = (key: string, write: () => void) => Promise<Either.Either<Fault, null>>;
 
 const putCountKey = '#puts';
 const discardReasonKey = '#lost';
 
 function create(disk: SimulatedDisk, clock: Clock, scheduleWrite: ScheduleWrite): Disk {
-  const health = diskHealth.create(clock, () => scheduleWrite('a probe', () => undefined));
+  const health = diskHealth.create(clock, () => scheduleWrite('a probe write', () => undefined));
 
   function read<Value>(value: () => Value): Promise<Either.Either<Fault, Value>> {
     try {
       return Promise.resolve(Either.right(value()));
     } catch (error) {
-      return Promise.resolve(Either.left(fault.diskDamaged('the disk', error as Error)));
+      return Promise.resolve(Either.left(fault.diskDamaged('the simulated disk', error as Error)));
     }
   }
 
@@ -31,7 +31,7 @@
   function page(prefix: string, after: string, bytes: number): ReadonlyArray<readonly [string, unknown]> {
     const found: Array<readonly [string, unknown]> = [];
     let remainingBytes = bytes;
-    for (const key of [...disk.entries.keys()].filter((one) => one.startsWith(prefix) && one > after).sort()) {
+    for (const key of [...disk.entries.keys()].filter((candidate) => candidate.startsWith(prefix) && candidate > after).sort()) {
       if (remainingBytes <= 0) break;
       const text = disk.entries.get(key) as string;
       found.push([key, parseValue(text)]);
--- a/packages/simulator/src/simulated-http.ts
+++ b/packages/simulator/src/simulated-http.ts
@@ -1,4 +1,4 @@
-/** HTTP between simulated processes: one connection, one exchange after the other, lost with its peer. */
+/** HTTP between simulated processes: a connection carries one exchange at a time and is lost when its peer process ends. */
 import * as Either from 'fp-ts/lib/Either.js';
 import {
   fault,
@@ -14,7 +14,7 @@
 import type { SimulatedNetwork } from './simulated-network.js';
 import type { SimulatedProcess } from './simulated-process.js';
 
-/** An HTTP connection from a process to an address; it is opened by its first exchange. */
+/** Creates an HTTP connection from a process to an address. The first exchange opens it. */
 export function connect(network: SimulatedNetwork, process: SimulatedProcess, address: string): HttpConnection {
   const id = `connection-${network.nextToken()}`;
   network.connectionMachines.set(id, process.machine);
@@ -26,8 +26,8 @@
   function exchangeFault(kind: 'unreachable' | 'reply-lost'): Fault {
     return fault.create({
       kind,
-      message: kind === 'unreachable' ? `${address} could not be reached` : `the reply of ${address} was lost`,
-      remedy: 'see whether it runs and can be reached',
+      message: kind === 'unreachable' ? `${address} could not be reached` : `the reply from ${address} was lost`,
+      remedy: 'check that it is running and reachable',
     });
   }
 
--- a/packages/simulator/src/simulated-links.ts
+++ b/packages/simulator/src/simulated-links.ts
@@ -1,24 +1,24 @@
-/** Links between simulated processes: frames in order, held by cuts, lost with resets. */
+/** Links between simulated processes: messages arrive in order, are held while the network is cut, and are lost on a reset. */
 import * as Either from 'fp-ts/lib/Either.js';
 import { fault, type Fault, type Link } from '@stallstall/kernel';
 import { linkEnd, type LinkEnd } from './link-end.js';
 import type { SimulatedNetwork } from './simulated-network.js';
 import type { SimulatedProcess } from './simulated-process.js';
 
-/** How long an attempt to connect waits for an answer. */
+/** Timeout of a connection attempt. */
 export const connectMilliseconds = 3_000;
 
-/** Keeps each direction in order whatever the latencies are. */
+/** Creates one direction of a link: actions run at the receiver in the order they were submitted, whatever their latencies. */
 function createOrderedLane(network: SimulatedNetwork, from: SimulatedProcess, to: SimulatedProcess): (action: () => void) => void {
   let lastArrival = 0;
-  return function put(action) {
+  return function submit(action) {
     const arrival = Math.max(network.time.now() + network.latency(), lastArrival + 0.001);
     lastArrival = arrival;
     network.deliver(from, to, arrival - network.time.now(), action);
   };
 }
 
-/** Opens a link from a process to whoever listens at an address. */
+/** Opens a link from a process to the listener at an address. */
 export function openLink(network: SimulatedNetwork, process: SimulatedProcess, address: string): Promise<Either.Either<Fault, Link>> {
   return new Promise((resolve) => {
     let completed = false;
@@ -31,7 +31,11 @@
     function unreachable(): void {
       complete(
         Either.left(
-          fault.create({ kind: 'unreachable', message: `nothing listens on ${address}`, remedy: 'start it, or mend the address' }),
+          fault.create({
+            kind: 'unreachable',
+            message: `nothing listens on ${address}`,
+            remedy: 'start the process, or correct the address',
+          }),
         ),
       );
     }
@@ -98,7 +102,7 @@
       listener.process.resetHandlers.add(reset);
       process.resetHandlers.add(reset);
       listener.onLink(listenerEnd.link);
-      // Whoever has given up meanwhile says so: nothing stays half open.
+      // If the opener has timed out meanwhile it closes the link, so that the listener is not left with a half-open one.
       toOpener(() => (completed ? openerEnd.link.close() : complete(Either.right(openerEnd.link))));
     });
   });
--- a/packages/simulator/src/simulated-network.ts
+++ b/packages/simulator/src/simulated-network.ts
@@ -1,27 +1,28 @@
-/** What joins the machines of a simulation: latencies, cuts, machines that went dark, and who listens where. */
+/** The network between the machines of a simulation: latencies, cuts, unresponsive machines, and the listeners at each address. */
 import type { HttpServer, Link } from '@stallstall/kernel';
 import { jsonCopy } from './frames.js';
 import type { SimulatedProcess } from './simulated-process.js';
 import type { VirtualTime } from './virtual-time.js';
 
-/** Who accepts links or streams at an address. */
+/** The process that accepts links or streams at an address. */
 export type SimulatedListener = Readonly<{ process: SimulatedProcess; onLink: (link: Link) => void }>;
-/** Who accepts HTTP requests at an address. */
+/** The process that accepts HTTP requests at an address. */
 export type SimulatedServer = Readonly<{ process: SimulatedProcess; server: HttpServer }>;
 /** Frames and bytes that a process has sent over links. */
 export type Traffic = Readonly<{ frames: number; bytes: number }>;
 
-/** The network that every process of a simulation shares. @internal */
+/** The network shared by all processes of a simulation. @internal */
 export type SimulatedNetwork = Readonly<{
   time: VirtualTime;
   listeners: Map<string, SimulatedListener>;
   servers: Map<string, SimulatedServer>;
-  /** The machine of each HTTP connection, by the connection's identifier. */
+  /** The machine that opened each HTTP connection, by connection identifier. */
   connectionMachines: Map<string, string>;
-  /** Machines that went dark, and the processes lost with each. */
+  /** Machines that lost power and so answer nothing, not even with a reset; with the processes that each was running. */
   unresponsiveMachines: Map<string, SimulatedProcess[]>;
   sent: ReadonlyMap<string, Traffic>;
   nextToken: () => number;
+  /** Runs an action in a process: later if it is frozen, never if it has ended. */
   runInProcess: (process: SimulatedProcess, action: () => void) => void;
   latency: () => number;
   deliver: (from: SimulatedProcess, to: SimulatedProcess, milliseconds: number, action: () => void, isWithdrawn?: () => boolean) => void;
@@ -38,7 +39,7 @@
 
 /**
  * Creates the network of one simulation.
- * @param time - the clock and the events
+ * @param time - virtual clock and event queue
  * @param countTraffic - whether frames and bytes sent over links are counted
  */
 function create(time: VirtualTime, countTraffic: boolean): SimulatedNetwork {
@@ -56,7 +57,10 @@
     return minLatencyMilliseconds + time.random() * latencySpreadMilliseconds;
   }
 
-  /** Hands an action from one machine to another; while the way is cut it waits, in order, unless its sender has taken it back. */
+  /**
+   * Runs an action in a process on another machine. While that direction is cut the action is held, in order; a held action is dropped
+   * if its sender has withdrawn it by the time the cut is healed.
+   */
   function deliver(
     from: SimulatedProcess,
     to: SimulatedProcess,
@@ -80,7 +84,7 @@
     return heldByCut.has(`${from.machine}>${to.machine}`) || heldByCut.has(`${to.machine}>${from.machine}`);
   }
 
-  /** A frame as it goes over a link: counted, and copied so that nobody shares what was sent. */
+  /** Prepares a message for a link: counts it, and copies it so that sender and receiver share no object. */
   function encodeFrame(from: SimulatedProcess, message: unknown): unknown {
     if (countTraffic) {
       const before = sent.get(from.name) ?? { frames: 0, bytes: 0 };
--- a/packages/simulator/src/simulated-process.ts
+++ b/packages/simulator/src/simulated-process.ts
@@ -1,8 +1,8 @@
-/** A simulated process: what tests see of it, and what the simulation keeps. */
+/** A simulated process: the view that tests have of it, and the internal state of the simulation. */
 import type * as Option from 'fp-ts/lib/Option.js';
 import type { Fault, Runtime } from '@stallstall/kernel';
 
-/** A process of the product or of a fake, as tests see it. */
+/** A process of the product or of a fake, as visible to tests. */
 export type Process = Readonly<{
   name: string;
   machine: string;
@@ -11,21 +11,22 @@
   stopReason: () => Option.Option<Fault>;
 }>;
 
-/** What the simulation keeps of a process; nobody but the simulation sees it. @internal */
+/** The internal state of a simulated process. @internal */
 export type SimulatedProcess = {
   readonly name: string;
   readonly machine: string;
   alive: boolean;
   frozenUntil: number;
-  /** Each product process has a clock of its own: where it began, and how fast it goes. */
+  /** The monotonic clock of each product process has its own offset and rate. */
   readonly clockOffset: number;
-  /** How far its wall clock was stepped. */
+  /** By how many milliseconds the wall clock was stepped. */
   wallOffset: number;
   readonly clockRate: number;
   stopReason: Option.Option<Fault>;
+  /** One for each open connection: tells its peer that this process has ended. */
   readonly closeHandlers: Set<() => void>;
-  /** Puts under way: whether one stands when its process is killed, only the disk knows. */
+  /** Disk writes that have not completed; when the process is killed each of them may or may not reach the disk. */
   readonly pendingWrites: Set<() => void>;
-  /** One for each connection that stands: breaks it at both ends. */
+  /** One for each open connection: resets it at both ends. */
   readonly resetHandlers: Set<() => void>;
 };
--- a/packages/simulator/src/simulated-runtime.ts
+++ b/packages/simulator/src/simulated-runtime.ts
@@ -1,4 +1,4 @@
-/** The runtime that a simulated process runs on: its own clock, its disk, and the network of the simulation. */
+/** The runtime of a simulated process: its own clock and disk, and the shared simulated network. */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import {
@@ -21,18 +21,18 @@
 import type { SimulatedProcess } from './simulated-process.js';
 import { openStream, streamKey } from './simulated-streams.js';
 
-/** What a process wrote to its log. `at`: virtual milliseconds. */
+/** A log line of a process. `at`: virtual milliseconds since the run began. */
 export type LogLine = Readonly<{ at: number; process: string; event: string; fields: LogFields }>;
 
-/** Where the log and the end of a process go. @internal */
+/** Receives the log lines of a process, and the reason when it ends by itself. @internal */
 export type ProcessCallbacks = Readonly<{ log: (line: LogLine) => void; stop: (reason: Fault) => void }>;
 
-/** What the wall clocks show as a run begins. */
+/** Wall-clock time at the start of a run, in milliseconds since the epoch. */
 export const initialWallTime = 1_800_000_000_000;
-/** How often a hanging disk is looked at. */
+/** How often a write checks whether its disk still hangs. */
 const hangingDiskPollMilliseconds = 5;
 
-/** When a disk that hangs goes on, and at once if it does not. */
+/** Runs an action as soon as the disk no longer hangs, at once if it does not. */
 function runOnceDiskResponds(network: SimulatedNetwork, process: SimulatedProcess, disk: SimulatedDisk, action: () => void): void {
   if (disk.faults.hanging && process.alive)
     network.time.schedule(hangingDiskPollMilliseconds, () => runOnceDiskResponds(network, process, disk, action));
@@ -52,7 +52,7 @@
       if (!process.alive) return;
       process.pendingWrites.delete(write);
       if (disk.faults.failing || disk.faults.full) {
-        const reason = disk.faults.full ? 'no space left on device' : 'the disk is set to fail';
+        const reason = disk.faults.full ? 'no space left on device' : 'the simulated disk is set to fail';
         network.runInProcess(process, () => resolve(Either.left(fault.diskFailed(key, new Error(reason)))));
         return;
       }
@@ -65,7 +65,7 @@
   });
 }
 
-/** The runtime that a simulated process runs on. */
+/** Creates the runtime of a simulated process. */
 function create(
   network: SimulatedNetwork,
   process: SimulatedProcess,
--- a/packages/simulator/src/simulated-streams.ts
+++ b/packages/simulator/src/simulated-streams.ts
@@ -1,4 +1,4 @@
-/** Streams: links that carry text, so that order, cuts and darkness hold for them as well. */
+/** Text streams over simulated links, so that ordering, network cuts and unresponsive machines apply to them as well. */
 import * as Either from 'fp-ts/lib/Either.js';
 import { fault, type Fault, type Link, type Stream } from '@stallstall/kernel';
 import { streamFromLink } from './frames.js';
@@ -6,12 +6,12 @@
 import type { SimulatedNetwork } from './simulated-network.js';
 import type { SimulatedProcess } from './simulated-process.js';
 
-/** The name under which a stream listener is kept among the link listeners. */
+/** The key of a stream listener in the table of link listeners. */
 export function streamKey(address: string): string {
   return `stream ${address}`;
 }
 
-/** Opens a stream of text; a fault when it took longer than the milliseconds. */
+/** Opens a text stream. Returns a fault if that takes longer than the given milliseconds. */
 export async function openStream(
   network: SimulatedNetwork,
   process: SimulatedProcess,
@@ -27,7 +27,7 @@
             fault.create({
               kind: 'unreachable',
               message: `${address} could not be reached`,
-              remedy: 'see whether it runs and can be reached',
+              remedy: 'check that it is running and reachable',
             }),
           ),
         ),
@@ -43,7 +43,11 @@
   const notListening = listener === undefined || (!listener.process.alive && !network.unresponsiveMachines.has(listener.process.machine));
   return notListening
     ? Either.left(
-        fault.create({ kind: 'not-listening', message: `nothing listens on ${address}`, remedy: 'start it, or mend the address' }),
+        fault.create({
+          kind: 'not-listening',
+          message: `nothing listens on ${address}`,
+          remedy: 'start the process, or correct the address',
+        }),
       )
     : opened;
 }
--- a/packages/simulator/src/virtual-time.ts
+++ b/packages/simulator/src/virtual-time.ts
@@ -1,24 +1,24 @@
-/** Virtual time: events in the order of their moments, one source of randomness, and no waiting in between. */
+/** Virtual time: runs events in time order without waiting in between, with one seeded source of randomness. */
 import v8 from 'node:v8';
 import vm from 'node:vm';
 import { randomGenerator, eventQueue } from './event-queue.js';
 
-/** The clock and the events of one simulation. */
+/** The virtual clock and event queue of one simulation. */
 export type VirtualTime = Readonly<{
   /** Milliseconds since the run began. */
   now: () => number;
-  /** The next number of the seed, from 0 up to 1. */
+  /** The next pseudorandom number of the seed, at least 0 and below 1. */
   random: () => number;
-  /** Runs an action after so many milliseconds; skipped when `wanted` then says no. */
+  /** Runs an action after so many milliseconds, unless `isNeeded` returns false by then. */
   schedule: (milliseconds: number, action: () => void, isNeeded?: () => boolean) => void;
-  /** Runs every event of the next milliseconds. */
+  /** Runs all events that fall within the next milliseconds. */
   run: (milliseconds: number) => Promise<void>;
-  /** How many events have run. */
+  /** The number of events that have run. */
   eventCount: () => number;
 }>;
 
 v8.setFlagsFromString('--allow-natives-syntax');
-/** Lets every promise that can go on do so before the next event, at a third of the cost of a turn of the event loop. */
+/** Runs all pending promise callbacks before the next event, at a third of the cost of a turn of the Node.js event loop. */
 const runMicrotasks = vm.runInThisContext('(function settlePromises() { %PerformMicrotaskCheckpoint(); })') as () => void;
 
 const maxEventsPerTurn = 2_000;
@@ -35,7 +35,10 @@
     events.push({ time: now + Math.max(0, milliseconds), lastOrder, action, isNeeded });
   }
 
-  /** Within one turn of the event loop as many events as fit; a turn of its own begins outside any promise. */
+  /**
+   * Runs a batch of events within one turn of the Node.js event loop. `setImmediate` makes it start outside any promise callback.
+   * Resolves to whether events may remain before `until`.
+   */
   function runTurn(until: number): Promise<boolean> {
     return new Promise((resolve, reject) => {
       setImmediate(() => {
--- a/packages/simulator/src/wire-seeds.ts
+++ b/packages/simulator/src/wire-seeds.ts
@@ -1,4 +1,4 @@
-/** `npm run wire-seeds -- FIRST [--seconds=N]`: links and member lines over a network that splits, duplicates, delays, cuts and resets. */
+/** `npm run wire-seeds -- FIRST [--seconds=N]`: tests links and member connections under network faults, seed after seed. */
 import { knownRed } from './known-red.js';
 import { wires, type WireReport } from './wires.js';
 
@@ -19,13 +19,13 @@
 async function runSeed(seed: number): Promise<void> {
   const faults = wires.faultsForSeed(seed);
   recordReport(seed, 'links', await wires.testLinks(seed, faults));
-  recordReport(seed, 'member lines', await wires.testMemberConnections(seed, faults));
+  recordReport(seed, 'member connections', await wires.testMemberConnections(seed, faults));
 }
 
 for (const seed of knownRed.seedsOf('wire-seed')) await runSeed(seed);
 for (let seed = Number(first); Date.now() < until; seed += 1) if (!failures.has(seed)) await runSeed(seed);
 const outcomes = [...failures].map(([seed, isFailed]) => ({ test: String(seed), isFailed }));
 const { passed, failed } = knownRed.report('wire-seed', outcomes);
-console.log(`${replyCount} of ${requestCount} questions were replied`);
+console.log(`${replyCount} of ${requestCount} requests were answered`);
 console.log(`wire-seeds: ${passed} passed, ${failed} failed`);
 process.exitCode = failed === 0 && passed > 0 ? 0 : 1;
--- a/packages/simulator/src/wires.ts
+++ b/packages/simulator/src/wires.ts
@@ -1,6 +1,6 @@
 /**
- * A network between two processes that splits, duplicates, delays, cuts and resets, and checkers that see each answer's owner and each
- * effect's count. The production code for links and member lines runs over it (design 8.14).
+ * Tests the production code for links and member connections over a network that splits, duplicates and delays data, and cuts and resets
+ * connections. Checks that each reply belongs to its request and that no request is executed twice (design 8.14).
  */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
@@ -10,11 +10,10 @@
 import { plainDialect } from '@stallstall/fakes';
 import { world as worlds, type World } from './world.js';
 
-/** How often each trouble comes, for each message or piece that is sent. */
+/** Probability of each network fault, per message or piece of text sent. */
 export type NetworkFaults = Readonly<{ duplicate: number; delay: number; cut: number; reset: number; split: number }>;
 
 export type WireReport = Readonly<{
-  /** What was asked, replied and carried out. */
   requests: number;
   replies: number;
   executions: number;
@@ -23,14 +22,14 @@
 
 const address = identifiers.address('10.5.0.1:7000');
 const callMilliseconds = 100;
-/** Beyond the time-out of a call, so that replies come late. */
+/** Longer than the timeout of a call, so that some replies arrive late. */
 const maxDelayMilliseconds = 250;
 const linkCallCount = 120;
 const memberQueryCount = 120;
 const meanPauseMilliseconds = 15;
 const maxRunMilliseconds = 60_000;
 
-/** Sends in order, whatever the delays are; a cut swallows all that follows. */
+/** One direction of a connection: delivers in order, whatever the delays. After a cut nothing more is delivered. */
 function createFaultyLane(runtime: Runtime, faults: NetworkFaults): Readonly<{ put: (deliver: () => void) => void; cut: () => boolean }> {
   const queue: Array<() => void> = [];
   let busy = false;
@@ -72,7 +71,7 @@
   };
 }
 
-/** Text leaves in pieces cut between any two bytes, each with a delay of its own; a reset may come between two of them. */
+/** Splits written text at random positions into pieces, each with its own delay. A reset may follow any piece. */
 function withStreamFaults(runtime: Runtime, faults: NetworkFaults, stream: Stream): Stream {
   const { put } = createFaultyLane(runtime, faults);
 
@@ -93,7 +92,7 @@
   };
 }
 
-/** A runtime whose own sending goes through the troubles, both as who opens a connection and as who listens. */
+/** Wraps a runtime so that network faults apply to everything it sends, on the connections it opens and on those it accepts. */
 function withNetworkFaults(runtime: Runtime, faults: NetworkFaults): Runtime {
   const network: Network = {
     ...runtime.network,
@@ -112,7 +111,7 @@
   return { ...runtime, network };
 }
 
-/** Counts how often each thing was carried out, and says which was twice. */
+/** Counts the executions of each request and reports those executed more than once. */
 function createExecutionCounter(): Readonly<{ add: (name: string) => void; total: () => number; violations: () => readonly string[] }> {
   const counts = new Map<string, number>();
   return {
@@ -130,7 +129,7 @@
   for (let elapsed = 0; !done && elapsed < maxRunMilliseconds; elapsed += 50) await world.run(50);
 }
 
-/** Calls between two processes of ours: several at once on one link. */
+/** Concurrent calls between two processes over one link. */
 async function testLinks(seed: number, faults: NetworkFaults): Promise<WireReport> {
   const world = worlds.create(seed);
   const client = withNetworkFaults(world.spawn('near', 'near-machine').runtime, faults);
@@ -173,7 +172,7 @@
   };
 }
 
-/** A member in plain words: what it is asked it names in its reply; at times it says that it rests once more than it should. */
+/** Runs a member that speaks the plain dialect. Its replies name their query; at times it sends a duplicate idle message. */
 async function listenAsMember(runtime: Runtime, faults: NetworkFaults, onExecuted: (identifier: string) => void): Promise<void> {
   async function serveStream(stream: Stream): Promise<void> {
     const framer = plainDialect.framer(10_000);
@@ -201,7 +200,7 @@
   await runtime.network.listenStream(address, (stream) => void serveStream(stream));
 }
 
-/** Queries over a line to a member, one after the other; the next line is opened once one is of no use any more. */
+/** Sequential queries over a member connection. A new connection is opened once the current one is closed. */
 async function testMemberConnections(seed: number, faults: NetworkFaults): Promise<WireReport> {
   const world = worlds.create(seed);
   const client = withNetworkFaults(world.spawn('near', 'near-machine').runtime, faults);
@@ -226,11 +225,11 @@
     const result = await connection.run([plainDialect.query(identifier, 'get x')], callMilliseconds);
     const reply = result.replies[0];
     if (!result.isComplete) {
-      if (!connection.isClosed()) violations.push(`the line of ${identifier} is used again with its question open`);
+      if (!connection.isClosed()) violations.push(`the connection of ${identifier} stays open although its query is incomplete`);
       return;
     }
     replyCount += 1;
-    const owner = reply?.completion.kind === 'done' ? reply.completion.stamp : 'a fault';
+    const owner = reply?.completion.kind === 'done' ? reply.completion.stamp : 'an error reply';
     if (owner !== identifier || reply?.rows.join() !== `row ${identifier}`)
       violations.push(`query ${identifier} was given the reply of ${owner}, rows ${reply?.rows.join()}`);
   }
@@ -253,7 +252,7 @@
   };
 }
 
-/** Seeds differ in which troubles come, and how often. */
+/** Draws from the seed which network faults occur and how often. */
 function faultsForSeed(seed: number): NetworkFaults {
   const { fraction } = worlds.create(seed);
   function drawRate(maximum: number): number {
