--- a/packages/simulator/src/event-queue.ts
+++ b/packages/simulator/src/event-queue.ts
@@ -1,7 +1,7 @@
 /** The event queue of a simulation, ordered by time, and the seeded pseudorandom generator. */
 
 /** An event is skipped if `isNeeded` returns false at its time, for example because a timer was cancelled or a timeout no longer applies. */
-export type Event = Readonly<{ time: number; lastOrder: number; action: () => void; isNeeded: (() => boolean) | undefined }>;
+export type Event = Readonly<{ time: number; order: number; action: () => void; isNeeded: (() => boolean) | undefined }>;
 
 /** A small pseudorandom generator (mulberry32) with a good distribution, whose only state is derived from the seed. */
 export function randomGenerator(seed: number): () => number {
@@ -16,7 +16,7 @@
 }
 
 function isEarlier(left: Event, right: Event): boolean {
-  return left.time !== right.time ? left.time < right.time : left.lastOrder < right.lastOrder;
+  return left.time !== right.time ? left.time < right.time : left.order < right.order;
 }
 
 /** A binary heap: the earliest event comes first, and of two events at the same time the one pushed first. */
--- a/packages/simulator/src/explore.ts
+++ b/packages/simulator/src/explore.ts
@@ -21,7 +21,7 @@
 const maxEvents = 6_000;
 /** Once no more faults occur the register must serve within so many events. */
 const recoveryEvents = 8_000;
-/** Four seconds of virtual time: the shortest time within which machines are specified to recover from a loss. */
+/** Four seconds of virtual time: the shortest time within which machines are specified to stabilize after a loss. */
 const stabilizationEvents = 400;
 const deadlineMilliseconds = 3_000;
 
@@ -67,8 +67,8 @@
     random,
     now: () => now,
     schedule: function schedule(run, eventType) {
-      const share = eventType === 'sync' ? rates.delayedSyncs : rates.delayed;
-      pending.push({ run, isDelayed: random() < share, isCounted: eventType === 'sync' || eventType === 'step' });
+      const delayedShare = eventType === 'sync' ? rates.delayedSyncs : rates.delayed;
+      pending.push({ run, isDelayed: random() < delayedShare, isCounted: eventType === 'sync' || eventType === 'step' });
     },
     isLost: function isLost(from, to, kind: MessageKind) {
       if (isolatedMachines.has(from) !== isolatedMachines.has(to) || (isolatedMachines.has(from) && from !== to)) return true;
@@ -76,8 +76,8 @@
       if (kind === 'adopt' && to === uninformedMachine && from !== uninformedMachine && random() < 0.9) return true;
       return random() < (kind === 'adopt' || kind === 'join' || kind === 'copy' ? rates.lostCoreSetMessages : rates.lost);
     },
-    isSilent: (at, other) =>
-      isolatedMachines.has(at) ||
+    isSilent: (observer, other) =>
+      isolatedMachines.has(observer) ||
       isolatedMachines.has(other) ||
       !machines.all().some((machine) => machine.name === other && machine.isUp()),
   });
@@ -195,7 +195,7 @@
     appendToken,
     checkRecovery,
     now: () => now,
-    /** The maximum of `recentUnavailability`, within the time that machines may take to recover, and of the seats unavailable now. */
+    /** The maximum of `recentUnavailability`, over the time that machines may take to stabilize, and of the seats unavailable now. */
     maxRecentUnavailability: () => Math.max(machines.unavailableSeatCount(), ...recentUnavailability),
     /** How many disk syncs and messages about the core set there have been. */
     moments: () => countedEvents,
@@ -210,7 +210,7 @@
 
 /**
  * Whether another machine may be lost: never more at once than the set tolerates, where a loss counts until all seats have been up to
- * date for the time that machines may take to recover. A change of the set may stay pending that long after its vacancy has ended.
+ * date for the time that machines may take to stabilize. A change of the set may stay pending that long after its vacancy has ended.
  */
 function mayLoseAnother(exploration: Exploration, toleratedLosses: number, leavingCount: number): boolean {
   return exploration.maxRecentUnavailability() + leavingCount + exploration.isolatedMachines.size < toleratedLosses;
@@ -270,7 +270,7 @@
   }
 }
 
-/** Machines that are never restarted. */
+/** Machines that are lost permanently and never restarted. */
 const lostForGood = new WeakSet<Machine>();
 
 async function run(seed: number): Promise<ExplorationResult> {
@@ -298,8 +298,8 @@
   function recoverMachines(): void {
     for (const machine of machines.all()) if (!machine.isUp() && !lostForGood.has(machine) && random() < 0.01) machine.start();
     for (const name of exploration.isolatedMachines) if (random() < 0.005) exploration.isolatedMachines.delete(name);
-    for (const [machine, at] of leavingMachines) {
-      if (exploration.now() < at) continue;
+    for (const [machine, endAt] of leavingMachines) {
+      if (exploration.now() < endAt) continue;
       machine.crash(true);
       lostForGood.add(machine);
       leavingMachines.delete(machine);
--- a/packages/simulator/src/explored-machines.ts
+++ b/packages/simulator/src/explored-machines.ts
@@ -35,7 +35,7 @@
   /** Whether a message is lost in transit. */
   isLost: (from: string, to: string, kind: MessageKind) => boolean;
   /** Whether a machine has received no heartbeat from another for long. */
-  isSilent: (at: string, other: string) => boolean;
+  isSilent: (observer: string, other: string) => boolean;
 }>;
 
 export type Machine = Readonly<{
@@ -43,7 +43,7 @@
   isUp: () => boolean;
   /** The core set in which it is active; none while it answers no ballots. */
   activeCoreSet: () => Option.Option<CoreSet>;
-  /** Whether it holds eventType may decide the step after this set. */
+  /** Whether it has accepted a proposal for the core set that follows this one. */
   hasAcceptedStep: (after: number) => boolean;
   /** Whether it is handling a join request, and so may be proposing a change of the core set. */
   isHandlingJoin: () => boolean;
@@ -59,7 +59,7 @@
   /** Adds a machine: a founder if its name is listed, otherwise one with an empty disk. */
   add: (founders: readonly string[]) => Machine;
   /** A register client that is not a core; it learns of newer core sets from replies. */
-  client: (name: string, first: CoreSet) => CoreSetRegister;
+  client: (name: string, initialSet: CoreSet) => CoreSetRegister;
   /** Sends one message to one core, like a proposer that ends right afterwards. */
   sendOnce: <Kind extends 'prepare' | 'accept'>(seat: NodeRecord, kind: Kind, body: Request<Kind>) => Promise<Option.Option<Reply<Kind>>>;
   newestCoreSet: () => CoreSet;
@@ -337,8 +337,8 @@
     return machine;
   }
 
-  function client(name: string, first: CoreSet): CoreSetRegister {
-    let set = first;
+  function client(name: string, initialSet: CoreSet): CoreSetRegister {
+    let set = initialSet;
     return registerFrom(
       name,
       runtimeOf(name, () => true),
@@ -351,7 +351,7 @@
   }
 
   function isAvailable(seat: NodeRecord, set: CoreSet): boolean {
-    const machine = machines.find((one) => one.name === seat.node);
+    const machine = machines.find((candidate) => candidate.name === seat.node);
     const activeSet = machine === undefined ? Option.none : machine.activeCoreSet();
     return Option.isSome(activeSet) && activeSet.value.number === set.number;
   }
@@ -368,7 +368,7 @@
     all: () => machines,
     add,
     client,
-    sendOnce: (seat, kind, body) => callFrom('stranger', () => true)(seat.address, kind, body, 0),
+    sendOnce: (seat, kind, body) => callFrom('external-proposer', () => true)(seat.address, kind, body, 0),
     newestCoreSet,
     unavailableSeatCount: function unavailableSeatCount() {
       const currentSet = newestCoreSet();
--- a/packages/simulator/src/link-end.ts
+++ b/packages/simulator/src/link-end.ts
@@ -34,8 +34,8 @@
   }
 
   return {
-    deliver: deliver,
-    disconnect: disconnect,
+    deliver,
+    disconnect,
     link: {
       send: function sendOn(message) {
         if (open) send(message);
--- a/packages/simulator/src/simulated-disk.ts
+++ b/packages/simulator/src/simulated-disk.ts
@@ -55,8 +55,8 @@
     page: (prefix, after, bytes) => read(() => page(prefix, after, bytes)),
     size: () => [...disk.entries].reduce((sum, [key, value]) => sum + key.length + value.length, 0),
     put: function put(key, value) {
-      const trouble = health.syncFault();
-      if (Option.isSome(trouble)) return Promise.resolve(Either.left(trouble.value));
+      const syncFault = health.syncFault();
+      if (Option.isSome(syncFault)) return Promise.resolve(Either.left(syncFault.value));
       const text = JSON.stringify(value);
       function write(): void {
         disk.entries.set(key, text);
--- a/packages/simulator/src/virtual-time.ts
+++ b/packages/simulator/src/virtual-time.ts
@@ -19,7 +19,7 @@
 
 v8.setFlagsFromString('--allow-natives-syntax');
 /** Runs all pending promise callbacks before the next event, at a third of the cost of a turn of the Node.js event loop. */
-const runMicrotasks = vm.runInThisContext('(function settlePromises() { %PerformMicrotaskCheckpoint(); })') as () => void;
+const runMicrotasks = vm.runInThisContext('(function runMicrotasks() { %PerformMicrotaskCheckpoint(); })') as () => void;
 
 const maxEventsPerTurn = 2_000;
 
@@ -32,7 +32,7 @@
 
   function schedule(milliseconds: number, action: () => void, isNeeded?: () => boolean): void {
     lastOrder += 1;
-    events.push({ time: now + Math.max(0, milliseconds), lastOrder, action, isNeeded });
+    events.push({ time: now + Math.max(0, milliseconds), order: lastOrder, action, isNeeded });
   }
 
   /**
@@ -71,7 +71,7 @@
     now = until;
   }
 
-  return { now: () => now, random, schedule: schedule, run, eventCount: () => eventCount };
+  return { now: () => now, random, schedule, run, eventCount: () => eventCount };
 }
 
 export const virtualTime = { create } as const;
