--- a/packages/peer/src/dialled-peer.ts
+++ b/packages/peer/src/dialled-peer.ts
@@ -1,4 +1,4 @@
-/** The calling side of a link: dials, redials, and matches replies to calls (design 3.2). */
+/** The calling side of a link: dials, redials after a failure, and matches replies to calls (design 3.2). */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Address, Runtime, Link } from '@stallstall/kernel';
@@ -14,42 +14,41 @@
   readonly calls: PendingCalls;
   link: Option.Option<Link>;
   version: number;
-  /** Logged last, so that the same reason is logged once. */
+  /** The reason logged last, so that the same reason is logged only once in a row. */
   lastIncompatibility: string;
   isClosed: boolean;
-  /** Calls in a row that timed out. */
-  timedOut: number;
+  consecutiveTimeouts: number;
 };
 
-/** How long a dialler waits after a failed or broken link; jittered so that many do not return together. */
-const redialMilliseconds = 150;
-/** The first attempts come sooner: whoever is dialled may just be starting. */
+/** The maximum delay before dialling again after a link failed; jittered so that many processes do not dial at the same time. */
+const maxRedialMilliseconds = 150;
+/** The first attempts follow sooner, since the other process may just be starting. */
 const firstRedialMilliseconds = 25;
-const redialDoublingsMost = 8;
-/** So many calls in a row without a reply, and the link is taken for half open and dialled anew. */
-const timedOutMost = 5;
+const maxRedialDoublings = 8;
+/** After this many consecutive timeouts the connection is considered half-open: it is reset and dialled again. */
+const maxConsecutiveTimeouts = 5;
 
 /** False where a frame breaks the protocol. */
 function handleReply({ calls }: PeerState, number: number, body: unknown): boolean {
   const kind = calls.kindOf(number);
-  // A late reply is dropped once; one to a call that was never made, or was answered before, ends the link.
-  if (kind === undefined) return calls.isLate(number);
+  // The reply to a call that timed out is dropped. A second reply, or one to a call that was never made, is a protocol violation.
+  if (kind === undefined) return calls.acceptLateReply(number);
   if (!message.matches(messages[kind].reply, body)) return false;
-  calls.settle(number, Option.some(body));
+  calls.complete(number, Option.some(body));
   return true;
 }
 
 function handleRejection({ runtime, address, calls }: PeerState, number: number, reason: string): boolean {
-  if (calls.kindOf(number) === undefined) return calls.isLate(number);
+  if (calls.kindOf(number) === undefined) return calls.acceptLateReply(number);
   runtime.log('peer.rejected', { address, reason });
-  calls.settle(number, Option.none);
+  calls.complete(number, Option.none);
   return true;
 }
 
 /** False where a frame breaks the protocol. */
 function handleFrame(state: PeerState, frame: unknown): boolean {
   if (!message.matches(FrameSchema, frame)) return false;
-  state.timedOut = 0;
+  state.consecutiveTimeouts = 0;
   if ('reply' in frame) return handleReply(state, frame.reply, frame.body);
   if ('deny' in frame) return handleRejection(state, frame.deny, frame.reason);
   if ('change' in frame && message.matches(ChangeSchema, frame.change)) {
@@ -77,7 +76,7 @@
   state.lastIncompatibility = reason;
 }
 
-/** Uses a link until it ends; resolves to whether it was ever usable. */
+/** Performs the handshake and uses the link until it ends; resolves to whether the handshake succeeded. */
 async function useLink(state: PeerState, link: Link): Promise<boolean> {
   const outcome = await handshake.perform(state.runtime, link);
   if (outcome.kind !== 'agreed' || state.isClosed) {
@@ -87,19 +86,19 @@
   }
   state.version = outcome.version;
   state.link = Option.some(link);
-  state.calls.forgetGivenUp();
-  state.timedOut = 0;
+  state.calls.forgetTimedOut();
+  state.consecutiveTimeouts = 0;
   state.events.onConnected?.();
   await receiveFrames(state, link);
   state.link = Option.none;
   state.version = 0;
   link.close();
-  state.calls.settleAll();
+  state.calls.failAll();
   return true;
 }
 
 function redialDelay({ runtime }: PeerState, failures: number): number {
-  const delay = Math.min(redialMilliseconds, firstRedialMilliseconds * 2 ** Math.min(failures, redialDoublingsMost));
+  const delay = Math.min(maxRedialMilliseconds, firstRedialMilliseconds * 2 ** Math.min(failures, maxRedialDoublings));
   return delay * (0.5 + runtime.randomness.fraction());
 }
 
@@ -122,17 +121,17 @@
   state: PeerState,
   kind: Kind,
   body: Request<Kind>,
-  milliseconds: number,
+  timeoutMilliseconds: number,
 ): Promise<Option.Option<Reply<Kind>>> {
   if (Option.isNone(state.link)) return Promise.resolve(Option.none);
   const link = state.link.value;
   return new Promise(function sendCall(resolve) {
-    const settle = resolve as (reply: Option.Option<unknown>) => void;
-    const number = state.calls.add({ kind, settle, onTimeOut }, milliseconds);
-    function onTimeOut(): void {
-      state.timedOut += 1;
-      // By a reset, so that what has not arrived yet is not taken later, when nobody waits for it any more.
-      if (state.timedOut >= timedOutMost) link.reset();
+    const complete = resolve as (reply: Option.Option<unknown>) => void;
+    const number = state.calls.add({ kind, complete, onTimeout }, timeoutMilliseconds);
+    function onTimeout(): void {
+      state.consecutiveTimeouts += 1;
+      // Reset rather than closed, so that calls not yet delivered are not executed after their callers have given up.
+      if (state.consecutiveTimeouts >= maxConsecutiveTimeouts) link.reset();
     }
     link.send({ call: number, kind, body });
   });
@@ -144,10 +143,10 @@
     if (state.calls.count() > 0) state.link.value.reset();
     else state.link.value.close();
   }
-  state.calls.settleAll();
+  state.calls.failAll();
 }
 
-/** Dials an address and keeps dialling until the peer is closed. */
+/** Dials an address, again after each failure, until the peer is closed. */
 export function dial(runtime: Runtime, address: Address, events: PeerEvents = {}): Peer {
   const state: PeerState = {
     runtime,
@@ -158,7 +157,7 @@
     version: 0,
     lastIncompatibility: '',
     isClosed: false,
-    timedOut: 0,
+    consecutiveTimeouts: 0,
   };
   void keepLink(state);
   return {
