--- a/packages/agent/src/proxy-state.ts
+++ b/packages/agent/src/proxy-state.ts
@@ -1,18 +1,18 @@
-/** What the proxy of an edge reported last, and what may be concluded from it (design 8.10, 8.11). */
+/** The latest report of an edge's proxy, and values derived from it (design 8.10, 8.11). */
 import { identifiers, type Clock, type Instant } from '@stallstall/kernel';
 import type { CommitWatermarks, LogPosition, Request } from '@stallstall/message';
 
 /** @internal */
 export type ProxyState = Readonly<{
-  /** Takes the report that a proxy sends with each request; says what it tells that was not known. */
+  /** Records the report in a proxy's request; returns what has changed. */
   update: (request: Request<'placement'>) => ProxyUpdate;
-  /** A reply leaves now: numbers it, so that later reports can be told to be no older. */
+  /** Numbers a reply that is being sent; a report that names this number is no older than the reply. */
   recordReply: () => number;
   releasedEpochs: () => Readonly<Record<string, number>>;
   commitPositions: () => Readonly<Record<string, LogPosition>>;
-  /** Aged by the time since the proxy asked. */
+  /** Their ages include the time since the proxy's latest request. */
   commitWatermarks: () => CommitWatermarks;
-  /** How long ago, at the most, `positions` was all there was to report. Unit: milliseconds. */
+  /** An upper bound on the time since `commitPositions` was complete. Unit: milliseconds. */
   commitPositionsAge: () => number;
   isLeaderMissing: () => boolean;
   refusedMembers: () => readonly string[];
@@ -21,58 +21,58 @@
 
 /** @internal */
 export type ProxyUpdate = Readonly<{
-  /** Another process runs as the proxy than before. */
+  /** The proxy is another process than the one that reported before. */
   isRestarted: boolean;
-  /** What it has released, or the members that refuse it, have changed. */
+  /** The released epochs or the members that refuse connections have changed. */
   isChanged: boolean;
 }>;
 
-/** A proxy that asks this often misses a leader somewhere. Unit: milliseconds. */
+/** A proxy requests a hold of at most this time if a service has no leader. Unit: milliseconds. */
 export const leaderMissingHoldMilliseconds = 100;
-const repliesKept = 100;
-/** Nothing is known of what the proxy has told its clients. */
-const noPositionsMilliseconds = 3_600_000;
+const maxReplies = 100;
+/** Reported as the age of the positions until the proxy has reported any with a known reply number. */
+const unknownPositionsAgeMilliseconds = 3_600_000;
 
 type Report = Pick<Request<'placement'>, 'released' | 'positions' | 'marks' | 'demand' | 'notListening' | 'hold'>;
 
 const noReport: Report = { released: {}, positions: {}, marks: {}, demand: 0, notListening: [], hold: 0 };
 
-/** @param token - names this agent's process: a proxy that reports another has not heard from it */
+/** @param token - identifies this agent's process: a proxy that reports another token has received no reply from it */
 function create(clock: Clock, token: string): ProxyState {
   let report = noReport;
-  let wasAsked = false;
-  let askedAt: Instant = identifiers.instant(Number.NEGATIVE_INFINITY);
-  /** What the proxy reported last was all there was at this moment or later. */
+  let hasReported = false;
+  let reportedAt: Instant = identifiers.instant(Number.NEGATIVE_INFINITY);
+  /** The proxy's latest report was complete at this time or later. */
   let positionsAt: Instant | undefined;
-  let conditionBefore = '';
+  let lastCondition = '';
   let lastReply = 0;
   const repliedAt = new Map<number, Instant>();
 
   function update(request: Request<'placement'>): ProxyUpdate {
-    // The process before it may have acknowledged commits that it did not live to report.
-    const isRestarted = request.token === '' && wasAsked;
-    wasAsked = true;
-    askedAt = clock.now();
+    // The previous process may have acknowledged commits and exited before it reported them.
+    const isRestarted = request.token === '' && hasReported;
+    hasReported = true;
+    reportedAt = clock.now();
     report = request;
-    const noOlderThan = request.token === token ? repliedAt.get(request.serial) : undefined;
-    if (noOlderThan !== undefined && (positionsAt === undefined || noOlderThan > positionsAt)) positionsAt = noOlderThan;
+    const reportedSince = request.token === token ? repliedAt.get(request.serial) : undefined;
+    if (reportedSince !== undefined && (positionsAt === undefined || reportedSince > positionsAt)) positionsAt = reportedSince;
     const condition = `${JSON.stringify(request.released)}${request.notListening.join(' ')}`;
-    const isChanged = condition !== conditionBefore;
-    conditionBefore = condition;
+    const isChanged = condition !== lastCondition;
+    lastCondition = condition;
     return { isRestarted, isChanged };
   }
 
   function recordReply(): number {
     lastReply += 1;
     repliedAt.set(lastReply, clock.now());
-    repliedAt.delete(lastReply - repliesKept);
+    repliedAt.delete(lastReply - maxReplies);
     return lastReply;
   }
 
-  /** What the proxy saw so long before it asked was seen that much longer ago by now. */
+  /** Adds the time since the proxy's latest request to the reported ages. */
   function commitWatermarks(): CommitWatermarks {
-    const since = Math.max(0, clock.now() - askedAt);
-    const aged = Object.entries(report.marks).map(([service, mark]) => [service, { ...mark, ago: mark.ago + since }] as const);
+    const elapsed = Math.max(0, clock.now() - reportedAt);
+    const aged = Object.entries(report.marks).map(([service, mark]) => [service, { ...mark, ago: mark.ago + elapsed }] as const);
     return Object.fromEntries(aged);
   }
 
@@ -82,7 +82,7 @@
     releasedEpochs: () => report.released,
     commitPositions: () => report.positions,
     commitWatermarks,
-    commitPositionsAge: () => (positionsAt === undefined ? noPositionsMilliseconds : Math.max(0, clock.now() - positionsAt)),
+    commitPositionsAge: () => (positionsAt === undefined ? unknownPositionsAgeMilliseconds : Math.max(0, clock.now() - positionsAt)),
     isLeaderMissing: () => report.hold > 0 && report.hold <= leaderMissingHoldMilliseconds,
     refusedMembers: () => report.notListening,
     statementRate: () => report.demand,
