--- a/packages/acceptance/features/units.feature
+++ b/packages/acceptance/features/units.feature
@@ -192,16 +192,16 @@
     Then after 19 s of rest it can still be had, and after 21 s not
     And once its member moved or left it cannot be had
 
-  # -- Whose reply it is (design 8.14).
+  # -- Matching replies to requests (design 8.14).
 
-  Scenario: A reply on a link that nobody waits for ends the link
-    Given a far end on a link that replies once more to each call
-    Then the link is dialled anew after the reply, and no call is given the reply to another
+  Scenario: An unsolicited reply closes the link
+    Given a peer that replies twice to each call on a link
+    Then the link is reopened after the second reply, and no call receives the reply to another call
 
-  Scenario: The tables of the design say what may be asked again as the types do
-    Then the design's tables name every call between own processes and every statement, each as its type
+  Scenario: The design documents which calls and statements may be repeated, in agreement with the types
+    Then the tables in the design list every call between processes and every statement, as their types do
 
-  Scenario: Whoever asks a member while a line to it is being opened shares that line
-    Given a member that counts the lines that are open to it
-    When its line is held and it is asked for its STATE at once, and again later
-    Then one line was opened, and one is open
+  Scenario: Concurrent requests to a member share the connection that is being opened
+    Given a member that counts the connections to it
+    When a connection to it is requested, its STATE is requested at the same time, and again later
+    Then one connection was opened, and it is still open
--- a/packages/acceptance/src/data-folders.ts
+++ b/packages/acceptance/src/data-folders.ts
@@ -11,7 +11,7 @@
 import * as Option from 'fp-ts/lib/Option.js';
 import { fault } from '@stallstall/kernel';
 import { disk, type OpenStore, type Store } from '@stallstall/runtime/disk';
-import { soon, type RuntimeStory } from './runtime.js';
+import { becomesTrue, type RuntimeStory } from './runtime.js';
 
 // -- The disk.
 
@@ -86,7 +86,7 @@
 Then(
   'within {int} s the disk reports a fault, and {int} more puts fail at once',
   async function then(this: RuntimeStory, _s: number, count: number) {
-    assert.ok(await soon(() => Option.isSome(this.disk.syncFault())));
+    assert.ok(await becomesTrue(() => Option.isSome(this.disk.syncFault())));
     const from = performance.now();
     const puts = await Promise.all(Array.from({ length: count }, (_, index) => this.disk.put(`more/${index}`, index)));
     assert.ok(puts.every((put) => Either.isLeft(put) && fault.kind(put.left) === 'disk-failed'));
@@ -123,7 +123,7 @@
   async function then(this: RuntimeStory, kind: string, _s: number) {
     const failed = await this.put;
     assert.ok(Either.isLeft(failed) && fault.kind(failed.left) === kind);
-    assert.ok(await soon(() => Option.isNone(this.disk.syncFault())));
+    assert.ok(await becomesTrue(() => Option.isNone(this.disk.syncFault())));
     assert.ok(Either.isRight(await this.disk.put('after', 3)));
     assert.deepEqual(
       await this.disk.load('archive/'),
--- a/packages/acceptance/src/fleet-steps.ts
+++ b/packages/acceptance/src/fleet-steps.ts
@@ -91,7 +91,7 @@
   this.fleet.stopSlot(slot);
 });
 
-When('its senders work for {int} s', async function when(this: Story, seconds: number) {
+When('its clients send statements for {int} s', async function when(this: Story, seconds: number) {
   const clients = this.fleet.startClients();
   await this.fleet.world.run(seconds * 1_000);
   clients.stop();
@@ -205,7 +205,7 @@
   },
 );
 
-Then('its own-read of {string} gives {int} at once', async function then(this: Story, name: string, value: number) {
+Then('its own-read of {string} gives {int} immediately', async function then(this: Story, name: string, value: number) {
   for (let attempt = 0; attempt < 12; attempt += 1)
     await readGives(this, 'own-read', name, 'seats', this.edge, value, { 'x-stallstall-session': this.session });
 });
@@ -226,14 +226,14 @@
   },
 );
 
-Then('at least {int} statements were served and none was denied', function then(this: Story, least: number) {
+Then('at least {int} statements were served and none was rejected', function then(this: Story, least: number) {
   assert.ok((this.fleet.ledger.reasons.get('served') ?? 0) >= least, JSON.stringify(Object.fromEntries(this.fleet.ledger.reasons)));
   assert.deepEqual([...this.fleet.ledger.reasons.keys()], ['served']);
   assert.deepEqual(checks.reads(this.fleet.ledger), []);
   assert.deepEqual(checks.writes(this.fleet.ledger, checks.logsOf(this.fleet)), []);
 });
 
-Then('no member held more connections than its limit', function then(this: Story) {
+Then('no member had more connections than its limit', function then(this: Story) {
   const peaks = new Map(this.fleet.members.map((slot) => [slot.place.member, slot.running?.peakConnections() ?? 0]));
   assert.deepEqual(checks.limits(this.fleet, peaks), []);
   assert.ok(Math.max(...peaks.values()) > 9, 'no connection was used at all');
@@ -323,7 +323,7 @@
 });
 
 When(
-  '{int} writes to {string} wait at {word} and it is cut off from the other edges',
+  '{int} writes to {string} are sent through {word} and it is then partitioned from the other edges',
   async function when(this: Story, count: number, service: string, edge: string) {
     const slot = edgeOf(this, edge);
     const began = this.fleet.world.now();
@@ -344,12 +344,12 @@
   },
 );
 
-Then('all of them are answered', function then(this: Story) {
+Then('all of the writes have a response', function then(this: Story) {
   assert.equal(this.crowd.length, 390);
 });
 
 Then(
-  'those that waited are denied within {int} s as {string} or {string}',
+  'the writes that waited at the edge are rejected within {int} s as {string} or {string}',
   function then(this: Story, seconds: number, first: string, second: string) {
     const rejected = this.crowd.filter((one) => [first, second].includes(errorOf(one.reply)));
     // Two rounds of a share of 14 connections may have left before the fence closed; all others waited.
--- a/packages/acceptance/src/runtime.ts
+++ b/packages/acceptance/src/runtime.ts
@@ -1,4 +1,4 @@
-/** Steps of the stories of runtime.feature: real sockets on loopback and a real folder. */
+/** Steps of runtime.feature that use real sockets on loopback; data-folders.ts has those that use a data folder. */
 import assert from 'node:assert/strict';
 import { spawnSync, type ChildProcess } from 'node:child_process';
 import { once } from 'node:events';
@@ -28,8 +28,8 @@
   connections: string[];
   closed: string[];
   warnings: string[];
-  near: Stream;
-  far: Stream;
+  local: Stream;
+  peer: Stream;
   dataFolder: string;
   disk: Disk;
   putsBeforeSync: number;
@@ -38,13 +38,14 @@
   printed: string[];
   store: FaultyStore;
   put: Promise<Either.Either<Fault, null>>;
-  /** Each change between a disk that syncs and one that does not. */
+  /** Changes of the sync state of the disk; true when a fault starts. */
   changes: boolean[];
 };
 
-export const patience = 2_000;
+/** How long a step waits for an expected event. */
+export const timeoutMilliseconds = 2_000;
 
-/** A port that nothing listens on: one that was free a moment ago. */
+/** An address that nothing listens on: a port that was free a moment ago. */
 async function freeAddress(): Promise<Address> {
   const server = net.createServer().listen(0, '127.0.0.1');
   await once(server, 'listening');
@@ -60,18 +61,23 @@
 
 After(async function after(this: Partial<RuntimeStory>) {
   this.child?.kill('SIGKILL');
-  for (const one of this.listening ?? []) await one.stop();
+  for (const listener of this.listening ?? []) await listener.stop();
   if (this.dataFolder !== undefined) fs.rmSync(this.dataFolder, { recursive: true });
 });
 
-async function ask(address: Address, asked: OutgoingHttpRequest, milliseconds = patience): Promise<Either.Either<Fault, HttpReply>> {
+/** Sends a request over a connection of its own. */
+async function requestOnce(
+  address: Address,
+  request: OutgoingHttpRequest,
+  milliseconds = timeoutMilliseconds,
+): Promise<Either.Either<Fault, HttpReply>> {
   const connection = minimalNetwork.connect(address);
-  const reply = await connection.exchange(asked, milliseconds);
+  const reply = await connection.exchange(request, milliseconds);
   connection.close();
   return reply;
 }
 
-Given('a page that replies what it was asked, on loopback', async function given(this: RuntimeStory) {
+Given('an echo server on loopback', async function given(this: RuntimeStory) {
   this.address = await freeAddress();
   this.connections = [];
   this.closed = [];
@@ -92,16 +98,19 @@
   ];
 });
 
-When('{int} asks go out over one connection', async function when(this: RuntimeStory, count: number) {
+When('{int} requests are sent over one connection', async function when(this: RuntimeStory, count: number) {
   this.warnings = [];
   const { warnings } = this;
-  function warned(warning: Error): void {
+  function onWarning(warning: Error): void {
     warnings.push(warning.message);
   }
-  process.on('warning', warned);
+  process.on('warning', onWarning);
   const connection = minimalNetwork.connect(this.address);
   for (let index = 0; index < count; index += 1) {
-    const reply = await connection.exchange({ method: 'POST', path: `/echo/w${index}`, body: { index, text: 'ñandú' } }, patience);
+    const reply = await connection.exchange(
+      { method: 'POST', path: `/echo/w${index}`, body: { index, text: 'ñandú' } },
+      timeoutMilliseconds,
+    );
     assert.ok(Either.isRight(reply));
     assert.equal(reply.right.status, 201);
     assert.equal(reply.right.headers?.['x-word'], `w${index}`);
@@ -110,105 +119,105 @@
   assert.deepEqual(this.closed, []);
   connection.close();
   await new Promise(setImmediate);
-  process.removeListener('warning', warned);
+  process.removeListener('warning', onWarning);
 });
 
-Then('all were replied over one and the same connection, and nothing warned of a leak', function then(this: RuntimeStory) {
+Then('all were answered over the same connection, and there was no leak warning', function then(this: RuntimeStory) {
   assert.equal(new Set(this.connections).size, 1);
   assert.deepEqual(this.warnings, []);
 });
 
-/** True once a condition holds; looked at whenever the runtime has turned, for as long as patience lasts. */
-export async function soon(condition: () => boolean): Promise<boolean> {
-  const until = Date.now() + patience;
-  while (!condition() && Date.now() < until) await new Promise(setImmediate);
+/** Waits until a condition holds, checking it in each turn of the event loop. Returns false if it times out. */
+export async function becomesTrue(condition: () => boolean): Promise<boolean> {
+  const deadline = Date.now() + timeoutMilliseconds;
+  while (!condition() && Date.now() < deadline) await new Promise(setImmediate);
   return condition();
 }
 
-Then('once it is closed, the server is told so', async function then(this: RuntimeStory) {
-  assert.ok(await soon(() => this.closed.length === 1));
+Then('once it is closed, the server is notified', async function then(this: RuntimeStory) {
+  assert.ok(await becomesTrue(() => this.closed.length === 1));
   assert.deepEqual(this.closed, [this.connections[0]]);
 });
 
-function rejected(reply: Either.Either<Fault, HttpReply>, status: number, kind: string): void {
+function assertRejected(reply: Either.Either<Fault, HttpReply>, status: number, kind: string): void {
   assert.ok(Either.isRight(reply), Either.isLeft(reply) ? reply.left.message : '');
   assert.equal(reply.right.status, status);
   assert.equal((reply.right.body as { error?: unknown }).error, kind);
 }
 
-/** Raw bytes to the server, and all it says until it closes or the first reply is whole. */
-async function raw(address: Address, text: string): Promise<string> {
+/** Sends raw bytes and returns what the server sends until it closes or the first reply is complete. */
+async function sendRaw(address: Address, text: string): Promise<string> {
   const socket = net.connect(portOf(address), '127.0.0.1');
-  let heard = '';
+  let received = '';
   socket.setEncoding('latin1');
-  socket.on('data', (piece: string) => {
-    heard += piece;
+  socket.on('data', (chunk: string) => {
+    received += chunk;
   });
   socket.on('error', () => undefined);
   socket.write(text);
-  await soon(() => socket.destroyed || /\r\n\r\n.*\}/s.test(heard));
+  await becomesTrue(() => socket.destroyed || /\r\n\r\n.*\}/s.test(received));
   socket.destroy();
-  return heard;
+  return received;
 }
 
-Then('a body of 1 MiB and more is replied 413 {string}', async function then(this: RuntimeStory, kind: string) {
-  rejected(await ask(this.address, { method: 'POST', path: '/echo/long', body: 'x'.repeat(1024 * 1024) }), 413, kind);
-  const most = await ask(this.address, { method: 'POST', path: '/echo/long', body: 'x'.repeat(1024 * 1024 - 2) });
+Then('a body of 1 MiB or more is answered with 413 {string}', async function then(this: RuntimeStory, kind: string) {
+  assertRejected(await requestOnce(this.address, { method: 'POST', path: '/echo/long', body: 'x'.repeat(1024 * 1024) }), 413, kind);
+  const most = await requestOnce(this.address, { method: 'POST', path: '/echo/long', body: 'x'.repeat(1024 * 1024 - 2) });
   assert.ok(Either.isRight(most) && most.right.status === 201);
   assert.equal(this.connections.length, 1);
 });
 
-Then('a body that is no JSON is replied 400 {string}', async function then(this: RuntimeStory, kind: string) {
+Then('a body that is not JSON is answered with 400 {string}', async function then(this: RuntimeStory, kind: string) {
   for (const text of ['{"half":', 'word', '{}{}']) {
-    const heard = await raw(this.address, `POST /echo/bad HTTP/1.1\r\nHost: x\r\nContent-Length: ${text.length}\r\n\r\n${text}`);
-    assert.match(heard, /^HTTP\/1\.1 400 /);
-    assert.ok(heard.includes(`"error":"${kind}"`), heard);
+    const received = await sendRaw(this.address, `POST /echo/bad HTTP/1.1\r\nHost: x\r\nContent-Length: ${text.length}\r\n\r\n${text}`);
+    assert.match(received, /^HTTP\/1\.1 400 /);
+    assert.ok(received.includes(`"error":"${kind}"`), received);
   }
   assert.equal(this.connections.length, 1);
 });
 
-Then('a path that no URI may hold is replied 404 {string}', async function then(this: RuntimeStory, kind: string) {
-  rejected(await ask(this.address, { method: 'POST', path: '/echo/%zz', body: {} }), 404, kind);
+Then('a path that is not valid in a URI is answered with 404 {string}', async function then(this: RuntimeStory, kind: string) {
+  assertRejected(await requestOnce(this.address, { method: 'POST', path: '/echo/%zz', body: {} }), 404, kind);
 });
 
-Then('what is no HTTP is replied 400', async function then(this: RuntimeStory) {
-  assert.match(await raw(this.address, 'OPEN something strange\r\n\r\n'), /^HTTP\/1\.1 400 /);
+Then('data that is not HTTP is answered with 400', async function then(this: RuntimeStory) {
+  assert.match(await sendRaw(this.address, 'OPEN something strange\r\n\r\n'), /^HTTP\/1\.1 400 /);
 });
 
-Then('a request cut off in its body leaves the server as it was', async function then(this: RuntimeStory) {
+Then('a request that breaks off within its body does not affect the server', async function then(this: RuntimeStory) {
   const socket = net.connect(portOf(this.address), '127.0.0.1');
   await once(socket, 'connect');
   socket.write('POST /echo/cut HTTP/1.1\r\nHost: x\r\nContent-Length: 100\r\n\r\n{"half":');
   const before = this.closed.length;
   await new Promise(setImmediate);
   socket.resetAndDestroy();
-  await soon(() => this.closed.length > before);
+  await becomesTrue(() => this.closed.length > before);
   assert.equal(this.connections.length, 1);
 });
 
-Then('an ask over a new connection is replied', async function then(this: RuntimeStory) {
-  const reply = await ask(this.address, { method: 'POST', path: '/echo/again' });
+Then('a request over a new connection is answered', async function then(this: RuntimeStory) {
+  const reply = await requestOnce(this.address, { method: 'POST', path: '/echo/again' });
   assert.ok(Either.isRight(reply) && reply.right.status === 201 && reply.right.headers?.['x-word'] === 'again');
 });
 
 const head = 'HTTP/1.1 200 OK\r\ncontent-type: application/json\r\ncontent-length: 20\r\n\r\n';
-const farEnds: Readonly<Record<string, (socket: net.Socket) => void>> = {
+const peerBehaviors: Readonly<Record<string, (socket: net.Socket) => void>> = {
   'closes without a reply': (socket) => socket.end(),
   'resets without a reply': (socket) => socket.resetAndDestroy(),
   'ends within the body': (socket) => socket.end(`${head}{"half":`),
-  'sends a body that is no JSON': (socket) => socket.write(`${head}{"half": "of a texts`),
-  'says nothing at all': () => undefined,
+  'sends a body that is not JSON': (socket) => socket.write(`${head}{"half": "of a texts`),
+  'sends nothing': () => undefined,
   'stops within the body': (socket) => socket.write(`${head}{"half":`),
-  'sends what is no HTTP': (socket) => socket.write('IDLE\r\n\r\n'),
+  'sends data that is not HTTP': (socket) => socket.write('IDLE\r\n\r\n'),
 };
 const silenceMilliseconds = 120;
 
-Then('a far end that behaves like this yields {string}:', async function then(this: RuntimeStory, kind: string, table: DataTable) {
+Then('a peer that behaves like this yields {string}:', async function then(this: RuntimeStory, kind: string, table: DataTable) {
   assert.deepEqual(
-    table.hashes().map((row) => row['far end']),
-    Object.keys(farEnds),
+    table.hashes().map((row) => row['peer']),
+    Object.keys(peerBehaviors),
   );
-  for (const [name, behave] of Object.entries(farEnds)) {
+  for (const [name, behave] of Object.entries(peerBehaviors)) {
     const address = await freeAddress();
     const sockets = new Set<net.Socket>();
     let arrived = 0;
@@ -234,57 +243,57 @@
   }
 });
 
-Then('a connection whose far end closes between two asks is closed, and asks nothing more', async function then(this: RuntimeStory) {
+Then('a connection whose peer closes between two requests is closed, and sends no more requests', async function then(this: RuntimeStory) {
   const connection = minimalNetwork.connect(this.address);
-  assert.ok(Either.isRight(await connection.exchange({ method: 'POST', path: '/echo/first' }, patience)));
+  assert.ok(Either.isRight(await connection.exchange({ method: 'POST', path: '/echo/first' }, timeoutMilliseconds)));
   const [listening] = this.listening;
   this.listening = [];
   await listening?.stop();
-  assert.ok(await soon(connection.closed));
-  const later = await connection.exchange({ method: 'POST', path: '/echo/second' }, patience);
+  assert.ok(await becomesTrue(connection.closed));
+  const later = await connection.exchange({ method: 'POST', path: '/echo/second' }, timeoutMilliseconds);
   assert.ok(Either.isLeft(later) && fault.kind(later.left) === 'unreachable');
 });
 
-// -- Whose reply it is.
+// -- Unsolicited replies.
 
 function okReply(word: string): string {
   const text = JSON.stringify({ word });
   return `HTTP/1.1 200 OK\r\ncontent-type: application/json\r\ncontent-length: ${text.length}\r\n\r\n${text}`;
 }
 
-const strayMilliseconds = 40;
-const lateMilliseconds = 160;
+const unsolicitedReplyMilliseconds = 40;
+const lateReplyMilliseconds = 160;
 
-/** What a far end does with each ask it hears, which it names in its reply. */
-const strayFarEnds: Readonly<Record<string, (socket: net.Socket, word: string) => void>> = {
-  'replies once more while nothing is asked': function twice(socket, word) {
+/** How a peer reacts to each request. Its reply contains the word of the request. */
+const unsolicitedReplies: Readonly<Record<string, (socket: net.Socket, word: string) => void>> = {
+  'sends a second reply while no request is in progress': function twice(socket, word) {
     socket.write(okReply(word));
-    setTimeout(() => socket.write(okReply(word)), strayMilliseconds);
+    setTimeout(() => socket.write(okReply(word)), unsolicitedReplyMilliseconds);
   },
-  'replies twice in one piece': (socket, word) => socket.write(okReply(word) + okReply(word)),
-  'replies late, after the time was over': (socket, word) => setTimeout(() => socket.write(okReply(word)), lateMilliseconds),
-  'half replies once more while nothing is asked': function half(socket, word) {
+  'sends two replies in one chunk': (socket, word) => socket.write(okReply(word) + okReply(word)),
+  'replies after the request timed out': (socket, word) => setTimeout(() => socket.write(okReply(word)), lateReplyMilliseconds),
+  'sends half of a second reply while no request is in progress': function sendHalf(socket, word) {
     socket.write(okReply(word));
-    setTimeout(() => socket.write(okReply(word).slice(0, 30)), strayMilliseconds);
+    setTimeout(() => socket.write(okReply(word).slice(0, 30)), unsolicitedReplyMilliseconds);
   },
-  'closes while nothing is asked': function closes(socket, word) {
+  'closes while no request is in progress': function closes(socket, word) {
     socket.write(okReply(word));
-    setTimeout(() => socket.end(), strayMilliseconds);
+    setTimeout(() => socket.end(), unsolicitedReplyMilliseconds);
   },
 };
 
-/** Three asks on one connection; those that are replied are replied with their own word, and the connection is gone after the first. */
+/** Sends three requests on one connection: no request receives the reply to another, and the connection is closed after the first. */
 async function assertOwnReplies(name: string, behave: (socket: net.Socket, word: string) => void): Promise<void> {
   const address = await freeAddress();
-  const heard: string[] = [];
+  const received: string[] = [];
   const sockets = new Set<net.Socket>();
   const server = net
     .createServer((socket) => {
       sockets.add(socket);
       socket.on('error', () => undefined);
-      socket.on('data', function asked(piece) {
-        const word = /\/ask\/(\w+)/.exec(String(piece))?.[1] ?? '';
-        heard.push(word);
+      socket.on('data', function onRequest(chunk) {
+        const word = /\/word\/(\w+)/.exec(String(chunk))?.[1] ?? '';
+        received.push(word);
         behave(socket, word);
       });
     })
@@ -292,28 +301,28 @@
   await once(server, 'listening');
   const connection = minimalNetwork.connect(address);
   for (const word of ['one', 'two', 'three']) {
-    const reply = await connection.exchange({ method: 'GET', path: `/ask/${word}` }, silenceMilliseconds);
+    const reply = await connection.exchange({ method: 'GET', path: `/word/${word}` }, silenceMilliseconds);
     if (Either.isRight(reply)) assert.deepEqual(reply.right.body, { word }, name);
-    await new Promise((resolve) => setTimeout(resolve, 2 * strayMilliseconds));
-    assert.ok(connection.closed(), `${name}: the connection is held after ${word}`);
+    await new Promise((resolve) => setTimeout(resolve, 2 * unsolicitedReplyMilliseconds));
+    assert.ok(connection.closed(), `${name}: the connection is still open after ${word}`);
   }
-  assert.deepEqual(heard, ['one'], name);
+  assert.deepEqual(received, ['one'], name);
   for (const socket of sockets) socket.destroy();
   server.close();
 }
 
-Then('over a connection whose far end behaves like this, no ask is given the reply to another:', async function then(table: DataTable) {
+Then('over a connection whose peer behaves like this, no request receives the reply to another:', async function then(table: DataTable) {
   assert.deepEqual(
-    table.hashes().map((row) => row['far end']),
-    Object.keys(strayFarEnds),
+    table.hashes().map((row) => row['peer']),
+    Object.keys(unsolicitedReplies),
   );
-  for (const [name, behave] of Object.entries(strayFarEnds)) await assertOwnReplies(name, behave);
+  for (const [name, behave] of Object.entries(unsolicitedReplies)) await assertOwnReplies(name, behave);
 });
 
-Then('a second ask on a busy connection is denied at once, and the first is replied', async function then(this: RuntimeStory) {
+Then('a second request on a busy connection is rejected at once, and the first is answered', async function then(this: RuntimeStory) {
   const connection = minimalNetwork.connect(this.address);
-  const first = connection.exchange({ method: 'POST', path: '/echo/first', body: { word: 'first' } }, patience);
-  const second = await connection.exchange({ method: 'POST', path: '/echo/second', body: { word: 'second' } }, patience);
+  const first = connection.exchange({ method: 'POST', path: '/echo/first', body: { word: 'first' } }, timeoutMilliseconds);
+  const second = await connection.exchange({ method: 'POST', path: '/echo/second', body: { word: 'second' } }, timeoutMilliseconds);
   assert.ok(Either.isLeft(second) && fault.kind(second.left) === 'unreachable');
   const replied = await first;
   assert.ok(Either.isRight(replied));
@@ -322,16 +331,16 @@
   connection.close();
 });
 
-Then('an ask whose time to leave is over never leaves', async function then(this: RuntimeStory) {
+Then('a request whose latest send time has passed is not sent', async function then(this: RuntimeStory) {
   const before = this.connections.length;
-  const leaveBefore = identifiers.instant(performance.now());
-  const reply = await ask(this.address, { method: 'POST', path: '/echo/late', body: {}, sendBefore: leaveBefore });
+  const sendBefore = identifiers.instant(performance.now());
+  const reply = await requestOnce(this.address, { method: 'POST', path: '/echo/late', body: {}, sendBefore });
   assert.ok(Either.isLeft(reply) && fault.kind(reply.left) === 'unreachable');
-  await new Promise((resolve) => setTimeout(resolve, strayMilliseconds));
+  await new Promise((resolve) => setTimeout(resolve, unsolicitedReplyMilliseconds));
   assert.equal(this.connections.length, before);
 });
 
-Given('a page that replies the later the shorter the word, on loopback', async function given(this: RuntimeStory) {
+Given('a server on loopback that replies later to shorter words', async function given(this: RuntimeStory) {
   this.address = await freeAddress();
   this.connections = [];
   this.listening = [
@@ -357,165 +366,165 @@
   return `POST /word/${word} HTTP/1.1\r\nHost: x\r\nContent-Length: ${text.length}\r\n\r\n${text}`;
 }
 
-/** Pieces one after the other over one connection, and all that is heard until so many replies have come. */
-async function talk(address: Address, pieces: readonly string[], replies: number): Promise<string> {
+/** Sends chunks one after the other over one connection, and returns what is received until this many replies have arrived. */
+async function sendChunks(address: Address, chunks: readonly string[], replies: number): Promise<string> {
   const socket = net.connect(portOf(address), '127.0.0.1');
-  let heard = '';
+  let received = '';
   socket.setNoDelay(true);
   socket.setEncoding('latin1');
-  socket.on('data', (piece: string) => {
-    heard += piece;
+  socket.on('data', (chunk: string) => {
+    received += chunk;
   });
   socket.on('error', () => undefined);
-  for (const piece of pieces) {
-    socket.write(piece);
+  for (const chunk of chunks) {
+    socket.write(chunk);
     await new Promise(setImmediate);
   }
-  await soon(() => heard.split('"sent"').length > replies);
+  await becomesTrue(() => received.split('"sent"').length > replies);
   socket.destroy();
-  return heard;
+  return received;
 }
 
-function bodiesIn(heard: string): readonly unknown[] {
-  return [...heard.matchAll(/\{"word".*?\}\}/g)].map(([text]) => JSON.parse(text) as unknown);
+function bodiesIn(received: string): readonly unknown[] {
+  return [...received.matchAll(/\{"word".*?\}\}/g)].map(([text]) => JSON.parse(text) as unknown);
 }
 
 Then(
-  'of asks for {string}, {string} and {string} in one piece the replies come in that order, each with its own body',
-  async function then(this: RuntimeStory, one: string, two: string, three: string) {
-    const words = [one, two, three];
-    const heard = await talk(this.address, [words.map((word, number) => postOf(word, { number })).join('')], words.length);
+  'the replies to pipelined requests for {string}, {string} and {string} arrive in that order, each with its own body',
+  async function then(this: RuntimeStory, first: string, second: string, third: string) {
+    const words = [first, second, third];
+    const received = await sendChunks(this.address, [words.map((word, number) => postOf(word, { number })).join('')], words.length);
     assert.deepEqual(
-      bodiesIn(heard),
+      bodiesIn(received),
       words.map((word, number) => ({ word, sent: { number } })),
     );
   },
 );
 
-Then('an ask that expects to be let go on is let go on, and replied once', async function then(this: RuntimeStory) {
-  const whole = postOf('word', { number: 9 }).replace('\r\n\r\n', '\r\nExpect: 100-continue\r\n\r\n');
-  const body = whole.indexOf('\r\n\r\n') + 4;
+Then('a request that expects 100-continue receives it, and is answered once', async function then(this: RuntimeStory) {
+  const request = postOf('word', { number: 9 }).replace('\r\n\r\n', '\r\nExpect: 100-continue\r\n\r\n');
+  const body = request.indexOf('\r\n\r\n') + 4;
   this.connections.length = 0;
-  const heard = await talk(this.address, [whole.slice(0, body), whole.slice(body)], 1);
-  assert.match(heard, /^HTTP\/1\.1 100 /);
-  assert.deepEqual(bodiesIn(heard), [{ word: 'word', sent: { number: 9 } }]);
+  const received = await sendChunks(this.address, [request.slice(0, body), request.slice(body)], 1);
+  assert.match(received, /^HTTP\/1\.1 100 /);
+  assert.deepEqual(bodiesIn(received), [{ word: 'word', sent: { number: 9 } }]);
   assert.deepEqual(this.connections, ['word']);
 });
 
-Then('an ask in chunks cut anywhere is replied as a whole one', async function then(this: RuntimeStory) {
+Then('a chunked request that is split at various points is answered like one that is not split', async function then(this: RuntimeStory) {
   const text = JSON.stringify({ number: 12 });
   const head = 'POST /word/chunks HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n';
-  const whole = `${head}${(5).toString(16)}\r\n${text.slice(0, 5)}\r\n${(text.length - 5).toString(16)}\r\n${text.slice(5)}\r\n0\r\n\r\n`;
-  for (let at = 1; at < whole.length; at += 7) {
-    const heard = await talk(this.address, [whole.slice(0, at), whole.slice(at)], 1);
-    assert.deepEqual(bodiesIn(heard), [{ word: 'chunks', sent: { number: 12 } }], `cut at ${at}`);
+  const request = `${head}${(5).toString(16)}\r\n${text.slice(0, 5)}\r\n${(text.length - 5).toString(16)}\r\n${text.slice(5)}\r\n0\r\n\r\n`;
+  for (let position = 1; position < request.length; position += 7) {
+    const received = await sendChunks(this.address, [request.slice(0, position), request.slice(position)], 1);
+    assert.deepEqual(bodiesIn(received), [{ word: 'chunks', sent: { number: 12 } }], `split at ${position}`);
   }
 });
 
-Then('an ask whose sender goes before the reply leaves the replies of others as they are', async function then(this: RuntimeStory) {
+Then('a request whose client disconnects before the reply does not affect other replies', async function then(this: RuntimeStory) {
   const socket = net.connect(portOf(this.address), '127.0.0.1');
   await once(socket, 'connect');
   socket.write(postOf('a', { number: 20 }));
-  const other = talk(this.address, [postOf('a', { number: 21 })], 1);
+  const other = sendChunks(this.address, [postOf('a', { number: 21 })], 1);
   await new Promise(setImmediate);
   socket.resetAndDestroy();
   assert.deepEqual(bodiesIn(await other), [{ word: 'a', sent: { number: 21 } }]);
 });
 
-const impossible = identifiers.address('127.0.0.1:99999');
+const invalidAddress = identifiers.address('127.0.0.1:99999');
 
-function yields(result: Either.Either<Fault, unknown>, kind: string): void {
+function assertFault(result: Either.Either<Fault, unknown>, kind: string): void {
   assert.ok(Either.isLeft(result));
   assert.equal(fault.kind(result.left), kind);
   assert.ok(fault.details(result.left).remedy.length > 0);
 }
 
-Then('an ask to a port where nothing listens yields {string}', async function then(kind: string) {
-  yields(await ask(await freeAddress(), { method: 'GET', path: '/any' }), kind);
+Then('a request to a port without a listener yields {string}', async function then(kind: string) {
+  assertFault(await requestOnce(await freeAddress(), { method: 'GET', path: '/any' }), kind);
 });
 
-Then('an ask to a port that cannot be yields {string}', async function then(kind: string) {
-  yields(await ask(impossible, { method: 'GET', path: '/any' }), kind);
+Then('a request to an invalid port yields {string}', async function then(kind: string) {
+  assertFault(await requestOnce(invalidAddress, { method: 'GET', path: '/any' }), kind);
 });
 
-Then('a stream to a port where nothing listens yields {string}', async function then(kind: string) {
-  yields(await minimalNetwork.openStream(await freeAddress(), patience), kind);
+Then('a stream to a port without a listener yields {string}', async function then(kind: string) {
+  assertFault(await minimalNetwork.openStream(await freeAddress(), timeoutMilliseconds), kind);
 });
 
-Then('a stream to a port that cannot be yields {string}', async function then(kind: string) {
-  yields(await minimalNetwork.openStream(impossible, patience), kind);
+Then('a stream to an invalid port yields {string}', async function then(kind: string) {
+  assertFault(await minimalNetwork.openStream(invalidAddress, timeoutMilliseconds), kind);
 });
 
-Then('a link to a port that cannot be yields {string}', async function then(kind: string) {
-  yields(await minimalNetwork.open(impossible), kind);
+Then('a link to an invalid port yields {string}', async function then(kind: string) {
+  assertFault(await minimalNetwork.open(invalidAddress), kind);
 });
 
 // -- Streams.
 
 Given('a stream on loopback', async function given(this: RuntimeStory) {
   const address = await freeAddress();
-  const greeted = new Promise<Stream>((resolve, reject) => {
+  const accepted = new Promise<Stream>((resolve, reject) => {
     minimalNetwork.listenStream(address, resolve).then((listening) => {
       this.listening = [listening];
     }, reject);
   });
-  await soon(() => this.listening !== undefined);
-  const opened = await minimalNetwork.openStream(address, patience);
+  await becomesTrue(() => this.listening !== undefined);
+  const opened = await minimalNetwork.openStream(address, timeoutMilliseconds);
   assert.ok(Either.isRight(opened));
-  this.near = opened.right;
-  this.far = await greeted;
+  this.local = opened.right;
+  this.peer = await accepted;
 });
 
 async function readLength(stream: Stream, length: number): Promise<string> {
-  let heard = '';
-  while (heard.length < length) {
-    const piece = await stream.read();
-    if (Option.isNone(piece)) break;
-    heard += piece.value;
+  let received = '';
+  while (received.length < length) {
+    const chunk = await stream.read();
+    if (Option.isNone(chunk)) break;
+    received += chunk.value;
   }
-  return heard;
+  return received;
 }
 
-Then('every byte arrives as it was written, both ways', async function then(this: RuntimeStory) {
-  const every = Array.from({ length: 256 }, (_, code) => String.fromCharCode(code))
+Then('every byte arrives as it was written, in both directions', async function then(this: RuntimeStory) {
+  const allBytes = Array.from({ length: 256 }, (_, code) => String.fromCharCode(code))
     .join('')
     .repeat(1_000);
-  this.near.write(every);
-  this.far.write(every);
-  assert.ok((await readLength(this.far, every.length)) === every);
-  assert.ok((await readLength(this.near, every.length)) === every);
+  this.local.write(allBytes);
+  this.peer.write(allBytes);
+  assert.ok((await readLength(this.peer, allBytes.length)) === allBytes);
+  assert.ok((await readLength(this.local, allBytes.length)) === allBytes);
 });
 
-When('the far end writes and ends', function when(this: RuntimeStory) {
-  this.far.write('last words');
-  this.far.close();
+When('the peer writes and closes the stream', function when(this: RuntimeStory) {
+  this.peer.write('last words');
+  this.peer.close();
 });
 
-Then('what it wrote is read, then its end, and the stream is closed on both sides', async function then(this: RuntimeStory) {
-  assert.equal(await readLength(this.near, 10), 'last words');
-  assert.ok(Option.isNone(await this.near.read()));
-  assert.ok(this.near.closed() && this.far.closed());
-  this.near.write('into the void');
-  assert.ok(Option.isNone(await this.near.read()));
-  assert.ok(Option.isNone(await this.far.read()));
+Then('the written data is read, then the end, and the stream is closed on both sides', async function then(this: RuntimeStory) {
+  assert.equal(await readLength(this.local, 10), 'last words');
+  assert.ok(Option.isNone(await this.local.read()));
+  assert.ok(this.local.closed() && this.peer.closed());
+  this.local.write('into the void');
+  assert.ok(Option.isNone(await this.local.read()));
+  assert.ok(Option.isNone(await this.peer.read()));
   const listening = this.listening[0] as Listener;
   this.listening = [];
-  // Only a connection that is closed both ways lets the server stop without being torn.
+  // The server stops only when the connection is closed in both directions.
   await listening.stop();
 });
 
-When('the near end resets it', function when(this: RuntimeStory) {
-  this.near.reset();
+When('the local side resets it', function when(this: RuntimeStory) {
+  this.local.reset();
 });
 
-Then('the far end reads its end, and writing to either harms nobody', async function then(this: RuntimeStory) {
-  assert.ok(this.near.closed());
-  assert.ok(Option.isNone(await this.far.read()));
-  assert.ok(this.far.closed());
-  this.far.write('x'.repeat(100_000));
-  this.near.write('x'.repeat(100_000));
+Then('the peer reads the end, and writing to either side does no harm', async function then(this: RuntimeStory) {
+  assert.ok(this.local.closed());
+  assert.ok(Option.isNone(await this.peer.read()));
+  assert.ok(this.peer.closed());
+  this.peer.write('x'.repeat(100_000));
+  this.local.write('x'.repeat(100_000));
   await new Promise(setImmediate);
-  assert.ok(Option.isNone(await this.near.read()));
+  assert.ok(Option.isNone(await this.local.read()));
 });
 
 Then('the daemons of a fleet of real processes can be started by name', function then() {
