--- a/packages/acceptance/src/clocks.ts
+++ b/packages/acceptance/src/clocks.ts
@@ -3,7 +3,7 @@
 import { Then, When, type DataTable } from '@cucumber/cucumber';
 import * as Option from 'fp-ts/lib/Option.js';
 import { identifiers, wallClock } from '@stallstall/kernel';
-import { firstKey, wallStart, type PooledFleet, type Process } from '@stallstall/simulator';
+import { firstKey, initialWallTime, type PooledFleet, type Process } from '@stallstall/simulator';
 
 type ClockStory = {
   pooled: PooledFleet;
@@ -27,10 +27,10 @@
     let now = 0;
     const wall = wallClock.create(
       () => identifiers.instant(now),
-      () => identifiers.wallTime(wallStart + now + offAt(row, now / 1_000)),
+      () => identifiers.wallTime(initialWallTime + now + offAt(row, now / 1_000)),
     );
     for (; now < Number(second) * 1_000; now += lookMilliseconds) wall();
-    assert.equal(wall() - wallStart - now, Number(expected), `${row}, at second ${second}`);
+    assert.equal(wall() - initialWallTime - now, Number(expected), `${row}, at second ${second}`);
   }
 });
 
@@ -70,7 +70,7 @@
     const machine = fleet.cores.find((core) => core.name === spared)?.machine ?? '';
     const step = way === 'ahead' ? stepMilliseconds : -stepMilliseconds;
     for (const [second, by] of [[Number(from), step] as const, [Number(to), -step] as const])
-      fleet.world.at(second * 1_000, () => othersThan(fleet, machine).forEach((process) => fleet.world.stepWall(process, by)));
+      fleet.world.schedule(second * 1_000, () => othersThan(fleet, machine).forEach((process) => fleet.world.stepWallClock(process, by)));
     await askGets(this, Number(seconds));
   },
 );
@@ -81,14 +81,14 @@
     const { world, cores, edges } = this.pooled;
     const machine = edges.find((edge) => edge.name === name)?.machine ?? '';
     const ways = cores.flatMap((core) => [[machine, core.machine] as const, [core.machine, machine] as const]);
-    world.at(Number(from) * 1_000, () => ways.forEach(([one, other]) => world.cut(one, other)));
-    world.at(Number(to) * 1_000, () => ways.forEach(([one, other]) => world.heal(one, other)));
+    world.schedule(Number(from) * 1_000, () => ways.forEach(([one, other]) => world.cut(one, other)));
+    world.schedule(Number(to) * 1_000, () => ways.forEach(([one, other]) => world.heal(one, other)));
     await askGets(this, Number(seconds));
   },
 );
 
 function windowOf(moment: number): number {
-  return Math.floor((wallStart + moment) / windowMilliseconds);
+  return Math.floor((initialWallTime + moment) / windowMilliseconds);
 }
 
 Then('each window in between was told as it was served', function then(this: ClockStory) {
--- a/packages/acceptance/src/outages.ts
+++ b/packages/acceptance/src/outages.ts
@@ -5,10 +5,10 @@
 import * as Option from 'fp-ts/lib/Option.js';
 import { fault } from '@stallstall/kernel';
 import { placements } from '@stallstall/placement';
-import { firstKey, pooledFleet, wallStart, type PooledMember, type PooledSheet } from '@stallstall/simulator';
+import { firstKey, pooledFleet, initialWallTime, type PooledMember, type PooledSheet } from '@stallstall/simulator';
 import type { SessionLine } from '@stallstall/fakes';
 import type { StatementReply } from '@stallstall/session-protocol';
-import { edge, open, type WithPooledFleet } from './pooled-story.js';
+import { edge, openSession, type WithPooledFleet } from './pooled-story.js';
 
 type OutageStory = WithPooledFleet & {
   line: SessionLine;
@@ -41,7 +41,7 @@
 }
 
 async function once(story: OutageStory, database: string, name: string, texts: readonly string[], who: string = firstKey): Promise<string> {
-  const line = await open(story, database, name, who);
+  const line = await openSession(story, database, name, who);
   let last = '';
   for (const text of texts) last = outcome(await story.pooled.ask(line, text));
   line.close();
@@ -63,8 +63,8 @@
     site: 'yard',
     nodes: [name],
     databases: ['bookings-late', 'bookings-lead'],
-    from: new Date(wallStart + story.from).toISOString(),
-    to: new Date(wallStart + story.to).toISOString(),
+    from: new Date(initialWallTime + story.from).toISOString(),
+    to: new Date(initialWallTime + story.to).toISOString(),
     holdMilliseconds,
     ...more,
   };
@@ -121,8 +121,8 @@
     await bringUp(this, name, {}, (from, to) => [
       {
         site: 'dock',
-        from: new Date(wallStart + from + 40_000).toISOString(),
-        to: new Date(wallStart + to + 120_000).toISOString(),
+        from: new Date(initialWallTime + from + 40_000).toISOString(),
+        to: new Date(initialWallTime + to + 120_000).toISOString(),
         holdMilliseconds: 20_000,
       },
     ]);
@@ -209,7 +209,7 @@
 Given(
   'a session in {string} through {word} has put {string} as {string}',
   async function given(this: OutageStory, database: string, name: string, thing: string, data: string) {
-    this.line = await open(this, database, name);
+    this.line = await openSession(this, database, name);
     assert.match(outcome(await this.pooled.ask(this.line, `put ${thing} ${data}`)), /^(row .*)?$/);
   },
 );
@@ -218,7 +218,7 @@
   'a session in {string} through {word} has put {string} as {string} and the reply was lost',
   async function given(this: OutageStory, database: string, name: string, thing: string, data: string) {
     (this.pooled.primaryOf('bookings') as PooledMember & { running: NonNullable<PooledMember['running']> }).running.knobs.loseCommits = 1;
-    this.line = await open(this, database, name);
+    this.line = await openSession(this, database, name);
     assert.equal(outcome(await this.pooled.ask(this.line, `put ${thing} ${data}`)), 'outcome-unknown');
   },
 );
@@ -274,7 +274,7 @@
 When(/^the clock of (\S+) is set (on|back) by (\d+) s$/, function when(this: OutageStory, name: string, way: string, seconds: string) {
   const { proxyProcess } = edge(this, name);
   assert.ok(proxyProcess !== undefined);
-  this.pooled.world.stepWall(proxyProcess, (way === 'on' ? 1_000 : -1_000) * Number(seconds));
+  this.pooled.world.stepWallClock(proxyProcess, (way === 'on' ? 1_000 : -1_000) * Number(seconds));
 });
 
 Then(
@@ -340,7 +340,7 @@
   async function then(this: OutageStory, many: number, database: string, name: string) {
     const { cached } = copied(this, name);
     assert.ok(cached > 10 && cached < many, `${cached} were copied`);
-    const line = await open(this, database, name);
+    const line = await openSession(this, database, name);
     for (let index = 1; index <= many; index += 1) assert.equal(outcome(await this.pooled.ask(line, `get thing-${index}`)), 'read-only');
     line.close();
   },
--- a/packages/agent/src/agent.ts
+++ b/packages/agent/src/agent.ts
@@ -1,4 +1,4 @@
-/** The agent beside each proxy: keeps the link to the control plane and feeds its proxy over loopback (design 3.4). */
+/** The agent that runs beside each proxy: maintains the links to the control plane and serves its proxy over loopback (design 3.4). */
 import * as Either from 'fp-ts/lib/Either.js';
 import * as Option from 'fp-ts/lib/Option.js';
 import { livenessService } from '@stallstall/election';
@@ -6,7 +6,7 @@
 import type { Reply, Request } from '@stallstall/message';
 import { node as nodes, type Node } from '@stallstall/node';
 import { peer } from '@stallstall/peer';
-import { proxyQuietMilliseconds, type AgentContext, type AgentSettings } from './agent-context.js';
+import { proxySilenceMilliseconds, type AgentContext, type AgentSettings } from './agent-context.js';
 import { agentRoutes } from './agent-routes.js';
 import { connectionCaps } from './connection-caps.js';
 import { edgeVotes } from './edge-votes.js';
@@ -18,14 +18,14 @@
 
 export type Agent = Readonly<{
   node: Node;
-  /** Ends once what is being reported is stored, or after its grace. */
+  /** Stops once all pending reports are stored, or after a timeout. */
   drain: () => Promise<void>;
-  /** Ends at once. */
+  /** Stops immediately. */
   stop: () => Promise<void>;
 }>;
 
-const probeMilliseconds = 250;
-const graceMilliseconds = 2_000;
+const probeIntervalMilliseconds = 250;
+const drainTimeoutMilliseconds = 2_000;
 const drainPollMilliseconds = 5;
 
 function assemble(runtime: Runtime, settings: AgentSettings): AgentContext {
@@ -48,22 +48,22 @@
     freshness: memberFreshness.create(runtime.clock, node, runtime.services.find(livenessService)),
     reports: proxyReports.create(settings.node, node.durableReports),
     proxyReportedAt: undefined,
-    proxyAskedAt: undefined,
+    proxyRequestedAt: undefined,
     proxyMetrics: {},
     isStopped: false,
   };
 }
 
-function tell(context: AgentContext, request: Request<'tell'>): Promise<Reply<'tell'>> {
+function storeReport(context: AgentContext, request: Request<'tell'>): Promise<Reply<'tell'>> {
   context.proxyReportedAt = context.runtime.clock.now();
-  return context.reports.tell(request);
+  return context.reports.store(request);
 }
 
-/** A proxy that has reported nothing for a while serves nothing more that could still be reported. */
-function reportQuietProxy({ runtime, settings, node, proxyReportedAt }: AgentContext): void {
-  const isQuiet = proxyReportedAt === undefined || runtime.clock.now() - proxyReportedAt > proxyQuietMilliseconds;
-  if (!isQuiet || node.cores().length === 0) return;
-  const through = runtime.clock.wall() - proxyQuietMilliseconds;
+/** Reports usage as complete on behalf of a silent proxy, which serves nothing more that could still be reported. */
+function reportSilentProxy({ runtime, settings, node, proxyReportedAt }: AgentContext): void {
+  const isSilent = proxyReportedAt === undefined || runtime.clock.now() - proxyReportedAt > proxySilenceMilliseconds;
+  if (!isSilent || node.cores().length === 0) return;
+  const through = runtime.clock.wall() - proxySilenceMilliseconds;
   void node.durableReports.report({ floors: {}, reports: [], through: { [settings.node]: through } });
 }
 
@@ -73,7 +73,7 @@
     await peer.listen(runtime, identifiers.address(settings.address), { ...node.handlers }),
     await peer.listen(runtime, identifiers.address(settings.feed), {
       feed: (request) => proxyFeed.reply(context, request),
-      tell: (request) => tell(context, request),
+      tell: (request) => storeReport(context, request),
     }),
     await runtime.network.serve(identifiers.address(settings.outward), { routes: [...node.routes, ...agentRoutes.create(context)] }),
   ];
@@ -85,14 +85,14 @@
     return !context.isStopped;
   }
   node.start();
-  void runtimeUtilities.every(runtime.clock, probeMilliseconds, freshness.probeAll, isRunning);
-  void runtimeUtilities.every(runtime.clock, proxyQuietMilliseconds, () => reportQuietProxy(context), isRunning);
+  void runtimeUtilities.every(runtime.clock, probeIntervalMilliseconds, freshness.probeAll, isRunning);
+  void runtimeUtilities.every(runtime.clock, proxySilenceMilliseconds, () => reportSilentProxy(context), isRunning);
 }
 
-/** Right once the agent listens. Errors: `bad-settings` without a node id. */
+/** Resolves to the agent once it listens. Errors: `bad-settings` without a node id. */
 async function start(runtime: Runtime, settings: AgentSettings): Promise<Either.Either<Fault, Agent>> {
   if (settings.node === '') {
-    return Either.left(fault.create({ kind: 'bad-settings', message: 'the agent has no node id', remedy: 'name one with --node' }));
+    return Either.left(fault.create({ kind: 'bad-settings', message: 'the agent has no node id', remedy: 'set one with --node' }));
   }
   const context = assemble(runtime, settings);
   const listening = await listen(context);
@@ -101,13 +101,13 @@
   async function stop(): Promise<void> {
     context.isStopped = true;
     context.node.stop();
-    for (const entry of listening) await entry.stop();
+    for (const listener of listening) await listener.stop();
   }
 
-  /** What is being reported is stored before this process ends (design 7.10). */
+  /** Waits until pending reports are stored before the process ends (design 7.10). */
   async function drain(): Promise<void> {
-    const deadline = identifiers.after(runtime.clock.now(), graceMilliseconds);
-    while (runtime.clock.now() < deadline && context.reports.underWay() > 0) await runtime.clock.sleep(drainPollMilliseconds);
+    const deadline = identifiers.after(runtime.clock.now(), drainTimeoutMilliseconds);
+    while (runtime.clock.now() < deadline && context.reports.pendingCount() > 0) await runtime.clock.sleep(drainPollMilliseconds);
     await stop();
   }
 
--- a/packages/simulator/src/faults/disks.ts
+++ b/packages/simulator/src/faults/disks.ts
@@ -1,6 +1,6 @@
 /** Disks of cores that are slow, full, failing, hanging or lost. */
 import type { PooledFleet } from '../pooled-model.js';
-import type { DiskTrouble } from '../world.js';
+import type { DiskFaults } from '../world.js';
 import { startCoreLater, trouble, type CoreLoss, type LoseCores, type PooledStorm } from './common.js';
 import { between, pick } from '../draws.js';
 
@@ -8,13 +8,13 @@
 const mostMilliseconds = 9_000;
 const slowDiskMilliseconds = 75;
 
-function diskTrouble(change: Partial<DiskTrouble>, over: Partial<DiskTrouble>): LoseCores {
+function diskTrouble(change: Partial<DiskFaults>, over: Partial<DiskFaults>): LoseCores {
   return function spoil(fleet, storm, back) {
     const { disk } = pick(fleet, fleet.cores);
     const milliseconds = between(fleet, leastMilliseconds, mostMilliseconds);
     trouble(fleet, storm, 'core', milliseconds);
     Object.assign(disk.faults, change);
-    fleet.world.at(milliseconds, function mended() {
+    fleet.world.schedule(milliseconds, function mended() {
       Object.assign(disk.faults, over);
       back();
     });
@@ -25,7 +25,7 @@
 export function loseDisk(fleet: PooledFleet, storm: PooledStorm, back: () => void, slot = pick(fleet, fleet.cores)): void {
   const milliseconds = between(fleet, 500, 5_000);
   trouble(fleet, storm, 'core', milliseconds);
-  fleet.world.darken(slot.machine);
+  fleet.world.makeUnresponsive(slot.machine);
   slot.running = undefined;
   slot.disk = fleet.world.disk();
   startCoreLater(fleet, slot, milliseconds, back);
