--- a/packages/acceptance/src/connections.ts
+++ b/packages/acceptance/src/connections.ts
@@ -250,8 +250,8 @@
   assert.deepEqual([this.connections.isFailing('member-1'), this.connections.notListening()], [true, []]);
 });
 
-When('its machine fails, and tenant {string} requests 1 connection', async function when(this: UnitStory, tenant: string) {
-  this.world.darken('member-machine');
+When('its machine goes dark, and tenant {string} wants 1', async function when(this: UnitStory, tenant: string) {
+  this.world.makeUnresponsive('member-machine');
   assert.equal(this.connections.requestConnection(place, tenant), true);
   await this.world.run(1_100);
 });
@@ -259,8 +259,8 @@
 When(
   'its machine recovers and it replies {string} to every OPEN, and tenant {string} requests 1 connection',
   async function when(this: UnitStory, opening: string, tenant: string) {
-    this.world.light('member-machine');
-    this.openReply = `${opening}\r\n`;
+    this.world.restoreMachine('member-machine');
+    this.opening = `${opening}\r\n`;
     await this.world.run(1_000);
     assert.equal(this.connections.requestConnection(place, tenant), true);
     await this.world.run(1_100);
