--- a/packages/acceptance/features/units.feature
+++ b/packages/acceptance/features/units.feature
@@ -192,16 +192,16 @@
     Then after being idle for 19 s it can still be acquired, and after 21 s not
     And once its member moved or left it cannot be acquired
 
-  # -- Matching replies to calls (design 8.14).
+  # -- Matching replies to requests (design 8.14).
 
-  Scenario: A reply on a link without a pending call ends the link
-    Given a peer that sends each reply twice
-    Then the link is dialled again after the second reply, and no call receives the reply to another
+  Scenario: An unsolicited reply closes the link
+    Given a peer that replies twice to each call on a link
+    Then the link is reopened after the second reply, and no call receives the reply to another call
 
-  Scenario: The tables of repeatable calls in the design match the code
-    Then the design's tables list every call between processes and every statement with the same repeatability as the code
+  Scenario: The design documents which calls and statements may be repeated, in agreement with the types
+    Then the tables in the design list every call between processes and every statement, as their types do
 
-  Scenario: A request to a member shares a connection that is being opened
-    Given a member that counts its open connections
-    When a connection to it is being opened and its STATE is requested at once, and again later
-    Then one connection was opened, and one is open
+  Scenario: Concurrent requests to a member share the connection that is being opened
+    Given a member that counts the connections to it
+    When a connection to it is requested, its STATE is requested at the same time, and again later
+    Then one connection was opened, and it is still open
--- a/packages/acceptance/src/clocks.ts
+++ b/packages/acceptance/src/clocks.ts
@@ -70,7 +70,9 @@
     const machine = fleet.cores.find((core) => core.name === spared)?.machine ?? '';
     const step = way === 'ahead' ? stepMilliseconds : -stepMilliseconds;
     for (const [second, by] of [[Number(from), step] as const, [Number(to), -step] as const])
-      fleet.world.at(second * 1_000, () => processesNotOn(fleet, machine).forEach((process) => fleet.world.stepWall(process, by)));
+      fleet.world.schedule(second * 1_000, () =>
+        processesNotOn(fleet, machine).forEach((process) => fleet.world.stepWallClock(process, by)),
+      );
     await sendGets(this, Number(seconds));
   },
 );
@@ -81,8 +83,8 @@
     const { world, cores, edges } = this.pooled;
     const machine = edges.find((edge) => edge.name === name)?.machine ?? '';
     const ways = cores.flatMap((core) => [[machine, core.machine] as const, [core.machine, machine] as const]);
-    world.at(Number(from) * 1_000, () => ways.forEach(([one, other]) => world.cut(one, other)));
-    world.at(Number(to) * 1_000, () => ways.forEach(([one, other]) => world.heal(one, other)));
+    world.schedule(Number(from) * 1_000, () => ways.forEach(([one, other]) => world.cut(one, other)));
+    world.schedule(Number(to) * 1_000, () => ways.forEach(([one, other]) => world.heal(one, other)));
     await sendGets(this, Number(seconds));
   },
 );
--- a/packages/acceptance/src/connections.ts
+++ b/packages/acceptance/src/connections.ts
@@ -260,7 +260,7 @@
   'its machine recovers and it replies {string} to every OPEN, and tenant {string} requests 1 connection',
   async function when(this: UnitStory, opening: string, tenant: string) {
     this.world.restoreMachine('member-machine');
-    this.opening = `${opening}\r\n`;
+    this.openReply = `${opening}\r\n`;
     await this.world.run(1_000);
     assert.equal(this.connections.requestConnection(place, tenant), true);
     await this.world.run(1_100);
--- a/packages/simulator/pooled-mutations.mjs
+++ b/packages/simulator/pooled-mutations.mjs
@@ -199,7 +199,7 @@
   },
   {
     name: 'replies-of-nobody-taken',
-    story: 'A reply on a link without a pending call',
+    story: 'An unsolicited reply closes the link',
     file: 'peer/build/pending-calls.js',
     from: 'return timedOut.delete(call);',
     to: 'return true;',
