--- a/packages/acceptance/features/platform.feature
+++ b/packages/acceptance/features/platform.feature
@@ -1,18 +1,18 @@
-Feature: The adapter between the platform's words and the product
+Feature: The adapter between the platform's formats and the product
 
-  Scenario: A whole configuration is put into a sheet, and fields that are not known are passed over
-    Given the configuration of the stories
-    Then its sheet is the one the pages mean
-    And with fields that are not known at every level it is the same sheet
-    And of two prefixes of one host the shorter one's route stands for the database
-    And a key that stands twice with one tenant is sound
+  Scenario: A complete configuration is translated into a sheet, and unknown fields are ignored
+    Given the sample configuration
+    Then its sheet is the expected one
+    And with unknown fields at every level it gives the same sheet
+    And of two prefixes of one host the shorter one's route defines the database
+    And a key listed twice for one tenant is valid
 
-  Scenario: Announced outages in a configuration are put into the sheet
-    Given the configuration of the stories
-    Then outages that it names stand in its sheet, and a fault in one is told
+  Scenario: Announced outages in a configuration are copied to the sheet
+    Given the sample configuration
+    Then its outages are in its sheet, and an invalid outage is reported
 
-  Scenario: An invalid configuration is refused whole, with a typed fault that names the remedy
-    Given the configuration of the stories
+  Scenario: An invalid configuration is rejected as a whole, with a typed fault that names the remedy
+    Given the sample configuration
     Then each of these makes it invalid:
       | case                                       |
       | nothing at all                             |
@@ -20,10 +20,10 @@
       | a list                                     |
       | no version                                 |
       | a version that is a text                   |
-      | a version that is no whole number          |
+      | a version that is not an integer          |
       | a version below 0                          |
       | no routes                                  |
-      | routes that are no list                    |
+      | routes that are not a list                    |
       | no services                                |
       | a route without a host                     |
       | a route without a label                    |
@@ -32,7 +32,7 @@
       | a route of an unknown service              |
       | a route of an unknown kind                 |
       | two routes with the same host and prefix   |
-      | the same prefix said and left out          |
+      | the same prefix given and defaulted          |
       | a deadline of 0                            |
       | a deadline below 0                         |
       | a deadline that is a text                  |
@@ -40,15 +40,15 @@
       | a staleness below 0                        |
       | a service without a limit                  |
       | a limit of 0                               |
-      | a service that stands twice                |
+      | a service listed twice                |
       | a key shared by two tenants                |
       | a tenant without keys                      |
       | a tenant without a label                   |
       | a key that is a number                     |
       | a rest of 0                                |
 
-  Scenario: Three cores take configurations under the operator's own versions
-    Given three cores that speak the platform's words
+  Scenario: Three cores store configurations under the operator's own versions
+    Given three cores that use the platform's API
     When version 5 is sent to core 1
     Then it is acknowledged, and every core reads back version 5
     When version 5 is sent to core 2 with another deadline
@@ -62,26 +62,26 @@
     When versions 7 and 8 are sent to cores 1 and 2 at the same moment, ten times over with rising versions
     Then each time both are acknowledged, and every core reads back the higher one
 
-  Scenario: Before anything was sent there is nothing to read back, and a core of no fleet takes no beat
-    Given three cores that speak the platform's words
+  Scenario: Before a configuration is sent none can be read back, and a core outside a fleet rejects heartbeats
+    Given three cores that use the platform's API
     Then no configuration can be read back
-    And a core that met no other replies 503 to a beat and to a leave
+    And a core that has not reached any other replies 503 to a heartbeat and to a leave request
 
-  Scenario: The settings file of the pages is read
-    Given a settings file as the pages show it
-    Then the product's settings are those of the file, and fields that are not known are passed over
-    And without its optional fields the file can be read as well
+  Scenario: The documented settings file is read
+    Given a settings file as documented
+    Then the settings are those of the file, and unknown fields are ignored
+    And the file is also valid without its optional fields
 
-  Scenario: A settings file that lacks a field, or holds a wrong one, is refused with the field's name
-    Given a settings file as the pages show it
-    Then without each of these it is refused, naming the field:
+  Scenario: A settings file with a missing or invalid field is rejected with the field's name
+    Given a settings file as documented
+    Then without each of these it is rejected, naming the field:
       | field     |
       | NodeName  |
       | IpAddr    |
       | ZoneName  |
       | PortRange |
       | SeedNodes |
-    And with each of these it is refused, naming the field:
+    And with each of these it is rejected, naming the field:
       | field     | line                           |
       | NodeName  | NodeName = 7                   |
       | IpAddr    | IpAddr = 7                     |
@@ -91,39 +91,39 @@
       | SeedNodes | SeedNodes = ["core.name:8089"] |
       | SeedNodes | SeedNodes = ["10.1.0.28:99999"] |
       | SeedNodes | SeedNodes = ["10.1.0.999:8089"] |
-    And a file that is not there, or is no TOML, is refused with a remedy
+    And a missing file, or one that is not TOML, is rejected with a remedy
 
   Scenario: A reload while a program starts does not end it
     When a program of the platform gets SIGHUP three times while it starts
-    Then it goes on to run
+    Then it keeps running
 
   Scenario: Settings that change while a program starts are not missed
-    Given a settings file as the pages show it
+    Given a settings file as documented
     When the file changes after it was first read and before it is followed
-    Then the process knows the changed seeds at once
+    Then the process applies the changed seeds at once
 
-  Scenario: Changed settings are followed at SIGHUP and without it, and a half-written file keeps what stood
-    Given a settings file as the pages show it
+  Scenario: Changed settings are applied on SIGHUP and without it, and a half-written file changes nothing
+    Given a settings file as documented
     And a program that follows it
-    When the file names other seeds and SIGHUP comes
-    Then the other seeds are obeyed
-    When the file names its first seeds again and no signal comes
-    Then its first seeds are obeyed
-    When the file is cut at every place in turn and SIGHUP comes
-    Then each time the seeds and the platform are wholly the old ones or wholly the new ones
-    And the log told of what was denied
+    When the file names other seeds and SIGHUP arrives
+    Then the other seeds are applied
+    When the file names its first seeds again and no signal arrives
+    Then its first seeds are applied
+    When the file is truncated at every length in turn and SIGHUP arrives
+    Then each time the seeds and the platform are all the old ones or all the new ones
+    And the log reports the rejected settings
 
-  Scenario: Readiness is told by status
+  Scenario: Readiness is reported by the status code
     Then readiness is 200 when ready, and 503 when not
 
-  Scenario: Beats and leaves are put into the product's words
+  Scenario: Heartbeats and leave requests are translated for the core
     Given the routes of a core with a platform API that records its calls
-    When a member sends a beat in service and one that is draining, and leaves
-    Then the platform API was called with both beats and the leave
+    When a member sends a heartbeat in service and one while draining, and leaves
+    Then the platform API was called with both heartbeats and the leave request
 
-  Scenario: Beats that cannot be read get a 4xx, and the platform API is not called
+  Scenario: Malformed heartbeats get a 4xx, and the platform API is not called
     Given the routes of a core with a platform API that records its calls
-    Then each of these beats gets a 4xx:
+    Then each of these heartbeats gets a 4xx:
       | case                         |
       | no body                      |
       | a text                       |
@@ -144,9 +144,9 @@
       | an unknown DbPosition        |
       | a CallSeq below 0            |
       | a CallSeq that is a text     |
-      | a CallSeq beyond all numbers |
+      | a CallSeq beyond the safe integers |
       | a Capacity that is a text    |
-    And a beat, and a leave, of each of these ids gets a 4xx:
+    And a heartbeat and a leave request of each of these ids get a 4xx:
       | id  |
       | %zz |
       | %   |
@@ -155,5 +155,5 @@
       | a%20b |
       | a%0D%0Ab |
       | 201 characters |
-    And 3000 spoilt beats, leaves and configurations from seed 5 get a reply each, and nothing throws
+    And 3000 corrupted heartbeats, leave requests and configurations from seed 5 each get a reply, and nothing throws
     And the platform API was called only with what cores can send one another
--- a/packages/acceptance/src/platform-settings.ts
+++ b/packages/acceptance/src/platform-settings.ts
@@ -1,4 +1,4 @@
-/** Steps over the settings file that the platform hands to a process. */
+/** Steps for the settings file that the platform gives to a process. */
 import assert from 'node:assert/strict';
 import { spawn } from 'node:child_process';
 import fs from 'node:fs';
@@ -79,16 +79,16 @@
   fs.rmSync(this.folder, { recursive: true });
 });
 
-Given('a settings file as the pages show it', function given(this: PlatformStory) {
+Given('a settings file as documented', function given(this: PlatformStory) {
   this.folder = fs.mkdtempSync(path.join(os.tmpdir(), 'stallstall-story-'));
   this.lines = settingsLines;
 });
 
-Then("the product's settings are those of the file, and fields that are not known are passed over", function then(this: PlatformStory) {
+Then('the settings are those of the file, and unknown fields are ignored', function then(this: PlatformStory) {
   assert.deepEqual(readLines(this, this.lines), Either.right(expectedSettings));
 });
 
-Then('without its optional fields the file can be read as well', function then(this: PlatformStory) {
+Then('the file is also valid without its optional fields', function then(this: PlatformStory) {
   const optional = [
     'Bootstrap',
     'StateDir',
@@ -126,7 +126,7 @@
   assert.ok(read.left.message.includes(field) && fault.details(read.left).remedy.length > 0, read.left.message);
 }
 
-Then('without each of these it is refused, naming the field:', function then(this: PlatformStory, table: DataTable) {
+Then('without each of these it is rejected, naming the field:', function then(this: PlatformStory, table: DataTable) {
   for (const { field } of table.hashes())
     rejectedNaming(
       this,
@@ -135,7 +135,7 @@
     );
 });
 
-Then('with each of these it is refused, naming the field:', function then(this: PlatformStory, table: DataTable) {
+Then('with each of these it is rejected, naming the field:', function then(this: PlatformStory, table: DataTable) {
   for (const row of table.hashes())
     rejectedNaming(
       this,
@@ -144,7 +144,7 @@
     );
 });
 
-Then('a file that is not there, or is no TOML, is refused with a remedy', function then(this: PlatformStory) {
+Then('a missing file, or one that is not TOML, is rejected with a remedy', function then(this: PlatformStory) {
   for (const read of [
     platformSettings.read(path.join(this.folder, 'none.toml')),
     readLines(this, ['NodeName = "half']),
@@ -169,30 +169,30 @@
   return story.lines.map((line) => (line.startsWith('SeedNodes') ? otherSeeds : line.replace('10.200.0.106', '10.200.0.107')));
 }
 
-When('the file names other seeds and SIGHUP comes', function when(this: PlatformStory) {
+When('the file names other seeds and SIGHUP arrives', function when(this: PlatformStory) {
   const read = readLines(this, withOtherSeeds(this));
   assert.ok(Either.isRight(read));
   this.later = read.right;
   process.emit('SIGHUP', 'SIGHUP');
 });
 
-Then('the other seeds are obeyed', function then(this: PlatformStory) {
+Then('the other seeds are applied', function then(this: PlatformStory) {
   assert.deepEqual(this.current().seeds, ['10.5.0.28:7200', '10.6.0.26:7200']);
   assert.equal(this.current().platformAddress, '10.200.0.107:8080');
 });
 
-When('the file names its first seeds again and no signal comes', function when(this: PlatformStory) {
+When('the file names its first seeds again and no signal arrives', function when(this: PlatformStory) {
   readLines(this, this.lines);
-  // The watcher on the file is one for all who watch it; that its time is up need not be waited for.
+  // Node.js shares one watcher among all listeners of a file, so the change is emitted on it instead of waiting for the next poll.
   const watcher = fs.watchFile(fileOf(this), { persistent: false }, () => undefined);
   watcher.emit('change', fs.statSync(fileOf(this)), fs.statSync(fileOf(this)));
 });
 
-Then('its first seeds are obeyed', function then(this: PlatformStory) {
+Then('its first seeds are applied', function then(this: PlatformStory) {
   assert.deepEqual(this.current(), this.before);
 });
 
-When('the file is cut at every place in turn and SIGHUP comes', function when(this: PlatformStory) {
+When('the file is truncated at every length in turn and SIGHUP arrives', function when(this: PlatformStory) {
   const text = withOtherSeeds(this).join('\n');
   this.seen = Array.from({ length: text.length + 1 }, (_, length) => {
     fs.writeFileSync(fileOf(this), text.slice(0, length));
@@ -201,7 +201,7 @@
   });
 });
 
-Then('each time the seeds and the platform are wholly the old ones or wholly the new ones', function then(this: PlatformStory) {
+Then('each time the seeds and the platform are all the old ones or all the new ones', function then(this: PlatformStory) {
   function followed(settings: PlatformSettings | undefined): string {
     return JSON.stringify([settings?.seeds, settings?.platformAddress]);
   }
@@ -212,7 +212,7 @@
   assert.equal(followed(this.seen.at(-1)), wholes[1]);
 });
 
-Then('the log told of what was denied', function then(this: PlatformStory) {
+Then('the log reports the rejected settings', function then(this: PlatformStory) {
   assert.ok(this.world.logs.some((line) => line.event === 'settings.denied' && /fix/.test(String(line.fields['reason']))));
 });
 
@@ -229,7 +229,7 @@
   this.signal = await new Promise((resolve) => child.on('exit', (_code, signal) => resolve(signal)));
 });
 
-Then('it goes on to run', function then(this: StartingStory) {
+Then('it keeps running', function then(this: StartingStory) {
   assert.equal(this.signal, null);
   assert.match(this.output, /^runs$/m);
 });
@@ -243,6 +243,6 @@
   this.current = platformSettings.follow(this.world.spawn('agent', 'edge-machine').runtime, fileOf(this), read.right);
 });
 
-Then('the process knows the changed seeds at once', function then(this: PlatformStory) {
+Then('the process applies the changed seeds at once', function then(this: PlatformStory) {
   assert.deepEqual(this.current().seeds, ['10.9.9.9:7200']);
 });
--- a/packages/acceptance/src/platform.ts
+++ b/packages/acceptance/src/platform.ts
@@ -1,4 +1,4 @@
-/** Steps of the stories of platform.feature: configurations, settings and pages in the platform's words. */
+/** Steps of platform.feature: configurations, settings and routes in the platform's formats. */
 import assert from 'node:assert/strict';
 import { Given, Then, When, type DataTable } from '@cucumber/cucumber';
 import * as Either from 'fp-ts/lib/Either.js';
@@ -79,7 +79,7 @@
   return Object.fromEntries(Object.entries(fields).filter(([key]) => key !== name));
 }
 
-/** The sample with one of its list's entries changed. */
+/** The sample with one entry of a list changed. */
 function changed(list: 'Channels' | 'Plants' | 'Accounts', index: number, change: Fields): Sent {
   const whole = sample();
   whole[list][index] = { ...whole[list][index], ...change };
@@ -98,10 +98,10 @@
   'a list': () => [sample()],
   'no version': () => without(sample(), 'Generation'),
   'a version that is a text': () => ({ ...sample(), Generation: '7' }),
-  'a version that is no whole number': () => ({ ...sample(), Generation: 7.5 }),
+  'a version that is not an integer': () => ({ ...sample(), Generation: 7.5 }),
   'a version below 0': () => ({ ...sample(), Generation: -1 }),
   'no routes': () => without(sample(), 'Channels'),
-  'routes that are no list': () => ({ ...sample(), Channels: {} }),
+  'routes that are not a list': () => ({ ...sample(), Channels: {} }),
   'no services': () => without(sample(), 'Plants'),
   'a route without a host': () => lacking('Channels', 0, 'Hostname'),
   'a route without a label': () => lacking('Channels', 0, 'Label'),
@@ -110,7 +110,7 @@
   'a route of an unknown service': () => changed('Channels', 1, { Plant: 'balloons' }),
   'a route of an unknown kind': () => changed('Channels', 1, { RouteKind: 'any' }),
   'two routes with the same host and prefix': () => changed('Channels', 1, { Hostname: 'harbour' }),
-  'the same prefix said and left out': () => changed('Channels', 2, { Hostname: 'harbour' }),
+  'the same prefix given and defaulted': () => changed('Channels', 2, { Hostname: 'harbour' }),
   'a deadline of 0': () => changed('Channels', 1, { DeadlineMs: 0 }),
   'a deadline below 0': () => changed('Channels', 1, { DeadlineMs: -5 }),
   'a deadline that is a text': () => changed('Channels', 1, { DeadlineMs: '800' }),
@@ -118,7 +118,7 @@
   'a staleness below 0': () => changed('Channels', 1, { StalenessMs: -1 }),
   'a service without a limit': () => lacking('Plants', 1, 'ConnLimit'),
   'a limit of 0': () => changed('Plants', 1, { ConnLimit: 0 }),
-  'a service that stands twice': () => changed('Plants', 1, { Label: 'ferries' }),
+  'a service listed twice': () => changed('Plants', 1, { Label: 'ferries' }),
   'a key shared by two tenants': () => changed('Accounts', 1, { Credentials: ['key-four', 'key-two'] }),
   'a tenant without keys': () => lacking('Accounts', 1, 'Credentials'),
   'a tenant without a label': () => lacking('Accounts', 1, 'Label'),
@@ -126,7 +126,7 @@
   'a rest of 0': () => ({ ...sample(), InputLimits: { TxRestMs: 0 } }),
 };
 
-/** As a core takes it: the adapter's shape first, and then the sheet's own checks. */
+/** Validates a configuration as a core does: its shape first, then the checks of the sheet. */
 function taken(body: unknown): Either.Either<Fault, unknown> {
   const translated = configuration.translate(body);
   return Either.isLeft(translated) ? translated : placements.validate(translated.right.sheet);
@@ -141,7 +141,7 @@
   return checked as ReturnType<typeof placements.validate>;
 }
 
-Given('the configuration of the stories', function given() {
+Given('the sample configuration', function given() {
   sound(sample());
 });
 
@@ -192,13 +192,13 @@
   bounds: { restMilliseconds: 3_000, messageBytes: 1_048_576 },
 };
 
-Then('its sheet is the one the pages mean', function then() {
+Then('its sheet is the expected one', function then() {
   assert.deepEqual(sound(sample()), Either.right(expectedSheet));
   const translated = configuration.translate(sample(12));
   assert.ok(Either.isRight(translated) && translated.right.version === 12);
 });
 
-Then('outages that it names stand in its sheet, and a fault in one is told', function then() {
+Then('its outages are in its sheet, and an invalid outage is reported', function then() {
   const outage = {
     site: 'quay',
     nodes: ['edge-1'],
@@ -213,7 +213,7 @@
   assert.ok(Either.isLeft(taken({ ...sample(), Outages: [{ ...outage, databases: ['nowhere'] }] })));
 });
 
-Then('with fields that are not known at every level it is the same sheet', function then() {
+Then('with unknown fields at every level it gives the same sheet', function then() {
   const strange = { Novelty: { deep: [1] } };
   const whole = sample();
   const wider = {
@@ -227,7 +227,7 @@
   assert.deepEqual(sound(wider), Either.right(expectedSheet));
 });
 
-Then("of two prefixes of one host the shorter one's route stands for the database", function then() {
+Then("of two prefixes of one host the shorter one's route defines the database", function then() {
   for (const [first, second] of [
     ['/', '/deep'],
     ['/deep', '/'],
@@ -246,7 +246,7 @@
   }
 });
 
-Then('a key that stands twice with one tenant is sound', function then() {
+Then('a key listed twice for one tenant is valid', function then() {
   sound(changed('Accounts', 0, { Credentials: ['key-one', 'key-one'] }));
 });
 
@@ -292,7 +292,7 @@
   assert.ok(Either.isRight(started));
 }
 
-Given("three cores that speak the platform's words", async function given(this: PlatformStory) {
+Given("three cores that use the platform's API", async function given(this: PlatformStory) {
   this.world = worlds.create(31);
   this.operator = this.world.spawn('operator', 'operator-machine').runtime;
   for (const index of [1, 2, 3]) await startCore(this.world, index, false);
@@ -327,7 +327,7 @@
   );
 }
 
-/** What every core reads back, the same from each. */
+/** Returns the configuration that the cores read back, after checking that it is the same on each. */
 async function readBack(story: PlatformStory): Promise<unknown> {
   const replies = await exchange(
     story,
@@ -436,7 +436,7 @@
   assert.equal(reply?.status, 404);
 });
 
-Then('a core that met no other replies 503 to a beat and to a leave', async function then(this: PlatformStory) {
+Then('a core that has not reached any other replies 503 to a heartbeat and to a leave request', async function then(this: PlatformStory) {
   await startCore(this.world, 9, true);
   await this.world.run(1_000);
   const replies = await exchange(this, [
@@ -449,7 +449,7 @@
   );
 });
 
-// -- Pages.
+// -- Routes.
 
 function beat(): Fields {
   return {
@@ -495,7 +495,7 @@
   this.mappings = platformRoutes.control(platformApi);
 });
 
-When('a member sends a beat in service and one that is draining, and leaves', async function when(this: PlatformStory) {
+When('a member sends a heartbeat in service and one while draining, and leaves', async function when(this: PlatformStory) {
   this.replies = [
     await ask(this, 'POST', '/api/members/member-9/beat', beat()),
     await ask(this, 'POST', '/api/members/member-9/beat', {
@@ -509,7 +509,7 @@
   ];
 });
 
-Then('the platform API was called with both beats and the leave', function then(this: PlatformStory) {
+Then('the platform API was called with both heartbeats and the leave request', function then(this: PlatformStory) {
   assert.deepEqual(
     this.replies.map((reply) => reply.status),
     [200, 200, 200],
@@ -548,7 +548,7 @@
   'an unknown DbPosition': () => ({ ...beat(), DbPosition: 'leader' }),
   'a CallSeq below 0': () => ({ ...beat(), CallSeq: -1 }),
   'a CallSeq that is a text': () => ({ ...beat(), CallSeq: '4' }),
-  'a CallSeq beyond all numbers': () => ({ ...beat(), CallSeq: 1e300 }),
+  'a CallSeq beyond the safe integers': () => ({ ...beat(), CallSeq: 1e300 }),
   'a Capacity that is a text': () => ({ ...beat(), Capacity: '4' }),
 };
 
@@ -556,7 +556,7 @@
   return reply.status >= 400 && reply.status < 500;
 }
 
-Then('each of these beats gets a 4xx:', async function then(this: PlatformStory, table: DataTable) {
+Then('each of these heartbeats gets a 4xx:', async function then(this: PlatformStory, table: DataTable) {
   assert.deepEqual(
     table.hashes().map((row) => row['case']),
     Object.keys(badBeats),
@@ -566,7 +566,7 @@
   assert.deepEqual(this.beats, []);
 });
 
-Then('a beat, and a leave, of each of these ids gets a 4xx:', async function then(this: PlatformStory, table: DataTable) {
+Then('a heartbeat and a leave request of each of these ids get a 4xx:', async function then(this: PlatformStory, table: DataTable) {
   for (const row of table.hashes()) {
     const id = row['id'] === '201 characters' ? 'x'.repeat(201) : (row['id'] ?? '');
     assert.ok(isDenied(await ask(this, 'POST', `/api/members/${id}/beat`, beat())), `beat ${id}`);
@@ -614,7 +614,7 @@
 }
 
 Then(
-  '{int} spoilt beats, leaves and configurations from seed {int} get a reply each, and nothing throws',
+  '{int} corrupted heartbeats, leave requests and configurations from seed {int} each get a reply, and nothing throws',
   async function then(this: PlatformStory, count: number, seed: number) {
     const random = worlds.create(seed).fraction;
     const statuses = new Set<number>();
--- a/packages/acceptance/src/product.ts
+++ b/packages/acceptance/src/product.ts
@@ -1,4 +1,4 @@
-/** Steps of the stories of product.feature: settings, versions and upgrades, counts. */
+/** Steps of product.feature: settings, versions, upgrades and metrics. */
 import assert from 'node:assert/strict';
 import fs from 'node:fs';
 import os from 'node:os';
@@ -52,7 +52,7 @@
   write(this, JSON.stringify(laterSettings));
 });
 
-Then('both are obeyed at once, without a restart', function then(this: Story) {
+Then('both are applied at once, without a restart', function then(this: Story) {
   assert.deepEqual(this.currentSettings(), laterSettings);
 });
 
@@ -60,22 +60,22 @@
   write(this, JSON.stringify(firstSettings).slice(0, 60));
 });
 
-When('the file names a seed by its name instead of its number', function when(this: Story) {
+When('the file names a seed by host name instead of its IP address', function when(this: Story) {
   write(this, JSON.stringify({ ...firstSettings, seeds: ['127.0.0.1:1', '127.0.0.1:2', 'seed.example:3'] }));
 });
 
-When('the file names another address of its own', function when(this: Story) {
+When("the file changes the process's own address", function when(this: Story) {
   write(this, JSON.stringify({ ...laterSettings, address: '127.0.0.1:7777' }));
 });
 
-Then('what stood before stands, and the log names the remedy', function then(this: Story) {
+Then('the previous settings stay in force, and the log names the remedy', function then(this: Story) {
   assert.deepEqual(this.currentSettings(), laterSettings);
   const [line] = this.world.logs;
   assert.equal(line?.event, 'settings.denied');
   assert.match(String(line?.fields['reason']), /fix/);
 });
 
-Then('what stood before stands, and the log says that {string} waits for a restart', function then(this: Story, column: string) {
+Then('the previous settings stay in force, and the log says that {string} waits for a restart', function then(this: Story, column: string) {
   assert.deepEqual(this.currentSettings(), laterSettings);
   const [line] = this.world.logs;
   assert.equal(line?.event, 'settings.waits');
@@ -99,7 +99,7 @@
 });
 
 When(
-  'every process in turn is ended as planned and started as a version that speaks protocols {int} to {int}',
+  'every process in turn is drained, stopped and started as a version that speaks protocols {int} to {int}',
   async function when(this: Story, from: number, to: number) {
     const { fleet } = this;
     async function inTurn(
@@ -127,7 +127,7 @@
   },
 );
 
-Then('every node is heard and speaks protocol {int} with the others', async function then(this: Story, protocol: number) {
+Then('every node is reachable and speaks protocol {int} with the others', async function then(this: Story, protocol: number) {
   const { nodes } = (await this.fleet.sendOperatorRequest('GET', '/v1/fleet')).body as {
     nodes: ReadonlyArray<{ node: string; heardMilliseconds: number; protocol: number }>;
   };
@@ -136,9 +136,9 @@
     assert.ok(node.heardMilliseconds >= 0 && node.heardMilliseconds < 1_000 && node.protocol === protocol, JSON.stringify(node));
 });
 
-Then('no write ended otherwise than served or turned away', function then(this: Story) {
-  const turnedAway = new Set(['served', 'draining', 'session-lost', 'unreachable']);
-  const others = this.fleet.ledger.writes.filter((one) => !turnedAway.has(one.reason) && one.reason !== 'abandoned');
+Then('every finished write was served or rejected', function then(this: Story) {
+  const expectedOutcomes = new Set(['served', 'draining', 'session-lost', 'unreachable']);
+  const others = this.fleet.ledger.writes.filter((one) => !expectedOutcomes.has(one.reason) && one.reason !== 'abandoned');
   assert.deepEqual(
     others.map((one) => `${one.reason} ${one.startedAt}-${one.endedAt}`),
     [],
@@ -177,7 +177,7 @@
 });
 
 When(
-  'all cores come back on data folders of format 1, whose sheet has a history of {int} versions',
+  'all cores restart on data folders of format 1, whose sheet has a history of {int} versions',
   async function when(this: Story, count: number) {
     const cells = this.fleet.cores.map(
       (slot) =>
@@ -226,7 +226,7 @@
   return reply.right;
 }
 
-Then('every agent tells its own counts and those of its proxy', async function then(this: Story) {
+Then('every agent reports its own metrics and those of its proxy', async function then(this: Story) {
   for (const edge of this.fleet.edges) {
     const counts = (await page(this, edge, '/v1/metrics')).body as Record<string, number>;
     assert.ok(
@@ -236,14 +236,14 @@
   }
 });
 
-Then("every agent's health page is sound", async function then(this: Story) {
+Then("every agent's health checks pass", async function then(this: Story) {
   for (const edge of this.fleet.edges) {
     const reply = await page(this, edge, '/v1/liveness');
     assert.equal(reply.status, 200, JSON.stringify(reply.body));
   }
 });
 
-Then('the health page of {word} fails {string} with a remedy', async function then(this: Story, edge: string, check: string) {
+Then('the health report of {word} fails {string} with a remedy', async function then(this: Story, edge: string, check: string) {
   const reply = await page(this, edgeOf(this, edge), '/v1/liveness');
   assert.equal(reply.status, 503);
   const failed = (reply.body as { checks: ReadonlyArray<{ check: string; sound: boolean; remedy: string }> }).checks.filter(
