--- a/packages/acceptance/src/platform-settings.ts
+++ b/packages/acceptance/src/platform-settings.ts
@@ -107,14 +107,14 @@
     readLines(this, fewer),
     Either.right({
       ...expectedSettings,
-      senders: '',
-      readiness: '',
+      clientAddress: '',
+      readinessAddress: '',
       platformApiAddress: '',
-      founds: false,
-      data: '',
-      platform: '',
+      mayFound: false,
+      dataFolder: '',
+      platformAddress: '',
       graceMilliseconds: 6_000,
-      restMilliseconds: 3_300,
+      handoverDelayMilliseconds: 3_300,
     }),
   );
 });
