--- a/packages/acceptance/features/input.feature
+++ b/packages/acceptance/features/input.feature
@@ -1,37 +1,37 @@
 Feature: Malformed input
-  Nothing that comes in at a boundary ends a process or widens what is let in.
+  Input from outside can neither end a process nor gain access that the configuration does not grant.
 
-  Scenario: Spoilt requests, beats, sheets and frames leave a fleet as it was
+  Scenario: Malformed requests, heartbeats, configurations and frames do not affect a fleet
     Given a fleet of Red Común with its placement configuration applied and its primaries elected
-    When 150 spoilt statements, beats and sheets come in at every outward page
-    And spoilt calls and frames come in at every node and feed
+    When 150 malformed statements, heartbeats and configurations are sent to the HTTP routes
+    And malformed calls and frames are sent to every node and feed
     Then every process still runs
-    And every spoilt request had an answer, and none under a strange key was served
+    And every malformed request got a reply, and none with an unknown key was served
     And the membership table names 3 cores and 6 edges
     And a write to "bookings" through edge-1 is served
 
-  Scenario: A member that answers nonsense is survived
+  Scenario: The fleet keeps working when a member sends malformed replies
     Given a fleet of Red Común with its placement configuration applied and its primaries elected
-    When a replica of "bookings" answers nonsense to everything
+    When a replica of "bookings" answers every request with a malformed reply
     And 3 s pass
     Then every process still runs
     And a write to "bookings" through edge-1 is served
 
-  Scenario: Sheets and settings are checked without a throw
-    Given 3000 spoilt sheets and settings
-    Then each is either taken as sound or denied with a remedy
+  Scenario: Validating configurations and settings never throws
+    Given 3000 malformed configurations and settings
+    Then each is either accepted or rejected with a remedy
 
-  Scenario: A damaged disk is given up and the others copied; only another node's or a later version's is refused
+  Scenario: A damaged disk is replaced by copies from the other cores; only a disk of another node or a later version is refused
     Given a fleet of Red Común with its placement configuration applied and its primaries elected
-    When core-3 is started 40 times on a disk with one entry spoilt
-    Then each start opened within 10 s, or was refused as "foreign-disk" for what its fleet says
-    And some gave up what was stored
+    When core-3 is started 40 times on a disk with one corrupted entry
+    Then each start opened within 10 s, or was refused as "foreign-disk" because of its fleet entry
+    And some replaced their stored data
     And the current configuration version is 1
 
-  Scenario: A core and an agent that reply with nothing readable are as good as away, and no more
+  Scenario: A core and an agent that send malformed replies have the same effect as if they were unreachable
     Given a fleet of Red Común with its placement configuration applied and its primaries elected
-    When impostors stand where core-3 and the agent of edge-6 stood, and 12 s pass
-    Then both were asked again and again, and every other process still runs
+    When impostors replace core-3 and the agent of edge-6, and 12 s pass
+    Then both received repeated calls, and every other process still runs
     And a write to "bookings" through edge-1 is served
     And a write to "bookings" through edge-6 is denied as "read-only" or "stale-configuration"
     And core-2 accepts a configuration
--- a/packages/acceptance/src/contents.ts
+++ b/packages/acceptance/src/contents.ts
@@ -30,7 +30,7 @@
     const random = worlds.create(seed).fraction;
     let first = asJson(sampleValue(4));
     for (let pair = 0; pair < count; pair += 1) {
-      const second = asJson(pair % 50 === 0 ? sampleValue(Math.floor(random() * 8)) : fuzz.spoil(first, random));
+      const second = asJson(pair % 50 === 0 ? sampleValue(Math.floor(random() * 8)) : fuzz.corrupt(first, random));
       const before = JSON.stringify(first);
       const all = asJson(differences.compute(first, second)) as ReturnType<typeof differences.compute>;
       assert.deepEqual(differences.apply(first, all), second);
--- a/packages/acceptance/src/guarantees.ts
+++ b/packages/acceptance/src/guarantees.ts
@@ -245,7 +245,7 @@
 });
 
 When(
-  'impostors stand where {word} and the agent of {word} stood, and {int} s pass',
+  'impostors replace {word} and the agent of {word}, and {int} s pass',
   async function when(this: Story, core: string, edge: string, seconds: number) {
     const slot = coreOf(this, core);
     const places = [
@@ -264,7 +264,7 @@
   },
 );
 
-Then('both were asked again and again, and every other process still runs', function then(this: Story) {
+Then('both received repeated calls, and every other process still runs', function then(this: Story) {
   for (const count of this.asked) assert.ok(count() > 20, `asked ${count()} times`);
   for (const slot of this.fleet.cores.slice(0, 2)) assert.equal(slot.process?.alive(), true, slot.name);
   for (const slot of this.fleet.edges) {
--- a/packages/acceptance/src/known-red-steps.ts
+++ b/packages/acceptance/src/known-red-steps.ts
@@ -1,4 +1,4 @@
-/** Steps of known-red.feature: the list of failures that a check passes over. */
+/** Steps of known-red.feature: the list of known failures that a check ignores. */
 import assert from 'node:assert/strict';
 import { spawnSync } from 'node:child_process';
 import fs from 'node:fs';
@@ -18,7 +18,7 @@
   this.list = table.raw().flat().join('\n');
 });
 
-Then('it judges these outcomes of {word} like this:', function then(this: KnownRedStory, kind: KnownRedKind, table: DataTable) {
+Then('the outcomes of {word} are judged as follows:', function then(this: KnownRedStory, kind: KnownRedKind, table: DataTable) {
   const entries = knownRed.parse(this.list).filter((entry) => entry.kind === kind);
   for (const [outcomes = '', passedOver = '', failed = '', complaint = ''] of table.rows()) {
     const verdict = knownRed.judge(entries, outcomesOf(outcomes));
@@ -31,23 +31,23 @@
   }
 });
 
-Then(/^this list of known failures is refused: (.*)$/, function then(list: string) {
+Then(/^this list of known failures is rejected: (.*)$/, function then(list: string) {
   assert.throws(() => knownRed.parse(list), /KNOWN-RED\.txt: expected/);
 });
 
-function entry(seed: number): string {
+function listEntry(seed: number): string {
   return `seed: ${seed} | npm run seeds -- ${seed} 1 | what was seen | 31`;
 }
 
-Then('a list of {int} entries of one kind is refused, and one that names a seed twice', function then(count: number) {
-  assert.throws(() => knownRed.parse(Array.from({ length: count }, (_, index) => entry(index)).join('\n')), /at the most/);
-  assert.throws(() => knownRed.parse([entry(1), entry(1)].join('\n')), /named twice/);
+Then('a list of {int} entries of one kind is rejected, and so is one that names a seed twice', function then(count: number) {
+  assert.throws(() => knownRed.parse(Array.from({ length: count }, (_, index) => listEntry(index)).join('\n')), /at most/);
+  assert.throws(() => knownRed.parse([listEntry(1), listEntry(1)].join('\n')), /named twice/);
 });
 
-When('a check plays seed 1, and its list names seed 2', { timeout: 120_000 }, function when(this: KnownRedStory) {
+When('a check runs seed 1 and its list names seed 2', { timeout: 120_000 }, function when(this: KnownRedStory) {
   const folder = fs.mkdtempSync(path.join(os.tmpdir(), 'stallstall-known-red-'));
   const file = path.join(folder, 'KNOWN-RED.txt');
-  fs.writeFileSync(file, entry(2));
+  fs.writeFileSync(file, listEntry(2));
   const program = fileURLToPath(new URL('../../simulator/build/seeds.js', import.meta.url));
   const env = { ...process.env, STALLSTALL_KNOWN_RED: file };
   const run = spawnSync(process.execPath, [program, '1', '1', '--milliseconds=3000'], { encoding: 'utf8', env, timeout: 100_000 });
@@ -56,10 +56,10 @@
   this.status = run.status;
 });
 
-Then('it plays both, prints that seed 2 passes again, and fails', function then(this: KnownRedStory) {
+Then('it runs both seeds, prints that seed 2 passes again, and fails', function then(this: KnownRedStory) {
   assert.match(this.output, /^seed=1 passed/m);
   assert.match(this.output, /^seed=2 passed/m);
-  assert.match(this.output, /^known red passes again, take it out: seed 2$/m);
+  assert.match(this.output, /^known red passes again, remove its entry: seed 2$/m);
   assert.match(this.output, /^seeded-run: 2 passed, 1 failed$/m);
   assert.equal(this.status, 1);
 });
--- a/packages/acceptance/src/malformed-input-steps.ts
+++ b/packages/acceptance/src/malformed-input-steps.ts
@@ -1,4 +1,4 @@
-/** Steps for malformed input: spoilt requests, frames, disks, configurations and settings. */
+/** Steps for malformed input: requests, frames, replies, disk entries, configurations and settings. */
 import assert from 'node:assert/strict';
 import { When, Then, Given } from '@cucumber/cucumber';
 import { settings, coreSettings } from '@stallstall/cli';
@@ -10,46 +10,56 @@
 import * as Option from 'fp-ts/lib/Option.js';
 import { type Story, primary, coreOf } from './story.js';
 
-When('{int} spoilt statements, beats and sheets come in at every outward page', async function when(this: Story, shots: number) {
-  const edge = this.fleet.edgeAddresses(this.fleet.edges[0] as EdgeSlot);
-  const core = this.fleet.coreAddresses(this.fleet.cores[0] as CoreSlot);
-  const work = Promise.all([
-    fuzz.pages(this.fleet, edge.proxy, 'POST', '/v1/services/bookings/statements', fuzz.statement, shots),
-    fuzz.pages(this.fleet, edge.proxy, 'POST', '/v1/services/bookings/sessions', {}, 20),
-    fuzz.pages(this.fleet, edge.proxy, 'PUT', '/v1/sessions/none/values/x', { value: 1 }, 20),
-    fuzz.pages(this.fleet, edge.outward, 'POST', '/v1/members/bookings-1/beat', fuzz.beat, shots),
-    fuzz.pages(this.fleet, core.outward, 'POST', '/v1/members/bookings-1/beat', fuzz.beat, shots),
-    fuzz.pages(this.fleet, core.outward, 'POST', '/v1/sheet/check', { sheet: this.fleet.defaultConfiguration() }, shots),
-  ]);
-  await this.fleet.world.run(60_000);
-  this.spoilt = await work;
-});
+When(
+  '{int} malformed statements, heartbeats and configurations are sent to the HTTP routes',
+  async function when(this: Story, attempts: number) {
+    const edge = this.fleet.edgeAddresses(this.fleet.edges[0] as EdgeSlot);
+    const core = this.fleet.coreAddresses(this.fleet.cores[0] as CoreSlot);
+    const work = Promise.all([
+      fuzz.sendMalformedRequests(this.fleet, edge.proxy, 'POST', '/v1/services/bookings/statements', fuzz.statement, attempts),
+      fuzz.sendMalformedRequests(this.fleet, edge.proxy, 'POST', '/v1/services/bookings/sessions', {}, 20),
+      fuzz.sendMalformedRequests(this.fleet, edge.proxy, 'PUT', '/v1/sessions/none/values/x', { value: 1 }, 20),
+      fuzz.sendMalformedRequests(this.fleet, edge.outward, 'POST', '/v1/members/bookings-1/beat', fuzz.beat, attempts),
+      fuzz.sendMalformedRequests(this.fleet, core.outward, 'POST', '/v1/members/bookings-1/beat', fuzz.beat, attempts),
+      fuzz.sendMalformedRequests(
+        this.fleet,
+        core.outward,
+        'POST',
+        '/v1/sheet/check',
+        { sheet: this.fleet.defaultConfiguration() },
+        attempts,
+      ),
+    ]);
+    await this.fleet.world.run(60_000);
+    this.spoilt = await work;
+  },
+);
 
-When('spoilt calls and frames come in at every node and feed', async function when(this: Story) {
+When('malformed calls and frames are sent to every node and feed', async function when(this: Story) {
   const addresses = [
     ...this.fleet.cores.map((slot) => this.fleet.coreAddresses(slot).address),
     ...this.fleet.edges.flatMap((slot) => [this.fleet.edgeAddresses(slot).address, this.fleet.edgeAddresses(slot).feed]),
   ];
-  void Promise.all(addresses.map((address) => fuzz.peers(this.fleet, address)));
+  void Promise.all(addresses.map((address) => fuzz.sendMalformedFrames(this.fleet, address)));
   await this.fleet.world.run(8_000);
 });
 
-When('a replica of {string} answers nonsense to everything', async function when(this: Story, service: string) {
-  const leads = primary(this, service);
-  for (const slot of this.fleet.members.filter((one) => one.place.service === service && one !== leads).slice(0, 1)) {
+When('a replica of {string} answers every request with a malformed reply', async function when(this: Story, service: string) {
+  const currentPrimary = primary(this, service);
+  for (const slot of this.fleet.members.filter((one) => one.place.service === service && one !== currentPrimary).slice(0, 1)) {
     this.fleet.stopSlot(slot);
-    const nonsense = this.fleet.world.spawn('nonsense', slot.machine).runtime;
+    const faultyMember = this.fleet.world.spawn('faulty-member', slot.machine).runtime;
     const random = this.fleet.world.fraction;
     async function handle(): Promise<HttpReply> {
       return {
         status: random() < 0.5 ? 200 : 500,
-        body: fuzz.spoil(
+        body: fuzz.corrupt(
           { member: slot.place.member, role: 'primary', epoch: 99, received: 5, applied: 5, results: [1], position: 1 },
           random,
         ),
       };
     }
-    await nonsense.network.serve(identifiers.address(slot.place.address), {
+    await faultyMember.network.serve(identifiers.address(slot.place.address), {
       routes: [
         { method: 'GET', path: '/state', handle },
         { method: 'POST', path: '/run', handle },
@@ -59,37 +69,37 @@
   }
 });
 
-When('{word} is started {int} times on a disk with one entry spoilt', async function when(this: Story, core: string, times: number) {
+When('{word} is started {int} times on a disk with one corrupted entry', async function when(this: Story, core: string, times: number) {
   const slot = coreOf(this, core);
   this.stops = [];
   await this.fleet.world.run(500);
-  const sound = [...slot.disk.entries];
+  const validEntries = [...slot.disk.entries];
   for (let attempt = 0; attempt < times; attempt += 1) {
     this.fleet.stopSlot(slot);
     slot.disk = this.fleet.world.disk();
-    const index = Math.floor(this.fleet.world.fraction() * sound.length);
-    sound.forEach(([key, value], at) =>
+    const index = Math.floor(this.fleet.world.fraction() * validEntries.length);
+    validEntries.forEach(([key, value], at) =>
       slot.disk.entries.set(
         key,
-        at === index ? (JSON.stringify(fuzz.spoil(JSON.parse(value), this.fleet.world.fraction)) ?? 'null') : value,
+        at === index ? (JSON.stringify(fuzz.corrupt(JSON.parse(value), this.fleet.world.fraction)) ?? 'null') : value,
       ),
     );
     await this.fleet.startCore(slot);
     const opened = await this.fleet.runUntil(() => slot.running?.isOpen() === true || slot.process?.alive() === false, 10_000);
     const reason = slot.process?.stopReason() ?? Option.none;
-    const spoiltFleet = sound[index]?.[0] === 'fleet';
-    this.stops.push(Option.isSome(reason) ? `${fault.kind(reason.value)} ${spoiltFleet}` : opened ? 'opened' : 'not open');
+    const isFleetEntry = validEntries[index]?.[0] === 'fleet';
+    this.stops.push(Option.isSome(reason) ? `${fault.kind(reason.value)} ${isFleetEntry}` : opened ? 'opened' : 'not open');
   }
 });
 
-Then('each start opened within 10 s, or was refused as {string} for what its fleet says', function then(this: Story, kind: string) {
+Then('each start opened within 10 s, or was refused as {string} because of its fleet entry', function then(this: Story, kind: string) {
   assert.deepEqual(
     this.stops.filter((stop) => stop !== `${kind} true` && stop !== 'opened'),
     [],
   );
 });
 
-Then('some gave up what was stored', function then(this: Story) {
+Then('some replaced their stored data', function then(this: Story) {
   assert.ok(this.fleet.world.logs.some((line) => line.event === 'disk.replaced'));
 });
 
@@ -101,14 +111,16 @@
   }
 });
 
-Then('every spoilt request had an answer, and none under a strange key was served', function then(this: Story) {
+Then('every malformed request got a reply, and none with an unknown key was served', function then(this: Story) {
   const replies = this.spoilt.flat();
   assert.ok(replies.length > 400);
   for (const reply of replies) assert.ok(reply.status >= 200 && reply.status !== 500, JSON.stringify(reply));
-  (this.spoilt[0] ?? []).forEach((reply, attempt) => assert.ok(reply.status !== 200 || attempt % 3 === 0, 'a strange key was served'));
+  (this.spoilt[0] ?? []).forEach((reply, attempt) =>
+    assert.ok(reply.status !== 200 || attempt % 3 === 0, 'a request with an unknown key was served'),
+  );
 });
 
-Given('{int} spoilt sheets and settings', async function given(this: Story, count: number) {
+Given('{int} malformed configurations and settings', async function given(this: Story, count: number) {
   this.world = worlds.create(11);
   const fleet = fleets.create(11, redComun);
   const example = {
@@ -123,12 +135,12 @@
   };
   this.checked = Array.from({ length: count }, (_, index) =>
     index % 2 === 0
-      ? placements.validate(fuzz.spoil(fleet.defaultConfiguration(), this.world.fraction))
-      : settings.read(coreSettings, undefined, (fuzz.spoil(example, this.world.fraction) ?? {}) as Record<string, unknown>),
+      ? placements.validate(fuzz.corrupt(fleet.defaultConfiguration(), this.world.fraction))
+      : settings.read(coreSettings, undefined, (fuzz.corrupt(example, this.world.fraction) ?? {}) as Record<string, unknown>),
   );
 });
 
-Then('each is either taken as sound or denied with a remedy', function then(this: Story) {
+Then('each is either accepted or rejected with a remedy', function then(this: Story) {
   const rejected = this.checked.flatMap((one) => (Either.isLeft(one) ? [one.left] : []));
   assert.ok(rejected.length > this.checked.length / 2 && rejected.length < this.checked.length);
   for (const one of rejected) assert.ok(fault.details(one).remedy.length > 0);
--- a/packages/bench/soak-mutations.mjs
+++ b/packages/bench/soak-mutations.mjs
@@ -4,7 +4,7 @@
 import fs from 'node:fs';
 import path from 'node:path';
 import { fileURLToPath } from 'node:url';
-import { checkGuards, copyOf, takeOut } from '../simulator/mutation-tool.mjs';
+import { checkGuards, copyTree, removeGuard } from '../simulator/mutation-tool.mjs';
 
 const root = path.resolve(path.dirname(fileURLToPath(import.meta.url)), '../..');
 const seedsMost = 10;
@@ -49,7 +49,7 @@
 
 checkGuards(root, mutations);
 const wanted = process.argv.slice(2);
-const copy = copyOf(root, 'soak');
+const copy = copyTree(root, 'soak');
 let blind = 0;
 
 /** What a checker said of the first seed that failed, if any did. */
@@ -67,7 +67,7 @@
 
 for (const mutation of mutations) {
   if (wanted.length > 0 && !wanted.includes(mutation.name)) continue;
-  const putBack = takeOut(copy, mutation);
+  const putBack = removeGuard(copy, mutation);
   if (putBack === undefined) throw new Error(`${mutation.name}: the guard is not where it was`);
   const finding = firstFinding(mutation);
   putBack();
--- a/packages/simulator/exploring-mutations.mjs
+++ b/packages/simulator/exploring-mutations.mjs
@@ -5,7 +5,7 @@
 import fs from 'node:fs';
 import path from 'node:path';
 import { fileURLToPath } from 'node:url';
-import { checkGuards, copyOf, takeOut } from './mutation-tool.mjs';
+import { checkGuards, copyTree, removeGuard } from './mutation-tool.mjs';
 
 const root = path.resolve(path.dirname(fileURLToPath(import.meta.url)), '../..');
 const seconds = 30;
@@ -88,7 +88,7 @@
 
 checkGuards(root, mutations);
 const wanted = process.argv.slice(2);
-const copy = copyOf(root, 'exploring');
+const copy = copyTree(root, 'exploring');
 let uncaught = 0;
 for (const mutation of mutations) {
   if (wanted.length > 0 && !wanted.includes(mutation.name)) continue;
@@ -96,7 +96,7 @@
     console.log(`${mutation.name}: not run, the mutation has no observable effect: ${mutation.equivalent}`);
     continue;
   }
-  const putBack = takeOut(copy, mutation);
+  const putBack = removeGuard(copy, mutation);
   if (putBack === undefined) throw new Error(`${mutation.name}: the guard text was not found in the build`);
   const command =
     mutation.story === undefined
--- a/packages/simulator/mutations.mjs
+++ b/packages/simulator/mutations.mjs
@@ -1,9 +1,9 @@
-// Shows that each checker can fail: takes one guard at a time out of a copy of the build, and runs seeds until a checker speaks.
-// `npm run mutations [-- name]`; works in a temporary copy, never in this tree. `only` draws the faults that need the guard.
+// Shows that each check can fail: removes one guard at a time from a copy of the build and runs seeds until a check reports a violation.
+// `npm run mutations [-- name]`; works in a temporary copy, never in this tree. `only`: the faults that need the guard.
 import fs from 'node:fs';
 import path from 'node:path';
 import { fileURLToPath } from 'node:url';
-import { checkGuards, copyOf, lineOf, takeOut } from './mutation-tool.mjs';
+import { checkGuards, copyTree, findOutputLine, removeGuard } from './mutation-tool.mjs';
 
 const root = path.resolve(path.dirname(fileURLToPath(import.meta.url)), '../..');
 const losses = ['kill-primary', 'primary-dies-half-seen', 'cut-edge', 'zone-lost', 'area-dark'];
@@ -214,26 +214,29 @@
   },
 ];
 
-/** Runs eight seeds at once and ends them as soon as one tells of what is expected. */
-function seeds(first, mutation, expected) {
-  const words = [String(first), '8', '--workers=8', '--milliseconds=26000', `--only=${mutation.only.join(',')}`];
-  return lineOf(path.join(copy, 'packages/simulator/build/seeds.js'), words, expected);
+/** Runs eight seeds at once and ends them as soon as one reports an expected violation. */
+function findViolation(first, mutation, expected) {
+  const programArguments = [String(first), '8', '--workers=8', '--milliseconds=26000', `--only=${mutation.only.join(',')}`];
+  return findOutputLine(path.join(copy, 'packages/simulator/build/seeds.js'), programArguments, expected);
 }
 
 checkGuards(root, mutations);
-const wanted = process.argv.slice(2);
-const copy = copyOf(root, 'mutations');
-let blind = 0;
+const selectedNames = process.argv.slice(2);
+const copy = copyTree(root, 'mutations');
+let notCaught = 0;
 for (const mutation of mutations) {
-  if (wanted.length > 0 && !wanted.includes(mutation.name)) continue;
-  const putBack = takeOut(copy, mutation);
-  if (putBack === undefined) throw new Error(`${mutation.name}: the guard is not where it was`);
+  if (selectedNames.length > 0 && !selectedNames.includes(mutation.name)) continue;
+  const restore = removeGuard(copy, mutation);
+  if (restore === undefined) throw new Error(`${mutation.name}: its guard is not found`);
   const expected = new RegExp(`^  (${mutation.expect})`);
-  const caught = (await seeds(1, mutation, expected)) ?? (await seeds(9, mutation, expected)) ?? (await seeds(17, mutation, expected));
-  putBack();
-  if (caught === undefined) blind += 1;
+  const caught =
+    (await findViolation(1, mutation, expected)) ??
+    (await findViolation(9, mutation, expected)) ??
+    (await findViolation(17, mutation, expected));
+  restore();
+  if (caught === undefined) notCaught += 1;
   console.log(`${mutation.name}: ${caught === undefined ? 'NOT CAUGHT' : `caught by ${caught.trim()}`}`);
 }
 fs.rmSync(copy, { recursive: true, force: true });
-console.log(`mutations: ${blind} not caught`);
-process.exitCode = blind === 0 ? 0 : 1;
+console.log(`mutations: ${notCaught} not caught`);
+process.exitCode = notCaught === 0 ? 0 : 1;
--- a/packages/simulator/pooled-mutations.mjs
+++ b/packages/simulator/pooled-mutations.mjs
@@ -5,7 +5,7 @@
 import fs from 'node:fs';
 import path from 'node:path';
 import { fileURLToPath } from 'node:url';
-import { checkGuards, copyOf, lineOf, takeOut } from './mutation-tool.mjs';
+import { checkGuards, copyTree, findOutputLine, removeGuard } from './mutation-tool.mjs';
 
 const root = path.resolve(path.dirname(fileURLToPath(import.meta.url)), '../..');
 const memberSelection = 'pooler/build/member-selection.js';
@@ -767,7 +767,7 @@
 
 checkGuards(root, mutations);
 const wanted = process.argv.slice(2);
-const copy = copyOf(root, 'pooled-mutations');
+const copy = copyTree(root, 'pooled-mutations');
 
 /** The stories of the copy: true when one of them ran and failed. A run without its count says nothing of the guard. */
 function storyFails(story) {
@@ -787,7 +787,7 @@
 function seedFails(mutation) {
   const words = ['1', '24', '--workers=2', `--only=${mutation.only.join(',')}`];
   if (mutation.faults !== undefined) words.push(`--faults=${mutation.faults}`);
-  return lineOf(path.join(copy, 'packages/simulator/build/pooled-seeds.js'), words, new RegExp(`^  (${mutation.expect}):`));
+  return findOutputLine(path.join(copy, 'packages/simulator/build/pooled-seeds.js'), words, new RegExp(`^  (${mutation.expect}):`));
 }
 
 let blind = 0;
@@ -796,7 +796,7 @@
   const verdicts = [];
   // A story that fails with every guard in place shows nothing.
   if (mutation.story !== undefined && storyFails(mutation.story)) verdicts.push('NOT SHOWN: its story fails with the guard in place');
-  const putBack = takeOut(copy, mutation);
+  const putBack = removeGuard(copy, mutation);
   if (putBack === undefined) {
     blind += 1;
     console.log(`${mutation.name}: the guard is not where it was`);
--- a/packages/simulator/src/fleet.ts
+++ b/packages/simulator/src/fleet.ts
@@ -1,4 +1,4 @@
-/** An in-memory fleet: 3 cores, 6 edges in 3 areas, 3 services of 3 members, the platform, senders, operators (design 10.4). */
+/** An in-memory fleet: 3 cores, 6 edges in 3 areas, 3 services of 3 members, the platform, clients and operators (design 10.4). */
 import * as Either from 'fp-ts/lib/Either.js';
 import { http, identifiers, runtimeUtilities, type HttpReply, type Protocols } from '@stallstall/kernel';
 import { core, type Core } from '@stallstall/core';
@@ -24,7 +24,7 @@
 type Slot<Running> = { process: Process | undefined; running: Running | undefined };
 
 export type CoreSlot = Slot<Core> & { protocols?: Protocols; readonly name: string; readonly machine: string; disk: SimulatedDisk };
-/** `seeds` and `protocols`: what its settings and its build say, where they differ from the rest of the fleet. */
+/** `seeds` and `protocols`: its seed addresses and protocol versions, where they differ from those of the rest of the fleet. */
 export type EdgeSlot = {
   seeds?: readonly string[];
   protocols?: Protocols;
@@ -34,11 +34,11 @@
   readonly agent: Slot<Agent>;
   readonly proxy: Slot<Proxy>;
 };
-/** `gone`: taken out for good. */
+/** `isRemoved`: permanently removed from the fleet. */
 export type MemberSlot = Slot<Member> & { readonly place: MemberPlace; readonly machine: string; store: MemberStore; isRemoved?: boolean };
 
-/** `factor` times the deployment's sessions and rate; `crowded`: the share of sessions that all go to one edge. */
-export type ClientOptions = Readonly<{ hastyShare?: number; factor?: number; crowded?: number }>;
+/** `factor` multiplies the deployment's sessions and request rate; `skewedShare`: the share of sessions that all go to the same edge. */
+export type ClientOptions = Readonly<{ hastyShare?: number; factor?: number; skewedShare?: number }>;
 
 export type FleetOptions = Readonly<{
   edges?: number;
@@ -55,25 +55,26 @@
   deployment: Deployment;
   cores: readonly CoreSlot[];
   edges: readonly EdgeSlot[];
-  /** An edge that no process runs as yet. */
+  /** An additional edge whose processes are not started with the fleet. */
   spare: EdgeSlot | undefined;
-  /** Grows when a member is replaced: the platform and whoever writes a sheet see the same table. */
+  /** Grows when a member is added; the platform and `defaultConfiguration` use this same list. */
   members: MemberSlot[];
-  /** Another member for a service, at an address of its own, with an empty store; no sheet names it yet. */
+  /** Adds a member with a new address and an empty store to a service; no configuration sent so far contains it. */
   addMember: (service: string, area: string) => MemberSlot;
   platformStore: PlatformStore;
   platform: () => Platform;
   ledger: Ledger;
   key: string;
   startAll: () => Promise<void>;
-  /** At its own place, or as another machine at another IP number. */
+  /** Starts a core at its usual address, or at another IP address as if it were another machine. */
   startCore: (slot: CoreSlot, elsewhere?: string) => Promise<void>;
   startAgent: (slot: EdgeSlot) => Promise<void>;
   startProxy: (slot: EdgeSlot) => Promise<void>;
   startMember: (slot: MemberSlot) => Promise<void>;
   stopSlot: (slot: Slot<unknown>) => void;
+  /** A placement configuration with all members that are not removed. */
   defaultConfiguration: () => Record<string, unknown>;
-  /** Steps as an operator would, against any core that answers. */
+  /** Sends an operator's request to a core and runs virtual time until the reply. */
   sendOperatorRequest: (
     method: string,
     path: string,
@@ -81,16 +82,17 @@
     headers?: Readonly<Record<string, string>>,
     coreIndex?: number,
   ) => Promise<HttpReply>;
-  /** Sends a sheet without waiting for virtual time to pass. */
-  sendConfiguration: (sheet: unknown, coreIndex: number) => Promise<HttpReply>;
-  /** An operator's step without waiting for virtual time to pass. */
+  /** Sends a configuration without advancing virtual time. */
+  sendConfiguration: (configuration: unknown, coreIndex: number) => Promise<HttpReply>;
+  /** Sends an operator's command without advancing virtual time. */
   sendOperatorCommand: (method: string, path: string, coreIndex: number) => Promise<HttpReply>;
-  /** Two cores and the platform work and hear each other: so much the brief lets a fleet count on. */
+  /** Two cores and the platform work and can reach each other, which is all that the fleet needs to operate. */
   canOperate: () => boolean;
-  /** Everything runs again as it should: no process is dead or frozen, no knob turned. */
+  /** All processes run, none is frozen, and no fault setting is enabled. */
   isHealthy: () => boolean;
-  /** A sender's POST without waiting for virtual time to pass. */
+  /** Sends a client's POST request without advancing virtual time. */
   post: (edge: EdgeSlot, path: string, body: unknown) => Promise<HttpReply>;
+  /** Sends a client's request and runs virtual time until the reply. */
   sendRequest: (
     edge: EdgeSlot,
     method: string,
@@ -98,16 +100,16 @@
     body?: unknown,
     headers?: Readonly<Record<string, string>>,
   ) => Promise<HttpReply>;
-  startClients: (wishes?: ClientOptions) => Readonly<{ stop: () => void }>;
+  startClients: (clientOptions?: ClientOptions) => Readonly<{ stop: () => void }>;
   primaryOf: (service: string) => MemberSlot | undefined;
-  /** Runs until a condition holds; false when it has not within so many virtual milliseconds. */
+  /** Runs until a condition holds; false if it does not within this many virtual milliseconds. */
   runUntil: (condition: () => boolean, milliseconds: number) => Promise<boolean>;
   coreAddresses: (slot: CoreSlot) => { address: string; outward: string };
   edgeAddresses: (slot: EdgeSlot) => { address: string; outward: string; feed: string; proxy: string };
 }>;
 
 const clientKey = 'sender-key-0001';
-const readyMilliseconds = 400;
+const readinessMilliseconds = 400;
 
 function create(seed: number, deployment: Deployment, options: FleetOptions = {}): Fleet {
   const world = worlds.create(seed, options.weighing);
@@ -130,7 +132,7 @@
   }
   const edges: readonly EdgeSlot[] = Array.from({ length: edgeCount }, (_, index) => edgeSlot(index));
   const spare = options.spareEdge === true ? edgeSlot(edgeCount) : undefined;
-  const everyEdge = spare === undefined ? edges : [...edges, spare];
+  const allEdges = spare === undefined ? edges : [...edges, spare];
   const members: MemberSlot[] = deployment.services.flatMap((service, serviceIndex) =>
     areas.map((area, index) => ({
       place: {
@@ -153,7 +155,7 @@
   const ledger = client.emptyLedger();
   const operator = world.spawn('operator', 'operator-machine');
   const clients = world.spawn('senders', 'sender-machine');
-  const chooser = world.spawn('chooser', 'platform-chooser-machine');
+  const readinessProber = world.spawn('chooser', 'platform-chooser-machine');
   let platformSlot: Platform | undefined;
 
   function place(slot: CoreSlot): { address: string; outward: string } {
@@ -162,7 +164,7 @@
   }
 
   function edgeAddresses(slot: EdgeSlot): { address: string; outward: string; feed: string; proxy: string } {
-    const index = everyEdge.indexOf(slot) + 1;
+    const index = allEdges.indexOf(slot) + 1;
     return {
       address: `10.2.0.${index}:7000`,
       outward: `10.2.0.${index}:7001`,
@@ -242,7 +244,7 @@
         address: slot.place.address,
         control: slot.place.control,
         connectionLimit: deployment.connectionLimit,
-        nodes: [...cores.map((one) => place(one).outward), ...everyEdge.map((one) => edgeAddresses(one).outward)],
+        nodes: [...cores.map((one) => place(one).outward), ...allEdges.map((edge) => edgeAddresses(edge).outward)],
         runMilliseconds: options.runMilliseconds ?? 6,
         replicateMilliseconds: options.replicateMilliseconds ?? 20,
         synchronous: options.synchronous ?? 1,
@@ -273,13 +275,14 @@
     slot.running = undefined;
   }
 
-  async function drive<Result>(work: Promise<Result>, milliseconds = 30_000): Promise<Result> {
+  /** Runs virtual time until the promise settles. */
+  async function runUntilDone<Result>(work: Promise<Result>, milliseconds = 30_000): Promise<Result> {
     let done = false;
     void work.then(() => {
       done = true;
     });
     for (let spent = 0; !done && spent < milliseconds; spent += 5) await world.run(5);
-    if (!done) throw new Error('the fleet gave no answer in 30 s of virtual time');
+    if (!done) throw new Error('the fleet did not reply within 30 s of virtual time');
     return work;
   }
 
@@ -291,16 +294,16 @@
     coreIndex = 0,
   ): Promise<HttpReply> {
     const address = identifiers.address(place(cores[coreIndex] as CoreSlot).outward);
-    return replyOf(await drive(http.exchangeOnce(operator.runtime, address, { method, path, body, headers }, 10_000)));
+    return replyOf(await runUntilDone(http.exchangeOnce(operator.runtime, address, { method, path, body, headers }, 10_000)));
   }
 
-  async function send(sheet: unknown, coreIndex: number): Promise<HttpReply> {
+  async function send(configuration: unknown, coreIndex: number): Promise<HttpReply> {
     const address = identifiers.address(place(cores[coreIndex] as CoreSlot).outward);
     return replyOf(
       await http.exchangeOnce(
         operator.runtime,
         address,
-        { method: 'PUT', path: '/v1/sheet', body: { sheet, sentBy: `operator-${coreIndex}` } },
+        { method: 'PUT', path: '/v1/sheet', body: { sheet: configuration, sentBy: `operator-${coreIndex}` } },
         8_000,
       ),
     );
@@ -327,31 +330,31 @@
   ): Promise<HttpReply> {
     const address = identifiers.address(edgeAddresses(edge).proxy);
     return replyOf(
-      await drive(
+      await runUntilDone(
         http.exchangeOnce(clients.runtime, address, { method, path, body, headers: { 'x-stallstall-key': clientKey, ...headers } }, 10_000),
       ),
     );
   }
 
-  const ready = new Set<EdgeSlot>();
+  const readyEdges = new Set<EdgeSlot>();
 
-  /** The platform sends senders only to edges whose readiness it has found. */
+  /** The platform directs clients only to edges whose readiness probe succeeded. */
   async function probeReadiness(edge: EdgeSlot): Promise<void> {
     const reply = await http.exchangeOnce(
-      chooser.runtime,
+      readinessProber.runtime,
       identifiers.address(edgeAddresses(edge).proxy),
       { method: 'GET', path: '/ready' },
-      readyMilliseconds,
+      readinessMilliseconds,
     );
-    if (Either.isRight(reply) && reply.right.status === 200) ready.add(edge);
-    else ready.delete(edge);
+    if (Either.isRight(reply) && reply.right.status === 200) readyEdges.add(edge);
+    else readyEdges.delete(edge);
   }
 
-  function startClients(wishes: ClientOptions = {}): Readonly<{ stop: () => void }> {
-    for (const edge of everyEdge)
+  function startClients(clientOptions: ClientOptions = {}): Readonly<{ stop: () => void }> {
+    for (const edge of allEdges)
       void runtimeUtilities.every(
-        chooser.runtime.clock,
-        readyMilliseconds,
+        readinessProber.runtime.clock,
+        readinessMilliseconds,
         () => probeReadiness(edge),
         () => true,
       );
@@ -360,15 +363,15 @@
       {
         deployment,
         key: clientKey,
-        sessions: deployment.sessions * (wishes.factor ?? 1),
-        requestsPerSecond: deployment.requestsPerSecond * (wishes.factor ?? 1),
-        hastyShare: wishes.hastyShare ?? 0,
+        sessions: deployment.sessions * (clientOptions.factor ?? 1),
+        requestsPerSecond: deployment.requestsPerSecond * (clientOptions.factor ?? 1),
+        hastyShare: clientOptions.hastyShare ?? 0,
         deadlineMilliseconds: 3_000,
         tag: 's',
-        edges: function edgesReady() {
-          const known = [...ready].map((slot) => edgeAddresses(slot).proxy);
-          const favourite = known[0];
-          return favourite !== undefined && world.fraction() < (wishes.crowded ?? 0) ? [favourite] : known;
+        edges: function readyAddresses() {
+          const addresses = [...readyEdges].map((slot) => edgeAddresses(slot).proxy);
+          const preferred = addresses[0];
+          return preferred !== undefined && world.fraction() < (clientOptions.skewedShare ?? 0) ? [preferred] : addresses;
         },
       },
       ledger,
@@ -381,7 +384,7 @@
   }
 
   function able(): boolean {
-    const sane = cores.filter(
+    const workingCores = cores.filter(
       (slot) =>
         slot.process?.alive() === true &&
         !world.isFrozen(slot.process) &&
@@ -389,16 +392,16 @@
         !slot.disk.faults.failing &&
         slot.disk.faults.slowMilliseconds < 300,
     );
-    const takes = platformSlot !== undefined && !platformSlot.knobs.down && !platformSlot.knobs.denies;
+    const isPlatformWorking = platformSlot !== undefined && !platformSlot.knobs.down && !platformSlot.knobs.denies;
     return (
-      takes &&
-      sane.some((one, index) =>
-        sane
+      isPlatformWorking &&
+      workingCores.some((core, index) =>
+        workingCores
           .slice(index + 1)
           .some(
             (other) =>
-              world.isConnected(one.machine, other.machine) &&
-              (world.isConnected(one.machine, platformMachine) || world.isConnected(other.machine, platformMachine)),
+              world.isConnected(core.machine, other.machine) &&
+              (world.isConnected(core.machine, platformMachine) || world.isConnected(other.machine, platformMachine)),
           ),
       )
     );
@@ -410,15 +413,15 @@
       ...edges.flatMap((slot) => [slot.agent.process, slot.proxy.process]),
       ...members.filter((slot) => !slot.isRemoved).map((slot) => slot.process),
     ];
-    const running = platformSlot;
+    const platformRunning = platformSlot;
     return (
-      processes.every((one) => one?.alive() === true && !world.isFrozen(one)) &&
+      processes.every((process) => process?.alive() === true && !world.isFrozen(process)) &&
       cores.every((slot) => slot.running !== undefined && !slot.disk.faults.failing && slot.disk.faults.slowMilliseconds === 0) &&
-      running !== undefined &&
-      !running.knobs.down &&
-      !running.knobs.denies &&
-      !running.knobs.losesReplies &&
-      !running.knobs.garbles &&
+      platformRunning !== undefined &&
+      !platformRunning.knobs.down &&
+      !platformRunning.knobs.denies &&
+      !platformRunning.knobs.losesReplies &&
+      !platformRunning.knobs.garbles &&
       members.every((slot) => slot.isRemoved || Object.values(slot.running?.knobs ?? {}).every((knob) => !knob))
     );
   }
@@ -461,6 +464,7 @@
     runUntil: until,
     coreAddresses: place,
     edgeAddresses,
+    /** A placement configuration with all members that are not removed. */
     defaultConfiguration: () =>
       structuredClone(
         deployments.sheet(
--- a/packages/simulator/src/fuzz.ts
+++ b/packages/simulator/src/fuzz.ts
@@ -1,4 +1,4 @@
-/** Malformed input from a seed, for every boundary (design 10.4): valid examples with one place spoilt, and plain junk. */
+/** Malformed input from a seed, for every interface (design 10.4): valid examples with one value corrupted, and arbitrary values. */
 import type { HttpReply } from '@stallstall/kernel';
 import { http, identifiers, type Runtime, type Link } from '@stallstall/kernel';
 import { message, messages, type MessageKind } from '@stallstall/message';
@@ -6,7 +6,7 @@
 import * as Option from 'fp-ts/lib/Option.js';
 import type { Fleet } from './fleet.js';
 
-const junk: readonly unknown[] = [
+const arbitraryValues: readonly unknown[] = [
   null,
   '',
   'x'.repeat(5_000),
@@ -27,14 +27,14 @@
   { length: -1 },
 ];
 
-/** Spoils one place of a value: replaces it by junk, removes it, or adds a stranger beside it. */
-function spoil(value: unknown, random: () => number): unknown {
-  const replacement = junk[Math.floor(random() * junk.length)];
+/** Corrupts one place of a value: replaces it with an arbitrary value, removes it, or adds an unknown property. */
+function corrupt(value: unknown, random: () => number): unknown {
+  const replacement = arbitraryValues[Math.floor(random() * arbitraryValues.length)];
   if (typeof value !== 'object' || value === null || random() < 0.15) return replacement;
   if (Array.isArray(value)) {
     if (value.length === 0) return [replacement];
     const index = Math.floor(random() * value.length);
-    return value.map((item: unknown, at) => (at === index ? spoil(item, random) : item));
+    return value.map((item: unknown, at) => (at === index ? corrupt(item, random) : item));
   }
   const entries = Object.entries(value);
   if (entries.length === 0) return { stranger: replacement };
@@ -42,10 +42,10 @@
   const draw = random();
   if (draw < 0.2) return Object.fromEntries(entries.filter((_, at) => at !== index));
   if (draw < 0.3) return { ...value, stranger: replacement };
-  return Object.fromEntries(entries.map(([name, inner], at) => [name, at === index ? spoil(inner, random) : inner]));
+  return Object.fromEntries(entries.map(([name, inner], at) => [name, at === index ? corrupt(inner, random) : inner]));
 }
 
-/** Calls between nodes, each well formed but for one field of a wrong type. */
+/** Calls between nodes that are well formed except for a field of a wrong type. */
 const wrongCalls: ReadonlyArray<Readonly<{ kind: string; body: Readonly<Record<string, unknown>> }>> = [
   { kind: 'hello', body: { seat: { node: 'x' }, incarnation: 1, fleet: '' } },
   { kind: 'join', body: { seat: { node: 'stranger', role: 'king', area: 'north', address: 'a', outward: 'b', draining: false } } },
@@ -91,7 +91,8 @@
   { deny: 1, reason: 'no' },
 ];
 
-async function peers(fleet: Fleet, address: string): Promise<void> {
+/** Sends malformed calls and frames to an address where nodes connect. */
+async function sendMalformedFrames(fleet: Fleet, address: string): Promise<void> {
   const stranger = fleet.world.spawn('stranger', 'stranger-machine').runtime;
   for (const wrong of wrongCalls) {
     const link = await stranger.network.open(identifiers.address(address));
@@ -104,7 +105,7 @@
   for (const [index, frame] of frames.entries()) {
     const link = await stranger.network.open(identifiers.address(address));
     if (Either.isLeft(link)) continue;
-    // Every other one instead of a greeting.
+    // Every other frame is sent in place of the greeting.
     if (index % 2 === 0) link.right.send({ greet: stranger.protocols });
     link.right.send(frame);
     await stranger.clock.sleep(5);
@@ -115,7 +116,7 @@
 const seat = { node: 'core-3', role: 'core', area: 'south', address: '10.1.0.3:7000', outward: '10.1.0.3:7001', draining: false };
 const ballot = { counter: 9, node: 'core-3#x' };
 const registerReply = { ready: true, agreed: true, promised: ballot, accepted: { ballot, version: 1, value: {} } };
-/** A sound reply of every kind, to be spoilt. */
+/** A valid reply of every kind, to be corrupted. */
 const replies: Readonly<Record<MessageKind, unknown>> = {
   hello: { node: 'core-3', role: 'core', incarnation: 1, fleet: 'f', founding: '', cores: [seat], knownPuts: 1, superseded: false },
   form: { agreed: true },
@@ -183,13 +184,16 @@
   },
 };
 
-/** Stands where a process stood, greets as it would, and replies to every call with what cannot be read; tells how often it did. */
+/**
+ * Takes over the address of a process: greets as it would and answers every call with a malformed reply. Returns a function that gives
+ * the number of calls answered.
+ */
 async function impostor(runtime: Runtime, address: string, random: () => number): Promise<() => number> {
   let count = 0;
 
-  function spoilt(kind: MessageKind): unknown {
+  function malformedReply(kind: MessageKind): unknown {
     for (;;) {
-      const body = spoil(replies[kind], random);
+      const body = corrupt(replies[kind], random);
       if (!message.matches(messages[kind].reply, body)) return body;
     }
   }
@@ -200,7 +204,7 @@
       const { call, kind } = frame.value as { call?: number; kind?: string };
       if (call === undefined || kind === undefined || !message.isKind(kind)) continue;
       count += 1;
-      link.send({ reply: call, body: spoilt(kind) });
+      link.send({ reply: call, body: malformedReply(kind) });
     }
   }
 
@@ -211,8 +215,8 @@
 const statement = { kind: 'write', statements: [{ text: 'put', parameters: ['fuzz', 1] }], transaction: 'none', horizonMilliseconds: 500 };
 const beat = { member: 'bookings-1', role: 'replica', epoch: 1, received: 3, applied: 3 };
 
-/** Spoilt requests to a page; what came back, by status. */
-async function pages(
+/** Sends malformed requests to an HTTP route. Returns the replies; status 0 stands for none. */
+async function sendMalformedRequests(
   fleet: Fleet,
   address: string,
   method: string,
@@ -229,7 +233,7 @@
       {
         method,
         path,
-        body: spoil(example, fleet.world.fraction),
+        body: corrupt(example, fleet.world.fraction),
         headers: { 'x-stallstall-key': attempt % 3 === 0 ? fleet.key : `${fleet.key.slice(0, attempt % fleet.key.length)}${attempt}` },
       },
       4_000,
@@ -239,4 +243,4 @@
   return replies;
 }
 
-export const fuzz = { spoil, peers, pages, impostor, statement, beat } as const;
+export const fuzz = { corrupt, sendMalformedFrames, sendMalformedRequests, impostor, statement, beat } as const;
--- a/packages/simulator/src/known-red.ts
+++ b/packages/simulator/src/known-red.ts
@@ -1,6 +1,6 @@
 /**
- * Failures that a check passes over: KNOWN-RED.txt names each, one a line, `kind: test | command | what was seen | issue`. An entry whose
- * test passes again, or that names nothing that runs, fails the check.
+ * Known failures that a check ignores. KNOWN-RED.txt lists them, one per line: `kind: test | command | what was seen | issue`. The check
+ * fails if the test of an entry passes again or is not run.
  */
 import fs from 'node:fs';
 
@@ -11,17 +11,17 @@
 export type TestOutcome = Readonly<{ test: string; isFailed: boolean }>;
 
 export type KnownRedVerdict = Readonly<{
-  /** Failures that are passed over, as they are printed. */
+  /** The printed line of each ignored failure. */
   passedOver: readonly string[];
-  /** Failures that no entry names. */
+  /** Failed tests that the list does not name. */
   failed: readonly string[];
-  /** What is wrong with the list itself. */
+  /** Entries of the list that are outdated. */
   complaints: readonly string[];
 }>;
 
-/** The list is to stay short. */
-const entriesMost = 3;
-/** Names the file; only a check sets it, so that a run by hand passes over nothing. */
+/** The limit for each kind; the list must stay short. */
+const maxEntries = 3;
+/** The path of the file. Only CI checks set it, so that a manual run ignores no failure. */
 const fileVariable = 'STALLSTALL_KNOWN_RED';
 
 function parseLine(line: string): KnownRedEntry {
@@ -34,7 +34,7 @@
   return { kind, test, command, seen, issue };
 }
 
-/** @throws Error - a line that is not an entry, a test named twice, or more entries of a kind than are to be */
+/** @throws Error - a line that is not an entry, a test named twice, or too many entries of a kind */
 function parse(text: string): readonly KnownRedEntry[] {
   const entries = text
     .split('\n')
@@ -43,19 +43,19 @@
   for (const kind of kinds) {
     const tests = entries.filter((entry) => entry.kind === kind).map((entry) => entry.test);
     if (new Set(tests).size < tests.length) throw new Error(`KNOWN-RED.txt: a ${kind} is named twice`);
-    if (tests.length > entriesMost) throw new Error(`KNOWN-RED.txt: ${tests.length} entries of kind ${kind}, ${entriesMost} at the most`);
+    if (tests.length > maxEntries) throw new Error(`KNOWN-RED.txt: ${tests.length} entries of kind ${kind}, ${maxEntries} at most`);
   }
   return entries;
 }
 
-/** The entries of a kind; none outside a check. */
+/** The entries of a kind; none if the variable is not set. */
 function entriesOf(kind: KnownRedKind): readonly KnownRedEntry[] {
   const file = process.env[fileVariable] ?? '';
   if (file === '' || !fs.existsSync(file)) return [];
   return parse(fs.readFileSync(file, 'utf8')).filter((entry) => entry.kind === kind);
 }
 
-/** The seeds of a kind that a check is to play beside its own. */
+/** The listed seeds of a kind, which a check runs in addition to its own. */
 function seedsOf(kind: KnownRedKind): readonly number[] {
   return entriesOf(kind)
     .map((entry) => Number(entry.test))
@@ -65,19 +65,19 @@
 function judge(entries: readonly KnownRedEntry[], outcomes: readonly TestOutcome[]): KnownRedVerdict {
   const failedTests = new Set(outcomes.filter((outcome) => outcome.isFailed).map((outcome) => outcome.test));
   const passedTests = new Set(outcomes.filter((outcome) => !outcome.isFailed).map((outcome) => outcome.test));
-  const complaints = entries.flatMap(function complain({ kind, test }): readonly string[] {
-    if (passedTests.has(test)) return [`known red passes again, take it out: ${kind} ${test}`];
-    return failedTests.has(test) ? [] : [`known red names nothing that runs: ${kind} ${test}`];
+  const complaints = entries.flatMap(function complaintsAbout({ kind, test }): readonly string[] {
+    if (passedTests.has(test)) return [`known red passes again, remove its entry: ${kind} ${test}`];
+    return failedTests.has(test) ? [] : [`known red matches no test that was run: ${kind} ${test}`];
   });
-  const named = entries.filter(({ test }) => failedTests.has(test));
+  const failedEntries = entries.filter(({ test }) => failedTests.has(test));
   return {
-    passedOver: named.map(({ kind, test, seen, issue }) => `known red: ${kind} ${test}: ${seen} (issue ${issue})`),
+    passedOver: failedEntries.map(({ kind, test, seen, issue }) => `known red: ${kind} ${test}: ${seen} (issue ${issue})`),
     failed: outcomes.filter(({ test, isFailed }) => isFailed && entries.every((entry) => entry.test !== test)).map(({ test }) => test),
     complaints,
   };
 }
 
-/** Judges the outcomes of a kind, prints what is passed over and what is wrong with the list. Complaints count as failures. */
+/** Compares the outcomes of a kind with the list and prints ignored failures and complaints. Complaints count as failures. */
 function report(kind: KnownRedKind, outcomes: readonly TestOutcome[]): Readonly<{ passed: number; failed: number }> {
   const { passedOver, failed, complaints } = judge(entriesOf(kind), outcomes);
   for (const line of [...passedOver, ...complaints]) console.log(line);
--- a/packages/simulator/src/schedules.ts
+++ b/packages/simulator/src/schedules.ts
@@ -1,4 +1,4 @@
-/** Orders of events too rare to be drawn, written down: each shows a guard of design 4.8 at work (design 10.4). */
+/** Fixed orders of events that random runs would hardly ever produce; each exercises a guard of design 4.8 (design 10.4). */
 import { createSeat } from './explored-machines.js';
 import { memoryDisk } from './memory-disk.js';
 import * as Either from 'fp-ts/lib/Either.js';
@@ -9,14 +9,14 @@
 
 type Core = { set: number; readonly cells: Acceptor };
 
-/** Five seats, and `f` who takes over the seat of `a` in set 2. */
-const firstSeats = 'abcde';
-const secondSeats = 'fbcde';
+/** The cores of two successive core sets: in set 2, `f` replaces `a`. */
+const firstSetCores = 'abcde';
+const secondSetCores = 'fbcde';
 const key = 'cell';
 
 let token = 0;
 
-function diskOf(): Disk {
+function createDisk(): Disk {
   const entries = new Map<string, unknown>();
   return memoryDisk.create(
     () => entries,
@@ -27,7 +27,7 @@
   );
 }
 
-function runtimeOf(): Runtime {
+function createRuntime(): Runtime {
   let now = 0;
   return {
     clock: {
@@ -52,17 +52,18 @@
   } as unknown as Runtime;
 }
 
-type Table = Readonly<{
+type TestCores = Readonly<{
   core: (name: string) => Core;
-  stepTo: (names: string, set: number) => void;
-  /** A register that reaches only these cores. */
+  moveToSet: (names: string, set: number) => void;
+  /** A register that can reach only these cores. */
   reaching: (names: string, set: number) => CoreSetRegister;
   promise: (names: string, ballot: Ballot) => Promise<void>;
   accept: (names: string, entry: Entry) => Promise<void>;
-  level: (name: string, sources: string) => Promise<boolean>;
+  /** Copies from the sources and opens the core; false if the sources were too few. */
+  bringUpToDate: (name: string, sources: string) => Promise<boolean>;
 }>;
 
-function table(): Table {
+function createCores(): TestCores {
   const cores = new Map<string, Core>();
 
   function core(name: string): Core {
@@ -70,37 +71,37 @@
   }
 
   function reaching(names: string, set: number): CoreSetRegister {
-    const seats = set === 1 ? firstSeats : secondSeats;
-    return proposer.create(runtimeOf(), {
+    const namesInSet = set === 1 ? firstSetCores : secondSetCores;
+    return proposer.create(createRuntime(), {
       name: 'writer',
       replicas: () =>
-        [...seats].map((name) => ({
+        [...namesInSet].map((name) => ({
           core: name,
           send: async (kind, body) =>
             names.includes(name) ? Option.some((await core(name).cells[kind](body as never)) as never) : Option.none,
         })),
-      replicaCount: () => seats.length,
+      replicaCount: () => namesInSet.length,
       coreSets: { number: () => set, observe: () => undefined },
     });
   }
 
-  for (const name of `${firstSeats}f`) {
-    const own = { set: 1 } as Core;
+  for (const name of `${firstSetCores}f`) {
+    const state = { set: 1 } as Core;
     const cells = acceptor.create({
-      disk: diskOf(),
+      disk: createDisk(),
       stored: new Map(),
       onAccepted: () => undefined,
       onDamaged: () => undefined,
-      coreSet: { number: () => own.set, newerThan: () => undefined },
+      coreSet: { number: () => state.set, newerThan: () => undefined },
     });
-    cores.set(name, Object.assign(own, { cells }));
+    cores.set(name, Object.assign(state, { cells }));
     if (name !== 'f') cells.open();
   }
 
   return {
     core,
     reaching,
-    stepTo: function stepTo(names, set) {
+    moveToSet: function moveToSet(names, set) {
       for (const name of names) core(name).set = set;
     },
     promise: async function promise(names, ballot) {
@@ -109,10 +110,11 @@
     accept: async function accept(names, entry) {
       for (const name of names) await core(name).cells.accept({ key, entry, set: 1 });
     },
-    level: async function level(name, sources) {
-      const enough = await catchUp.copyFromEnough(
+    /** Copies from the sources and opens the core; false if the sources were too few. */
+    bringUpToDate: async function bringUpToDate(name, sources) {
+      const hasEnoughSources = await catchUp.copyFromEnough(
         [...sources].map(createSeat),
-        catchUp.requiredSources(secondSeats.length),
+        catchUp.requiredSources(secondSetCores.length),
         async function copy(source) {
           if (!catchUp.isEligibleSource(2, core(source.node).set)) return false;
           const page = await core(source.node).cells.page('');
@@ -123,7 +125,7 @@
         },
         () => false,
       );
-      if (!enough || !(await catchUp.completeUnresolved(core(name).cells, reaching('bcde', 2).forCoreSet(2)))) return false;
+      if (!hasEnoughSources || !(await catchUp.completeUnresolved(core(name).cells, reaching('bcde', 2).forCoreSet(2)))) return false;
       core(name).cells.open();
       return true;
     },
@@ -136,52 +138,52 @@
 }
 
 /**
- * An entry that two of five accepted, and a higher ballot that never saw it, promised by the occupant whose seat is given away and
- * by two others. Its newcomer copies the entry; one that lags behind then accepts the higher ballot under the set before.
+ * Two of five cores accept an entry. A proposer with a higher ballot has not seen it; its promises come from two other cores and the core
+ * that is being replaced. The new core copies the entry. A core that still uses the earlier set then accepts the higher ballot.
  */
 async function copiedButOvertaken(): Promise<string | undefined> {
-  const cores = table();
+  const cores = createCores();
   const low = { counter: 5, node: 'low' };
   const high = { counter: 20, node: 'high' };
   await cores.promise('abe', low);
   await cores.promise('acd', high);
   await cores.accept('be', { ballot: low, version: 1, value: 'low' });
-  cores.stepTo('bcef', 2);
-  if (!(await cores.level('f', 'bce'))) return 'the newcomer never became level';
+  cores.moveToSet('bcef', 2);
+  if (!(await cores.bringUpToDate('f', 'bce'))) return 'the new core never caught up';
   await cores.accept('d', { ballot: high, version: 1, value: 'high' });
-  cores.stepTo('d', 2);
+  cores.moveToSet('d', 2);
   const before = await reads(cores.reaching('bef', 2));
   const after = await reads(cores.reaching('cdf', 2));
   return before === after ? undefined : `read ${before}, then ${after}`;
 }
 
-/** A newcomer with fewer sources than a majority's other half could have missed what two of those that stay and the leaver chose. */
+/** A new core that copies from too few sources can miss an entry chosen by two remaining cores and the one that was replaced. */
 async function copiedFromTooFew(): Promise<string | undefined> {
-  const cores = table();
+  const cores = createCores();
   const ballot = { counter: 5, node: 'chosen' };
   await cores.promise('abc', ballot);
   await cores.accept('abc', { ballot, version: 1, value: 'chosen' });
-  cores.stepTo('bcdef', 2);
-  if (await cores.level('f', 'de')) return 'two copies were enough, and neither source held what was chosen';
-  if (!(await cores.level('f', 'bde'))) return 'three copies were not enough';
+  cores.moveToSet('bcdef', 2);
+  if (await cores.bringUpToDate('f', 'de')) return 'two sources were enough, although neither had the chosen entry';
+  if (!(await cores.bringUpToDate('f', 'bde'))) return 'three sources were not enough';
   const found = await reads(cores.reaching('def', 2));
-  return found.includes('chosen') ? undefined : `chosen, read back ${found}`;
+  return found.includes('chosen') ? undefined : `the chosen entry was read back as ${found}`;
 }
 
 /**
- * An entry that the leaver and one other accepted, and a third core that promised it: its accept is on the way. Whatever the third
- * does with it later, those who no longer count the leaver must agree with who does.
+ * The core being replaced and one other accepted an entry, and the accept request to a third, which promised it, is delayed. Whatever the
+ * third core answers later, a majority of the new set must not contradict a majority of the earlier set.
  */
-async function lateAccept(stepped: string): Promise<string | undefined> {
-  const cores = table();
+async function lateAccept(coresInNewSet: string): Promise<string | undefined> {
+  const cores = createCores();
   const entry: Entry = { ballot: { counter: 5, node: 'late' }, version: 1, value: 'late' };
   await cores.promise('abc', entry.ballot);
   await cores.accept('ab', entry);
-  cores.stepTo(stepped, 2);
-  if (!(await cores.level('f', 'cde'))) return stepped.includes('c') ? 'the newcomer never became level' : undefined;
+  cores.moveToSet(coresInNewSet, 2);
+  if (!(await cores.bringUpToDate('f', 'cde'))) return coresInNewSet.includes('c') ? 'the new core never caught up' : undefined;
   const late = await cores.core('c').cells.accept({ key, entry, set: 1 });
   const found = await reads(cores.reaching('def', 2));
-  return late.agreed && !found.includes('late') ? `chosen by the leaver and two others, read back ${found}` : undefined;
+  return late.agreed && !found.includes('late') ? `chosen by the replaced core and two others, but read back as ${found}` : undefined;
 }
 
 async function lateAcceptAtASource(): Promise<string | undefined> {
--- a/packages/simulator/src/world.ts
+++ b/packages/simulator/src/world.ts
@@ -1,4 +1,4 @@
-/** Virtual time, network, disks and randomness from one seed; the production code runs on them unchanged (design 10.4). */
+/** Simulated time, network, disks and randomness, all determined by one seed. The production code runs on them unchanged (design 10.4). */
 import * as Option from 'fp-ts/lib/Option.js';
 import { supportedProtocols, type Fault, type Protocols } from '@stallstall/kernel';
 import type { SimulatedDisk } from './simulated-disk.js';
@@ -11,7 +11,7 @@
 export { initialWallTime, type LogLine } from './simulated-runtime.js';
 export type { Process } from './simulated-process.js';
 
-/** A process that ended by itself. */
+/** A process that stopped itself. */
 export type EndedProcess = Readonly<{ process: string; at: number; reason: Fault }>;
 
 /** One simulation: its processes, its network and its clock. */
@@ -20,18 +20,18 @@
   fraction: () => number;
   spawn: (name: string, machine: string, disk?: SimulatedDisk, protocols?: Protocols) => Process;
   kill: (process: Process) => void;
-  /** A machine that goes dark: whoever was connected to its processes hears nothing, until it is lit and closes them. */
+  /** Stops a machine without closing its connections: peers receive nothing more until `restoreMachine` closes them. */
   makeUnresponsive: (machine: string) => void;
   restoreMachine: (machine: string) => void;
-  /** The machine from which an HTTP connection came. */
+  /** The machine that opened an HTTP connection. */
   machineOf: (connection: string) => string;
   freeze: (process: Process, milliseconds: number) => void;
-  /** Breaks a share of the connections of a process at both ends; how many. */
+  /** Breaks a share of the connections of a process at both ends. Returns how many. */
   resetConnections: (process: Process, share: number) => number;
-  /** Sets the wall clock of a process on, or back. */
+  /** Moves the wall clock of a process forward, or back if `milliseconds` is negative. */
   stepWallClock: (process: Process, milliseconds: number) => void;
   isFrozen: (process: Process) => boolean;
-  /** Messages from one machine to another are held until the cut is healed. */
+  /** Delays all messages from one machine to another until `heal`. */
   cut: (from: string, to: string) => void;
   heal: (from: string, to: string) => void;
   /** Whether messages pass between two machines, both ways. */
@@ -41,7 +41,7 @@
   run: (milliseconds: number) => Promise<void>;
   schedule: (milliseconds: number, action: () => void) => void;
   logs: LogLine[];
-  /** Processes that ended by themselves. */
+  /** Processes that stopped themselves. */
   endedProcesses: readonly EndedProcess[];
   events: () => number;
   /** Frames and bytes that each process has sent over links between nodes. */
@@ -49,72 +49,76 @@
 }>;
 /**
  * Creates a simulation.
- * @param seed - draws everything that is random in it
- * @param weighing - whether frames and bytes sent over links are counted
+ * @param seed - determines all random draws
+ * @param countsTraffic - whether frames and bytes sent over links are counted
  */
-function create(seed: number, weighing = false): World {
+function create(seed: number, countsTraffic = false): World {
   const time = virtualTime.create(seed);
-  const network = simulatedNetwork.create(time, weighing);
+  const network = simulatedNetwork.create(time, countsTraffic);
   const logs: LogLine[] = [];
   const ended: EndedProcess[] = [];
   const processes = new Map<Process, SimulatedProcess>();
 
-  /** What the simulation keeps of one of its processes. */
-  function kept(process: Process): SimulatedProcess {
+  /** The simulation's own state of a process. */
+  function stateOf(process: Process): SimulatedProcess {
     return processes.get(process) as SimulatedProcess;
   }
 
-  function die(simulated: SimulatedProcess): void {
+  function end(simulated: SimulatedProcess): void {
     if (!simulated.alive) return;
     simulated.alive = false;
     for (const close of simulated.closeHandlers) close();
     simulated.closeHandlers.clear();
     simulated.resetHandlers.clear();
-    endPuts(simulated);
+    resolvePendingWrites(simulated);
   }
 
-  /** A process that ends by itself. */
+  /** Ends a process that stops itself, and records why. */
   function stop(simulated: SimulatedProcess, reason: Fault): void {
     simulated.stopReason = Option.some(reason);
     if (simulated.alive) ended.push({ process: simulated.name, at: time.now(), reason });
-    die(simulated);
+    end(simulated);
   }
 
-  function endPuts(simulated: SimulatedProcess): void {
+  /** Each disk write that was pending when its process ended has an even chance of being done. */
+  function resolvePendingWrites(simulated: SimulatedProcess): void {
     for (const write of simulated.pendingWrites) if (time.random() < 0.5) write();
     simulated.pendingWrites.clear();
   }
 
   function darken(machine: string): void {
-    const lost = [...processes.values()].filter((simulated) => simulated.machine === machine && simulated.alive);
-    for (const simulated of lost) {
+    const stopped = [...processes.values()].filter((simulated) => simulated.machine === machine && simulated.alive);
+    for (const simulated of stopped) {
       simulated.alive = false;
-      endPuts(simulated);
+      resolvePendingWrites(simulated);
     }
-    network.unresponsiveMachines.set(machine, lost);
+    network.unresponsiveMachines.set(machine, stopped);
   }
 
-  /** The machine runs again: it knows nothing of the connections of before, and says so. */
+  /** The machine runs again and closes its former connections, which it no longer knows. */
   function light(machine: string): void {
-    const lost = network.unresponsiveMachines.get(machine) ?? [];
+    const stopped = network.unresponsiveMachines.get(machine) ?? [];
     network.unresponsiveMachines.delete(machine);
-    for (const simulated of lost) {
+    for (const simulated of stopped) {
       for (const close of simulated.closeHandlers) close();
       simulated.closeHandlers.clear();
     }
   }
 
-  /** Clocks of the product differ by any span, and run up to 3 % apart; those of the stand-ins are the ledger's. */
+  /**
+   * Starts a process. Clocks of product processes differ by an arbitrary offset and run at rates up to 3 % apart. Fake processes use the
+   * simulation's time, which the ledger also uses.
+   */
   function spawn(name: string, machine: string, disk?: SimulatedDisk, protocols: Protocols = supportedProtocols): Process {
-    const product = /^(core|edge)-/.test(name);
+    const isProduct = /^(core|edge)-/.test(name);
     const simulated: SimulatedProcess = {
       name,
       machine,
       alive: true,
       frozenUntil: 0,
       wallOffset: 0,
-      clockOffset: product ? time.random() * 1e7 : 0,
-      clockRate: product ? 0.985 + time.random() * 0.03 : 1,
+      clockOffset: isProduct ? time.random() * 1e7 : 0,
+      clockRate: isProduct ? 0.985 + time.random() * 0.03 : 1,
       stopReason: Option.none,
       closeHandlers: new Set(),
       pendingWrites: new Set(),
@@ -137,23 +141,23 @@
     now: time.now,
     fraction: time.random,
     spawn,
-    kill: (process) => die(kept(process)),
+    kill: (process) => end(stateOf(process)),
     freeze: function freeze(process, milliseconds) {
-      const simulated = kept(process);
+      const simulated = stateOf(process);
       simulated.frozenUntil = Math.max(simulated.frozenUntil, time.now() + milliseconds);
     },
     resetConnections: function resetConnections(process, share) {
-      const chosen = [...kept(process).resetHandlers].filter(() => time.random() < share);
+      const chosen = [...stateOf(process).resetHandlers].filter(() => time.random() < share);
       for (const reset of chosen) reset();
       return chosen.length;
     },
     stepWallClock: function stepWall(process, milliseconds) {
-      kept(process).wallOffset += milliseconds;
+      stateOf(process).wallOffset += milliseconds;
     },
     makeUnresponsive: darken,
     restoreMachine: light,
     machineOf: (connection) => network.connectionMachines.get(connection) ?? '',
-    isFrozen: (process) => kept(process).frozenUntil > time.now(),
+    isFrozen: (process) => stateOf(process).frozenUntil > time.now(),
     cut: network.cut,
     heal: network.heal,
     isConnected: network.isConnected,
