--- a/packages/acceptance/src/product.ts
+++ b/packages/acceptance/src/product.ts
@@ -158,7 +158,7 @@
 Then('both sides log that they speak different protocols, with the remedy', function then(this: Story) {
   for (const process of ['edge-5/agent', 'core-1']) {
     const line = this.fleet.world.logs.find((one) => one.process === process && one.event === 'peer.incompatible');
-    assert.match(String(line?.fields['reason']), /protocols.*one process at a time/, process);
+    assert.match(String(line?.fields['reason']), /protocol versions.*one process at a time/, process);
   }
 });
 
