--- a/packages/simulator/pooled-mutations.mjs
+++ b/packages/simulator/pooled-mutations.mjs
@@ -181,7 +181,7 @@
   },
   {
     name: 'beats-taken-by-no-fleet',
-    story: 'without a fleet',
+    story: 'without a fleet|outside a fleet',
     // Two guards in a row: a core that is not open yet, and one that no majority answers.
     file: 'core/build/platform-api.js',
     from: 'isOpen() && registration.value.heartbeat(report)',
@@ -213,7 +213,7 @@
   },
   {
     name: 'stray-reply-kept',
-    story: 'A reply that nobody waits for ends',
+    story: 'An unsolicited reply closes the connection',
     file: 'runtime/build/minimal-http-connection.js',
     from: 'if (state.request === undefined)\n            close(state);',
     to: '',
@@ -297,14 +297,14 @@
   },
   {
     name: 'late-beats-taken',
-    story: 'heartbeat that arrives late',
+    story: 'late heartbeat|heartbeat that arrives late',
     file: 'member-registry/build/member-registry.js',
     from: 'record.sequence < previous.record.sequence',
     to: 'false',
   },
   {
     name: 'whoever-left-comes-back',
-    story: 'heartbeat that arrives late',
+    story: 'late heartbeat|heartbeat that arrives late',
     file: 'member-registry/build/member-registry.js',
     from: '(previous.hasLeft && !record.gone)',
     to: 'false',
@@ -557,7 +557,7 @@
   },
   {
     name: 'commit-error-left-alone',
-    story: 'opened anew',
+    story: 'must be reopened',
     file: 'runtime/build/commit-queue.js',
     from: 'if (commitError === undefined)',
     to: 'if (true)',
@@ -572,7 +572,7 @@
   },
   {
     name: 'count-not-looked-for',
-    story: 'What a loss of power leaves',
+    story: 'states of a data folder after a power loss',
     file: 'runtime/build/lmdb-store.js',
     from: "typeof store.get(putsKey) === 'number'",
     to: 'true',
