--- a/packages/acceptance/src/connections.ts
+++ b/packages/acceptance/src/connections.ts
@@ -250,7 +250,7 @@
   assert.deepEqual([this.connections.isFailing('member-1'), this.connections.notListening()], [true, []]);
 });
 
-When('its machine goes dark, and tenant {string} wants 1', async function when(this: UnitStory, tenant: string) {
+When('its machine fails, and tenant {string} requests 1 connection', async function when(this: UnitStory, tenant: string) {
   this.world.makeUnresponsive('member-machine');
   assert.equal(this.connections.requestConnection(place, tenant), true);
   await this.world.run(1_100);
